--- a/crates/front/src/planner/service.rs
+++ b/crates/front/src/planner/service.rs
@@ -224,7 +224,7 @@
             model, from_store, ..
         } => {
             let planned = &models[*model];
-            info!(target: "planner", event = "load", replica = &*entry.id, model = name(*model), from_store, demand = planned.demand, recent = planned.recent, unserved = planned.unserved, "a copy is added")
+            info!(target: "planner", event = "load", replica = &*entry.id, model = name(*model), from_store, demand = planned.demand, recent = planned.recent_demand, unserved = planned.unserved_secs, "a copy is added")
         }
         Step::Unload {
             models: gone,
@@ -270,10 +270,10 @@
         copies::Model {
             memory_mb: model.memory_mb,
             demand: demand.now,
-            recent: demand.recent,
-            unserved: demand.unserved.map_or(0.0, |at| now.since(at).secs()),
-            from_store: model.load_disk.as_secs_f64() / model.load.as_secs_f64().max(LEAST_LOAD),
-            expected,
+            recent_demand: demand.recent,
+            unserved_secs: demand.unserved.map_or(0.0, |at| now.since(at).secs()),
+            store_factor: model.load_disk.as_secs_f64() / model.load.as_secs_f64().max(LEAST_LOAD),
+            expected_demand: expected,
         }
     };
     engine.models.iter().map(seen_by_plan).collect()
--- a/crates/place/src/copies.rs
+++ b/crates/place/src/copies.rs
@@ -29,14 +29,14 @@
     /// Demand in replicas that it would keep busy.
     pub demand: f64,
     /// Demand of the last while, more slowly smoothed.
-    pub recent: f64,
+    pub recent_demand: f64,
     /// Time for which it has been asked for and on no replica, in seconds.
-    pub unserved: f64,
+    pub unserved_secs: f64,
     /// Part of a copy's value that it keeps when it comes from the weight store: the time of a load from
     /// a disk over that from there, since a copy is worth the more the sooner it is there.
-    pub from_store: f64,
+    pub store_factor: f64,
     /// Demand that may come without notice, before a copy could be back.
-    pub expected: f64,
+    pub expected_demand: f64,
 }
 
 /// Replica as the plan sees it; models by index.
--- a/crates/place/src/copies/fleet.rs
+++ b/crates/place/src/copies/fleet.rs
@@ -115,11 +115,11 @@
         let model = &self.models[model];
         let n = serving.max(NO_COPY);
         let demand = match serving <= 0.0 {
-            true => model.demand.max(model.expected),
+            true => model.demand.max(model.expected_demand),
             false => model.demand,
         };
         // A copy relieves the others the less, the more its replica has to do already.
-        let asked = (1.0 + RELIEVED) * demand + model.recent;
+        let asked = (1.0 + RELIEVED) * demand + model.recent_demand;
         let relieved = asked / (1.0 + others);
         // Copies so valued go by the square root of demand: demand moves from the busiest model to one
         // that few asked for within less time than weights need to come, so that the next ones must
@@ -143,14 +143,14 @@
         if self.counts[model].all > 0 {
             return 1.0;
         }
-        1.0 + self.models[model].unserved / UNSERVED_DOUBLES
+        1.0 + self.models[model].unserved_secs / UNSERVED_DOUBLES
     }
 
     /// Whether a model is to be on some replica: each, while there are places for all; else those that
     /// are asked for.
     pub(super) fn is_needed(&self, model: usize) -> bool {
         let model = &self.models[model];
-        !self.scarce || model.demand + model.recent > ASKED
+        !self.scarce || model.demand + model.recent_demand > ASKED
     }
 
     /// What is lost when a replica gives up a copy.
--- a/crates/place/src/copies/step.rs
+++ b/crates/place/src/copies/step.rs
@@ -145,7 +145,7 @@
     let replica = &fleet.replicas[r];
     let from_store = !replica.copied.contains(&m);
     let part = match from_store {
-        true => fleet.models[m].from_store,
+        true => fleet.models[m].store_factor,
         false => 1.0,
     };
     let gain = fleet.gain(m, r) * part * (1.0 - LOADED * replica.load.min(1.0));
--- a/crates/place/tests/copies.rs
+++ b/crates/place/tests/copies.rs
@@ -8,10 +8,10 @@
     Model {
         memory_mb: 40.0,
         demand,
-        recent: demand,
-        unserved: 0.0,
-        from_store: 0.25,
-        expected: 0.0,
+        recent_demand: demand,
+        unserved_secs: 0.0,
+        store_factor: 0.25,
+        expected_demand: 0.0,
     }
 }
 
--- a/crates/place/tests/paging.rs
+++ b/crates/place/tests/paging.rs
@@ -44,10 +44,10 @@
         let model = Model {
             memory_mb: 40.0,
             demand: 0.0,
-            recent: 0.0,
-            unserved: 0.0,
-            from_store: DISK / STORE,
-            expected: 0.0,
+            recent_demand: 0.0,
+            unserved_secs: 0.0,
+            store_factor: DISK / STORE,
+            expected_demand: 0.0,
         };
         let replica = |r: usize| Replica {
             free_mb: 0.0,
@@ -76,15 +76,15 @@
         self.allowed = (self.allowed + self.rate * TICK).min(3.0);
         for (m, model) in self.models.iter_mut().enumerate() {
             model.demand = demand(m, self.now);
-            model.recent += (model.demand - model.recent) * TICK / RECENT;
+            model.recent_demand += (model.demand - model.recent_demand) * TICK / RECENT;
         }
         (0..self.replicas.len()).for_each(|r| self.finish(r));
         for m in 0..self.models.len() {
             if self.replicas.iter().any(|r| r.held.contains(&m)) {
                 self.held[m] = self.now;
             }
-            let asked = self.models[m].demand + self.models[m].recent > 0.005;
-            self.models[m].unserved = if asked { self.now - self.held[m] } else { 0.0 };
+            let asked = self.models[m].demand + self.models[m].recent_demand > 0.005;
+            self.models[m].unserved_secs = if asked { self.now - self.held[m] } else { 0.0 };
         }
         let most = self.replicas.len();
         for step in plan(&self.replicas, &self.models, self.allowed as usize, most) {
@@ -223,7 +223,7 @@
 fn a_rare_request_does_not_at_once_displace_what_may_wake() {
     let mut fleet = Fleet::new(2, 5, 1.0);
     for model in &mut fleet.models {
-        model.expected = 2.0;
+        model.expected_demand = 2.0;
     }
     fleet.tick(|m, _| if m == 4 { 0.28 } else { 0.0 });
     assert!(fleet.doing.iter().all(Option::is_none), "not at once");
--- a/crates/standin/src/experiment/platform.rs
+++ b/crates/standin/src/experiment/platform.rs
@@ -128,10 +128,10 @@
         .map(|m| Model {
             memory_mb: 60_000.0,
             demand: if m % 10 == 0 { 14.0 } else { 0.5 },
-            recent: 0.5,
-            unserved: 0.0,
-            from_store: 0.25,
-            expected: 0.0,
+            recent_demand: 0.5,
+            unserved_secs: 0.0,
+            store_factor: 0.25,
+            expected_demand: 0.0,
         })
         .collect();
     let held: Vec<Replica> = (0..replicas)
