--- a/crates/front/src/planner/service.rs
+++ b/crates/front/src/planner/service.rs
@@ -166,9 +166,9 @@
     fn holds(&self, replica: usize, known: &Known, now: Time) -> bool {
         let planned = &self.replicas[replica];
         let entry = &self.entries[replica];
-        let seen = self::replica(entry, known, self.engine, planned.load, now);
+        let seen = self::replica(entry, known, self.engine, planned.utilization, now);
         copies::Replica {
-            in_need: planned.in_need,
+            degraded_capacity: planned.degraded_capacity,
             ..seen
         } == *planned
     }
@@ -188,7 +188,7 @@
             true => now + CLOSING,
             false => now + CLOSING_IDLE,
         };
-        let from_store = !self.replicas[replica].copied.contains(&instead);
+        let from_store = !self.replicas[replica].cached.contains(&instead);
         let takes = load_job(entry, &self.engine.models[instead], from_store).takes;
         let there = now + MAKES_ROOM * gone.len() as f64 + takes;
         let gone = gone.into_iter().map(|m| (name(m), due(m)));
@@ -205,7 +205,7 @@
         replicas: &[copies::Replica],
         now: Time,
     ) {
-        let staying = replicas.iter().filter(|r| r.stays);
+        let staying = replicas.iter().filter(|r| r.in_service);
         let held: HashSet<usize> = staying.flat_map(|r| &r.held).copied().collect();
         for (m, model) in engine.models.iter().enumerate() {
             let key = (service.clone(), model.name.clone());
@@ -292,7 +292,7 @@
         let known = known.get(&entry.id).unwrap_or(&nothing);
         let seen = replica(entry, known, engine, taken(entry, loads), now);
         copies::Replica {
-            in_need: needs.get(&entry.id).copied(),
+            degraded_capacity: needs.get(&entry.id).copied(),
             ..seen
         }
     };
@@ -314,15 +314,15 @@
     copies::Replica {
         free_mb: known.free_mb(engine),
         held,
-        coming,
-        fresh: known.fresh(now).and_then(index).into_iter().collect(),
-        copied: copies.filter_map(index).collect(),
-        promised: known.room_for().and_then(index),
-        idle: known.is_free(),
+        incoming: coming,
+        recently_loaded: known.fresh(now).and_then(index).into_iter().collect(),
+        cached: copies.filter_map(index).collect(),
+        reserved_for: known.room_for().and_then(index),
+        accepts_orders: known.is_free(),
         unloading: known.makes_room(),
-        stays: !entry.leaving && !known.is_lost(now),
-        load,
-        in_need: None,
+        in_service: !entry.leaving && !known.is_lost(now),
+        utilization: load,
+        degraded_capacity: None,
     }
 }
 
--- a/crates/place/src/copies.rs
+++ b/crates/place/src/copies.rs
@@ -47,29 +47,29 @@
     /// Models that it holds, and does not give up.
     pub held: Vec<usize>,
     /// Models that it is loading, or for which it is making room.
-    pub coming: Vec<usize>,
+    pub incoming: Vec<usize>,
     /// Model for which it has made room, and which it does not load yet.
-    pub promised: Option<usize>,
+    pub reserved_for: Option<usize>,
     /// Models that it holds since a moment ago: they do not give way yet, unless there are other copies.
-    pub fresh: Vec<usize>,
+    pub recently_loaded: Vec<usize>,
     /// Models of which it keeps a copy outside the accelerator.
-    pub copied: Vec<usize>,
+    pub cached: Vec<usize>,
     /// Whether it takes an order now.
-    pub idle: bool,
+    pub accepts_orders: bool,
     /// Whether it is giving up a model.
     pub unloading: bool,
     /// Whether it stays.
-    pub stays: bool,
+    pub in_service: bool,
     /// Share of its places that are taken.
-    pub load: f64,
+    pub utilization: f64,
     /// Part of what it could serve that it takes now, where it is in need.
-    pub in_need: Option<f64>,
+    pub degraded_capacity: Option<f64>,
 }
 
 impl Replica {
     /// What it serves now, as a part of a sound replica.
     fn serves(&self) -> f64 {
-        self.in_need.unwrap_or(1.0)
+        self.degraded_capacity.unwrap_or(1.0)
     }
 }
 
--- a/crates/place/src/copies/fleet.rs
+++ b/crates/place/src/copies/fleet.rs
@@ -59,9 +59,9 @@
         match step {
             Step::Load { replica, model, .. } => {
                 let replica = &mut self.replicas[*replica];
-                replica.coming.push(*model);
+                replica.incoming.push(*model);
                 replica.free_mb -= self.models[*model].memory_mb;
-                replica.idle = false;
+                replica.accepts_orders = false;
             }
             Step::Unload {
                 replica,
@@ -71,8 +71,8 @@
                 let replica = &mut self.replicas[*replica];
                 replica.held.retain(|m| !models.contains(m));
                 // The room is meant for that model, so no other replica loads it on top.
-                replica.coming.push(*instead);
-                replica.idle = false;
+                replica.incoming.push(*instead);
+                replica.accepts_orders = false;
             }
         }
         self.count();
@@ -81,9 +81,9 @@
     /// Lets a replica that has made room wait, so that the room stays; or forgets what the room was for.
     pub(super) fn settle(&mut self, r: usize, waits: bool) {
         let replica = &mut self.replicas[r];
-        replica.idle &= !waits;
-        if !waits && let Some(model) = replica.promised.take() {
-            replica.coming.retain(|m| *m != model);
+        replica.accepts_orders &= !waits;
+        if !waits && let Some(model) = replica.reserved_for.take() {
+            replica.incoming.retain(|m| *m != model);
         }
         self.count();
     }
@@ -169,26 +169,26 @@
 fn places(replicas: &[Replica], models: &[Model]) -> usize {
     let memory: f64 = models.iter().map(|m| m.memory_mb).sum();
     let mean = memory / models.len().max(1) as f64;
-    let staying = replicas.iter().filter(|r| r.stays);
+    let staying = replicas.iter().filter(|r| r.in_service);
     let of_one = |r: &Replica| on(r).count() + (r.free_mb.max(0.0) / mean.max(1.0)) as usize;
     staying.map(of_one).sum()
 }
 
 /// Models that a replica holds or will.
 fn on(replica: &Replica) -> impl Iterator<Item = &usize> {
-    replica.held.iter().chain(&replica.coming)
+    replica.held.iter().chain(&replica.incoming)
 }
 
 /// Copies of each model on replicas that stay.
 fn counts(replicas: &[Replica], models: usize) -> Vec<Count> {
     let mut counts = vec![Count::default(); models];
-    for replica in replicas.iter().filter(|r| r.stays) {
+    for replica in replicas.iter().filter(|r| r.in_service) {
         for model in &replica.held {
             counts[*model].held += 1;
             counts[*model].all += 1;
             counts[*model].serving += replica.serves();
         }
-        for model in &replica.coming {
+        for model in &replica.incoming {
             counts[*model].all += 1;
             counts[*model].serving += replica.serves();
         }
--- a/crates/place/src/copies/step.rs
+++ b/crates/place/src/copies/step.rs
@@ -51,10 +51,13 @@
     let mut steps = Vec::new();
     for replica in 0..fleet.replicas.len() {
         let of = &fleet.replicas[replica];
-        let Some(model) = of.promised.filter(|_| of.idle && of.stays) else {
+        let Some(model) = of
+            .reserved_for
+            .filter(|_| of.accepts_orders && of.in_service)
+        else {
             continue;
         };
-        let from_store = !of.copied.contains(&model);
+        let from_store = !of.cached.contains(&model);
         let fits = fleet.models[model].memory_mb <= of.free_mb && !of.held.contains(&model);
         if fits && fleet.is_needed(model) && from_store && bounds.store_loads == 0 {
             fleet.settle(replica, true);
@@ -80,7 +83,7 @@
     let wanted = wanted(fleet);
     let mut best: Option<(Step, Score)> = None;
     for (r, replica) in fleet.replicas.iter().enumerate() {
-        if replica.idle && replica.stays {
+        if replica.accepts_orders && replica.in_service {
             let above = best.as_ref().map(|(_, score)| *score);
             best = best_of(fleet, r, &wanted, bounds, above).or(best);
         }
@@ -143,12 +146,12 @@
         return None;
     }
     let replica = &fleet.replicas[r];
-    let from_store = !replica.copied.contains(&m);
+    let from_store = !replica.cached.contains(&m);
     let part = match from_store {
         true => fleet.models[m].store_factor,
         false => 1.0,
     };
-    let gain = fleet.gain(m, r) * part * (1.0 - LOADED * replica.load.min(1.0));
+    let gain = fleet.gain(m, r) * part * (1.0 - LOADED * replica.utilization.min(1.0));
     if fleet.models[m].memory_mb <= replica.free_mb {
         let load = Step::Load {
             replica: r,
@@ -194,7 +197,11 @@
     let is_nowhere = fleet.counts[wanted].all == 0;
     // One more copy is worth no last one of a model that is asked for: that would take it back.
     let may_go = |m: &&usize| match is_last(**m) {
-        true => fleet.scarce && !replica.fresh.contains(m) && (is_nowhere || !fleet.is_needed(**m)),
+        true => {
+            fleet.scarce
+                && !replica.recently_loaded.contains(m)
+                && (is_nowhere || !fleet.is_needed(**m))
+        }
         false => true,
     };
     let loose = replica.held.iter().filter(may_go);
--- a/crates/place/tests/copies.rs
+++ b/crates/place/tests/copies.rs
@@ -19,21 +19,21 @@
     Replica {
         free_mb,
         held: held.to_vec(),
-        copied: Vec::new(),
-        idle: true,
+        cached: Vec::new(),
+        accepts_orders: true,
         unloading: false,
-        coming: Vec::new(),
-        fresh: Vec::new(),
-        promised: None,
-        stays: true,
-        load: 0.0,
-        in_need: None,
+        incoming: Vec::new(),
+        recently_loaded: Vec::new(),
+        reserved_for: None,
+        in_service: true,
+        utilization: 0.0,
+        degraded_capacity: None,
     }
 }
 
 fn in_need(part: f64, replica: Replica) -> Replica {
     Replica {
-        in_need: Some(part),
+        degraded_capacity: Some(part),
         ..replica
     }
 }
@@ -128,7 +128,7 @@
 fn room_waits_for_the_weight_store_rather_than_for_what_few_need() {
     let models = [model(6.0), model(0.0)];
     let mut known = replica(&[], 50.0);
-    known.copied = vec![1];
+    known.cached = vec![1];
     let replicas = [replica(&[0], 10.0), replica(&[1], 10.0), known];
     assert!(plan(&replicas, &models, 0, 9).is_empty());
     let steps = plan(&replicas, &models, 1, 1);
@@ -151,9 +151,9 @@
 fn a_model_that_is_nowhere_takes_the_place_that_costs_least() {
     let models = [model(1.0), model(0.0), model(0.0)];
     let mut kept = replica(&[0], 0.0);
-    kept.copied = vec![2];
+    kept.cached = vec![2];
     let mut busy = replica(&[1], 0.0);
-    busy.load = 0.9;
+    busy.utilization = 0.9;
     let replicas = [kept.clone(), kept, busy.clone(), busy];
     let steps = plan(&replicas, &models, 1, 1);
     let out = Step::Unload {
@@ -199,7 +199,7 @@
     assert_eq!(unloads(&replicas), 4);
     let mut begun = replicas.clone();
     for replica in &mut begun[..3] {
-        replica.idle = false;
+        replica.accepts_orders = false;
         replica.unloading = true;
     }
     assert_eq!(unloads(&begun), 1);
@@ -209,7 +209,7 @@
 fn a_model_that_is_nowhere_does_not_wait_for_others_to_make_room() {
     let models = [model(9.0), model(0.0), model(0.0)];
     let mut begun = replica(&[0], 10.0);
-    begun.idle = false;
+    begun.accepts_orders = false;
     begun.unloading = true;
     let replicas = [begun, replica(&[0, 1], 0.0), replica(&[0, 1], 0.0)];
     let steps = plan(&replicas, &models, 9, 1);
@@ -225,9 +225,9 @@
 fn room_is_made_once_for_a_model_that_is_nowhere() {
     let models = [model(0.1), model(0.1), model(0.0)];
     let mut begun = replica(&[0], 10.0);
-    begun.idle = false;
+    begun.accepts_orders = false;
     begun.unloading = true;
-    begun.coming = vec![2];
+    begun.incoming = vec![2];
     let replicas = [begun, replica(&[0, 1], 0.0), replica(&[0, 1], 0.0)];
     assert!(plan(&replicas, &models, 9, 1).is_empty());
 }
@@ -236,9 +236,9 @@
 fn a_copy_on_its_way_does_not_free_the_last_one_that_is_there() {
     let models = [model(9.0), model(0.0)];
     let mut begun = replica(&[], 10.0);
-    begun.idle = false;
+    begun.accepts_orders = false;
     begun.unloading = true;
-    begun.coming = vec![1];
+    begun.incoming = vec![1];
     let replicas = [begun, replica(&[1], 0.0)];
     assert!(plan(&replicas, &models, 9, 1).is_empty());
 }
@@ -254,7 +254,7 @@
 fn a_copy_on_a_replica_that_leaves_does_not_count() {
     let models = [model(0.0)];
     let mut leaving = replica(&[0], 0.0);
-    leaving.stays = false;
+    leaving.in_service = false;
     let replicas = [leaving, replica(&[], 50.0)];
     let steps = plan(&replicas, &models, 1, 9);
     assert_eq!(steps.len(), 1);
@@ -264,7 +264,7 @@
 fn without_a_load_from_the_store_only_copies_at_hand_are_loaded() {
     let models = [model(0.0), model(0.0)];
     let mut known = replica(&[0], 100.0);
-    known.copied = vec![1];
+    known.cached = vec![1];
     let replicas = [known, replica(&[1], 100.0)];
     let steps = plan(&replicas, &models, 0, 9);
     assert!(!steps.is_empty());
--- a/crates/place/tests/paging.rs
+++ b/crates/place/tests/paging.rs
@@ -52,9 +52,9 @@
         let replica = |r: usize| Replica {
             free_mb: 0.0,
             held: vec![2 * r % models, (2 * r + 1) % models],
-            copied: (0..6).map(|i| (2 * r + 3 * i) % models).collect(),
-            idle: true,
-            stays: true,
+            cached: (0..6).map(|i| (2 * r + 3 * i) % models).collect(),
+            accepts_orders: true,
+            in_service: true,
             ..Replica::default()
         };
         Fleet {
@@ -99,18 +99,18 @@
         match self.doing[r].take_if(|(_, due)| now >= *due) {
             Some((Doing::Unload(models), _)) => {
                 replica.free_mb += models.len() as f64 * 40.0;
-                (replica.idle, replica.unloading) = (true, false);
+                (replica.accepts_orders, replica.unloading) = (true, false);
             }
             Some((Doing::Load(model, took), _)) => {
-                replica.coming.clear();
+                replica.incoming.clear();
                 replica.held.push(model);
-                replica.copied.push(model);
-                replica.idle = true;
+                replica.cached.push(model);
+                replica.accepts_orders = true;
                 self.fresh[r].push((model, now + took));
             }
             None => {}
         }
-        self.replicas[r].fresh = self.fresh[r].iter().map(|(m, _)| *m).collect();
+        self.replicas[r].recently_loaded = self.fresh[r].iter().map(|(m, _)| *m).collect();
     }
 
     fn begin(&mut self, step: Step) {
@@ -121,10 +121,10 @@
                 from_store,
             } => {
                 let replica = &mut self.replicas[r];
-                assert!(replica.free_mb >= 40.0 && replica.idle, "no room");
+                assert!(replica.free_mb >= 40.0 && replica.accepts_orders, "no room");
                 replica.free_mb -= 40.0;
-                replica.coming = vec![model];
-                (replica.promised, replica.idle) = (None, false);
+                replica.incoming = vec![model];
+                (replica.reserved_for, replica.accepts_orders) = (None, false);
                 let takes = if from_store { STORE } else { DISK };
                 self.allowed -= f64::from(u8::from(from_store));
                 self.loads += 1;
@@ -137,9 +137,9 @@
             } => {
                 let replica = &mut self.replicas[r];
                 replica.held.retain(|m| !models.contains(m));
-                replica.coming = vec![instead];
-                replica.promised = Some(instead);
-                (replica.idle, replica.unloading) = (false, true);
+                replica.incoming = vec![instead];
+                replica.reserved_for = Some(instead);
+                (replica.accepts_orders, replica.unloading) = (false, true);
                 let due = self.now + UNLOAD * models.len() as f64;
                 self.doing[r] = Some((Doing::Unload(models), due));
             }
@@ -240,9 +240,9 @@
     fleet.allowed = 0.0;
     fleet.replicas[0].free_mb = 40.0;
     fleet.replicas[0].held = vec![0];
-    fleet.replicas[0].copied = vec![1];
-    fleet.replicas[0].coming = vec![2];
-    fleet.replicas[0].promised = Some(2);
+    fleet.replicas[0].cached = vec![1];
+    fleet.replicas[0].incoming = vec![2];
+    fleet.replicas[0].reserved_for = Some(2);
     fleet.tick(|m, _| [0.0, 3.0, 0.3][m]);
     assert!(fleet.doing[0].is_none(), "it waits for the weight store");
     fleet.allowed = 1.0;
--- a/crates/standin/src/experiment/platform.rs
+++ b/crates/standin/src/experiment/platform.rs
@@ -138,9 +138,9 @@
         .map(|n| Replica {
             free_mb: 20_000.0,
             held: vec![n % models, (n + 1) % models, (n + 7) % models],
-            idle: n % 4 == 0,
-            stays: true,
-            load: 0.3,
+            accepts_orders: n % 4 == 0,
+            in_service: true,
+            utilization: 0.3,
             ..Replica::default()
         })
         .collect();
