--- a/crates/front/src/planner/service.rs
+++ b/crates/front/src/planner/service.rs
@@ -131,9 +131,9 @@
                 }
                 Step::Unload {
                     models: gone,
-                    instead,
+                    replacement,
                     ..
-                } => plan.close(replica, known, gone, instead, now),
+                } => plan.close(replica, known, gone, replacement, now),
             }
         }
         any
@@ -228,12 +228,12 @@
         }
         Step::Unload {
             models: gone,
-            instead,
+            replacement,
             ..
         } => {
             for model in gone {
-                let (demand, wanted) = (models[*model].demand, models[*instead].demand);
-                info!(target: "planner", event = "close", replica = &*entry.id, model = name(*model), instead = name(*instead), demand, wanted, "a copy makes room")
+                let (demand, wanted) = (models[*model].demand, models[*replacement].demand);
+                info!(target: "planner", event = "close", replica = &*entry.id, model = name(*model), instead = name(*replacement), demand, wanted, "a copy makes room")
             }
         }
     }
--- a/crates/place/src/copies.rs
+++ b/crates/place/src/copies.rs
@@ -92,7 +92,7 @@
         /// Indices of the models.
         models: Vec<usize>,
         /// Index of the model that is to come.
-        instead: usize,
+        replacement: usize,
     },
 }
 
--- a/crates/place/src/copies/fleet.rs
+++ b/crates/place/src/copies/fleet.rs
@@ -66,12 +66,12 @@
             Step::Unload {
                 replica,
                 models,
-                instead,
+                replacement,
             } => {
                 let replica = &mut self.replicas[*replica];
                 replica.held.retain(|m| !models.contains(m));
                 // The room is meant for that model, so no other replica loads it on top.
-                replica.incoming.push(*instead);
+                replica.incoming.push(*replacement);
                 replica.accepts_orders = false;
             }
         }
--- a/crates/place/src/copies/step.rs
+++ b/crates/place/src/copies/step.rs
@@ -173,7 +173,7 @@
     let unload = Step::Unload {
         replica: r,
         models: swap.models,
-        instead: m,
+        replacement: m,
     };
     Some((Next::Now(unload), gain, swap.turns))
 }
--- a/crates/place/tests/copies.rs
+++ b/crates/place/tests/copies.rs
@@ -97,7 +97,7 @@
     let out = Step::Unload {
         replica: 1,
         models: vec![1],
-        instead: 0,
+        replacement: 0,
     };
     assert_eq!(steps, [out]);
 }
@@ -159,7 +159,7 @@
     let out = Step::Unload {
         replica: 2,
         models: vec![1],
-        instead: 2,
+        replacement: 2,
     };
     assert_eq!(steps, [out]);
 }
@@ -214,7 +214,7 @@
     let replicas = [begun, replica(&[0, 1], 0.0), replica(&[0, 1], 0.0)];
     let steps = plan(&replicas, &models, 9, 1);
     assert!(
-        matches!(steps[..], [Step::Unload { instead: 2, .. }]),
+        matches!(steps[..], [Step::Unload { replacement: 2, .. }]),
         "{steps:?}"
     );
 }
--- a/crates/place/tests/paging.rs
+++ b/crates/place/tests/paging.rs
@@ -133,12 +133,12 @@
             Step::Unload {
                 replica: r,
                 models,
-                instead,
+                replacement,
             } => {
                 let replica = &mut self.replicas[r];
                 replica.held.retain(|m| !models.contains(m));
-                replica.incoming = vec![instead];
-                replica.reserved_for = Some(instead);
+                replica.incoming = vec![replacement];
+                replica.reserved_for = Some(replacement);
                 (replica.accepts_orders, replica.unloading) = (false, true);
                 let due = self.now + UNLOAD * models.len() as f64;
                 self.doing[r] = Some((Doing::Unload(models), due));
