--- a/crates/front/src/planner/demand.rs
+++ b/crates/front/src/planner/demand.rs
@@ -89,7 +89,7 @@
         self.recent += (need - self.recent) * weight;
         self.now = need + (rise * AHEAD.secs()).min(need * MOST_RISE);
         let (since, peak) = self.woke.unwrap_or((now, 0.0));
-        let is_asked = self.now + self.recent > copies::ASKED;
+        let is_asked = self.now + self.recent > copies::ACTIVE_DEMAND;
         self.woke = is_asked.then(|| (since, peak.max(need)));
     }
 }
--- a/crates/place/src/copies.rs
+++ b/crates/place/src/copies.rs
@@ -19,7 +19,7 @@
 
 /// Demand, in replicas kept busy, from which a model counts as asked for: the recent demand of a single
 /// request fades to this in half a minute.
-pub const ASKED: f64 = 0.005;
+pub const ACTIVE_DEMAND: f64 = 0.005;
 
 /// Model as the plan sees it.
 #[derive(Debug, Clone, Copy)]
--- a/crates/place/src/copies/fleet.rs
+++ b/crates/place/src/copies/fleet.rs
@@ -1,7 +1,7 @@
 //! What a plan of copies knows while it is made: counts of copies, demand on each replica, and what
 //! copies are worth.
 
-use super::{ASKED, Model, Replica, Step};
+use super::{ACTIVE_DEMAND, Model, Replica, Step};
 
 /// Part of a copy in place of none, by which the value of a model's first copy is reckoned.
 const NO_COPY: f64 = 0.5;
@@ -150,7 +150,7 @@
     /// are asked for.
     pub(super) fn is_needed(&self, model: usize) -> bool {
         let model = &self.models[model];
-        !self.scarce || model.demand + model.recent_demand > ASKED
+        !self.scarce || model.demand + model.recent_demand > ACTIVE_DEMAND
     }
 
     /// What is lost when a replica gives up a copy.
