--- a/crates/front/src/planner/ahead.rs
+++ b/crates/front/src/planner/ahead.rs
@@ -60,8 +60,8 @@
     });
     Replica {
         models: known.held.iter().filter_map(|h| index(&h.model)).collect(),
-        free: (engine.adapters as usize).saturating_sub(known.adapters_due()),
+        free_slots: (engine.adapters as usize).saturating_sub(known.adapters_due()),
         adapters: held.collect(),
-        idle: known.is_free(),
+        accepts_orders: known.is_free(),
     }
 }
--- a/crates/place/src/adapters.rs
+++ b/crates/place/src/adapters.rs
@@ -6,11 +6,11 @@
     /// Models that it holds, by index.
     pub models: Vec<usize>,
     /// Places for adapters that nothing takes.
-    pub free: usize,
+    pub free_slots: usize,
     /// Adapters that it holds, as model and number from 1.
     pub adapters: Vec<(usize, u32)>,
     /// Whether it takes orders now.
-    pub idle: bool,
+    pub accepts_orders: bool,
 }
 
 /// Adapter to be fetched: replica, model and number from 1.
@@ -21,7 +21,7 @@
 pub fn plan(replicas: &[Replica], counts: &[u32], order: &[usize], most: usize) -> Vec<Fetch> {
     let mut free: Vec<usize> = replicas
         .iter()
-        .map(|r| if r.idle { r.free } else { 0 })
+        .map(|r| if r.accepts_orders { r.free_slots } else { 0 })
         .collect();
     let mut fetches = Vec::new();
     for model in order {
--- a/crates/place/tests/adapters.rs
+++ b/crates/place/tests/adapters.rs
@@ -6,9 +6,9 @@
 fn replica(models: &[usize], free: usize) -> Replica {
     Replica {
         models: models.to_vec(),
-        free,
+        free_slots: free,
         adapters: Vec::new(),
-        idle: true,
+        accepts_orders: true,
     }
 }
 
