--- a/crates/bundle/src/ini.rs
+++ b/crates/bundle/src/ini.rs
@@ -69,7 +69,7 @@
 }
 
 /// Problems as indented text, one a line.
-pub fn list(problems: &[Problem]) -> String {
+pub fn format_problems(problems: &[Problem]) -> String {
     let lines: Vec<String> = problems.iter().map(|p| format!("  {p}")).collect();
     lines.join("\n")
 }
@@ -100,7 +100,7 @@
     }
 
     /// The value when nothing was wrong, else all that was, by line.
-    pub fn or<T>(mut self, value: T) -> Result<T, Vec<Problem>> {
+    pub fn into_result<T>(mut self, value: T) -> Result<T, Vec<Problem>> {
         if self.found.is_empty() {
             return Ok(value);
         }
@@ -191,7 +191,7 @@
     }
 
     /// Notes a problem with a key's value, at its line or else at the section's.
-    pub fn refuse(&mut self, key: &'static str, text: impl fmt::Display) {
+    pub fn report(&mut self, key: &'static str, text: impl fmt::Display) {
         let entry = self.section.entries.iter().find(|e| &*e.key == key);
         let line = entry.map_or(self.section.line, |e| e.line);
         self.problems.add(line, format!("{key}: {text}"));
@@ -201,7 +201,7 @@
     pub fn text(&mut self, key: &'static str) -> Option<Name> {
         let entry = self.entry(key)?;
         if entry.value.is_empty() {
-            self.refuse(key, "the value is empty; give one or leave the key out.");
+            self.report(key, "the value is empty; give one or leave the key out.");
             return None;
         }
         Some(entry.value.clone())
@@ -248,7 +248,7 @@
         match text.parse::<T>() {
             Ok(value) if allowed.contains(&value) => Some(value),
             _ => {
-                self.refuse(
+                self.report(
                     key,
                     format!("'{text}' is not allowed; give a value from {low} to {high}."),
                 );
@@ -267,7 +267,7 @@
         match text.parse() {
             Ok(value) => Some(value),
             Err(why) => {
-                self.refuse(key, why);
+                self.report(key, why);
                 None
             }
         }
@@ -282,7 +282,7 @@
             "yes" => true,
             "no" => false,
             other => {
-                self.refuse(key, format!("'{other}' is not allowed; give yes or no."));
+                self.report(key, format!("'{other}' is not allowed; give yes or no."));
                 default
             }
         }
--- a/crates/bundle/src/part.rs
+++ b/crates/bundle/src/part.rs
@@ -73,7 +73,7 @@
             text,
         }
     });
-    problems.or(parts.collect())
+    problems.into_result(parts.collect())
 }
 
 fn group(section: &Section) -> Name {
--- a/crates/bundle/src/read.rs
+++ b/crates/bundle/src/read.rs
@@ -28,7 +28,7 @@
         read_section(section, &mut intent, &mut problems);
     }
     check_references(&intent, &lines, &mut problems);
-    problems.or(intent)
+    problems.into_result(intent)
 }
 
 fn read_section(section: &Section, intent: &mut Intent, problems: &mut Problems) {
@@ -117,7 +117,7 @@
             "{} lies after the deadline of {}; make it shorter.",
             class.first_token, class.deadline
         );
-        fields.refuse("first_token", text);
+        fields.report("first_token", text);
     }
     Some(class)
 }
@@ -151,14 +151,14 @@
     for key in &keys {
         let is_hash = key.len() == 64 && key.chars().all(|c| c.is_ascii_hexdigit());
         if !is_hash {
-            fields.refuse(
+            fields.report(
                 "keys",
                 format!("'{key}' is not a SHA-256 in hex; make one with 'coveford key hash'."),
             );
         }
     }
     if keys.is_empty() {
-        fields.refuse("keys", "a caller needs at least one key's hash.");
+        fields.report("keys", "a caller needs at least one key's hash.");
     }
     let models = match fields.list("models") {
         none if none.is_empty() => vec!["*".into()],
@@ -178,7 +178,7 @@
     if let Some(path) = &path {
         let reserved = path.starts_with("/v1/");
         if reserved || !path.starts_with('/') || !path.ends_with('/') {
-            fields.refuse(
+            fields.report(
                 "path",
                 format!("'{path}' must begin and end with '/' and not lie below /v1/."),
             );
@@ -207,7 +207,7 @@
         path: path.trim().into(),
     });
     if route.as_ref().is_none_or(|r| !r.path.starts_with('/')) {
-        fields.refuse(
+        fields.report(
             "unrepeatable",
             format!("'{text}' is not a method and a path, such as 'POST /print'."),
         );
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -65,7 +65,7 @@
         operator: Name,
     },
     /// The bundle has problems.
-    #[snafu(display("The bundle has {} problems; mend them all:\n{}", problems.len(), ini::list(problems)))]
+    #[snafu(display("The bundle has {} problems; mend them all:\n{}", problems.len(), ini::format_problems(problems)))]
     Bundle {
         /// All that is wrong.
         problems: Vec<Problem>,
--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -25,7 +25,7 @@
         source: std::io::Error,
     },
     /// The settings are wrong.
-    #[snafu(display("The settings have {} problems; mend them all:\n{}", problems.len(), ini::list(problems)))]
+    #[snafu(display("The settings have {} problems; mend them all:\n{}", problems.len(), ini::format_problems(problems)))]
     Settings {
         /// All that is wrong.
         problems: Vec<Problem>,
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -116,7 +116,7 @@
     let document = ini::parse(text, &mut problems);
     check_kinds(&document, &mut problems);
     let settings = assemble(&document, &mut problems);
-    let settings = problems.or(settings)?;
+    let settings = problems.into_result(settings)?;
     Ok(settings.expect("settings without a problem are whole"))
 }
 
@@ -158,7 +158,7 @@
         wire_key,
         trust,
     });
-    let whole = problems.or(whole)?;
+    let whole = problems.into_result(whole)?;
     Ok(whole.expect("settings without a problem are whole"))
 }
 
@@ -258,7 +258,7 @@
     match text.parse() {
         Ok(addr) => Some(addr),
         Err(_) => {
-            fields.refuse(
+            fields.report(
                 key,
                 format!("'{text}' is not an address; give an IP number and a port, such as 127.0.0.1:8080."),
             );
@@ -281,7 +281,7 @@
     };
     let kv: Vec<SocketAddr> = texts.iter().filter_map(|t| t.parse().ok()).collect();
     if kv.len() < texts.len() {
-        fields.refuse(
+        fields.report(
             "kv",
             "give IP numbers and ports, such as 127.0.0.1:7000, separated by commas.",
         );
@@ -305,7 +305,7 @@
         .and_then(|t| hex::decode(&**t).ok())
         .and_then(wire::Key::new);
     if text.is_some() && key.is_none() {
-        fields.refuse(
+        fields.report(
             "key",
             "give at least 32 bytes in hex, the same on every host; 'coveford key wire' makes one.",
         );
@@ -320,7 +320,7 @@
         let mut fields = Fields::new(section, problems);
         if let Some(key) = fields.required("key") {
             if read_public(&key).is_none() {
-                fields.refuse("key", format!("'{key}' is not an ed25519 public key in hex; 'coveford key show' prints one."));
+                fields.report("key", format!("'{key}' is not an ed25519 public key in hex; 'coveford key show' prints one."));
             }
             trust.operators.insert(section.name.clone(), key);
         }
@@ -409,14 +409,14 @@
     let mut fields = Fields::new(section, problems);
     let level = fields.text("level").unwrap_or_else(|| "info".into());
     if tracing_subscriber::EnvFilter::try_new(&*level).is_err() {
-        fields.refuse("level", format!("'{level}' is not allowed; give error, warn, info, debug or trace, or PART=LEVEL pairs."));
+        fields.report("level", format!("'{level}' is not allowed; give error, warn, info, debug or trace, or PART=LEVEL pairs."));
     }
     let format = match fields.text("format").as_deref() {
         None | Some("text") => LogFormat::Text,
         Some("json") => LogFormat::Json,
         Some(other) => {
             let text = format!("'{other}' is not allowed; give text or json.");
-            fields.refuse("format", text);
+            fields.report("format", text);
             LogFormat::Text
         }
     };
--- a/crates/front/src/error.rs
+++ b/crates/front/src/error.rs
@@ -9,7 +9,7 @@
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
     /// The settings are wrong.
-    #[snafu(display("The settings have {} problems; mend them all:\n{}", problems.len(), ini::list(problems)))]
+    #[snafu(display("The settings have {} problems; mend them all:\n{}", problems.len(), ini::format_problems(problems)))]
     Settings {
         /// All that is wrong.
         problems: Vec<Problem>,
--- a/crates/front/src/settings.rs
+++ b/crates/front/src/settings.rs
@@ -119,7 +119,7 @@
         }
     }
     let settings = assemble(&document, &mut problems);
-    let settings = problems.or(settings)?;
+    let settings = problems.into_result(settings)?;
     Ok(settings.expect("settings without a problem are whole"))
 }
 
@@ -198,7 +198,7 @@
         let text = format!(
             "'{level}' is not allowed; give error, warn, info, debug or trace, or PART=LEVEL pairs."
         );
-        fields.refuse("level", text);
+        fields.report("level", text);
     }
     let sample = fields.value("sample", SAMPLE, 1..=1_000_000);
     fields.finish();
