--- a/crates/bundle/src/lib.rs
+++ b/crates/bundle/src/lib.rs
@@ -5,10 +5,10 @@
 pub mod ini;
 pub mod intent;
 pub mod key;
+mod parse;
 pub mod part;
-mod read;
 
 pub use head::{Delta, Draft, Head};
 pub use ini::Problem;
 pub use intent::Intent;
-pub use read::read;
+pub use parse::parse;
--- a/crates/bundle/src/read.rs
+++ b/crates/bundle/src/parse.rs
@@ -12,7 +12,7 @@
 const MOST_WEIGHT: u32 = 1_000;
 
 /// Reads and checks a whole bundle.
-pub fn read(file: &str, text: &str) -> Result<Intent, Vec<Problem>> {
+pub fn parse(file: &str, text: &str) -> Result<Intent, Vec<Problem>> {
     let mut problems = Problems::new(file);
     let document = ini::parse(text, &mut problems);
     let mut intent = Intent::default();
@@ -25,13 +25,13 @@
                 format!("[{header}] stands already at line {first}; join the two."),
             );
         }
-        read_section(section, &mut intent, &mut problems);
+        parse_section(section, &mut intent, &mut problems);
     }
     check_references(&intent, &lines, &mut problems);
     problems.into_result(intent)
 }
 
-fn read_section(section: &Section, intent: &mut Intent, problems: &mut Problems) {
+fn parse_section(section: &Section, intent: &mut Intent, problems: &mut Problems) {
     let name = section.name.clone();
     let named = matches!(
         &*section.kind,
@@ -52,15 +52,15 @@
     let mut fields = Fields::new(section, problems);
     match &*section.kind {
         "bundle" => intent.title = fields.required("title").unwrap_or_default(),
-        "weights" => intent.weights = read_weights(&mut fields),
-        "limits" => intent.limits = read_limits(&mut fields),
+        "weights" => intent.weights = parse_weights(&mut fields),
+        "limits" => intent.limits = parse_limits(&mut fields),
         "upstreams" => intent.upstreams.fencing = fields.list("fencing"),
         "revoked" => intent.revoked = fields.list("keys").into_iter().collect(),
-        "class" => insert(&mut intent.classes, name, read_class(&mut fields)),
-        "model" => insert(&mut intent.models, name, read_model(&mut fields)),
-        "adapter" => insert(&mut intent.adapters, name, read_adapter(&mut fields)),
-        "caller" => insert(&mut intent.callers, name, read_caller(&mut fields)),
-        "service" => insert(&mut intent.services, name, read_service(&mut fields)),
+        "class" => insert(&mut intent.classes, name, parse_class(&mut fields)),
+        "model" => insert(&mut intent.models, name, parse_model(&mut fields)),
+        "adapter" => insert(&mut intent.adapters, name, parse_adapter(&mut fields)),
+        "caller" => insert(&mut intent.callers, name, parse_caller(&mut fields)),
+        "service" => insert(&mut intent.services, name, parse_service(&mut fields)),
         other => {
             problems.add(
                 section.line,
@@ -84,7 +84,7 @@
     !text.is_empty() && text.len() <= 128 && text.chars().all(allowed)
 }
 
-fn read_weights(fields: &mut Fields) -> Weights {
+fn parse_weights(fields: &mut Fields) -> Weights {
     let most = f64::from(MOST_WEIGHT);
     Weights {
         attainment: fields.value("attainment", 1.0, 0.0..=most),
@@ -92,7 +92,7 @@
     }
 }
 
-fn read_limits(fields: &mut Fields) -> Limits {
+fn parse_limits(fields: &mut Fields) -> Limits {
     let default = Limits::default();
     Limits {
         body: fields.value("body", default.body, Bytes(1_000)..=Bytes::from_mb(64)),
@@ -101,7 +101,7 @@
     }
 }
 
-fn read_class(fields: &mut Fields) -> Option<Class> {
+fn parse_class(fields: &mut Fields) -> Option<Class> {
     let least = Span::from_ms(1);
     let most = Span::from_secs(3_600);
     let between = Span::from_ms(100);
@@ -122,7 +122,7 @@
     Some(class)
 }
 
-fn read_model(fields: &mut Fields) -> Option<Model> {
+fn parse_model(fields: &mut Fields) -> Option<Model> {
     let version = fields.text("version").unwrap_or_else(|| "1".into());
     let memory = fields.parsed("memory");
     let class = fields.required("class");
@@ -137,7 +137,7 @@
     })
 }
 
-fn read_adapter(fields: &mut Fields) -> Option<Adapter> {
+fn parse_adapter(fields: &mut Fields) -> Option<Adapter> {
     let model = fields.required("model");
     let memory = fields.parsed("memory");
     Some(Adapter {
@@ -146,7 +146,7 @@
     })
 }
 
-fn read_caller(fields: &mut Fields) -> Option<Caller> {
+fn parse_caller(fields: &mut Fields) -> Option<Caller> {
     let keys = fields.list("keys");
     for key in &keys {
         let is_hash = key.len() == 64 && key.chars().all(|c| c.is_ascii_hexdigit());
@@ -172,7 +172,7 @@
     })
 }
 
-fn read_service(fields: &mut Fields) -> Option<Service> {
+fn parse_service(fields: &mut Fields) -> Option<Service> {
     let path = fields.required("path");
     let class = fields.required("class");
     if let Some(path) = &path {
@@ -187,7 +187,7 @@
     let routes = fields.list("unrepeatable");
     let unrepeatable = routes
         .iter()
-        .filter_map(|r| read_route(fields, r))
+        .filter_map(|r| parse_route(fields, r))
         .collect();
     let refusal_status = match fields.value("refusal_status", 0, 0..=599) {
         0 => None,
@@ -201,7 +201,7 @@
     })
 }
 
-fn read_route(fields: &mut Fields, text: &str) -> Option<Route> {
+fn parse_route(fields: &mut Fields, text: &str) -> Option<Route> {
     let route = text.split_once(' ').map(|(method, path)| Route {
         method: method.into(),
         path: path.trim().into(),
--- a/crates/bundle/src/part.rs
+++ b/crates/bundle/src/part.rs
@@ -51,7 +51,7 @@
 
 /// Cuts the text of a checked bundle into parts.
 pub fn cut(file: &str, text: &str) -> Result<Vec<Part>, Vec<Problem>> {
-    crate::read(file, text)?;
+    crate::parse(file, text)?;
     let mut problems = Problems::new(file);
     let document = ini::parse(text, &mut problems);
     let mut groups: BTreeMap<Name, Vec<&Section>> = BTreeMap::new();
@@ -98,7 +98,7 @@
 
 /// Joins the texts of parts and reads them as one bundle.
 pub fn join<'a>(texts: impl Iterator<Item = &'a str>) -> Result<Intent, Vec<Problem>> {
-    crate::read("bundle", &join_text(texts))
+    crate::parse("bundle", &join_text(texts))
 }
 
 /// Joins the texts of parts into one document.
--- a/crates/cli/src/bundles.rs
+++ b/crates/cli/src/bundles.rs
@@ -36,7 +36,7 @@
 
 /// Reads and checks the text of a bundle.
 pub fn check(file: &str, text: &str) -> Result<Intent, Error> {
-    bundle::read(file, text).map_err(|problems| Error::Bundle { problems })
+    bundle::parse(file, text).map_err(|problems| Error::Bundle { problems })
 }
 
 /// Whether a bundle's floors fit the accelerators in the host list.
