--- a/crates/bundle/src/key.rs
+++ b/crates/bundle/src/key.rs
@@ -51,18 +51,18 @@
 }
 
 /// Reads a signing key from hex.
-pub fn read_secret(text: &str) -> Option<SigningKey> {
+pub fn parse_signing_key(text: &str) -> Option<SigningKey> {
     let bytes = hex::decode(text.trim()).ok()?;
     Some(SigningKey::from_bytes(&bytes.try_into().ok()?))
 }
 
 /// Public key of a signing key, in hex.
-pub fn public(key: &SigningKey) -> Name {
+pub fn public_key(key: &SigningKey) -> Name {
     hex::encode(key.verifying_key().to_bytes()).into()
 }
 
 /// Reads a public key from hex.
-pub fn read_public(text: &str) -> Option<VerifyingKey> {
+pub fn parse_public_key(text: &str) -> Option<VerifyingKey> {
     let bytes: [u8; 32] = hex::decode(text).ok()?.try_into().ok()?;
     VerifyingKey::from_bytes(&bytes).ok()
 }
@@ -86,7 +86,7 @@
         let signature = hex::decode(&*signed.signature)
             .ok()
             .and_then(|bytes| Signature::from_slice(&bytes).ok());
-        match (read_public(public), signature) {
+        match (parse_public_key(public), signature) {
             (Some(key), Some(signature)) => key
                 .verify_strict(&statement(act, root, replaces), &signature)
                 .is_ok(),
--- a/crates/cli/src/bundles.rs
+++ b/crates/cli/src/bundles.rs
@@ -6,7 +6,7 @@
 use backing::keys;
 use backing::kv::{Error as KvError, Swapped};
 use bundle::diff::{Diff, diff};
-use bundle::key::{Act, public, sign};
+use bundle::key::{Act, public_key, sign};
 use bundle::part::{self, Part};
 use bundle::{Draft, Head, Intent};
 use daemon::clock::wall_ms;
@@ -154,7 +154,7 @@
 
 fn check_key(tool: &Tool, signing: &Signing) -> Result<(), Error> {
     let known = tool.settings.trust.operators.get(signing.operator);
-    match known == Some(&public(signing.key)) {
+    match known == Some(&public_key(signing.key)) {
         true => Ok(()),
         false => Err(Error::KeyForeign {
             operator: signing.operator.clone(),
--- a/crates/cli/src/keys.rs
+++ b/crates/cli/src/keys.rs
@@ -1,7 +1,7 @@
 //! Operators' key files.
 
 use crate::error::{Error, ReadSnafu, WriteSnafu};
-use bundle::key::{public, read_secret};
+use bundle::key::{parse_signing_key, public_key};
 use ed25519_dalek::SigningKey;
 use snafu::ResultExt;
 use std::fs::{self, OpenOptions};
@@ -29,7 +29,7 @@
         .open(path)
         .context(WriteSnafu { path })?;
     writeln!(file, "{}", hex::encode(key.to_bytes())).context(WriteSnafu { path })?;
-    Ok(public(&key))
+    Ok(public_key(&key))
 }
 
 /// Reads a key from a file that others cannot read.
@@ -43,7 +43,7 @@
         });
     }
     let text = fs::read_to_string(path).context(ReadSnafu { path })?;
-    read_secret(&text).ok_or_else(|| Error::KeyUnreadable {
+    parse_signing_key(&text).ok_or_else(|| Error::KeyUnreadable {
         path: path.to_owned(),
     })
 }
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -33,7 +33,7 @@
             Ok(())
         }
         Command::KeyShow { file } => {
-            out(bundle::key::public(&keys::read(file)?));
+            out(bundle::key::public_key(&keys::read(file)?));
             Ok(())
         }
         Command::KeyHash { key } => {
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -3,7 +3,7 @@
 use crate::error::{Error, ReadSettingsSnafu};
 use backing::store::Bounds;
 use bundle::ini::{self, Document, Fields, Problem, Problems, Section};
-use bundle::key::{Trust, read_public};
+use bundle::key::{Trust, parse_public_key};
 use snafu::ResultExt;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -319,7 +319,7 @@
     for section in operators {
         let mut fields = Fields::new(section, problems);
         if let Some(key) = fields.required("key") {
-            if read_public(&key).is_none() {
+            if parse_public_key(&key).is_none() {
                 fields.report("key", format!("'{key}' is not an ed25519 public key in hex; 'coveford key show' prints one."));
             }
             trust.operators.insert(section.name.clone(), key);
--- a/crates/standin/src/fleet.rs
+++ b/crates/standin/src/fleet.rs
@@ -6,7 +6,7 @@
 use crate::service::{self, Service};
 use backing::hosts::{Host, Kind};
 use bundle::Head;
-use bundle::key::public;
+use bundle::key::public_key;
 use cli::bundles::{self, Signing};
 use cli::{Error, Tool};
 use daemon::settings::{self, Settings};
@@ -146,7 +146,7 @@
         kv.addr, hosts.addr
     );
     for operator in operators {
-        let key = public(&operator.key);
+        let key = public_key(&operator.key);
         let _ = write!(text, "[operator {}]\nkey = {key}\n", operator.name);
     }
     text
