--- a/crates/bundle/src/head.rs
+++ b/crates/bundle/src/head.rs
@@ -1,6 +1,6 @@
 //! Drafts of a bundle and the head that is in force.
 
-use crate::key::{Act, Signed, Trust};
+use crate::key::{OperatorSignature, Purpose, Trust};
 use crate::part::{self, Ref};
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
@@ -19,9 +19,9 @@
     /// Parts of its content.
     pub parts: Vec<Ref>,
     /// Proposer's signature.
-    pub proposal: Signed,
+    pub proposal: OperatorSignature,
     /// Signatures of those who approved.
-    pub approvals: Vec<Signed>,
+    pub approvals: Vec<OperatorSignature>,
 }
 
 /// Bundle in force: a draft at a sequence.
@@ -84,7 +84,7 @@
         self.approvals
             .iter()
             .filter(|a| a.operator != self.proposal.operator)
-            .filter(|a| trust.verifies(a, Act::Approve, &root, self.replaces, revoked))
+            .filter(|a| trust.verifies(a, Purpose::Approve, &root, self.replaces, revoked))
             .map(|a| a.operator.clone())
             .collect()
     }
@@ -93,7 +93,7 @@
     pub fn verify(&self, trust: &Trust, revoked: &BTreeSet<Name>) -> Result<(), Refusal> {
         let proposed = trust.verifies(
             &self.proposal,
-            Act::Propose,
+            Purpose::Propose,
             &self.root(),
             self.replaces,
             revoked,
@@ -176,7 +176,7 @@
     use super::*;
 
     fn head(sequence: u64, parts: &[(&str, &str)]) -> Head {
-        let signed = Signed {
+        let signed = OperatorSignature {
             operator: "alice".into(),
             signature: "".into(),
         };
--- a/crates/bundle/src/key.rs
+++ b/crates/bundle/src/key.rs
@@ -7,7 +7,7 @@
 
 /// What a signature says about a bundle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Act {
+pub enum Purpose {
     /// "I propose this content."
     Propose,
     /// "I approve this content."
@@ -16,7 +16,7 @@
 
 /// Signature of a named operator.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Signed {
+pub struct OperatorSignature {
     /// Operator's name in the settings.
     pub operator: Name,
     /// Ed25519 signature in hex.
@@ -33,18 +33,24 @@
 }
 
 /// Bytes that are signed: the act, the content and the sequence it replaces.
-fn statement(act: Act, root: &str, replaces: u64) -> Vec<u8> {
-    let word = match act {
-        Act::Propose => "propose",
-        Act::Approve => "approve",
+fn statement(purpose: Purpose, root: &str, replaces: u64) -> Vec<u8> {
+    let word = match purpose {
+        Purpose::Propose => "propose",
+        Purpose::Approve => "approve",
     };
     format!("coveford bundle v1\n{word}\n{root}\n{replaces}\n").into_bytes()
 }
 
 /// Signs an act on content.
-pub fn sign(key: &SigningKey, operator: &Name, act: Act, root: &str, replaces: u64) -> Signed {
-    let signature = key.sign(&statement(act, root, replaces));
-    Signed {
+pub fn sign(
+    key: &SigningKey,
+    operator: &Name,
+    purpose: Purpose,
+    root: &str,
+    replaces: u64,
+) -> OperatorSignature {
+    let signature = key.sign(&statement(purpose, root, replaces));
+    OperatorSignature {
         operator: operator.clone(),
         signature: hex::encode(signature.to_bytes()).into(),
     }
@@ -71,8 +77,8 @@
     /// Whether a signature is that of its operator, whose key still counts.
     pub fn verifies(
         &self,
-        signed: &Signed,
-        act: Act,
+        signed: &OperatorSignature,
+        purpose: Purpose,
         root: &str,
         replaces: u64,
         revoked: &BTreeSet<Name>,
@@ -88,7 +94,7 @@
             .and_then(|bytes| Signature::from_slice(&bytes).ok());
         match (parse_public_key(public), signature) {
             (Some(key), Some(signature)) => key
-                .verify_strict(&statement(act, root, replaces), &signature)
+                .verify_strict(&statement(purpose, root, replaces), &signature)
                 .is_ok(),
             _ => false,
         }
--- a/crates/cli/src/bundles.rs
+++ b/crates/cli/src/bundles.rs
@@ -6,7 +6,7 @@
 use backing::keys;
 use backing::kv::{Error as KvError, Swapped};
 use bundle::diff::{Diff, diff};
-use bundle::key::{Act, public_key, sign};
+use bundle::key::{Purpose, public_key, sign};
 use bundle::part::{self, Part};
 use bundle::{Draft, Head, Intent};
 use daemon::clock::wall_ms;
@@ -135,7 +135,13 @@
         replaces,
         title: intent.title.clone(),
         parts: refs,
-        proposal: sign(signing.key, signing.operator, Act::Propose, &root, replaces),
+        proposal: sign(
+            signing.key,
+            signing.operator,
+            Purpose::Propose,
+            &root,
+            replaces,
+        ),
         approvals: Vec::new(),
     };
     shelf::put_parts(&tool.kv, &parts).await?;
@@ -193,7 +199,7 @@
         let approval = sign(
             signing.key,
             signing.operator,
-            Act::Approve,
+            Purpose::Approve,
             &root,
             draft.replaces,
         );
--- a/crates/standin/src/experiment/slopes/points.rs
+++ b/crates/standin/src/experiment/slopes/points.rs
@@ -4,7 +4,7 @@
 use crate::experiment::measure::allocated;
 use crate::fleet;
 use backing::hosts::{Host, Kind};
-use bundle::key::Signed;
+use bundle::key::OperatorSignature;
 use bundle::{Delta, Draft, Head, part};
 use daemon::clock::Clock;
 use place::homes::{Hall, Homes};
@@ -270,7 +270,7 @@
     let head = |version: &str| {
         let text = fleet::sample(models, 0).replacen("version = 1", version, 1);
         let parts = part::cut("sample.ini", &text).expect("the sample is in order");
-        let signed = |name: &str| Signed {
+        let signed = |name: &str| OperatorSignature {
             operator: name.into(),
             signature: "0".repeat(128).into(),
         };
--- a/crates/standin/tests/bundles.rs
+++ b/crates/standin/tests/bundles.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use backing::keys;
-use bundle::key::{Act, sign};
+use bundle::key::{Purpose, sign};
 use bundle::{Draft, Head, part};
 use cli::{Error, bundles};
 use common::{PATIENCE, quick, system};
@@ -117,17 +117,17 @@
     let replaces = at.value.unwrap().sequence;
     let refs: Vec<_> = parts.iter().map(|p| p.at.clone()).collect();
     let root = part::root(&refs);
-    let signed = |i: usize, act| {
+    let signed = |i: usize, purpose| {
         let operator = &fleet.operators[i];
-        sign(&operator.key, &operator.name, act, &root, replaces)
+        sign(&operator.key, &operator.name, purpose, &root, replaces)
     };
     let mut draft = Draft {
         id: "forged".into(),
         replaces,
         title: "forged".into(),
         parts: refs.clone(),
-        proposal: signed(0, Act::Propose),
-        approvals: vec![signed(1, Act::Approve)],
+        proposal: signed(0, Purpose::Propose),
+        approvals: vec![signed(1, Purpose::Approve)],
     };
     change(fleet, &mut draft);
     let head = Head {
@@ -161,7 +161,7 @@
             let signed = sign(
                 &operator.key,
                 &operator.name,
-                Act::Propose,
+                Purpose::Propose,
                 &root,
                 draft.replaces,
             );
