--- a/crates/bundle/src/head.rs
+++ b/crates/bundle/src/head.rs
@@ -104,12 +104,12 @@
             });
         }
         let valid = self.valid_approvals(trust, revoked).len();
-        if valid < trust.needed {
+        if valid < trust.required_approvals {
             return Err(Refusal::Approvals {
                 id: self.id.clone(),
                 proposer: self.proposal.operator.clone(),
                 valid,
-                needed: trust.needed,
+                needed: trust.required_approvals,
             });
         }
         Ok(())
--- a/crates/bundle/src/key.rs
+++ b/crates/bundle/src/key.rs
@@ -29,7 +29,7 @@
     /// Public keys (hex) by operator.
     pub operators: BTreeMap<Name, Name>,
     /// Approvals a bundle needs, the proposer's own not counted.
-    pub needed: usize,
+    pub required_approvals: usize,
 }
 
 /// Bytes that are signed: the act, the content and the sequence it replaces.
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -109,7 +109,7 @@
                 bundles::propose(tool, &name(file), &text, &s).await
             })
             .await?;
-            let needed = tool.settings.trust.needed;
+            let needed = tool.settings.trust.required_approvals;
             match options.json {
                 true => json(&draft),
                 false => out(format!(
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -327,13 +327,13 @@
         fields.finish();
     }
     let mut fields = Fields::new(approvals, problems);
-    trust.needed = fields.value("needed", 1, 1..=16);
+    trust.required_approvals = fields.value("needed", 1, 1..=16);
     fields.finish();
-    if trust.operators.len() <= trust.needed {
+    if trust.operators.len() <= trust.required_approvals {
         let text = format!(
             "{} operators are named, but {} approvals besides the proposer's are needed; add [operator NAME] sections.",
             trust.operators.len(),
-            trust.needed
+            trust.required_approvals
         );
         problems.add(approvals.line, text);
     }
