--- a/crates/bundle/src/head.rs
+++ b/crates/bundle/src/head.rs
@@ -74,13 +74,13 @@
 
 impl Draft {
     /// Hash that names the whole content.
-    pub fn root(&self) -> Name {
-        part::root(&self.parts)
+    pub fn content_hash(&self) -> Name {
+        part::content_hash(&self.parts)
     }
 
     /// Operators whose approvals are valid; never the proposer.
     pub fn valid_approvals(&self, trust: &Trust, revoked: &BTreeSet<Name>) -> BTreeSet<Name> {
-        let root = self.root();
+        let root = self.content_hash();
         self.approvals
             .iter()
             .filter(|a| a.operator != self.proposal.operator)
@@ -94,7 +94,7 @@
         let proposed = trust.verifies(
             &self.proposal,
             Purpose::Propose,
-            &self.root(),
+            &self.content_hash(),
             self.replaces,
             revoked,
         );
--- a/crates/bundle/src/part.rs
+++ b/crates/bundle/src/part.rs
@@ -41,7 +41,7 @@
 }
 
 /// Hash over the list of parts: it names the whole content.
-pub fn root(parts: &[Ref]) -> Name {
+pub fn content_hash(parts: &[Ref]) -> Name {
     let mut list = String::new();
     for part in parts {
         let _ = writeln!(list, "{} {}", part.group, part.hash);
@@ -50,7 +50,7 @@
 }
 
 /// Cuts the text of a checked bundle into parts.
-pub fn cut(file: &str, text: &str) -> Result<Vec<Part>, Vec<Problem>> {
+pub fn split(file: &str, text: &str) -> Result<Vec<Part>, Vec<Problem>> {
     crate::parse(file, text)?;
     let mut problems = Problems::new(file);
     let document = ini::parse(text, &mut problems);
@@ -97,11 +97,11 @@
 }
 
 /// Joins the texts of parts and reads them as one bundle.
-pub fn join<'a>(texts: impl Iterator<Item = &'a str>) -> Result<Intent, Vec<Problem>> {
-    crate::parse("bundle", &join_text(texts))
+pub fn parse<'a>(texts: impl Iterator<Item = &'a str>) -> Result<Intent, Vec<Problem>> {
+    crate::parse("bundle", &concat(texts))
 }
 
 /// Joins the texts of parts into one document.
-pub fn join_text<'a>(texts: impl Iterator<Item = &'a str>) -> String {
+pub fn concat<'a>(texts: impl Iterator<Item = &'a str>) -> String {
     texts.collect::<Vec<_>>().join("\n")
 }
--- a/crates/cli/src/bundles.rs
+++ b/crates/cli/src/bundles.rs
@@ -112,7 +112,7 @@
     let parts = &head.draft.parts;
     let texts = shelf::parts(&tool.kv, parts, &HashMap::new()).await?;
     let ordered = parts.iter().map(|at| &*texts[&at.hash]);
-    Ok(part::join_text(ordered))
+    Ok(part::concat(ordered))
 }
 
 /// Makes a signed draft; gives it as it stands in the service.
@@ -125,11 +125,12 @@
     let intent = check(file, text)?;
     must_fit(tool, &intent).await?;
     check_key(tool, signing)?;
-    let parts: Vec<Part> = part::cut(file, text).map_err(|problems| Error::Bundle { problems })?;
+    let parts: Vec<Part> =
+        part::split(file, text).map_err(|problems| Error::Bundle { problems })?;
     let head = shelf::head(&tool.kv).await?;
     let replaces = head.value.map_or(0, |h| h.sequence);
     let refs: Vec<_> = parts.iter().map(|p| p.at.clone()).collect();
-    let root = part::root(&refs);
+    let root = part::content_hash(&refs);
     let draft = Draft {
         id: id(&root),
         replaces,
@@ -194,7 +195,7 @@
         }
         let head = shelf::head(&tool.kv).await?;
         check_overtaken(&draft, head.value.as_ref())?;
-        let root = draft.root();
+        let root = draft.content_hash();
         draft.approvals.retain(|a| a.operator != *signing.operator);
         let approval = sign(
             signing.key,
@@ -241,7 +242,7 @@
     };
     draft.verify(&tool.settings.trust, &revoked)?;
     let texts = shelf::parts(&tool.kv, &draft.parts, &HashMap::new()).await?;
-    let intent = part::join(draft.parts.iter().map(|p| &*texts[&p.hash]))
+    let intent = part::parse(draft.parts.iter().map(|p| &*texts[&p.hash]))
         .map_err(|problems| Error::Bundle { problems })?;
     must_fit(tool, &intent).await?;
     if let Some(head) = &at.value {
--- a/crates/daemon/src/force.rs
+++ b/crates/daemon/src/force.rs
@@ -125,7 +125,7 @@
         let parts = verified(&head, texts)?;
         let ordered = head.draft.parts.iter().map(|at| &*parts[&at.hash]);
         let intent =
-            part::join(ordered).map_err(|problems| Error::Content { sequence, problems })?;
+            part::parse(ordered).map_err(|problems| Error::Content { sequence, problems })?;
         if let Some(current) = current {
             let mut past = self.past.lock();
             past.push_back(current.head.clone());
--- a/crates/standin/src/experiment/slopes/points.rs
+++ b/crates/standin/src/experiment/slopes/points.rs
@@ -170,7 +170,7 @@
 }
 
 fn parts(models: usize) -> Vec<part::Part> {
-    part::cut("sample.ini", &fleet::sample(models, 0)).expect("the sample is in order")
+    part::split("sample.ini", &fleet::sample(models, 0)).expect("the sample is in order")
 }
 
 pub(super) fn join(models: usize) -> f64 {
@@ -179,7 +179,7 @@
         for part in &parts {
             black_box(part::hash(part.text.as_bytes()));
         }
-        black_box(part::join(parts.iter().map(|p| &*p.text)).is_ok());
+        black_box(part::parse(parts.iter().map(|p| &*p.text)).is_ok());
     })
 }
 
@@ -210,7 +210,7 @@
     let parts = parts(models);
     memory(|| {
         let texts: Vec<Name> = parts.iter().map(|p| p.text.clone()).collect();
-        let intent = part::join(texts.iter().map(|t| &**t));
+        let intent = part::parse(texts.iter().map(|t| &**t));
         (texts, intent)
     })
 }
@@ -269,7 +269,7 @@
 pub(super) fn delta_bytes(models: usize) -> f64 {
     let head = |version: &str| {
         let text = fleet::sample(models, 0).replacen("version = 1", version, 1);
-        let parts = part::cut("sample.ini", &text).expect("the sample is in order");
+        let parts = part::split("sample.ini", &text).expect("the sample is in order");
         let signed = |name: &str| OperatorSignature {
             operator: name.into(),
             signature: "0".repeat(128).into(),
--- a/crates/standin/tests/bundles.rs
+++ b/crates/standin/tests/bundles.rs
@@ -109,14 +109,14 @@
 /// Head that was never approved as it must be, written straight into the service.
 async fn forge(fleet: &Fleet, change: impl Fn(&Fleet, &mut Draft)) -> u64 {
     let text = titled("forged");
-    let parts = part::cut("forged.ini", &text).unwrap();
+    let parts = part::split("forged.ini", &text).unwrap();
     daemon::shelf::put_parts(&fleet.tool.kv, &parts)
         .await
         .unwrap();
     let at = daemon::shelf::head(&fleet.tool.kv).await.unwrap();
     let replaces = at.value.unwrap().sequence;
     let refs: Vec<_> = parts.iter().map(|p| p.at.clone()).collect();
-    let root = part::root(&refs);
+    let root = part::content_hash(&refs);
     let signed = |i: usize, purpose| {
         let operator = &fleet.operators[i];
         sign(&operator.key, &operator.name, purpose, &root, replaces)
@@ -157,7 +157,7 @@
         |fleet, draft| {
             // A proposal's signature does not pass for an approval.
             let operator = &fleet.operators[1];
-            let root = draft.root();
+            let root = draft.content_hash();
             let signed = sign(
                 &operator.key,
                 &operator.name,
