--- a/crates/bundle/src/part.rs
+++ b/crates/bundle/src/part.rs
@@ -30,7 +30,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Part {
     /// Where it belongs.
-    pub at: Ref,
+    pub reference: Ref,
     /// Its text.
     pub text: Name,
 }
@@ -66,7 +66,7 @@
             .collect::<String>()
             .into();
         Part {
-            at: Ref {
+            reference: Ref {
                 group,
                 hash: hash(text.as_bytes()),
             },
--- a/crates/cli/src/bundles.rs
+++ b/crates/cli/src/bundles.rs
@@ -129,7 +129,7 @@
         part::split(file, text).map_err(|problems| Error::Bundle { problems })?;
     let head = shelf::head(&tool.kv).await?;
     let replaces = head.value.map_or(0, |h| h.sequence);
-    let refs: Vec<_> = parts.iter().map(|p| p.at.clone()).collect();
+    let refs: Vec<_> = parts.iter().map(|p| p.reference.clone()).collect();
     let root = part::content_hash(&refs);
     let draft = Draft {
         id: id(&root),
--- a/crates/daemon/src/shelf.rs
+++ b/crates/daemon/src/shelf.rs
@@ -118,7 +118,7 @@
 }
 
 async fn put_part(kv: &Kv, part: &Part) -> Result<(), Error> {
-    let key = keys::part(&part.at.hash);
+    let key = keys::part(&part.reference.hash);
     let mut tries = 1;
     loop {
         match kv.swap(&key, 0, Some(&part.text), None).await {
--- a/crates/standin/src/experiment/slopes/points.rs
+++ b/crates/standin/src/experiment/slopes/points.rs
@@ -184,7 +184,7 @@
 }
 
 pub(super) fn head_bytes(models: usize) -> f64 {
-    let refs: Vec<_> = parts(models).into_iter().map(|p| p.at).collect();
+    let refs: Vec<_> = parts(models).into_iter().map(|p| p.reference).collect();
     serde_json::to_string(&refs).map_or(0, |t| t.len()) as f64
 }
 
@@ -192,7 +192,7 @@
     let parts = parts(models);
     let of_models: Vec<_> = parts
         .iter()
-        .filter(|p| p.at.group.starts_with("model"))
+        .filter(|p| p.reference.group.starts_with("model"))
         .collect();
     of_models.iter().map(|p| p.text.len()).sum::<usize>() as f64 / of_models.len() as f64
 }
@@ -281,7 +281,7 @@
                 id: "69a2c3d1-5f3e2a1b-77aa".into(),
                 replaces: 0,
                 title: "a change".into(),
-                parts: parts.into_iter().map(|p| p.at).collect(),
+                parts: parts.into_iter().map(|p| p.reference).collect(),
                 proposal: signed("alice"),
                 approvals: vec![signed("bob")],
             },
--- a/crates/standin/tests/bundles.rs
+++ b/crates/standin/tests/bundles.rs
@@ -115,7 +115,7 @@
         .unwrap();
     let at = daemon::shelf::head(&fleet.tool.kv).await.unwrap();
     let replaces = at.value.unwrap().sequence;
-    let refs: Vec<_> = parts.iter().map(|p| p.at.clone()).collect();
+    let refs: Vec<_> = parts.iter().map(|p| p.reference.clone()).collect();
     let root = part::content_hash(&refs);
     let signed = |i: usize, purpose| {
         let operator = &fleet.operators[i];
