--- a/crates/bundle/src/head.rs
+++ b/crates/bundle/src/head.rs
@@ -37,7 +37,7 @@
 
 /// Why a head or draft is not to be put in force.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-pub enum Refusal {
+pub enum Error {
     /// The sequence does not follow the one it replaces.
     #[snafu(display(
         "Bundle {sequence} claims to replace {replaces}; it must replace the one right before it."
@@ -90,7 +90,7 @@
     }
 
     /// Checks the proposer's signature and the number of approvals.
-    pub fn verify(&self, trust: &Trust, revoked: &BTreeSet<Name>) -> Result<(), Refusal> {
+    pub fn verify(&self, trust: &Trust, revoked: &BTreeSet<Name>) -> Result<(), Error> {
         let proposed = trust.verifies(
             &self.proposal,
             Purpose::Propose,
@@ -99,13 +99,13 @@
             revoked,
         );
         if !proposed {
-            return Err(Refusal::Proposal {
+            return Err(Error::Proposal {
                 operator: self.proposal.operator.clone(),
             });
         }
         let valid = self.valid_approvals(trust, revoked).len();
         if valid < trust.required_approvals {
-            return Err(Refusal::Approvals {
+            return Err(Error::Approvals {
                 id: self.id.clone(),
                 proposer: self.proposal.operator.clone(),
                 valid,
@@ -160,9 +160,9 @@
 
 impl Head {
     /// Checks that this head may be put in force after `revoked` keys were withdrawn.
-    pub fn verify(&self, trust: &Trust, revoked: &BTreeSet<Name>) -> Result<(), Refusal> {
+    pub fn verify(&self, trust: &Trust, revoked: &BTreeSet<Name>) -> Result<(), Error> {
         if self.draft.replaces + 1 != self.sequence {
-            return Err(Refusal::Sequence {
+            return Err(Error::Sequence {
                 sequence: self.sequence,
                 replaces: self.draft.replaces,
             });
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -107,7 +107,7 @@
     )]
     Unapproved {
         /// What is missing.
-        source: bundle::head::Refusal,
+        source: bundle::head::Error,
     },
     /// An operator approves its own proposal.
     #[snafu(display("'{operator}' proposed this draft; another operator must approve it."))]
--- a/crates/daemon/src/force.rs
+++ b/crates/daemon/src/force.rs
@@ -1,7 +1,7 @@
 //! The bundle in force at this daemon: only ever a higher one, switched at once.
 
 use arc_swap::ArcSwapOption;
-use bundle::head::Refusal;
+use bundle::head;
 use bundle::key::Trust;
 use bundle::{Head, Intent, Problem, part};
 use parking_lot::Mutex;
@@ -38,7 +38,7 @@
     #[snafu(display("{source}"), context(false))]
     Refused {
         /// What is missing.
-        source: Refusal,
+        source: head::Error,
     },
     /// A part is missing or is not what its hash says.
     #[snafu(display("Part {hash} of bundle {sequence} is missing or corrupt."))]
