--- a/crates/backing/src/hosts.rs
+++ b/crates/backing/src/hosts.rs
@@ -13,7 +13,7 @@
 pub const PATH: &str = "/v1/hosts";
 
 /// Longest list that is read, in bytes: about 40,000 hosts.
-const MOST_ANSWER: usize = 8_000_000;
+const MAX_RESPONSE_BYTES: usize = 8_000_000;
 
 /// What runs on a host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -116,7 +116,7 @@
         let path = format!("{PATH}?after={after}");
         let changes: Changes = self
             .pool
-            .json::<(), _>(self.addr, &path, None, self.limit, MOST_ANSWER)
+            .json::<(), _>(self.addr, &path, None, self.limit, MAX_RESPONSE_BYTES)
             .await?;
         let mut known = self.known.lock();
         let news = known.apply(changes);
--- a/crates/backing/src/kv.rs
+++ b/crates/backing/src/kv.rs
@@ -16,13 +16,13 @@
 pub const PATH: &str = "/v1/kv";
 
 /// Longest value the service holds, in bytes.
-pub const MOST_VALUE: usize = 1_000_000;
+pub const MAX_VALUE_BYTES: usize = 1_000_000;
 
 /// Longest answer that is read: a full page of values.
-const MOST_ANSWER: usize = 4 * MOST_VALUE;
+const MAX_RESPONSE_BYTES: usize = 4 * MAX_VALUE_BYTES;
 
 /// Longest time a watch waits on the service.
-pub const WATCH_LIMIT: Duration = Duration::from_secs(30);
+pub const MAX_WATCH: Duration = Duration::from_secs(30);
 
 /// Call on the service.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -204,7 +204,7 @@
         for addr in self.addrs.iter() {
             match self
                 .pool
-                .json(*addr, PATH, Some(call), limit, MOST_ANSWER)
+                .json(*addr, PATH, Some(call), limit, MAX_RESPONSE_BYTES)
                 .await
             {
                 Ok(Answer::Refused { reason }) => last = Error::Unavailable { reason },
--- a/crates/standin/src/kv.rs
+++ b/crates/standin/src/kv.rs
@@ -1,7 +1,7 @@
 //! Stand-in of the key-value service.
 
 use crate::web::{self, Body, MOST_CONNECTIONS};
-use backing::kv::{Answer, Call, MOST_VALUE, Versioned, WATCH_LIMIT};
+use backing::kv::{Answer, Call, MAX_VALUE_BYTES, MAX_WATCH, Versioned};
 use conn::{Cut, Server};
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
@@ -229,7 +229,7 @@
     after: u64,
     wait: Duration,
 ) -> Answer {
-    let until = Instant::now() + wait.min(WATCH_LIMIT);
+    let until = Instant::now() + wait.min(MAX_WATCH);
     loop {
         let notified = changed.notified();
         {
@@ -363,7 +363,7 @@
         value: Option<Name>,
         lease: Option<u64>,
     ) -> Answer {
-        if value.as_ref().is_some_and(|v| v.len() > MOST_VALUE) {
+        if value.as_ref().is_some_and(|v| v.len() > MAX_VALUE_BYTES) {
             return refused("the value is over a megabyte");
         }
         if lease.is_some_and(|lease| !self.leases.contains_key(&lease)) {
