--- a/crates/backing/src/kv.rs
+++ b/crates/backing/src/kv.rs
@@ -126,7 +126,7 @@
 
 /// Outcome of a compare-and-swap that was answered.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Swapped {
+pub enum SwapOutcome {
     /// It took effect, at that revision.
     Written(u64),
     /// It did not; this stands there.
@@ -157,7 +157,7 @@
 
 /// Count of calls by kind.
 #[derive(Debug, Default)]
-pub struct Calls {
+pub struct CallCounts {
     /// Reads, lists and watches.
     pub reads: AtomicU64,
     /// Writes.
@@ -172,7 +172,7 @@
     addrs: Arc<[SocketAddr]>,
     pool: Pool,
     limit: Duration,
-    calls: Arc<Calls>,
+    calls: Arc<CallCounts>,
 }
 
 /// Makes a client that gives each call `limit` to be answered.
@@ -187,7 +187,7 @@
 
 impl Kv {
     /// Counts of the calls made so far.
-    pub fn calls(&self) -> &Calls {
+    pub fn calls(&self) -> &CallCounts {
         &self.calls
     }
 
@@ -252,7 +252,7 @@
         expected: u64,
         value: Option<&str>,
         lease: Option<u64>,
-    ) -> Result<Swapped, Error> {
+    ) -> Result<SwapOutcome, Error> {
         let call = Call::Swap {
             key: key.into(),
             expected,
@@ -260,8 +260,8 @@
             lease,
         };
         match self.call(&call, self.limit).await? {
-            Answer::Written { revision } => Ok(Swapped::Written(revision)),
-            Answer::Conflict { found } => Ok(Swapped::Conflict(found)),
+            Answer::Written { revision } => Ok(SwapOutcome::Written(revision)),
+            Answer::Conflict { found } => Ok(SwapOutcome::Conflict(found)),
             other => Err(odd(&other)),
         }
     }
--- a/crates/cli/src/bundles.rs
+++ b/crates/cli/src/bundles.rs
@@ -4,7 +4,7 @@
 use crate::platform_tool::Tool;
 use backing::hosts::Kind;
 use backing::keys;
-use backing::kv::{Error as KvError, Swapped};
+use backing::kv::{Error as KvError, SwapOutcome};
 use bundle::diff::{Diff, diff};
 use bundle::key::{Purpose, public_key, sign};
 use bundle::part::{self, Part};
@@ -297,8 +297,8 @@
     let mut in_doubt = false;
     for _ in 0..TRIES {
         match tool.kv.swap(key, expected, Some(text), None).await {
-            Ok(Swapped::Written(_)) => return Ok(true),
-            Ok(Swapped::Conflict(found)) => {
+            Ok(SwapOutcome::Written(_)) => return Ok(true),
+            Ok(SwapOutcome::Conflict(found)) => {
                 return Ok(found.is_some_and(|f| &*f.value == text));
             }
             Err(KvError::Unknown { .. }) => in_doubt = true,
--- a/crates/daemon/src/claim.rs
+++ b/crates/daemon/src/claim.rs
@@ -10,7 +10,7 @@
 use crate::entry::Fault;
 use crate::shelf;
 use backing::keys;
-use backing::kv::{Error, Swapped};
+use backing::kv::{Error, SwapOutcome};
 use hyper::StatusCode;
 use parking_lot::Mutex;
 use route::retry::Outcome;
@@ -165,11 +165,11 @@
     let lease = core.claims.get(core).await.map_err(|_| down())?;
     for _ in 0..TRIES {
         match write(core, &held, Some(lease)).await {
-            Ok(Swapped::Written(revision)) => {
+            Ok(SwapOutcome::Written(revision)) => {
                 held.revision = revision;
                 return Ok(Taken::Ours(held));
             }
-            Ok(Swapped::Conflict(found)) => {
+            Ok(SwapOutcome::Conflict(found)) => {
                 let found = found.ok_or_else(down)?;
                 let claim: Claim = shelf::parse(&held.key, &found.value).map_err(|_| down())?;
                 if claim.request == *request {
@@ -191,7 +191,7 @@
     Err(down())
 }
 
-async fn write(core: &Core, held: &Held, lease: Option<u64>) -> Result<Swapped, Error> {
+async fn write(core: &Core, held: &Held, lease: Option<u64>) -> Result<SwapOutcome, Error> {
     let value = serde_json::to_string(&held.claim).expect("a claim can always be written");
     core.kv
         .swap(&held.key, held.revision, Some(&value), lease)
@@ -280,9 +280,9 @@
             return false;
         };
         match write(core, held, Some(lease)).await {
-            Ok(Swapped::Written(_)) => return true,
-            Ok(Swapped::Conflict(None)) => return true,
-            Ok(Swapped::Conflict(Some(found))) => {
+            Ok(SwapOutcome::Written(_)) => return true,
+            Ok(SwapOutcome::Conflict(None)) => return true,
+            Ok(SwapOutcome::Conflict(Some(found))) => {
                 let Ok(claim) = shelf::parse::<Claim>(&held.key, &found.value) else {
                     return true;
                 };
--- a/crates/daemon/src/planner/book.rs
+++ b/crates/daemon/src/planner/book.rs
@@ -4,7 +4,7 @@
 use crate::settings::Settings;
 use crate::shelf::{self, At, Error};
 use backing::keys;
-use backing::kv::{Error as KvError, Swapped};
+use backing::kv::{Error as KvError, SwapOutcome};
 use place::plan::Plan;
 use place::{Homes, Ledger};
 use serde::Serialize;
@@ -173,8 +173,8 @@
     };
     for _ in 0..TRIES {
         match core.kv.swap(key, expected, Some(text), None).await {
-            Ok(Swapped::Written(revision)) => return Ok(Some(revision)),
-            Ok(Swapped::Conflict(found)) => {
+            Ok(SwapOutcome::Written(revision)) => return Ok(Some(revision)),
+            Ok(SwapOutcome::Conflict(found)) => {
                 let ours = found.filter(|f| is_ours(&f.value));
                 return Ok(ours.map(|f| f.revision));
             }
--- a/crates/daemon/src/planner/lease.rs
+++ b/crates/daemon/src/planner/lease.rs
@@ -3,7 +3,7 @@
 use crate::core::Core;
 use crate::settings::Settings;
 use backing::keys;
-use backing::kv::{Error, Swapped};
+use backing::kv::{Error, SwapOutcome};
 use unit::{Span, Time};
 
 /// Share of the lease's time after which its holder stops sending orders, in percent.
@@ -58,9 +58,9 @@
         };
         let name = Some(&*core.settings.name);
         match core.kv.swap(&self.key, 0, name, Some(lease)).await {
-            Ok(Swapped::Written(_)) => self.held = Some(Held { lease, from }),
+            Ok(SwapOutcome::Written(_)) => self.held = Some(Held { lease, from }),
             // Not ours, or not known to be: the grant lapses by itself.
-            Ok(Swapped::Conflict(_)) | Err(_) => {}
+            Ok(SwapOutcome::Conflict(_)) | Err(_) => {}
         }
     }
 
--- a/crates/daemon/src/shelf.rs
+++ b/crates/daemon/src/shelf.rs
@@ -1,7 +1,7 @@
 //! Heads and parts of bundles in the key-value service.
 
 use backing::keys;
-use backing::kv::{Error as KvError, Kv, Swapped};
+use backing::kv::{Error as KvError, Kv, SwapOutcome};
 use bundle::part::{self, Part, Ref};
 use bundle::{Draft, Head};
 use serde::de::DeserializeOwned;
@@ -122,9 +122,9 @@
     let mut tries = 1;
     loop {
         match kv.swap(&key, 0, Some(&part.text), None).await {
-            Ok(Swapped::Written(_)) => return Ok(()),
-            Ok(Swapped::Conflict(Some(found))) if found.value == part.text => return Ok(()),
-            Ok(Swapped::Conflict(_)) => {
+            Ok(SwapOutcome::Written(_)) => return Ok(()),
+            Ok(SwapOutcome::Conflict(Some(found))) if found.value == part.text => return Ok(()),
+            Ok(SwapOutcome::Conflict(_)) => {
                 return Err(Error::Corrupt {
                     key: key.into(),
                     reason: "another content stands there".into(),
--- a/crates/standin/tests/linearizable.rs
+++ b/crates/standin/tests/linearizable.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use backing::kv::{self, Error as KvError, Kv, Swapped};
+use backing::kv::{self, Error as KvError, Kv, SwapOutcome};
 use bundle::Head;
 use cli::{Error, bundles};
 use common::{quick, system};
@@ -82,11 +82,11 @@
             .swap("register", known.1, Some(&new.to_string()), None)
             .await
         {
-            Ok(Swapped::Written(revision)) => {
+            Ok(SwapOutcome::Written(revision)) => {
                 note(name, Response(op(Some(true))));
                 known = (new, revision);
             }
-            Ok(Swapped::Conflict(_)) | Err(KvError::Unavailable { .. }) => {
+            Ok(SwapOutcome::Conflict(_)) | Err(KvError::Unavailable { .. }) => {
                 // "Unavailable" is noted as "did nothing": only valid when it did nothing.
                 let done = op(None);
                 let did_nothing = match done {
