--- a/crates/backing/src/kv.rs
+++ b/crates/backing/src/kv.rs
@@ -1,7 +1,7 @@
 //! Key-value service: compare-and-swap, leases, watches.
 //!
 //! A write whose answer is lost may still take effect; [`Kv::swap`] reports
-//! that as [`Error::Unknown`], never as a refusal.
+//! that as [`Error::Indeterminate`], never as a refusal.
 
 use conn::Pool;
 use serde::{Deserialize, Serialize};
@@ -146,7 +146,7 @@
     #[snafu(display(
         "The key-value service gave no answer; the call may take effect yet: {reason}"
     ))]
-    Unknown {
+    Indeterminate {
         /// Why.
         reason: String,
     },
@@ -216,7 +216,7 @@
                     }
                 }
                 Err(e) => {
-                    return Err(Error::Unknown {
+                    return Err(Error::Indeterminate {
                         reason: e.to_string(),
                     });
                 }
@@ -311,7 +311,7 @@
 }
 
 fn odd(answer: &Answer) -> Error {
-    Error::Unknown {
+    Error::Indeterminate {
         reason: format!("an answer of another kind: {answer:?}"),
     }
 }
--- a/crates/cli/src/bundles.rs
+++ b/crates/cli/src/bundles.rs
@@ -301,7 +301,7 @@
             Ok(SwapOutcome::Conflict(found)) => {
                 return Ok(found.is_some_and(|f| &*f.value == text));
             }
-            Err(KvError::Unknown { .. }) => in_doubt = true,
+            Err(KvError::Indeterminate { .. }) => in_doubt = true,
             Err(source) if !in_doubt => return Err(shelf::Error::Kv { source }.into()),
             Err(_) => {}
         }
--- a/crates/daemon/src/claim.rs
+++ b/crates/daemon/src/claim.rs
@@ -181,7 +181,7 @@
                 }
                 held.revision = found.revision;
             }
-            Err(Error::Unknown { .. }) => {}
+            Err(Error::Indeterminate { .. }) => {}
             Err(Error::Unavailable { .. }) => sleep(Duration::from_millis(50)).await,
             Err(Error::Lapsed) => *core.claims.current.lock() = None,
         }
