--- a/crates/backing/src/hosts.rs
+++ b/crates/backing/src/hosts.rs
@@ -111,7 +111,7 @@
 
 impl Hosts {
     /// Reads what changed since the last read; gives the whole list if anything did.
-    pub async fn changed(&self) -> Result<Option<Vec<Host>>, Error> {
+    pub async fn poll(&self) -> Result<Option<Vec<Host>>, Error> {
         let after = self.known.lock().version;
         let path = format!("{PATH}?after={after}");
         let changes: Changes = self
@@ -125,7 +125,7 @@
 
     /// Reads the list.
     pub async fn list(&self) -> Result<Vec<Host>, Error> {
-        self.changed().await?;
+        self.poll().await?;
         Ok(self.known.lock().hosts.values().cloned().collect())
     }
 }
--- a/crates/backing/src/kv.rs
+++ b/crates/backing/src/kv.rs
@@ -1,6 +1,6 @@
 //! Key-value service: compare-and-swap, leases, watches.
 //!
-//! A write whose answer is lost may still take effect; [`Kv::swap`] reports
+//! A write whose answer is lost may still take effect; [`Kv::compare_and_swap`] reports
 //! that as [`Error::Indeterminate`], never as a refusal.
 
 use conn::Pool;
@@ -246,7 +246,7 @@
     }
 
     /// Writes a value if its revision is `expected` (0: absent).
-    pub async fn swap(
+    pub async fn compare_and_swap(
         &self,
         key: &str,
         expected: u64,
--- a/crates/cli/src/bundles.rs
+++ b/crates/cli/src/bundles.rs
@@ -279,7 +279,11 @@
 /// Keeps a head in the history; its key is its sequence, so a repeat is harmless.
 async fn keep(tool: &Tool, head: &Head) -> Result<(), Error> {
     let key = keys::history(head.sequence);
-    match tool.kv.swap(&key, 0, Some(&to_text(head)), None).await {
+    match tool
+        .kv
+        .compare_and_swap(&key, 0, Some(&to_text(head)), None)
+        .await
+    {
         Ok(_) => Ok(()),
         Err(source) => Err(shelf::Error::Kv { source }.into()),
     }
@@ -296,7 +300,11 @@
 ) -> Result<bool, Error> {
     let mut in_doubt = false;
     for _ in 0..TRIES {
-        match tool.kv.swap(key, expected, Some(text), None).await {
+        match tool
+            .kv
+            .compare_and_swap(key, expected, Some(text), None)
+            .await
+        {
             Ok(SwapOutcome::Written(_)) => return Ok(true),
             Ok(SwapOutcome::Conflict(found)) => {
                 return Ok(found.is_some_and(|f| &*f.value == text));
--- a/crates/daemon/src/claim.rs
+++ b/crates/daemon/src/claim.rs
@@ -194,7 +194,7 @@
 async fn write(core: &Core, held: &Held, lease: Option<u64>) -> Result<SwapOutcome, Error> {
     let value = serde_json::to_string(&held.claim).expect("a claim can always be written");
     core.kv
-        .swap(&held.key, held.revision, Some(&value), lease)
+        .compare_and_swap(&held.key, held.revision, Some(&value), lease)
         .await
 }
 
--- a/crates/daemon/src/planner/book.rs
+++ b/crates/daemon/src/planner/book.rs
@@ -172,7 +172,11 @@
         reason: "not tried".into(),
     };
     for _ in 0..TRIES {
-        match core.kv.swap(key, expected, Some(text), None).await {
+        match core
+            .kv
+            .compare_and_swap(key, expected, Some(text), None)
+            .await
+        {
             Ok(SwapOutcome::Written(revision)) => return Ok(Some(revision)),
             Ok(SwapOutcome::Conflict(found)) => {
                 let ours = found.filter(|f| is_ours(&f.value));
--- a/crates/daemon/src/planner/lease.rs
+++ b/crates/daemon/src/planner/lease.rs
@@ -57,7 +57,11 @@
             return;
         };
         let name = Some(&*core.settings.name);
-        match core.kv.swap(&self.key, 0, name, Some(lease)).await {
+        match core
+            .kv
+            .compare_and_swap(&self.key, 0, name, Some(lease))
+            .await
+        {
             Ok(SwapOutcome::Written(_)) => self.held = Some(Held { lease, from }),
             // Not ours, or not known to be: the grant lapses by itself.
             Ok(SwapOutcome::Conflict(_)) | Err(_) => {}
--- a/crates/daemon/src/shelf.rs
+++ b/crates/daemon/src/shelf.rs
@@ -121,7 +121,7 @@
     let key = keys::part(&part.reference.hash);
     let mut tries = 1;
     loop {
-        match kv.swap(&key, 0, Some(&part.text), None).await {
+        match kv.compare_and_swap(&key, 0, Some(&part.text), None).await {
             Ok(SwapOutcome::Written(_)) => return Ok(()),
             Ok(SwapOutcome::Conflict(Some(found))) if found.value == part.text => return Ok(()),
             Ok(SwapOutcome::Conflict(_)) => {
--- a/crates/daemon/src/watch.rs
+++ b/crates/daemon/src/watch.rs
@@ -25,7 +25,7 @@
 pub async fn hosts(core: Arc<Core>) {
     let mut failing = false;
     loop {
-        match core.hosts.changed().await {
+        match core.hosts.poll().await {
             Ok(news) => {
                 failing = false;
                 if let Some(hosts) = news {
--- a/crates/standin/tests/bundles.rs
+++ b/crates/standin/tests/bundles.rs
@@ -139,7 +139,7 @@
     fleet
         .tool
         .kv
-        .swap(keys::HEAD, at.revision, Some(&text), None)
+        .compare_and_swap(keys::HEAD, at.revision, Some(&text), None)
         .await
         .unwrap();
     head.sequence
--- a/crates/standin/tests/linearizable.rs
+++ b/crates/standin/tests/linearizable.rs
@@ -79,7 +79,7 @@
         let op = |done| Op::Swap(known.0, new, done);
         note(name, Call(op(None)));
         match kv
-            .swap("register", known.1, Some(&new.to_string()), None)
+            .compare_and_swap("register", known.1, Some(&new.to_string()), None)
             .await
         {
             Ok(SwapOutcome::Written(revision)) => {
