--- a/crates/backing/src/store.rs
+++ b/crates/backing/src/store.rs
@@ -7,17 +7,17 @@
 
 /// Bounds of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Bounds {
+pub struct Capacity {
     /// Loads that may be started a second.
     pub loads_per_second: f64,
     /// Loads that run at full speed at the same time.
     pub concurrent: u32,
 }
 
-impl Default for Bounds {
+impl Default for Capacity {
     fn default() -> Self {
         // The smaller of the two users' stores.
-        Bounds {
+        Capacity {
             loads_per_second: 1.5,
             concurrent: 10,
         }
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -1,7 +1,7 @@
 //! Settings of a daemon, read from INI and checked whole.
 
 use crate::error::{Error, ReadSettingsSnafu};
-use backing::store::Bounds;
+use backing::store::Capacity;
 use bundle::ini::{self, Document, Fields, Problem, Problems, Section};
 use bundle::key::{Trust, parse_public_key};
 use snafu::ResultExt;
@@ -79,7 +79,7 @@
     /// Time for an order to be answered.
     pub order_limit: Span,
     /// Bounds of the weight store.
-    pub store: Bounds,
+    pub store: Capacity,
 }
 
 /// How logs are written.
@@ -374,12 +374,12 @@
 fn read_planner(section: &Section, problems: &mut Problems) -> Planner {
     let mut fields = Fields::new(section, problems);
     let (least, most) = (Span::from_ms(10), Span::from_secs(600));
-    let default = Bounds::default();
+    let default = Capacity::default();
     let planner = Planner {
         tick: fields.value("tick", Span::from_secs(1), least..=most),
         lease: fields.value("lease", Span::from_secs(5), Span::from_ms(100)..=most),
         order_limit: fields.value("order_limit", Span::from_secs(2), least..=most),
-        store: Bounds {
+        store: Capacity {
             loads_per_second: fields.value(
                 "loads_per_second",
                 default.loads_per_second,
