--- a/crates/cli/src/bundles.rs
+++ b/crates/cli/src/bundles.rs
@@ -12,7 +12,7 @@
 use daemon::clock::wall_ms;
 use daemon::shelf::{self, At};
 use ed25519_dalek::SigningKey;
-use place::fit::{self, Fit, Room};
+use place::fit::{self, Bin, Fit};
 use place::homes::Kept;
 use serde::Serialize;
 use std::collections::HashMap;
@@ -41,20 +41,20 @@
 
 /// Whether a bundle's floors fit the accelerators in the host list.
 pub async fn fit(tool: &Tool, intent: &Intent) -> Result<Fit, Error> {
-    let rooms: Vec<Room> = tool
+    let bins: Vec<Bin> = tool
         .hosts()
         .await?
         .into_iter()
         .filter(|h| !h.leaving)
         .filter_map(|h| match h.kind {
-            Kind::Engine { memory } => Some(Room {
+            Kind::Engine { memory } => Some(Bin {
                 upstream: h.name,
                 memory,
             }),
             _ => None,
         })
         .collect();
-    Ok(fit::check(&kept(intent), &rooms))
+    Ok(fit::check(&kept(intent), &bins))
 }
 
 /// What a bundle wants kept, each model with its adapters.
--- a/crates/place/src/fit.rs
+++ b/crates/place/src/fit.rs
@@ -7,7 +7,7 @@
 
 /// Upstream and its accelerator memory, from the host list.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Room {
+pub struct Bin {
     /// Its name.
     pub upstream: Name,
     /// Its memory.
@@ -16,7 +16,7 @@
 
 /// Replica that found no room.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Homeless {
+pub struct Unplaced {
     /// The model.
     pub model: Name,
     /// Memory of one replica with its adapters.
@@ -37,13 +37,14 @@
     /// Largest upstream.
     pub largest: Bytes,
     /// Replicas that found no room.
-    pub homeless: Vec<Homeless>,
+    #[serde(rename = "homeless")]
+    pub unplaced: Vec<Unplaced>,
 }
 
 impl Fit {
     /// Whether every replica found room.
     pub fn fits(&self) -> bool {
-        self.homeless.is_empty()
+        self.unplaced.is_empty()
     }
 }
 
@@ -54,11 +55,11 @@
             "{} replicas need {}; {} upstreams have {}, the largest {}.",
             self.replicas, self.needs, self.upstreams, self.has, self.largest
         )?;
-        for homeless in &self.homeless {
+        for unplaced in &self.unplaced {
             write!(
                 f,
                 " No room for a replica of {} ({}).",
-                homeless.model, homeless.memory
+                unplaced.model, unplaced.memory
             )?;
         }
         Ok(())
@@ -68,17 +69,17 @@
 /// Packs replicas into upstreams, the largest first, each where least is left over.
 ///
 /// Two replicas of one model go to different upstreams.
-pub fn check(models: &[Kept], rooms: &[Room]) -> Fit {
-    let mut left: Vec<(u64, Vec<&Name>)> = rooms.iter().map(|r| (r.memory.0, Vec::new())).collect();
+pub fn check(models: &[Kept], bins: &[Bin]) -> Fit {
+    let mut left: Vec<(u64, Vec<&Name>)> = bins.iter().map(|r| (r.memory.0, Vec::new())).collect();
     let mut ordered: Vec<&Kept> = models.iter().collect();
     ordered.sort_by(|a, b| b.memory.cmp(&a.memory).then(a.model.cmp(&b.model)));
     let mut fit = Fit {
-        has: rooms.iter().map(|r| r.memory).sum(),
+        has: bins.iter().map(|r| r.memory).sum(),
         needs: Bytes(0),
-        upstreams: rooms.len(),
+        upstreams: bins.len(),
         replicas: 0,
-        largest: rooms.iter().map(|r| r.memory).max().unwrap_or_default(),
-        homeless: Vec::new(),
+        largest: bins.iter().map(|r| r.memory).max().unwrap_or_default(),
+        unplaced: Vec::new(),
     };
     for kept in ordered {
         for _ in 0..kept.least {
@@ -93,7 +94,7 @@
                     *bytes -= kept.memory.0;
                     models.push(&kept.model);
                 }
-                None => fit.homeless.push(Homeless {
+                None => fit.unplaced.push(Unplaced {
                     model: kept.model.clone(),
                     memory: kept.memory,
                 }),
@@ -115,8 +116,8 @@
         }
     }
 
-    fn room(upstream: &str, gb: u64) -> Room {
-        Room {
+    fn bin(upstream: &str, gb: u64) -> Bin {
+        Bin {
             upstream: upstream.into(),
             memory: Bytes::from_gb(gb),
         }
@@ -124,9 +125,9 @@
 
     #[test]
     fn a_sum_that_fits_may_still_not_pack() {
-        let rooms = [room("a", 10), room("b", 10)];
-        let fit = check(&[kept("x", 6, 1), kept("y", 6, 1), kept("z", 6, 1)], &rooms);
-        assert_eq!(fit.homeless.len(), 1);
+        let bins = [bin("a", 10), bin("b", 10)];
+        let fit = check(&[kept("x", 6, 1), kept("y", 6, 1), kept("z", 6, 1)], &bins);
+        assert_eq!(fit.unplaced.len(), 1);
         assert!(
             fit.to_string()
                 .contains("3 replicas need 18.0 GB; 2 upstreams have 20.0 GB")
@@ -135,7 +136,7 @@
 
     #[test]
     fn replicas_of_one_model_go_to_different_upstreams() {
-        let fit = check(&[kept("x", 2, 2)], &[room("a", 10)]);
+        let fit = check(&[kept("x", 2, 2)], &[bin("a", 10)]);
         assert!(!fit.fits());
     }
 }
