--- a/crates/cli/src/bundles.rs
+++ b/crates/cli/src/bundles.rs
@@ -13,7 +13,7 @@
 use daemon::shelf::{self, At};
 use ed25519_dalek::SigningKey;
 use place::fit::{self, Bin, Fit};
-use place::homes::Kept;
+use place::homes::Requirement;
 use serde::Serialize;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -54,21 +54,21 @@
             _ => None,
         })
         .collect();
-    Ok(fit::check(&kept(intent), &bins))
+    Ok(fit::check(&requirements(intent), &bins))
 }
 
 /// What a bundle wants kept, each model with its adapters.
-fn kept(intent: &Intent) -> Vec<Kept> {
+fn requirements(intent: &Intent) -> Vec<Requirement> {
     let whole = |name: &Name, model: &bundle::intent::Model| {
         let adapters = intent.adapters.values().filter(|a| a.model == *name);
         model.memory + adapters.map(|a| a.memory).sum()
     };
-    let kept = intent.models.iter().map(|(name, model)| Kept {
+    let requirements = intent.models.iter().map(|(name, model)| Requirement {
         model: name.clone(),
         memory: whole(name, model),
-        least: model.least,
+        min_replicas: model.least,
     });
-    kept.collect()
+    requirements.collect()
 }
 
 /// Refuses a bundle that does not fit.
--- a/crates/place/src/fit.rs
+++ b/crates/place/src/fit.rs
@@ -1,6 +1,6 @@
 //! Whether the floors of a bundle fit the accelerators, with the arithmetic.
 
-use crate::homes::Kept;
+use crate::homes::Requirement;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use unit::{Bytes, Name};
@@ -69,9 +69,9 @@
 /// Packs replicas into upstreams, the largest first, each where least is left over.
 ///
 /// Two replicas of one model go to different upstreams.
-pub fn check(models: &[Kept], bins: &[Bin]) -> Fit {
+pub fn check(models: &[Requirement], bins: &[Bin]) -> Fit {
     let mut left: Vec<(u64, Vec<&Name>)> = bins.iter().map(|r| (r.memory.0, Vec::new())).collect();
-    let mut ordered: Vec<&Kept> = models.iter().collect();
+    let mut ordered: Vec<&Requirement> = models.iter().collect();
     ordered.sort_by(|a, b| b.memory.cmp(&a.memory).then(a.model.cmp(&b.model)));
     let mut fit = Fit {
         has: bins.iter().map(|r| r.memory).sum(),
@@ -81,22 +81,24 @@
         largest: bins.iter().map(|r| r.memory).max().unwrap_or_default(),
         unplaced: Vec::new(),
     };
-    for kept in ordered {
-        for _ in 0..kept.least {
+    for requirement in ordered {
+        for _ in 0..requirement.min_replicas {
             fit.replicas += 1;
-            fit.needs += kept.memory;
+            fit.needs += requirement.memory;
             let best = left
                 .iter_mut()
-                .filter(|(bytes, models)| *bytes >= kept.memory.0 && !models.contains(&&kept.model))
+                .filter(|(bytes, models)| {
+                    *bytes >= requirement.memory.0 && !models.contains(&&requirement.model)
+                })
                 .min_by_key(|(bytes, _)| *bytes);
             match best {
                 Some((bytes, models)) => {
-                    *bytes -= kept.memory.0;
-                    models.push(&kept.model);
+                    *bytes -= requirement.memory.0;
+                    models.push(&requirement.model);
                 }
                 None => fit.unplaced.push(Unplaced {
-                    model: kept.model.clone(),
-                    memory: kept.memory,
+                    model: requirement.model.clone(),
+                    memory: requirement.memory,
                 }),
             }
         }
@@ -108,11 +110,11 @@
 mod tests {
     use super::*;
 
-    fn kept(model: &str, gb: u64, least: u32) -> Kept {
-        Kept {
+    fn requirement(model: &str, gb: u64, min_replicas: u32) -> Requirement {
+        Requirement {
             model: model.into(),
             memory: Bytes::from_gb(gb),
-            least,
+            min_replicas,
         }
     }
 
@@ -126,7 +128,14 @@
     #[test]
     fn a_sum_that_fits_may_still_not_pack() {
         let bins = [bin("a", 10), bin("b", 10)];
-        let fit = check(&[kept("x", 6, 1), kept("y", 6, 1), kept("z", 6, 1)], &bins);
+        let fit = check(
+            &[
+                requirement("x", 6, 1),
+                requirement("y", 6, 1),
+                requirement("z", 6, 1),
+            ],
+            &bins,
+        );
         assert_eq!(fit.unplaced.len(), 1);
         assert!(
             fit.to_string()
@@ -136,7 +145,7 @@
 
     #[test]
     fn replicas_of_one_model_go_to_different_upstreams() {
-        let fit = check(&[kept("x", 2, 2)], &[bin("a", 10)]);
+        let fit = check(&[requirement("x", 2, 2)], &[bin("a", 10)]);
         assert!(!fit.fits());
     }
 }
--- a/crates/place/src/homes.rs
+++ b/crates/place/src/homes.rs
@@ -29,13 +29,13 @@
 
 /// Model that must be kept reachable.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Kept {
+pub struct Requirement {
     /// Its name.
     pub model: Name,
     /// Memory of one replica, with its adapters.
     pub memory: Bytes,
     /// Replicas in the whole fleet.
-    pub least: u32,
+    pub min_replicas: u32,
 }
 
 /// Share of a hall's memory given to floors, in percent; the rest follows demand.
@@ -75,26 +75,28 @@
 ///
 /// The largest models choose first; each goes to the first hall of its own
 /// order that has room, each further replica to the next.
-pub fn assign(models: &[Kept], halls: &[Hall]) -> BTreeMap<Name, Vec<Name>> {
+pub fn assign(models: &[Requirement], halls: &[Hall]) -> BTreeMap<Name, Vec<Name>> {
     let mut left: BTreeMap<&Name, u64> = halls
         .iter()
         .map(|h| (&h.name, h.memory.0 / 100 * FLOOR_PERCENT))
         .collect();
     let names: Vec<Name> = halls.iter().map(|h| h.name.clone()).collect();
-    let mut ordered: Vec<&Kept> = models.iter().collect();
+    let mut ordered: Vec<&Requirement> = models.iter().collect();
     ordered.sort_by(|a, b| b.memory.cmp(&a.memory).then(a.model.cmp(&b.model)));
     let mut assigned: BTreeMap<Name, Vec<Name>> = BTreeMap::new();
     for round in 0..halls.len() {
-        for kept in &ordered {
-            if round >= kept.least as usize {
+        for requirement in &ordered {
+            if round >= requirement.min_replicas as usize {
                 continue;
             }
-            let chosen = assigned.entry(kept.model.clone()).or_default();
-            let key = rendezvous::hash(kept.model.as_bytes());
+            let chosen = assigned.entry(requirement.model.clone()).or_default();
+            let key = rendezvous::hash(requirement.model.as_bytes());
             let ranked = rendezvous::first(key, &names, names.len());
             let open = ranked.into_iter().filter(|hall| !chosen.contains(hall));
             let open: Vec<&Name> = open.collect();
-            let roomy = open.iter().find(|hall| left[**hall] >= kept.memory.0);
+            let roomy = open
+                .iter()
+                .find(|hall| left[**hall] >= requirement.memory.0);
             // Every model has one hall at least, and be it the least full one.
             let least_full = open
                 .iter()
@@ -102,7 +104,7 @@
                 .filter(|_| round == 0);
             if let Some(hall) = roomy.or(least_full) {
                 let left = left.get_mut(*hall).expect("ranked halls are known");
-                *left = left.saturating_sub(kept.memory.0);
+                *left = left.saturating_sub(requirement.memory.0);
                 chosen.push((*hall).clone());
             }
         }
--- a/crates/place/src/plan/tick.rs
+++ b/crates/place/src/plan/tick.rs
@@ -2,7 +2,7 @@
 
 use super::{floor, grow, upkeep};
 use crate::fleet::{Fleet, Upstream, is_base};
-use crate::homes::{Hall, Homes, Kept, assign};
+use crate::homes::{Hall, Homes, Requirement, assign};
 use crate::ledger::{Denied, Ledger, Wanted};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -50,11 +50,11 @@
     }
 
     /// What must be kept of it.
-    pub fn kept(&self) -> Kept {
-        Kept {
+    pub fn requirement(&self) -> Requirement {
+        Requirement {
             model: self.model.clone(),
             memory: self.whole(),
-            least: self.least,
+            min_replicas: self.least,
         }
     }
 }
@@ -161,8 +161,8 @@
 pub fn plan(s: &Situation, ledger: &mut Ledger, starts: &mut Starts) -> Plan {
     ledger.settle(s.fleet);
     starts.refill(s.now);
-    let kept: Vec<Kept> = s.wants.iter().map(Want::kept).collect();
-    let assigned = assign(&kept, s.halls);
+    let requirements: Vec<Requirement> = s.wants.iter().map(Want::requirement).collect();
+    let assigned = assign(&requirements, s.halls);
     let loading = count_loading(s.fleet, ledger);
     let (ready, coming) = replicas(s.fleet, ledger);
     let mut tick = Tick {
--- a/crates/place/tests/homes.rs
+++ b/crates/place/tests/homes.rs
@@ -142,7 +142,9 @@
 
 #[test]
 fn every_model_is_assigned_even_when_the_halls_are_too_small() {
-    let models: Vec<_> = (0..9).map(|i| want(&format!("m{i}"), 9).kept()).collect();
+    let models: Vec<_> = (0..9)
+        .map(|i| want(&format!("m{i}"), 9).requirement())
+        .collect();
     let halls = ["a", "b", "c"].map(|name| Hall {
         name: name.into(),
         memory: GB(20),
