--- a/crates/daemon/src/planner.rs
+++ b/crates/daemon/src/planner.rs
@@ -18,7 +18,7 @@
 use book::Book;
 use lease::Lease;
 use lines::Lines;
-use place::demand::Demand;
+use place::demand::Estimator;
 use place::homes::Hall;
 use place::plan::{Need, Plan, Situation, Starts, Want};
 use place::{Fleet, plan};
@@ -46,7 +46,7 @@
     lease: Lease,
     book: Book,
     lines: Lines,
-    demand: Demand,
+    demand: Estimator,
     starts: Option<(usize, Starts)>,
 }
 
@@ -56,7 +56,7 @@
         lease: Lease::new(&core.settings),
         book: Book::new(&core.settings),
         lines: Lines::default(),
-        demand: Demand::default(),
+        demand: Estimator::default(),
         starts: None,
         core,
     };
@@ -154,7 +154,7 @@
     /// Demand by model, from all daemons.
     async fn needs(&mut self, wants: &[Want]) -> BTreeMap<Name, Need> {
         let arriving = arriving(&self.core).await;
-        self.demand.take(self.core.now(), &arriving);
+        self.demand.update(self.core.now(), &arriving);
         let work = work_per_request(&self.core);
         let need = |want: &Want| Need {
             rate: self.demand.rate(&want.model),
--- a/crates/place/src/demand.rs
+++ b/crates/place/src/demand.rs
@@ -11,14 +11,14 @@
 
 /// Smoothed demand for each model, in requests a second.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Demand {
+pub struct Estimator {
     rates: BTreeMap<Name, f64>,
     last: Option<Time>,
 }
 
-impl Demand {
+impl Estimator {
     /// Takes in what arrives now, by model; models that are not named have none.
-    pub fn take(&mut self, now: Time, arriving: &BTreeMap<Name, f64>) {
+    pub fn update(&mut self, now: Time, arriving: &BTreeMap<Name, f64>) {
         let passed = self.last.map_or(Span::ZERO, |last| now.since(last));
         let first = self.last.is_none();
         self.last = Some(now);
@@ -55,15 +55,15 @@
 
     #[test]
     fn rises_fast_and_falls_slowly() {
-        let mut demand = Demand::default();
+        let mut estimator = Estimator::default();
         let rate = |r: f64| BTreeMap::from([("m".into(), r)]);
-        demand.take(Time(0), &rate(0.0));
-        demand.take(Time(0) + RISE, &rate(10.0));
-        let risen = demand.rate("m");
+        estimator.update(Time(0), &rate(0.0));
+        estimator.update(Time(0) + RISE, &rate(10.0));
+        let risen = estimator.rate("m");
         assert!((risen - 10.0 * (1.0 - (-1.0_f64).exp())).abs() < 1e-9);
-        demand.take(Time(0) + RISE + RISE, &rate(0.0));
+        estimator.update(Time(0) + RISE + RISE, &rate(0.0));
         let kept = (-RISE.secs() / FALL.secs()).exp();
-        assert!((demand.rate("m") - risen * kept).abs() < 1e-9);
+        assert!((estimator.rate("m") - risen * kept).abs() < 1e-9);
         assert!(kept > 0.85, "a pause of a few seconds takes little away");
     }
 }
--- a/crates/standin/src/experiment/model/planner.rs
+++ b/crates/standin/src/experiment/model/planner.rs
@@ -2,7 +2,7 @@
 
 use super::engine::{BATCH, Engine};
 use super::workload::Figures;
-use place::demand::Demand;
+use place::demand::Estimator;
 use place::homes::{Hall, Homes};
 use place::plan::{Need, Situation, Starts, Want, plan};
 use place::{Fleet, Ledger, Upstream};
@@ -37,7 +37,7 @@
 /// Planner of one hall.
 struct HallPlanner {
     ledger: Ledger,
-    demand: Demand,
+    demand: Estimator,
     starts: Starts,
 }
 
@@ -71,7 +71,7 @@
     pub fn new(figures: &Figures) -> Planners {
         let halls = (0..figures.halls).map(|_| HallPlanner {
             ledger: Ledger::default(),
-            demand: Demand::default(),
+            demand: Estimator::default(),
             starts: Starts::new(figures.loads.0, figures.loads.1, figures.halls),
         });
         Planners {
@@ -179,7 +179,7 @@
             work.insert(want.model.clone(), mean / BATCH as f64);
         }
         let demand = &mut self.halls[h].demand;
-        demand.take(now, &all);
+        demand.update(now, &all);
         let need = |want: &Want| Need {
             rate: demand.rate(&want.model),
             work: work[&want.model],
