--- a/crates/daemon/src/planner.rs
+++ b/crates/daemon/src/planner.rs
@@ -20,7 +20,7 @@
 use lines::Lines;
 use place::demand::Estimator;
 use place::homes::Hall;
-use place::plan::{Need, Plan, Situation, Starts, Want};
+use place::plan::{Need, Plan, Situation, Spec, Starts};
 use place::{Fleet, plan};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -101,7 +101,7 @@
             wall_ms: crate::clock::wall_ms(),
             hall: &self.core.settings.hall,
             halls: &halls,
-            wants: &wants,
+            specs: &wants,
             fleet: &fleet,
             elsewhere: &elsewhere,
             homes: &homes,
@@ -152,11 +152,11 @@
     }
 
     /// Demand by model, from all daemons.
-    async fn needs(&mut self, wants: &[Want]) -> BTreeMap<Name, Need> {
+    async fn needs(&mut self, wants: &[Spec]) -> BTreeMap<Name, Need> {
         let arriving = arriving(&self.core).await;
         self.demand.update(self.core.now(), &arriving);
         let work = work_per_request(&self.core);
-        let need = |want: &Want| Need {
+        let need = |want: &Spec| Need {
             rate: self.demand.rate(&want.model),
             work: work.get(&want.model).copied().unwrap_or_else(default_work),
         };
@@ -215,17 +215,17 @@
 }
 
 /// Models of a bundle as the planner wants them.
-pub fn wants(bundle: &InForce) -> Vec<Want> {
+pub fn wants(bundle: &InForce) -> Vec<Spec> {
     let intent = &bundle.intent;
     let adapters = |model: &Name| {
         let of = intent.adapters.iter().filter(|(_, a)| a.model == *model);
         of.map(|(name, a)| (name.clone(), a.memory)).collect()
     };
-    let want = |(name, model): (&Name, &bundle::intent::Model)| Want {
+    let want = |(name, model): (&Name, &bundle::intent::Model)| Spec {
         model: name.clone(),
         version: model.version.clone(),
         memory: model.memory,
-        least: model.least,
+        min_replicas: model.least,
         priority: intent.classes.get(&model.class).map_or(0, |c| c.priority),
         adapters: adapters(name),
     };
--- a/crates/place/src/plan.rs
+++ b/crates/place/src/plan.rs
@@ -10,4 +10,4 @@
 mod tick;
 mod upkeep;
 
-pub use tick::{Need, Plan, Situation, Starts, Want, plan};
+pub use tick::{Need, Plan, Situation, Spec, Starts, plan};
--- a/crates/place/src/plan/floor.rs
+++ b/crates/place/src/plan/floor.rs
@@ -1,15 +1,15 @@
 //! Floors: every served model keeps its replicas.
 
 use super::grow;
-use super::tick::{Tick, Want};
+use super::tick::{Spec, Tick};
 use crate::fleet::is_base;
 use unit::Bytes;
 use unit::engine::Weights;
 
 /// Joins the homes of models that this hall holds and should; leaves those that others keep.
 pub(super) fn homes(tick: &mut Tick) {
-    for want in tick.s.wants {
-        let model = &want.model;
+    for spec in tick.s.specs {
+        let model = &spec.model;
         let is_home = tick.s.homes.is_home(model, tick.s.hall);
         let assigned = tick
             .assigned
@@ -31,36 +31,36 @@
 
 /// Loads what is missing from the floors, the most important models first.
 pub(super) fn repair(tick: &mut Tick) {
-    let mut missing: Vec<(&Want, usize)> = tick
+    let mut missing: Vec<(&Spec, usize)> = tick
         .s
-        .wants
+        .specs
         .iter()
-        .filter_map(|want| {
-            let have = tick.ready(&want.model).len() + tick.coming(&want.model).len();
-            let floor = tick.floor(want);
-            (have < floor).then(|| (want, floor - have))
+        .filter_map(|spec| {
+            let have = tick.ready(&spec.model).len() + tick.coming(&spec.model).len();
+            let floor = tick.floor(spec);
+            (have < floor).then(|| (spec, floor - have))
         })
         .collect();
-    missing.sort_by_key(|(want, _)| {
-        let none = tick.ready(&want.model).is_empty();
+    missing.sort_by_key(|(spec, _)| {
+        let none = tick.ready(&spec.model).is_empty();
         (
             !none,
-            std::cmp::Reverse(want.priority),
-            std::cmp::Reverse(want.memory),
+            std::cmp::Reverse(spec.priority),
+            std::cmp::Reverse(spec.memory),
         )
     });
-    for (want, count) in missing {
-        if tick.ready(&want.model).is_empty() && renew(tick, want) {
+    for (spec, count) in missing {
+        if tick.ready(&spec.model).is_empty() && renew(tick, spec) {
             continue;
         }
         for _ in 0..count {
             let reason = format!(
                 "{} has {} ready replicas in this hall and must have {}.",
-                want.model,
-                tick.ready(&want.model).len(),
-                tick.floor(want)
+                spec.model,
+                tick.ready(&spec.model).len(),
+                tick.floor(spec)
             );
-            place(tick, want, reason);
+            place(tick, spec, reason);
         }
     }
 }
@@ -69,18 +69,18 @@
 ///
 /// At a fencing upstream a later order makes the earlier one void, and loading what is there
 /// already moves nothing.
-fn renew(tick: &mut Tick, want: &Want) -> bool {
+fn renew(tick: &mut Tick, spec: &Spec) -> bool {
     for at in tick.usable() {
         let upstream = tick.upstream(at);
         let kept = upstream.report.resident.iter().find(|r| {
-            is_base(&r.weights, &want.model)
+            is_base(&r.weights, &spec.model)
                 && r.state == unit::engine::State::Ready
                 && tick.ledger.may_go(&upstream.name, &r.weights)
         });
         if let Some(kept) = kept.filter(|_| upstream.fencing) {
             let reason = format!(
                 "Nothing else is left of {}: its unload is overtaken.",
-                want.model
+                spec.model
             );
             return tick.load(at, kept.weights.clone(), kept.bytes, reason);
         }
@@ -89,40 +89,40 @@
 }
 
 /// Loads a replica where it fits best, or makes room for it.
-pub(super) fn place(tick: &mut Tick, want: &Want, reason: String) -> bool {
-    let fitting = fitting(tick, want);
+pub(super) fn place(tick: &mut Tick, spec: &Spec, reason: String) -> bool {
+    let fitting = fitting(tick, spec);
     for at in fitting {
-        if tick.load(at, want.weights(), want.memory, reason.clone()) {
+        if tick.load(at, spec.weights(), spec.memory, reason.clone()) {
             return true;
         }
     }
     if !tick.may_start() {
         let text = format!(
             "A replica of {} waits for the weight store: {reason}",
-            want.model
+            spec.model
         );
-        tick.note(&want.model, text);
+        tick.note(&spec.model, text);
         return false;
     }
-    if !make_room(tick, want) {
+    if !make_room(tick, spec) {
         let text = format!(
             "A replica of {} ({}) finds no room: no upstream of this hall has that much free, and nothing there can go.",
-            want.model,
-            want.whole()
+            spec.model,
+            spec.total_memory()
         );
-        tick.note(&want.model, text);
+        tick.note(&spec.model, text);
     }
     false
 }
 
 /// Upstreams with room for a replica with its adapters, the one with least work and most room first.
-fn fitting(tick: &Tick, want: &Want) -> Vec<usize> {
+fn fitting(tick: &Tick, spec: &Spec) -> Vec<usize> {
     let mut fitting: Vec<(u32, Bytes, usize)> = tick
         .usable()
         .into_iter()
-        .filter(|at| !tick.has(*at, &want.model))
+        .filter(|at| !tick.has(*at, &spec.model))
         .map(|at| (tick.free(at), at))
-        .filter(|(free, _)| *free >= want.whole())
+        .filter(|(free, _)| *free >= spec.total_memory())
         .map(|(free, at)| {
             let load = tick.upstream(at).report.load;
             (load.running + load.waiting, free, at)
@@ -134,16 +134,16 @@
 }
 
 /// Unloads surplus replicas at the upstream where the fewest must go; tells whether room is coming.
-pub(super) fn make_room(tick: &mut Tick, want: &Want) -> bool {
+pub(super) fn make_room(tick: &mut Tick, spec: &Spec) -> bool {
     let mut best: Option<(usize, Vec<Surplus>)> = None;
     for at in tick.usable() {
-        if tick.has(at, &want.model) {
+        if tick.has(at, &spec.model) {
             continue;
         }
-        if room_is_coming(tick, at, want.whole()) {
+        if room_is_coming(tick, at, spec.total_memory()) {
             return true;
         }
-        let Some(chosen) = enough(tick, at, want.whole()) else {
+        let Some(chosen) = enough(tick, at, spec.total_memory()) else {
             continue;
         };
         if best.as_ref().is_none_or(|(_, b)| chosen.len() < b.len()) {
@@ -153,16 +153,16 @@
     let Some((at, chosen)) = best else {
         return false;
     };
-    evict(tick, want, at, chosen);
+    evict(tick, spec, at, chosen);
     true
 }
 
 /// Unloads replicas to make room for another model.
-pub(super) fn evict(tick: &mut Tick, want: &Want, at: usize, chosen: Vec<Surplus>) {
+pub(super) fn evict(tick: &mut Tick, spec: &Spec, at: usize, chosen: Vec<Surplus>) {
     for surplus in chosen {
         let reason = format!(
             "{} has replicas to spare here, and {} needs the room.",
-            surplus.weights.model, want.model
+            surplus.weights.model, spec.model
         );
         for weights in surplus.all {
             tick.unload(at, weights, reason.clone());
@@ -222,8 +222,8 @@
             continue;
         }
         let ready = tick.ready(&weights.model).len();
-        let want = tick.s.wants.iter().find(|w| w.model == weights.model);
-        let floor = want.map_or(0, |w| tick.floor(w));
+        let spec = tick.s.specs.iter().find(|w| w.model == weights.model);
+        let floor = spec.map_or(0, |w| tick.floor(w));
         let here = tick.ready(&weights.model).iter().any(|(i, _)| *i == at);
         if !here || ready <= floor {
             continue;
--- a/crates/place/src/plan/grow.rs
+++ b/crates/place/src/plan/grow.rs
@@ -9,7 +9,7 @@
 //! over this hall's first, then those elsewhere.
 
 use super::floor::{self, Surplus};
-use super::tick::{Need, Tick, Want};
+use super::tick::{Need, Spec, Tick};
 use crate::fleet::{Upstream, is_base};
 use crate::share::{self, Flow};
 use unit::engine::{Resident, State};
@@ -37,7 +37,7 @@
 
 /// Replica that could be added.
 struct Offer<'a> {
-    want: &'a Want,
+    spec: &'a Spec,
     at: usize,
     evicted: Evicted,
     worth: f64,
@@ -65,9 +65,9 @@
         };
         let model = tick
             .s
-            .wants
+            .specs
             .iter()
-            .position(|w| w.model == offer.want.model);
+            .position(|w| w.model == offer.spec.model);
         promised.push((model.expect("offers are of wanted models"), offer.at));
         take(tick, offer);
     }
@@ -106,13 +106,13 @@
 fn spread(tick: &Tick, promised: &[(usize, usize)]) -> Spread {
     let mut flows: Vec<Flow> = tick
         .s
-        .wants
+        .specs
         .iter()
-        .map(|want| {
-            let need = need(tick, &want.model);
+        .map(|spec| {
+            let need = need(tick, &spec.model);
             Flow {
                 work: need.rate * need.work,
-                at: places(tick, &want.model),
+                at: places(tick, &spec.model),
             }
         })
         .collect();
@@ -144,10 +144,10 @@
     cold.sort_by(|a, b| spread.work[*a].total_cmp(&spread.work[*b]));
     let mut best: Option<Offer> = None;
     for m in hot_models(spread) {
-        let want = &tick.s.wants[m];
+        let spec = &tick.s.specs[m];
         let tried = cold.iter().filter(|u| !spread.flows[m].at.contains(u));
         for u in tried.take(TARGETS) {
-            let Some(offer) = weigh(tick, spread, m, want, *u) else {
+            let Some(offer) = weigh(tick, spread, m, spec, *u) else {
                 continue;
             };
             if best.as_ref().is_none_or(|b| offer.worth > b.worth) {
@@ -186,12 +186,12 @@
     tick: &Tick<'a>,
     spread: &Spread,
     m: usize,
-    want: &'a Want,
+    spec: &'a Spec,
     u: usize,
 ) -> Option<Offer<'a>> {
     let evicted = match tick.s.fleet.upstreams.get(u) {
-        Some(_) => evicted_here(tick, want, u)?,
-        None => evicted_elsewhere(tick, spread, want, u)?,
+        Some(_) => evicted_here(tick, spec, u)?,
+        None => evicted_elsewhere(tick, spread, spec, u)?,
     };
     let mut flows = spread.flows.clone();
     flows[m].at.push(u);
@@ -199,16 +199,16 @@
         flows[gone].at.retain(|at| *at != u);
     }
     let after = over(&share::spread(&flows, spread.work.len()));
-    let need = need(tick, &want.model);
+    let need = need(tick, &spec.model);
     let relief = (spread.over - after) / need.work.max(1e-9);
     let moves = 1 + evicted.count();
-    let rank = 1.0 + f64::from(want.priority) * PER_PRIORITY;
+    let rank = 1.0 + f64::from(spec.priority) * PER_PRIORITY;
     let earned = tick.s.attainment * rank * relief * HORIZON;
     let cost = tick.s.moves * MOVE_COST * moves as f64;
     let at = &spread.flows[m].at;
     let level = at.iter().map(|u| spread.work[*u]).fold(0.0, f64::max);
     (earned > cost).then_some(Offer {
-        want,
+        spec,
         at: u,
         evicted,
         worth: earned - cost,
@@ -237,7 +237,7 @@
         match self {
             Evicted::Here(surplus) => {
                 let number =
-                    |s: &Surplus| tick.s.wants.iter().position(|w| w.model == s.weights.model);
+                    |s: &Surplus| tick.s.specs.iter().position(|w| w.model == s.weights.model);
                 surplus.iter().filter_map(number).collect()
             }
             Evicted::Elsewhere(models) => models.clone(),
@@ -245,20 +245,20 @@
     }
 }
 
-fn evicted_here(tick: &Tick, want: &Want, u: usize) -> Option<Evicted> {
+fn evicted_here(tick: &Tick, spec: &Spec, u: usize) -> Option<Evicted> {
     let going = floor::going(tick, u);
-    if tick.free(u) + going >= want.whole() {
+    if tick.free(u) + going >= spec.total_memory() {
         return Some(Evicted::Here(Vec::new()));
     }
     // Where something goes already, its room is awaited before more must go.
     if going > Bytes(0) {
         return None;
     }
-    floor::enough(tick, u, want.whole()).map(Evicted::Here)
+    floor::enough(tick, u, spec.total_memory()).map(Evicted::Here)
 }
 
 /// What another hall's planner would let go: the replicas with least work of models that have more.
-fn evicted_elsewhere(tick: &Tick, spread: &Spread, want: &Want, u: usize) -> Option<Evicted> {
+fn evicted_elsewhere(tick: &Tick, spread: &Spread, spec: &Spec, u: usize) -> Option<Evicted> {
     let upstream = &tick.s.elsewhere.upstreams[u - tick.s.fleet.upstreams.len()];
     let staying = |r: &&Resident| r.state != State::Unloading;
     let resident = &upstream.report.resident;
@@ -271,7 +271,7 @@
         .filter_map(|r| {
             let m = tick
                 .s
-                .wants
+                .specs
                 .iter()
                 .position(|w| w.model == r.weights.model)?;
             (spread.flows[m].at.len() > 1).then_some((m, r.bytes))
@@ -280,31 +280,31 @@
     surplus.sort_by(|a, b| per_replica(a.0).total_cmp(&per_replica(b.0)));
     let mut gone = Vec::new();
     for (m, bytes) in surplus {
-        if free >= want.whole() {
+        if free >= spec.total_memory() {
             break;
         }
         free += bytes;
         gone.push(m);
     }
-    (free >= want.whole()).then_some(Evicted::Elsewhere(gone))
+    (free >= spec.total_memory()).then_some(Evicted::Elsewhere(gone))
 }
 
 /// Acts on an offer that falls to this hall.
 fn take(tick: &mut Tick, offer: Offer) {
-    let want = offer.want;
+    let spec = offer.spec;
     let Evicted::Here(evicted) = offer.evicted else {
         return;
     };
-    if tick.free(offer.at) < want.whole() {
+    if tick.free(offer.at) < spec.total_memory() {
         // The load follows in a later tick, when a report shows the room.
-        floor::evict(tick, want, offer.at, evicted);
+        floor::evict(tick, spec, offer.at, evicted);
         return;
     }
     let reason = format!(
         "Upstreams of {} are filled to {:.0} in 100; another replica relieves {:.1} requests a second.",
-        want.model,
+        spec.model,
         offer.level * 100.0,
         offer.relief
     );
-    tick.load(offer.at, want.weights(), want.memory, reason);
+    tick.load(offer.at, spec.weights(), spec.memory, reason);
 }
--- a/crates/place/src/plan/tick.rs
+++ b/crates/place/src/plan/tick.rs
@@ -11,7 +11,7 @@
 
 /// Model as the bundle wants it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Want {
+pub struct Spec {
     /// Its name.
     pub model: Name,
     /// Version of its weights.
@@ -19,14 +19,14 @@
     /// Memory of one replica.
     pub memory: Bytes,
     /// Least number of replicas in the fleet.
-    pub least: u32,
+    pub min_replicas: u32,
     /// Rank of its class.
     pub priority: u8,
     /// Adapters and their memory.
     pub adapters: Vec<(Name, Bytes)>,
 }
 
-impl Want {
+impl Spec {
     /// Weights of the model itself.
     pub fn weights(&self) -> Weights {
         Weights {
@@ -45,7 +45,7 @@
     }
 
     /// Memory of one replica with all its adapters.
-    pub fn whole(&self) -> Bytes {
+    pub fn total_memory(&self) -> Bytes {
         self.memory + self.adapters.iter().map(|(_, bytes)| *bytes).sum()
     }
 
@@ -53,8 +53,8 @@
     pub fn requirement(&self) -> Requirement {
         Requirement {
             model: self.model.clone(),
-            memory: self.whole(),
-            min_replicas: self.least,
+            memory: self.total_memory(),
+            min_replicas: self.min_replicas,
         }
     }
 }
@@ -80,7 +80,7 @@
     /// All halls, from the host list.
     pub halls: &'a [Hall],
     /// Models that must be served.
-    pub wants: &'a [Want],
+    pub specs: &'a [Spec],
     /// Upstreams of this hall.
     pub fleet: &'a Fleet,
     /// Upstreams of other halls, as last reported; they are weighed, never ordered.
@@ -161,7 +161,7 @@
 pub fn plan(s: &Situation, ledger: &mut Ledger, starts: &mut Starts) -> Plan {
     ledger.settle(s.fleet);
     starts.refill(s.now);
-    let requirements: Vec<Requirement> = s.wants.iter().map(Want::requirement).collect();
+    let requirements: Vec<Requirement> = s.specs.iter().map(Spec::requirement).collect();
     let assigned = assign(&requirements, s.halls);
     let loading = count_loading(s.fleet, ledger);
     let (ready, coming) = replicas(s.fleet, ledger);
@@ -263,16 +263,16 @@
     }
 
     /// Replicas of a model that this hall must keep.
-    pub(super) fn floor(&self, want: &Want) -> usize {
+    pub(super) fn floor(&self, spec: &Spec) -> usize {
         let halls = self
             .assigned
-            .get(&want.model)
+            .get(&spec.model)
             .map_or(&[][..], Vec::as_slice);
         if let Some(i) = halls.iter().position(|hall| hall == self.s.hall) {
             // The first halls take what does not divide evenly.
-            return (want.least as usize + halls.len() - 1 - i) / halls.len();
+            return (spec.min_replicas as usize + halls.len() - 1 - i) / halls.len();
         }
-        usize::from(self.s.homes.is_home(&want.model, self.s.hall))
+        usize::from(self.s.homes.is_home(&spec.model, self.s.hall))
     }
 
     /// Whether the last replica of a model here may go, as far as other halls are concerned.
@@ -349,7 +349,7 @@
 
     /// Whether unloading weights here would leave a model of this home without a ready replica.
     fn takes_last(&self, at: usize, weights: &Weights) -> bool {
-        let served = self.s.wants.iter().any(|w| w.model == weights.model);
+        let served = self.s.specs.iter().any(|w| w.model == weights.model);
         if !served || !self.is_home(&weights.model) {
             return false;
         }
--- a/crates/place/src/plan/upkeep.rs
+++ b/crates/place/src/plan/upkeep.rs
@@ -1,59 +1,59 @@
 //! Versions, adapters, and what the bundle no longer names.
 
 use super::floor;
-use super::tick::{Tick, Want};
+use super::tick::{Spec, Tick};
 use unit::Name;
 use unit::engine::{State, Weights};
 
 /// Rolls models to the bundle's version: the new is loaded before the old goes where memory
 /// allows; where it does not, one replica after another makes room, never the last ready one.
 pub(super) fn versions(tick: &mut Tick) {
-    for want in tick.s.wants {
-        let ready = tick.ready(&want.model);
-        let (new, old): (Vec<_>, Vec<_>) = ready.into_iter().partition(|(_, v)| *v == want.version);
+    for spec in tick.s.specs {
+        let ready = tick.ready(&spec.model);
+        let (new, old): (Vec<_>, Vec<_>) = ready.into_iter().partition(|(_, v)| *v == spec.version);
         if old.is_empty() {
             continue;
         }
         let coming = tick
-            .coming(&want.model)
+            .coming(&spec.model)
             .iter()
-            .filter(|(_, v)| *v == want.version)
+            .filter(|(_, v)| *v == spec.version)
             .count();
-        let wanted = tick.floor(want).max(old.len());
-        if new.len() + coming < wanted && bring_new(tick, want) {
+        let wanted = tick.floor(spec).max(old.len());
+        if new.len() + coming < wanted && bring_new(tick, spec) {
             continue;
         }
-        retire_old(tick, want, &new, &old, coming);
+        retire_old(tick, spec, &new, &old, coming);
     }
 }
 
 /// Loads a replica of the new version beside the old ones.
-fn bring_new(tick: &mut Tick, want: &Want) -> bool {
-    let reason = format!("{} is to have version {}.", want.model, want.version);
-    let weights = want.weights();
+fn bring_new(tick: &mut Tick, spec: &Spec) -> bool {
+    let reason = format!("{} is to have version {}.", spec.model, spec.version);
+    let weights = spec.weights();
     let mut fitting: Vec<usize> = tick
         .usable()
         .into_iter()
         .filter(|at| tick.upstream(*at).find(&weights).is_none())
         .filter(|at| !tick.ledger.is_coming(&tick.upstream(*at).name, &weights))
-        .filter(|at| tick.free(*at) >= want.whole())
+        .filter(|at| tick.free(*at) >= spec.total_memory())
         .collect();
     // Beside no old replica first, so that the old can go on while the new is loaded.
-    fitting.sort_by_key(|at| (tick.has(*at, &want.model), tick.free(*at)));
+    fitting.sort_by_key(|at| (tick.has(*at, &spec.model), tick.free(*at)));
     fitting
         .into_iter()
-        .any(|at| tick.load(at, weights.clone(), want.memory, reason.clone()))
+        .any(|at| tick.load(at, weights.clone(), spec.memory, reason.clone()))
 }
 
 /// Unloads an old replica once enough new ones are ready, or to make room for a new one.
 fn retire_old(
     tick: &mut Tick,
-    want: &Want,
+    spec: &Spec,
     new: &[(usize, Name)],
     old: &[(usize, Name)],
     coming: usize,
 ) {
-    let floor = tick.floor(want).max(1);
+    let floor = tick.floor(spec).max(1);
     let enough = new.len() >= floor;
     let stuck = coming == 0 && tick.may_start() && new.len() + old.len() > 1;
     if enough {
@@ -61,10 +61,10 @@
             let reason = format!(
                 "{} replicas of version {} of {} are ready.",
                 new.len(),
-                want.version,
-                want.model
+                spec.version,
+                spec.model
             );
-            unload_version(tick, want, *at, version, reason);
+            unload_version(tick, spec, *at, version, reason);
         }
         return;
     }
@@ -72,23 +72,23 @@
         let (at, version) = &old[0];
         let reason = format!(
             "No upstream has room for version {} of {} beside the old; another replica answers meanwhile.",
-            want.version, want.model
+            spec.version, spec.model
         );
-        unload_version(tick, want, *at, version, reason);
+        unload_version(tick, spec, *at, version, reason);
         return;
     }
-    if coming == 0 && tick.may_start() && !floor::make_room(tick, want) {
+    if coming == 0 && tick.may_start() && !floor::make_room(tick, spec) {
         let text = format!(
             "Version {} of {} finds no room, and its only replica must go on answering.",
-            want.version, want.model
+            spec.version, spec.model
         );
-        tick.note(&want.model, text);
+        tick.note(&spec.model, text);
     }
 }
 
-fn unload_version(tick: &mut Tick, want: &Want, at: usize, version: &Name, reason: String) {
+fn unload_version(tick: &mut Tick, spec: &Spec, at: usize, version: &Name, reason: String) {
     let resident = &tick.upstream(at).report.resident;
-    let of_version = |w: &Weights| w.model == want.model && w.version == *version;
+    let of_version = |w: &Weights| w.model == spec.model && w.version == *version;
     let all: Vec<Weights> = resident
         .iter()
         .map(|r| &r.weights)
@@ -96,7 +96,7 @@
         .cloned()
         .collect();
     let base = Weights {
-        model: want.model.clone(),
+        model: spec.model.clone(),
         version: version.clone(),
         adapter: None,
     };
@@ -110,11 +110,11 @@
 
 /// Loads each adapter beside the model's ready replicas.
 pub(super) fn adapters(tick: &mut Tick) {
-    for want in tick.s.wants {
-        for (adapter, bytes) in &want.adapters {
-            let weights = want.adapter(adapter);
-            let bases = tick.ready(&want.model);
-            let current = bases.iter().filter(|(_, v)| *v == want.version);
+    for spec in tick.s.specs {
+        for (adapter, bytes) in &spec.adapters {
+            let weights = spec.adapter(adapter);
+            let bases = tick.ready(&spec.model);
+            let current = bases.iter().filter(|(_, v)| *v == spec.version);
             for (at, _) in current {
                 let upstream = tick.upstream(*at);
                 let has = upstream.find(&weights).is_some()
@@ -124,7 +124,7 @@
                 }
                 let reason = format!(
                     "Adapter {adapter} belongs beside this replica of {}.",
-                    want.model
+                    spec.model
                 );
                 tick.load(*at, weights.clone(), *bytes, reason);
             }
@@ -150,15 +150,15 @@
 }
 
 fn is_named(tick: &Tick, weights: &Weights) -> bool {
-    let Some(want) = tick.s.wants.iter().find(|w| w.model == weights.model) else {
+    let Some(spec) = tick.s.specs.iter().find(|w| w.model == weights.model) else {
         return false;
     };
     match &weights.adapter {
         // Old versions are the business of `versions`.
         None => true,
         Some(adapter) => {
-            let known = want.adapters.iter().any(|(name, _)| name == adapter);
-            known && (weights.version == want.version || old_base_stays(tick, weights))
+            let known = spec.adapters.iter().any(|(name, _)| name == adapter);
+            known && (weights.version == spec.version || old_base_stays(tick, weights))
         }
     }
 }
--- a/crates/place/tests/homes.rs
+++ b/crates/place/tests/homes.rs
@@ -2,7 +2,7 @@
 
 use place::homes::{Hall, Homes};
 use place::ledger::Ledger;
-use place::plan::{Need, Plan, Situation, Starts, Want, plan};
+use place::plan::{Need, Plan, Situation, Spec, Starts, plan};
 use place::{Fleet, Upstream};
 use std::collections::BTreeMap;
 use unit::engine::{Action, Fence, Load, Report, Resident, Role, State, Weights};
@@ -10,12 +10,12 @@
 
 const GB: fn(u64) -> Bytes = Bytes::from_gb;
 
-fn want(model: &str, memory: u64) -> Want {
-    Want {
+fn spec(model: &str, memory: u64) -> Spec {
+    Spec {
         model: model.into(),
         version: "1".into(),
         memory: GB(memory),
-        least: 1,
+        min_replicas: 1,
         priority: 5,
         adapters: Vec::new(),
     }
@@ -53,7 +53,7 @@
 }
 
 /// One tick of a hall that believes only `believed` to exist, with a bundle of `wants`.
-fn tick(hall: &str, believed: &str, homes: &Homes, wants: &[Want]) -> Plan {
+fn tick(hall: &str, believed: &str, homes: &Homes, specs: &[Spec]) -> Plan {
     let name: Name = hall.into();
     let halls = [Hall {
         name: believed.into(),
@@ -72,7 +72,7 @@
         wall_ms: 0,
         hall: &name,
         halls: &halls,
-        wants,
+        specs,
         fleet: &holding(&[("x", 6)]),
         elsewhere: &Fleet::default(),
         homes,
@@ -94,8 +94,8 @@
 }
 
 /// Bundle in which another model of this hall needs the room that `x` takes.
-fn wants() -> [Want; 2] {
-    [want("x", 6), want("y", 8)]
+fn specs() -> [Spec; 2] {
+    [spec("x", 6), spec("y", 8)]
 }
 
 #[test]
@@ -105,7 +105,7 @@
     homes.join(&"x".into(), &"elsewhere".into());
     homes.join(&"y".into(), &"a".into());
     homes.join(&"y".into(), &"b".into());
-    let lets_go = |hall, other| unloads(&tick(hall, other, &homes, &wants())) > 0;
+    let lets_go = |hall, other| unloads(&tick(hall, other, &homes, &specs())) > 0;
     assert!(lets_go("a", "b") && lets_go("b", "a"));
 }
 
@@ -116,12 +116,12 @@
     homes.join(&"y".into(), &"a".into());
     homes.join(&"y".into(), &"b".into());
     assert_eq!(
-        unloads(&tick("a", "b", &homes, &wants())),
+        unloads(&tick("a", "b", &homes, &specs())),
         0,
         "a is the home of x"
     );
     assert!(
-        unloads(&tick("b", "a", &homes, &wants())) > 0,
+        unloads(&tick("b", "a", &homes, &specs())) > 0,
         "b need not keep it"
     );
 }
@@ -143,7 +143,7 @@
 #[test]
 fn every_model_is_assigned_even_when_the_halls_are_too_small() {
     let models: Vec<_> = (0..9)
-        .map(|i| want(&format!("m{i}"), 9).requirement())
+        .map(|i| spec(&format!("m{i}"), 9).requirement())
         .collect();
     let halls = ["a", "b", "c"].map(|name| Hall {
         name: name.into(),
@@ -158,6 +158,6 @@
 
 #[test]
 fn a_hall_joins_once_it_holds_a_model_that_nobody_keeps() {
-    let plan = tick("a", "a", &Homes::default(), &[want("x", 6)]);
+    let plan = tick("a", "a", &Homes::default(), &[spec("x", 6)]);
     assert_eq!(plan.joins, [Name::from("x")]);
 }
--- a/crates/place/tests/world/mod.rs
+++ b/crates/place/tests/world/mod.rs
@@ -2,7 +2,7 @@
 
 use place::homes::{Hall, Homes};
 use place::ledger::Ledger;
-use place::plan::{Need, Situation, Starts, Want, plan};
+use place::plan::{Need, Situation, Spec, Starts, plan};
 use place::{Fleet, Upstream};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -148,7 +148,7 @@
     /// Writes whose answers were lost and that may land yet.
     late: Vec<(u64, Ledger)>,
     homes: Homes,
-    wants: Vec<Want>,
+    specs: Vec<Spec>,
     needs: BTreeMap<Name, Need>,
     lost: Option<String>,
     /// When each order was decided, by its fence.
@@ -199,7 +199,7 @@
             revision: 0,
             late: Vec::new(),
             homes: Homes::default(),
-            wants: Vec::new(),
+            specs: Vec::new(),
             needs: BTreeMap::new(),
             lost: None,
             decided: BTreeMap::new(),
@@ -210,16 +210,16 @@
             trace: Vec::new(),
             rng,
         };
-        world.wants = (0..MODELS).map(|i| world.want(i)).collect();
+        world.specs = (0..MODELS).map(|i| world.spec(i)).collect();
         world
     }
 
-    fn want(&mut self, i: usize) -> Want {
-        Want {
+    fn spec(&mut self, i: usize) -> Spec {
+        Spec {
             model: format!("m{i}").into(),
             version: format!("{}", self.rng.random_range(1..3)).into(),
             memory: Bytes::from_gb(self.rng.random_range(4..9)),
-            least: self.rng.random_range(1..3),
+            min_replicas: self.rng.random_range(1..3),
             priority: 5,
             adapters: Vec::new(),
         }
@@ -358,7 +358,7 @@
             wall_ms: 0,
             hall: &hall,
             halls: &halls,
-            wants: &self.wants,
+            specs: &self.specs,
             fleet: &fleet,
             elsewhere: &Fleet::default(),
             homes: &homes,
@@ -580,12 +580,12 @@
     fn roll(&mut self) -> bool {
         let i = self.pick(MODELS);
         if self.pick(2) == 0 {
-            let mut want = self.want(i);
+            let mut spec = self.spec(i);
             // Another size is another version's: weights of one name have one size.
-            want.version = format!("{}", self.now).into();
-            self.wants[i] = want;
+            spec.version = format!("{}", self.now).into();
+            self.specs[i] = spec;
         }
-        let model = self.wants[i].model.clone();
+        let model = self.specs[i].model.clone();
         let rate = f64::from(self.rng.random_range(0..40));
         self.needs.insert(model, Need { rate, work: 0.05 });
         false
--- a/crates/standin/src/experiment/model/planner.rs
+++ b/crates/standin/src/experiment/model/planner.rs
@@ -4,7 +4,7 @@
 use super::workload::Figures;
 use place::demand::Estimator;
 use place::homes::{Hall, Homes};
-use place::plan::{Need, Situation, Starts, Want, plan};
+use place::plan::{Need, Situation, Spec, Starts, plan};
 use place::{Fleet, Ledger, Upstream};
 use std::collections::BTreeMap;
 use unit::engine::{Action, Weights};
@@ -45,7 +45,7 @@
 pub struct Planners {
     halls: Vec<HallPlanner>,
     homes: Homes,
-    wants: Vec<Want>,
+    wants: Vec<Spec>,
     names: Vec<Name>,
 }
 
@@ -55,12 +55,12 @@
 }
 
 /// Models of a size, as a bundle would want them.
-pub fn wants(figures: &Figures) -> Vec<Want> {
-    let want = |i: usize| Want {
+pub fn wants(figures: &Figures) -> Vec<Spec> {
+    let want = |i: usize| Spec {
         model: format!("m{i:02}").into(),
         version: "1".into(),
         memory: Bytes::from_gb(24 + (i % 4) as u64 * 4),
-        least: 1,
+        min_replicas: 1,
         priority: [9, 6, 1][i % 3],
         adapters: Vec::new(),
     };
@@ -105,7 +105,7 @@
                 wall_ms: 0,
                 hall: &self.names[h],
                 halls: &halls,
-                wants: &self.wants,
+                specs: &self.wants,
                 fleet: &fleet,
                 elsewhere: &elsewhere,
                 homes: &self.homes,
@@ -180,7 +180,7 @@
         }
         let demand = &mut self.halls[h].demand;
         demand.update(now, &all);
-        let need = |want: &Want| Need {
+        let need = |want: &Spec| Need {
             rate: demand.rate(&want.model),
             work: work[&want.model],
         };
@@ -205,13 +205,13 @@
     }
 }
 
-fn base(want: &Want) -> Weights {
+fn base(want: &Spec) -> Weights {
     want.weights()
 }
 
 /// Fills engines for the mean demand: each model once, then more of those with most demand for
 /// each replica they have.
-pub fn fill(engines: &mut [Engine], wants: &[Want], mean: &dyn Fn(usize) -> f64) {
+pub fn fill(engines: &mut [Engine], wants: &[Spec], mean: &dyn Fn(usize) -> f64) {
     let mut replicas = vec![0; wants.len()];
     loop {
         let need = |m: usize| match replicas[m] {
@@ -236,7 +236,7 @@
 }
 
 /// Puts every model everywhere.
-pub fn fill_all(engines: &mut [Engine], wants: &[Want]) {
+pub fn fill_all(engines: &mut [Engine], wants: &[Spec]) {
     for engine in engines {
         for (m, want) in wants.iter().enumerate() {
             engine.preload(m, base(want), Bytes(0));
@@ -246,7 +246,7 @@
 
 /// Loads a model that is missed where it disturbs least, evicting the least recently used; also a
 /// second replica when the first is full, as far as the store's concurrency allows.
-pub fn on_demand(engines: &mut [Engine], model: usize, want: &Want, now: Time) {
+pub fn on_demand(engines: &mut [Engine], model: usize, want: &Spec, now: Time) {
     if engines.iter().any(|e| e.has(model) && !e.ready(model)) {
         return;
     }
--- a/crates/standin/src/experiment/model/world.rs
+++ b/crates/standin/src/experiment/model/world.rs
@@ -86,7 +86,7 @@
     names: Vec<Name>,
     routers: Vec<Router>,
     planners: Planners,
-    wants: Vec<place::plan::Want>,
+    wants: Vec<place::plan::Spec>,
     arriving: Vec<f64>,
     history: VecDeque<(Time, Vec<u32>)>,
     rng: ChaCha8Rng,
--- a/crates/standin/src/experiment/slopes/points.rs
+++ b/crates/standin/src/experiment/slopes/points.rs
@@ -8,7 +8,7 @@
 use bundle::{Delta, Draft, Head, part};
 use daemon::clock::Clock;
 use place::homes::{Hall, Homes};
-use place::plan::{Need, Situation, Starts, Want, plan};
+use place::plan::{Need, Situation, Spec, Starts, plan};
 use place::{Fleet, Ledger, Upstream};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -82,12 +82,12 @@
 /// A hall with `n` upstreams and 1,700 models to 220 of them, a tenth of the upstreams overloaded.
 pub(super) fn tick(n: usize) -> f64 {
     let models = n * MODELS as usize / 220;
-    let wants: Vec<Want> = (0..models)
-        .map(|i| Want {
+    let wants: Vec<Spec> = (0..models)
+        .map(|i| Spec {
             model: format!("m{i:04}").into(),
             version: "1".into(),
             memory: Bytes::from_gb(8),
-            least: 1,
+            min_replicas: 1,
             priority: 5,
             adapters: Vec::new(),
         })
@@ -116,7 +116,7 @@
         wall_ms: 0,
         hall: &hall,
         halls: &halls,
-        wants: &wants,
+        specs: &wants,
         fleet: &fleet,
         elsewhere: &Fleet::default(),
         homes: &homes,
@@ -134,7 +134,7 @@
     })
 }
 
-fn filled(n: usize, wants: &[Want]) -> Fleet {
+fn filled(n: usize, wants: &[Spec]) -> Fleet {
     let upstreams = (0..n).map(|u| {
         let mine = wants.iter().enumerate().filter(|(i, _)| i % n == u);
         Upstream {
