--- a/crates/daemon/src/planner.rs
+++ b/crates/daemon/src/planner.rs
@@ -20,7 +20,7 @@
 use lines::Lines;
 use place::demand::Estimator;
 use place::homes::Hall;
-use place::plan::{Need, Plan, Situation, Spec, Starts};
+use place::plan::{Demand, Plan, Situation, Spec, Starts};
 use place::{Fleet, plan};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -105,7 +105,7 @@
             fleet: &fleet,
             elsewhere: &elsewhere,
             homes: &homes,
-            needs: &needs,
+            demand: &needs,
             attainment: weights.attainment,
             moves: weights.moves,
         };
@@ -152,11 +152,11 @@
     }
 
     /// Demand by model, from all daemons.
-    async fn needs(&mut self, wants: &[Spec]) -> BTreeMap<Name, Need> {
+    async fn needs(&mut self, wants: &[Spec]) -> BTreeMap<Name, Demand> {
         let arriving = arriving(&self.core).await;
         self.demand.update(self.core.now(), &arriving);
         let work = work_per_request(&self.core);
-        let need = |want: &Spec| Need {
+        let need = |want: &Spec| Demand {
             rate: self.demand.rate(&want.model),
             work: work.get(&want.model).copied().unwrap_or_else(default_work),
         };
--- a/crates/place/src/plan/floor.rs
+++ b/crates/place/src/plan/floor.rs
@@ -234,9 +234,9 @@
             .iter()
             .filter(|r| r.weights.model == weights.model && r.weights.version == weights.version)
             .collect();
-        let need = tick
+        let demand = tick
             .s
-            .needs
+            .demand
             .get(&weights.model)
             .copied()
             .unwrap_or_default();
@@ -244,7 +244,7 @@
             weights: weights.clone(),
             bytes: whole.iter().map(|r| r.bytes).sum(),
             all: whole.iter().map(|r| r.weights.clone()).collect(),
-            work: need.rate * need.work / grow::replicas(tick, &weights.model) as f64,
+            work: demand.rate * demand.work / grow::replicas(tick, &weights.model) as f64,
         });
     }
     found
--- a/crates/place/src/plan/grow.rs
+++ b/crates/place/src/plan/grow.rs
@@ -9,7 +9,7 @@
 //! over this hall's first, then those elsewhere.
 
 use super::floor::{self, Surplus};
-use super::tick::{Need, Spec, Tick};
+use super::tick::{Demand, Spec, Tick};
 use crate::fleet::{Upstream, is_base};
 use crate::share::{self, Flow};
 use unit::engine::{Resident, State};
@@ -73,8 +73,8 @@
     }
 }
 
-fn need(tick: &Tick, model: &Name) -> Need {
-    tick.s.needs.get(model).copied().unwrap_or_default()
+fn demand(tick: &Tick, model: &Name) -> Demand {
+    tick.s.demand.get(model).copied().unwrap_or_default()
 }
 
 /// Upstreams that hold or are getting a model, in all halls.
@@ -109,9 +109,9 @@
         .specs
         .iter()
         .map(|spec| {
-            let need = need(tick, &spec.model);
+            let demand = demand(tick, &spec.model);
             Flow {
-                work: need.rate * need.work,
+                work: demand.rate * demand.work,
                 at: places(tick, &spec.model),
             }
         })
@@ -199,8 +199,8 @@
         flows[gone].at.retain(|at| *at != u);
     }
     let after = over(&share::spread(&flows, spread.work.len()));
-    let need = need(tick, &spec.model);
-    let relief = (spread.over - after) / need.work.max(1e-9);
+    let demand = demand(tick, &spec.model);
+    let relief = (spread.over - after) / demand.work.max(1e-9);
     let moves = 1 + evicted.count();
     let rank = 1.0 + f64::from(spec.priority) * PER_PRIORITY;
     let earned = tick.s.attainment * rank * relief * HORIZON;
--- a/crates/place/src/plan/tick.rs
+++ b/crates/place/src/plan/tick.rs
@@ -61,7 +61,7 @@
 
 /// Demand for a model, from all daemons.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Need {
+pub struct Demand {
     /// Requests a second, smoothed.
     pub rate: f64,
     /// Share of one upstream's capacity that one request a second takes.
@@ -88,7 +88,7 @@
     /// Homes as read for this tick.
     pub homes: &'a Homes,
     /// Demand by model.
-    pub needs: &'a BTreeMap<Name, Need>,
+    pub demand: &'a BTreeMap<Name, Demand>,
     /// Worth of a request a second that meets its target.
     pub attainment: f64,
     /// Cost of a move.
--- a/crates/place/tests/homes.rs
+++ b/crates/place/tests/homes.rs
@@ -2,7 +2,7 @@
 
 use place::homes::{Hall, Homes};
 use place::ledger::Ledger;
-use place::plan::{Need, Plan, Situation, Spec, Starts, plan};
+use place::plan::{Demand, Plan, Situation, Spec, Starts, plan};
 use place::{Fleet, Upstream};
 use std::collections::BTreeMap;
 use unit::engine::{Action, Fence, Load, Report, Resident, Role, State, Weights};
@@ -60,9 +60,9 @@
         memory: GB(10),
     }];
     // `y` is in demand and too large to stand beside `x`.
-    let needs = BTreeMap::from([(
+    let demand = BTreeMap::from([(
         "y".into(),
-        Need {
+        Demand {
             rate: 100.0,
             work: 1.0,
         },
@@ -76,7 +76,7 @@
         fleet: &holding(&[("x", 6)]),
         elsewhere: &Fleet::default(),
         homes,
-        needs: &needs,
+        demand: &demand,
         attainment: 1.0,
         moves: 0.0,
     };
--- a/crates/place/tests/world/mod.rs
+++ b/crates/place/tests/world/mod.rs
@@ -2,7 +2,7 @@
 
 use place::homes::{Hall, Homes};
 use place::ledger::Ledger;
-use place::plan::{Need, Situation, Spec, Starts, plan};
+use place::plan::{Demand, Situation, Spec, Starts, plan};
 use place::{Fleet, Upstream};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -149,7 +149,7 @@
     late: Vec<(u64, Ledger)>,
     homes: Homes,
     specs: Vec<Spec>,
-    needs: BTreeMap<Name, Need>,
+    demand: BTreeMap<Name, Demand>,
     lost: Option<String>,
     /// When each order was decided, by its fence.
     decided: BTreeMap<Fence, u64>,
@@ -200,7 +200,7 @@
             late: Vec::new(),
             homes: Homes::default(),
             specs: Vec::new(),
-            needs: BTreeMap::new(),
+            demand: BTreeMap::new(),
             lost: None,
             decided: BTreeMap::new(),
             taken: BTreeMap::new(),
@@ -362,7 +362,7 @@
             fleet: &fleet,
             elsewhere: &Fleet::default(),
             homes: &homes,
-            needs: &self.needs,
+            demand: &self.demand,
             attainment: 1.0,
             moves: 0.1,
         };
@@ -587,7 +587,7 @@
         }
         let model = self.specs[i].model.clone();
         let rate = f64::from(self.rng.random_range(0..40));
-        self.needs.insert(model, Need { rate, work: 0.05 });
+        self.demand.insert(model, Demand { rate, work: 0.05 });
         false
     }
 }
--- a/crates/standin/src/experiment/model/planner.rs
+++ b/crates/standin/src/experiment/model/planner.rs
@@ -4,7 +4,7 @@
 use super::workload::Figures;
 use place::demand::Estimator;
 use place::homes::{Hall, Homes};
-use place::plan::{Need, Situation, Spec, Starts, plan};
+use place::plan::{Demand, Situation, Spec, Starts, plan};
 use place::{Fleet, Ledger, Upstream};
 use std::collections::BTreeMap;
 use unit::engine::{Action, Weights};
@@ -109,7 +109,7 @@
                 fleet: &fleet,
                 elsewhere: &elsewhere,
                 homes: &self.homes,
-                needs: &needs,
+                demand: &needs,
                 attainment: weights.0,
                 moves: weights.1,
             };
@@ -161,7 +161,7 @@
         engines: &[Engine],
         arriving: &[f64],
         service: &dyn Fn(usize) -> Span,
-    ) -> BTreeMap<Name, Need> {
+    ) -> BTreeMap<Name, Demand> {
         let mut all = BTreeMap::new();
         let mut work = BTreeMap::new();
         for (m, want) in self.wants.iter().enumerate() {
@@ -180,7 +180,7 @@
         }
         let demand = &mut self.halls[h].demand;
         demand.update(now, &all);
-        let need = |want: &Spec| Need {
+        let need = |want: &Spec| Demand {
             rate: demand.rate(&want.model),
             work: work[&want.model],
         };
--- a/crates/standin/src/experiment/slopes/points.rs
+++ b/crates/standin/src/experiment/slopes/points.rs
@@ -8,7 +8,7 @@
 use bundle::{Delta, Draft, Head, part};
 use daemon::clock::Clock;
 use place::homes::{Hall, Homes};
-use place::plan::{Need, Situation, Spec, Starts, plan};
+use place::plan::{Demand, Situation, Spec, Starts, plan};
 use place::{Fleet, Ledger, Upstream};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -98,11 +98,11 @@
         name: hall.clone(),
         memory: Bytes::from_gb(80 * n as u64),
     }];
-    let need = |i: usize| Need {
+    let need = |i: usize| Demand {
         rate: if i.is_multiple_of(70) { 20.0 } else { 0.5 },
         work: 0.1,
     };
-    let needs: BTreeMap<Name, Need> = wants
+    let needs: BTreeMap<Name, Demand> = wants
         .iter()
         .enumerate()
         .map(|(i, w)| (w.model.clone(), need(i)))
@@ -120,7 +120,7 @@
         fleet: &fleet,
         elsewhere: &Fleet::default(),
         homes: &homes,
-        needs: &needs,
+        demand: &needs,
         attainment: 1.0,
         moves: 1.0,
     };
