--- a/crates/daemon/src/planner.rs
+++ b/crates/daemon/src/planner.rs
@@ -20,7 +20,7 @@
 use lines::Lines;
 use place::demand::Estimator;
 use place::homes::Hall;
-use place::plan::{Demand, Plan, Situation, Spec, Starts};
+use place::plan::{Demand, LoadLimiter, Plan, Situation, Spec};
 use place::{Fleet, plan};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -47,7 +47,7 @@
     book: Book,
     lines: Lines,
     demand: Estimator,
-    starts: Option<(usize, Starts)>,
+    starts: Option<(usize, LoadLimiter)>,
 }
 
 /// Plans for the hall whenever this host holds its lease, until the process ends.
@@ -190,13 +190,13 @@
 }
 
 fn starts<'a>(
-    starts: &'a mut Option<(usize, Starts)>,
+    starts: &'a mut Option<(usize, LoadLimiter)>,
     core: &Core,
     halls: usize,
-) -> &'a mut Starts {
+) -> &'a mut LoadLimiter {
     if starts.as_ref().is_none_or(|(n, _)| *n != halls) {
         let store = core.settings.planner.store;
-        let made = Starts::new(store.loads_per_second, store.concurrent, halls);
+        let made = LoadLimiter::new(store.loads_per_second, store.concurrent, halls);
         *starts = Some((halls, made));
     }
     &mut starts.as_mut().expect("it was just made").1
--- a/crates/place/src/plan/tick.rs
+++ b/crates/place/src/plan/tick.rs
@@ -97,32 +97,32 @@
 
 /// Bound on loads, within what the weight store gives this hall.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Starts {
+pub struct LoadLimiter {
     per_second: f64,
-    concurrent: usize,
-    saved: f64,
-    last: Option<Time>,
+    max_concurrent: usize,
+    tokens: f64,
+    refilled_at: Option<Time>,
 }
 
 /// Loads that may be saved up while none is needed.
-const MOST_SAVED: f64 = 3.0;
+const BURST: f64 = 3.0;
 
-impl Starts {
+impl LoadLimiter {
     /// Makes the bound for one of `halls` halls that share a store.
-    pub fn new(per_second: f64, concurrent: u32, halls: usize) -> Starts {
+    pub fn new(per_second: f64, max_concurrent: u32, halls: usize) -> LoadLimiter {
         let halls = halls.max(1);
-        Starts {
+        LoadLimiter {
             per_second: per_second / halls as f64,
-            concurrent: (concurrent as usize / halls).max(1),
-            saved: 1.0,
-            last: None,
+            max_concurrent: (max_concurrent as usize / halls).max(1),
+            tokens: 1.0,
+            refilled_at: None,
         }
     }
 
     fn refill(&mut self, now: Time) {
-        let passed = self.last.map_or(Span::ZERO, |last| now.since(last));
-        self.last = Some(now);
-        self.saved = (self.saved + passed.secs() * self.per_second).min(MOST_SAVED);
+        let passed = self.refilled_at.map_or(Span::ZERO, |at| now.since(at));
+        self.refilled_at = Some(now);
+        self.tokens = (self.tokens + passed.secs() * self.per_second).min(BURST);
     }
 }
 
@@ -145,7 +145,7 @@
 pub(super) struct Tick<'a> {
     pub(super) s: &'a Situation<'a>,
     pub(super) ledger: &'a mut Ledger,
-    pub(super) starts: &'a mut Starts,
+    pub(super) limiter: &'a mut LoadLimiter,
     pub(super) loading: usize,
     pub(super) assigned: BTreeMap<Name, Vec<Name>>,
     pub(super) plan: Plan,
@@ -158,9 +158,9 @@
 }
 
 /// Decides a tick; the orders are in the ledger when this returns.
-pub fn plan(s: &Situation, ledger: &mut Ledger, starts: &mut Starts) -> Plan {
+pub fn plan(s: &Situation, ledger: &mut Ledger, limiter: &mut LoadLimiter) -> Plan {
     ledger.settle(s.fleet);
-    starts.refill(s.now);
+    limiter.refill(s.now);
     let requirements: Vec<Requirement> = s.specs.iter().map(Spec::requirement).collect();
     let assigned = assign(&requirements, s.halls);
     let loading = count_loading(s.fleet, ledger);
@@ -168,7 +168,7 @@
     let mut tick = Tick {
         s,
         ledger,
-        starts,
+        limiter,
         loading,
         assigned,
         plan: Plan::default(),
@@ -286,7 +286,7 @@
 
     /// Whether the weight store has room for another load.
     pub(super) fn may_start(&self) -> bool {
-        self.starts.saved >= 1.0 && self.loading < self.starts.concurrent
+        self.limiter.tokens >= 1.0 && self.loading < self.limiter.max_concurrent
     }
 
     /// Reserves an order; tells whether the ledger allowed it.
@@ -322,7 +322,7 @@
         {
             return false;
         }
-        self.starts.saved -= 1.0;
+        self.limiter.tokens -= 1.0;
         self.loading += 1;
         if base {
             self.coming.entry(model).or_default().push((at, version));
--- a/crates/place/tests/homes.rs
+++ b/crates/place/tests/homes.rs
@@ -2,7 +2,7 @@
 
 use place::homes::{Hall, Homes};
 use place::ledger::Ledger;
-use place::plan::{Demand, Plan, Situation, Spec, Starts, plan};
+use place::plan::{Demand, LoadLimiter, Plan, Situation, Spec, plan};
 use place::{Fleet, Upstream};
 use std::collections::BTreeMap;
 use unit::engine::{Action, Fence, Load, Report, Resident, Role, State, Weights};
@@ -83,7 +83,7 @@
     plan(
         &situation,
         &mut Ledger::default(),
-        &mut Starts::new(1e3, 100, 1),
+        &mut LoadLimiter::new(1e3, 100, 1),
     )
 }
 
--- a/crates/place/tests/world/mod.rs
+++ b/crates/place/tests/world/mod.rs
@@ -2,7 +2,7 @@
 
 use place::homes::{Hall, Homes};
 use place::ledger::Ledger;
-use place::plan::{Demand, Situation, Spec, Starts, plan};
+use place::plan::{Demand, LoadLimiter, Situation, Spec, plan};
 use place::{Fleet, Upstream};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -125,7 +125,7 @@
     lines: Vec<Option<Line>>,
     outbox: Vec<(usize, u64, Order)>,
     writes: u64,
-    starts: Starts,
+    limiter: LoadLimiter,
 }
 
 /// Order on its way.
@@ -187,7 +187,7 @@
             lines: vec![None; ENGINES],
             outbox: Vec::new(),
             writes: 0,
-            starts: Starts::new(1e6, 1_000, 1),
+            limiter: LoadLimiter::new(1e6, 1_000, 1),
         });
         let mut world = World {
             engines: engines.collect(),
@@ -374,7 +374,7 @@
         if !self.guards.seen {
             planner.ledger.seen.clear();
         }
-        let planned = plan(&situation, &mut planner.ledger, &mut planner.starts);
+        let planned = plan(&situation, &mut planner.ledger, &mut planner.limiter);
         for (_, order) in &planned.orders {
             self.decided.insert(order.fence, self.now);
         }
--- a/crates/standin/src/experiment/model/planner.rs
+++ b/crates/standin/src/experiment/model/planner.rs
@@ -4,7 +4,7 @@
 use super::workload::Figures;
 use place::demand::Estimator;
 use place::homes::{Hall, Homes};
-use place::plan::{Demand, Situation, Spec, Starts, plan};
+use place::plan::{Demand, LoadLimiter, Situation, Spec, plan};
 use place::{Fleet, Ledger, Upstream};
 use std::collections::BTreeMap;
 use unit::engine::{Action, Weights};
@@ -38,7 +38,7 @@
 struct HallPlanner {
     ledger: Ledger,
     demand: Estimator,
-    starts: Starts,
+    starts: LoadLimiter,
 }
 
 /// Planners of all halls.
@@ -72,7 +72,7 @@
         let halls = (0..figures.halls).map(|_| HallPlanner {
             ledger: Ledger::default(),
             demand: Estimator::default(),
-            starts: Starts::new(figures.loads.0, figures.loads.1, figures.halls),
+            starts: LoadLimiter::new(figures.loads.0, figures.loads.1, figures.halls),
         });
         Planners {
             halls: halls.collect(),
--- a/crates/standin/src/experiment/slopes/points.rs
+++ b/crates/standin/src/experiment/slopes/points.rs
@@ -8,7 +8,7 @@
 use bundle::{Delta, Draft, Head, part};
 use daemon::clock::Clock;
 use place::homes::{Hall, Homes};
-use place::plan::{Demand, Situation, Spec, Starts, plan};
+use place::plan::{Demand, LoadLimiter, Situation, Spec, plan};
 use place::{Fleet, Ledger, Upstream};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -129,7 +129,7 @@
         black_box(plan(
             &situation,
             &mut ledger,
-            &mut Starts::new(100.0, 100, 1),
+            &mut LoadLimiter::new(100.0, 100, 1),
         ));
     })
 }
