--- a/crates/daemon/src/planner.rs
+++ b/crates/daemon/src/planner.rs
@@ -20,7 +20,7 @@
 use lines::Lines;
 use place::demand::Estimator;
 use place::homes::Hall;
-use place::plan::{Demand, LoadLimiter, Plan, Situation, Spec};
+use place::plan::{Demand, Input, LoadLimiter, Plan, Spec};
 use place::{Fleet, plan};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -96,23 +96,23 @@
         let halls = halls(&self.core, &fleet);
         let needs = self.needs(&wants).await;
         let weights = bundle.intent.weights;
-        let situation = Situation {
+        let input = Input {
             now: self.core.now(),
             wall_ms: crate::clock::wall_ms(),
             hall: &self.core.settings.hall,
             halls: &halls,
             specs: &wants,
             fleet: &fleet,
-            elsewhere: &elsewhere,
+            other_halls: &elsewhere,
             homes: &homes,
             demand: &needs,
-            attainment: weights.attainment,
-            moves: weights.moves,
+            attainment_weight: weights.attainment,
+            move_cost: weights.moves,
         };
         let started = std::time::Instant::now();
         let ledger = self.book.ledger();
         let starts = starts(&mut self.starts, &self.core, halls.len());
-        let plan = plan(&situation, ledger, starts);
+        let plan = plan(&input, ledger, starts);
         let took = Span::from(started.elapsed());
         crate::metrics::record(
             &self.core.metrics.histogram("coveford_plan_seconds", &[]),
--- a/crates/place/src/plan.rs
+++ b/crates/place/src/plan.rs
@@ -10,4 +10,4 @@
 mod tick;
 mod upkeep;
 
-pub use tick::{Demand, LoadLimiter, Plan, Situation, Spec, plan};
+pub use tick::{Demand, Input, LoadLimiter, Plan, Spec, plan};
--- a/crates/place/src/plan/floor.rs
+++ b/crates/place/src/plan/floor.rs
@@ -8,21 +8,21 @@
 
 /// Joins the homes of models that this hall holds and should; leaves those that others keep.
 pub(super) fn homes(tick: &mut Tick) {
-    for spec in tick.s.specs {
+    for spec in tick.input.specs {
         let model = &spec.model;
-        let is_home = tick.s.homes.is_home(model, tick.s.hall);
+        let is_home = tick.input.homes.is_home(model, tick.input.hall);
         let assigned = tick
             .assigned
             .get(model)
-            .is_some_and(|h| h.contains(tick.s.hall));
-        let should = assigned || !tick.s.homes.has_home(model);
+            .is_some_and(|h| h.contains(tick.input.hall));
+        let should = assigned || !tick.input.homes.has_home(model);
         let holds = !tick.ready(model).is_empty();
         if should && holds && !is_home {
             tick.plan.joins.push(model.clone());
         }
         // What the assignment's first hall keeps, this hall need not.
         let others = tick.assigned.get(model).cloned().unwrap_or_default();
-        let kept = others.iter().any(|h| tick.s.homes.is_home(model, h));
+        let kept = others.iter().any(|h| tick.input.homes.is_home(model, h));
         if is_home && !assigned && kept {
             tick.plan.leaves.push(model.clone());
         }
@@ -32,7 +32,7 @@
 /// Loads what is missing from the floors, the most important models first.
 pub(super) fn repair(tick: &mut Tick) {
     let mut missing: Vec<(&Spec, usize)> = tick
-        .s
+        .input
         .specs
         .iter()
         .filter_map(|spec| {
@@ -222,7 +222,7 @@
             continue;
         }
         let ready = tick.ready(&weights.model).len();
-        let spec = tick.s.specs.iter().find(|w| w.model == weights.model);
+        let spec = tick.input.specs.iter().find(|w| w.model == weights.model);
         let floor = spec.map_or(0, |w| tick.floor(w));
         let here = tick.ready(&weights.model).iter().any(|(i, _)| *i == at);
         if !here || ready <= floor {
@@ -235,7 +235,7 @@
             .filter(|r| r.weights.model == weights.model && r.weights.version == weights.version)
             .collect();
         let demand = tick
-            .s
+            .input
             .demand
             .get(&weights.model)
             .copied()
--- a/crates/place/src/plan/grow.rs
+++ b/crates/place/src/plan/grow.rs
@@ -64,7 +64,7 @@
             return;
         };
         let model = tick
-            .s
+            .input
             .specs
             .iter()
             .position(|w| w.model == offer.spec.model);
@@ -74,15 +74,15 @@
 }
 
 fn demand(tick: &Tick, model: &Name) -> Demand {
-    tick.s.demand.get(model).copied().unwrap_or_default()
+    tick.input.demand.get(model).copied().unwrap_or_default()
 }
 
 /// Upstreams that hold or are getting a model, in all halls.
 fn places(tick: &Tick, model: &Name) -> Vec<usize> {
     let ready = tick.ready(model).into_iter().map(|(at, _)| at);
     let coming = tick.coming(model).iter().map(|(at, _)| *at);
-    let here = tick.s.fleet.upstreams.len();
-    let elsewhere = tick.s.elsewhere.upstreams.iter().enumerate();
+    let here = tick.input.fleet.upstreams.len();
+    let elsewhere = tick.input.other_halls.upstreams.iter().enumerate();
     let elsewhere = elsewhere.filter(|(_, u)| !u.leaving && holds(u, model));
     let mut places: Vec<usize> = ready.chain(coming).collect();
     places.extend(elsewhere.map(|(i, _)| here + i));
@@ -105,7 +105,7 @@
 /// Demand over what is there, on its way, or promised in this tick.
 fn spread(tick: &Tick, promised: &[(usize, usize)]) -> Spread {
     let mut flows: Vec<Flow> = tick
-        .s
+        .input
         .specs
         .iter()
         .map(|spec| {
@@ -121,7 +121,7 @@
             flows[*model].at.push(*at);
         }
     }
-    let all = tick.s.fleet.upstreams.len() + tick.s.elsewhere.upstreams.len();
+    let all = tick.input.fleet.upstreams.len() + tick.input.other_halls.upstreams.len();
     let work = share::spread(&flows, all);
     let over = over(&work);
     Spread { flows, work, over }
@@ -137,14 +137,14 @@
     if spread.over <= 0.0 {
         return None;
     }
-    let here = tick.s.fleet.upstreams.len();
-    let elsewhere = tick.s.elsewhere.upstreams.iter().enumerate();
+    let here = tick.input.fleet.upstreams.len();
+    let elsewhere = tick.input.other_halls.upstreams.iter().enumerate();
     let elsewhere = elsewhere.filter(|(_, u)| !u.leaving).map(|(i, _)| here + i);
     let mut cold: Vec<usize> = tick.usable().into_iter().chain(elsewhere).collect();
     cold.sort_by(|a, b| spread.work[*a].total_cmp(&spread.work[*b]));
     let mut best: Option<Offer> = None;
     for m in hot_models(spread) {
-        let spec = &tick.s.specs[m];
+        let spec = &tick.input.specs[m];
         let tried = cold.iter().filter(|u| !spread.flows[m].at.contains(u));
         for u in tried.take(TARGETS) {
             let Some(offer) = weigh(tick, spread, m, spec, *u) else {
@@ -189,7 +189,7 @@
     spec: &'a Spec,
     u: usize,
 ) -> Option<Offer<'a>> {
-    let evicted = match tick.s.fleet.upstreams.get(u) {
+    let evicted = match tick.input.fleet.upstreams.get(u) {
         Some(_) => evicted_here(tick, spec, u)?,
         None => evicted_elsewhere(tick, spread, spec, u)?,
     };
@@ -203,8 +203,8 @@
     let relief = (spread.over - after) / demand.work.max(1e-9);
     let moves = 1 + evicted.count();
     let rank = 1.0 + f64::from(spec.priority) * PER_PRIORITY;
-    let earned = tick.s.attainment * rank * relief * HORIZON;
-    let cost = tick.s.moves * MOVE_COST * moves as f64;
+    let earned = tick.input.attainment_weight * rank * relief * HORIZON;
+    let cost = tick.input.move_cost * MOVE_COST * moves as f64;
     let at = &spread.flows[m].at;
     let level = at.iter().map(|u| spread.work[*u]).fold(0.0, f64::max);
     (earned > cost).then_some(Offer {
@@ -236,8 +236,12 @@
     fn models(&self, tick: &Tick) -> Vec<usize> {
         match self {
             Evicted::Here(surplus) => {
-                let number =
-                    |s: &Surplus| tick.s.specs.iter().position(|w| w.model == s.weights.model);
+                let number = |s: &Surplus| {
+                    tick.input
+                        .specs
+                        .iter()
+                        .position(|w| w.model == s.weights.model)
+                };
                 surplus.iter().filter_map(number).collect()
             }
             Evicted::Elsewhere(models) => models.clone(),
@@ -259,7 +263,7 @@
 
 /// What another hall's planner would let go: the replicas with least work of models that have more.
 fn evicted_elsewhere(tick: &Tick, spread: &Spread, spec: &Spec, u: usize) -> Option<Evicted> {
-    let upstream = &tick.s.elsewhere.upstreams[u - tick.s.fleet.upstreams.len()];
+    let upstream = &tick.input.other_halls.upstreams[u - tick.input.fleet.upstreams.len()];
     let staying = |r: &&Resident| r.state != State::Unloading;
     let resident = &upstream.report.resident;
     let taken: Bytes = resident.iter().filter(staying).map(|r| r.bytes).sum();
@@ -270,7 +274,7 @@
         .filter(|r| r.state == State::Ready && r.weights.adapter.is_none())
         .filter_map(|r| {
             let m = tick
-                .s
+                .input
                 .specs
                 .iter()
                 .position(|w| w.model == r.weights.model)?;
--- a/crates/place/src/plan/tick.rs
+++ b/crates/place/src/plan/tick.rs
@@ -70,7 +70,7 @@
 
 /// What a tick is decided on.
 #[derive(Debug, Clone)]
-pub struct Situation<'a> {
+pub struct Input<'a> {
     /// Time now.
     pub now: Time,
     /// Wall clock in milliseconds, for the record of moves.
@@ -84,15 +84,15 @@
     /// Upstreams of this hall.
     pub fleet: &'a Fleet,
     /// Upstreams of other halls, as last reported; they are weighed, never ordered.
-    pub elsewhere: &'a Fleet,
+    pub other_halls: &'a Fleet,
     /// Homes as read for this tick.
     pub homes: &'a Homes,
     /// Demand by model.
     pub demand: &'a BTreeMap<Name, Demand>,
     /// Worth of a request a second that meets its target.
-    pub attainment: f64,
+    pub attainment_weight: f64,
     /// Cost of a move.
-    pub moves: f64,
+    pub move_cost: f64,
 }
 
 /// Bound on loads, within what the weight store gives this hall.
@@ -143,7 +143,7 @@
 
 /// State of a tick under way.
 pub(super) struct Tick<'a> {
-    pub(super) s: &'a Situation<'a>,
+    pub(super) input: &'a Input<'a>,
     pub(super) ledger: &'a mut Ledger,
     pub(super) limiter: &'a mut LoadLimiter,
     pub(super) loading: usize,
@@ -158,15 +158,15 @@
 }
 
 /// Decides a tick; the orders are in the ledger when this returns.
-pub fn plan(s: &Situation, ledger: &mut Ledger, limiter: &mut LoadLimiter) -> Plan {
-    ledger.settle(s.fleet);
-    limiter.refill(s.now);
-    let requirements: Vec<Requirement> = s.specs.iter().map(Spec::requirement).collect();
-    let assigned = assign(&requirements, s.halls);
-    let loading = count_loading(s.fleet, ledger);
-    let (ready, coming) = replicas(s.fleet, ledger);
+pub fn plan(input: &Input, ledger: &mut Ledger, limiter: &mut LoadLimiter) -> Plan {
+    ledger.settle(input.fleet);
+    limiter.refill(input.now);
+    let requirements: Vec<Requirement> = input.specs.iter().map(Spec::requirement).collect();
+    let assigned = assign(&requirements, input.halls);
+    let loading = count_loading(input.fleet, ledger);
+    let (ready, coming) = replicas(input.fleet, ledger);
     let mut tick = Tick {
-        s,
+        input,
         ledger,
         limiter,
         loading,
@@ -242,7 +242,7 @@
 
 impl<'a> Tick<'a> {
     pub(super) fn upstream(&self, at: usize) -> &'a Upstream {
-        &self.s.fleet.upstreams[at]
+        &self.input.fleet.upstreams[at]
     }
 
     /// Upstreams that hold a model ready and will go on holding it, with its version.
@@ -268,16 +268,17 @@
             .assigned
             .get(&spec.model)
             .map_or(&[][..], Vec::as_slice);
-        if let Some(i) = halls.iter().position(|hall| hall == self.s.hall) {
+        if let Some(i) = halls.iter().position(|hall| hall == self.input.hall) {
             // The first halls take what does not divide evenly.
             return (spec.min_replicas as usize + halls.len() - 1 - i) / halls.len();
         }
-        usize::from(self.s.homes.is_home(&spec.model, self.s.hall))
+        usize::from(self.input.homes.is_home(&spec.model, self.input.hall))
     }
 
     /// Whether the last replica of a model here may go, as far as other halls are concerned.
     pub(super) fn is_home(&self, model: &str) -> bool {
-        self.s.homes.is_home(model, self.s.hall) || self.plan.joins.iter().any(|m| &**m == model)
+        self.input.homes.is_home(model, self.input.hall)
+            || self.plan.joins.iter().any(|m| &**m == model)
     }
 
     pub(super) fn note(&mut self, model: &Name, text: String) {
@@ -297,7 +298,7 @@
             action,
             reason,
         };
-        let order = self.ledger.reserve(upstream, &wanted, self.s.wall_ms)?;
+        let order = self.ledger.reserve(upstream, &wanted, self.input.wall_ms)?;
         self.plan.orders.push((upstream.name.clone(), order));
         Ok(())
     }
@@ -349,7 +350,7 @@
 
     /// Whether unloading weights here would leave a model of this home without a ready replica.
     fn takes_last(&self, at: usize, weights: &Weights) -> bool {
-        let served = self.s.specs.iter().any(|w| w.model == weights.model);
+        let served = self.input.specs.iter().any(|w| w.model == weights.model);
         if !served || !self.is_home(&weights.model) {
             return false;
         }
@@ -396,7 +397,7 @@
 
     /// Upstreams that may get new weights.
     pub(super) fn usable(&self) -> Vec<usize> {
-        let all = 0..self.s.fleet.upstreams.len();
+        let all = 0..self.input.fleet.upstreams.len();
         all.filter(|at| {
             let upstream = self.upstream(*at);
             !upstream.leaving && !upstream.silent && self.ledger.is_current(upstream)
--- a/crates/place/src/plan/upkeep.rs
+++ b/crates/place/src/plan/upkeep.rs
@@ -8,7 +8,7 @@
 /// Rolls models to the bundle's version: the new is loaded before the old goes where memory
 /// allows; where it does not, one replica after another makes room, never the last ready one.
 pub(super) fn versions(tick: &mut Tick) {
-    for spec in tick.s.specs {
+    for spec in tick.input.specs {
         let ready = tick.ready(&spec.model);
         let (new, old): (Vec<_>, Vec<_>) = ready.into_iter().partition(|(_, v)| *v == spec.version);
         if old.is_empty() {
@@ -110,7 +110,7 @@
 
 /// Loads each adapter beside the model's ready replicas.
 pub(super) fn adapters(tick: &mut Tick) {
-    for spec in tick.s.specs {
+    for spec in tick.input.specs {
         for (adapter, bytes) in &spec.adapters {
             let weights = spec.adapter(adapter);
             let bases = tick.ready(&spec.model);
@@ -150,7 +150,7 @@
 }
 
 fn is_named(tick: &Tick, weights: &Weights) -> bool {
-    let Some(spec) = tick.s.specs.iter().find(|w| w.model == weights.model) else {
+    let Some(spec) = tick.input.specs.iter().find(|w| w.model == weights.model) else {
         return false;
     };
     match &weights.adapter {
--- a/crates/place/tests/homes.rs
+++ b/crates/place/tests/homes.rs
@@ -2,7 +2,7 @@
 
 use place::homes::{Hall, Homes};
 use place::ledger::Ledger;
-use place::plan::{Demand, LoadLimiter, Plan, Situation, Spec, plan};
+use place::plan::{Demand, Input, LoadLimiter, Plan, Spec, plan};
 use place::{Fleet, Upstream};
 use std::collections::BTreeMap;
 use unit::engine::{Action, Fence, Load, Report, Resident, Role, State, Weights};
@@ -67,21 +67,21 @@
             work: 1.0,
         },
     )]);
-    let situation = Situation {
+    let input = Input {
         now: Time(1),
         wall_ms: 0,
         hall: &name,
         halls: &halls,
         specs,
         fleet: &holding(&[("x", 6)]),
-        elsewhere: &Fleet::default(),
+        other_halls: &Fleet::default(),
         homes,
         demand: &demand,
-        attainment: 1.0,
-        moves: 0.0,
+        attainment_weight: 1.0,
+        move_cost: 0.0,
     };
     plan(
-        &situation,
+        &input,
         &mut Ledger::default(),
         &mut LoadLimiter::new(1e3, 100, 1),
     )
--- a/crates/place/tests/world/mod.rs
+++ b/crates/place/tests/world/mod.rs
@@ -2,7 +2,7 @@
 
 use place::homes::{Hall, Homes};
 use place::ledger::Ledger;
-use place::plan::{Demand, LoadLimiter, Situation, Spec, plan};
+use place::plan::{Demand, Input, LoadLimiter, Spec, plan};
 use place::{Fleet, Upstream};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -353,18 +353,18 @@
             memory: Bytes::from_gb(MEMORY * ENGINES as u64),
         }];
         let homes = self.homes.clone();
-        let situation = Situation {
+        let input = Input {
             now: Time(self.now),
             wall_ms: 0,
             hall: &hall,
             halls: &halls,
             specs: &self.specs,
             fleet: &fleet,
-            elsewhere: &Fleet::default(),
+            other_halls: &Fleet::default(),
             homes: &homes,
             demand: &self.demand,
-            attainment: 1.0,
-            moves: 0.1,
+            attainment_weight: 1.0,
+            move_cost: 0.1,
         };
         let planner = &mut self.planners[p];
         let before = planner.ledger.open.clone();
@@ -374,7 +374,7 @@
         if !self.guards.seen {
             planner.ledger.seen.clear();
         }
-        let planned = plan(&situation, &mut planner.ledger, &mut planner.limiter);
+        let planned = plan(&input, &mut planner.ledger, &mut planner.limiter);
         for (_, order) in &planned.orders {
             self.decided.insert(order.fence, self.now);
         }
--- a/crates/standin/src/experiment/model/planner.rs
+++ b/crates/standin/src/experiment/model/planner.rs
@@ -4,7 +4,7 @@
 use super::workload::Figures;
 use place::demand::Estimator;
 use place::homes::{Hall, Homes};
-use place::plan::{Demand, LoadLimiter, Situation, Spec, plan};
+use place::plan::{Demand, Input, LoadLimiter, Spec, plan};
 use place::{Fleet, Ledger, Upstream};
 use std::collections::BTreeMap;
 use unit::engine::{Action, Weights};
@@ -100,20 +100,20 @@
             if planner.ledger.term == 0 {
                 planner.ledger.take_over();
             }
-            let situation = Situation {
+            let input = Input {
                 now,
                 wall_ms: 0,
                 hall: &self.names[h],
                 halls: &halls,
                 specs: &self.wants,
                 fleet: &fleet,
-                elsewhere: &elsewhere,
+                other_halls: &elsewhere,
                 homes: &self.homes,
                 demand: &needs,
-                attainment: weights.0,
-                moves: weights.1,
+                attainment_weight: weights.0,
+                move_cost: weights.1,
             };
-            let plan = plan(&situation, &mut planner.ledger, &mut planner.starts);
+            let plan = plan(&input, &mut planner.ledger, &mut planner.starts);
             for model in &plan.joins {
                 self.homes.join(model, &self.names[h]);
             }
--- a/crates/standin/src/experiment/slopes/points.rs
+++ b/crates/standin/src/experiment/slopes/points.rs
@@ -8,7 +8,7 @@
 use bundle::{Delta, Draft, Head, part};
 use daemon::clock::Clock;
 use place::homes::{Hall, Homes};
-use place::plan::{Demand, LoadLimiter, Situation, Spec, plan};
+use place::plan::{Demand, Input, LoadLimiter, Spec, plan};
 use place::{Fleet, Ledger, Upstream};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -111,23 +111,23 @@
     for want in &wants {
         homes.join(&want.model, &hall);
     }
-    let situation = Situation {
+    let input = Input {
         now: Time(10_000_000),
         wall_ms: 0,
         hall: &hall,
         halls: &halls,
         specs: &wants,
         fleet: &fleet,
-        elsewhere: &Fleet::default(),
+        other_halls: &Fleet::default(),
         homes: &homes,
         demand: &needs,
-        attainment: 1.0,
-        moves: 1.0,
+        attainment_weight: 1.0,
+        move_cost: 1.0,
     };
     time(|| {
         let mut ledger = Ledger::default();
         black_box(plan(
-            &situation,
+            &input,
             &mut ledger,
             &mut LoadLimiter::new(100.0, 100, 1),
         ));
