--- a/crates/daemon/src/planner/state.rs
+++ b/crates/daemon/src/planner/state.rs
@@ -1,7 +1,7 @@
 //! What the planner did last, for operators.
 
 use parking_lot::Mutex;
-use place::ledger::{Ledger, Move, Open};
+use place::ledger::{Entry, Ledger, Move};
 use place::plan::Plan;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -21,7 +21,7 @@
     /// Its term.
     pub term: u64,
     /// Unresolved orders.
-    pub open: Vec<Open>,
+    pub open: Vec<Entry>,
     /// Newest moves with their reasons.
     pub moves: Vec<Move>,
     /// What could not be done, by model.
--- a/crates/place/src/ledger.rs
+++ b/crates/place/src/ledger.rs
@@ -19,7 +19,7 @@
 use unit::{Bytes, Name};
 
 /// Reasons kept for `coveford why`.
-const KEPT_MOVES: usize = 200;
+const MAX_MOVES: usize = 200;
 
 /// Ledger as it stands in the key-value service.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -31,16 +31,16 @@
     /// Number of the last order.
     pub last: u64,
     /// Orders that may still take effect.
-    pub open: Vec<Open>,
+    pub open: Vec<Entry>,
     /// Newest report that resolved an order, by upstream; an older one is not acted on.
-    pub seen: BTreeMap<Name, Seen>,
+    pub seen: BTreeMap<Name, ReportId>,
     /// Newest moves with their reasons, oldest first.
     pub moves: Vec<Move>,
 }
 
 /// Identity of a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct ReportId {
     /// Incarnation of the engine.
     pub incarnation: u64,
     /// Number of the report.
@@ -49,24 +49,28 @@
 
 /// Order that may still take effect.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Open {
+pub struct Entry {
     /// Where it goes.
     pub upstream: Name,
     /// The order.
     pub order: Order,
     /// What is known of its sending.
-    pub sent: Sent,
+    #[serde(rename = "sent")]
+    pub delivery: Delivery,
 }
 
 /// What is known of an order's sending.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Sent {
+pub enum Delivery {
     /// It may be on its way, now or later.
-    Perhaps,
+    #[serde(rename = "Perhaps")]
+    Unconfirmed,
     /// The upstream took it.
-    Taken,
+    #[serde(rename = "Taken")]
+    Accepted,
     /// It may be on its way, and another order about the same weights was given since.
-    Doubt,
+    #[serde(rename = "Doubt")]
+    InDoubt,
 }
 
 /// Move with its reason.
@@ -86,7 +90,7 @@
 
 /// Order that is wanted, not yet in the ledger.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Wanted {
+pub struct NewOrder {
     /// Where.
     pub upstream: Name,
     /// What.
@@ -97,15 +101,15 @@
 
 /// Why an order may not be given.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Denied {
+pub enum Denial {
     /// The upstream is not known.
     Unknown,
     /// Another order about the same weights is unresolved.
     Unresolved,
     /// Its report is older than one that resolved an order before.
-    OldReport,
+    StaleReport,
     /// Its memory would be overcommitted.
-    Memory {
+    InsufficientMemory {
         /// Free.
         free: Bytes,
         /// Needed.
@@ -123,11 +127,11 @@
     pub fn settle(&mut self, fleet: &Fleet) {
         let mut seen = Vec::new();
         let known = &self.seen;
-        self.open.retain(|open| {
-            let Some(upstream) = fleet.find(&open.upstream) else {
+        self.open.retain(|entry| {
+            let Some(upstream) = fleet.find(&entry.upstream) else {
                 return true;
             };
-            if !is_current(known.get(&upstream.name), upstream) || !is_resolved(open, upstream) {
+            if !is_current(known.get(&upstream.name), upstream) || !is_resolved(entry, upstream) {
                 return true;
             }
             seen.push((upstream.name.clone(), identity(upstream)));
@@ -143,7 +147,7 @@
 
     /// Whether a fresh order to that upstream is unresolved.
     pub fn is_open(&self, upstream: &str) -> bool {
-        let fresh = |o: &&Open| &*o.upstream == upstream && o.sent != Sent::Doubt;
+        let fresh = |o: &&Entry| &*o.upstream == upstream && o.delivery != Delivery::InDoubt;
         self.open.iter().any(|o| fresh(&o))
     }
 
@@ -172,7 +176,7 @@
 
     fn loads<'a>(&'a self, upstream: &'a str) -> impl Iterator<Item = (&'a Weights, Bytes)> {
         let here = self.open.iter().filter(move |o| &*o.upstream == upstream);
-        here.filter_map(|open| match &open.order.action {
+        here.filter_map(|entry| match &entry.order.action {
             Action::Load { weights, bytes } => Some((weights, *bytes)),
             _ => None,
         })
@@ -185,10 +189,10 @@
 
     /// Whether weights at an upstream may go away by an unresolved order.
     pub fn may_go(&self, upstream: &str, weights: &Weights) -> bool {
-        self.open.iter().any(|open| {
+        self.open.iter().any(|entry| {
             let unload =
-                matches!(&open.order.action, Action::Unload { weights: w } if w == weights);
-            unload && &*open.upstream == upstream
+                matches!(&entry.order.action, Action::Unload { weights: w } if w == weights);
+            unload && &*entry.upstream == upstream
         })
     }
 
@@ -196,27 +200,27 @@
     pub fn reserve(
         &mut self,
         upstream: &Upstream,
-        wanted: &Wanted,
+        new_order: &NewOrder,
         at_ms: u64,
-    ) -> Result<Order, Denied> {
+    ) -> Result<Order, Denial> {
         if !self.is_current(upstream) {
-            return Err(Denied::OldReport);
+            return Err(Denial::StaleReport);
         }
-        if self.blocks(upstream, &wanted.action) {
-            return Err(Denied::Unresolved);
+        if self.blocks(upstream, &new_order.action) {
+            return Err(Denial::Unresolved);
         }
-        if let Action::Load { weights, bytes } = &wanted.action {
+        if let Action::Load { weights, bytes } = &new_order.action {
             let free = self.free(upstream);
             let counted = self.is_coming(&upstream.name, weights);
             let bytes = *bytes;
             if !counted && bytes > free {
-                return Err(Denied::Memory {
+                return Err(Denial::InsufficientMemory {
                     free,
                     needed: bytes,
                 });
             }
         }
-        self.doubt(&upstream.name, &wanted.action);
+        self.doubt(&upstream.name, &new_order.action);
         self.last += 1;
         let order = Order {
             fence: Fence {
@@ -224,21 +228,21 @@
                 number: self.last,
             },
             incarnation: upstream.report.incarnation,
-            action: wanted.action.clone(),
+            action: new_order.action.clone(),
         };
-        self.open.push(Open {
+        self.open.push(Entry {
             upstream: upstream.name.clone(),
             order: order.clone(),
-            sent: Sent::Perhaps,
+            delivery: Delivery::Unconfirmed,
         });
         self.moves.push(Move {
             fence: order.fence,
             upstream: upstream.name.clone(),
-            action: wanted.action.clone(),
-            reason: wanted.reason.clone(),
+            action: new_order.action.clone(),
+            reason: new_order.reason.clone(),
             at_ms,
         });
-        let surplus = self.moves.len().saturating_sub(KEPT_MOVES);
+        let surplus = self.moves.len().saturating_sub(MAX_MOVES);
         self.moves.drain(..surplus);
         Ok(order)
     }
@@ -249,18 +253,18 @@
     /// later by being sent again, and a load may overtake an unload. At one that checks none, an order of an
     /// earlier term may never be; it is left in doubt, which counts for ever.
     fn blocks(&self, upstream: &Upstream, action: &Action) -> bool {
-        self.open.iter().any(|open| {
+        self.open.iter().any(|entry| {
             let same =
-                open.upstream == upstream.name && subject(&open.order.action) == subject(action);
-            let old = open.order.fence.term < self.term;
+                entry.upstream == upstream.name && subject(&entry.order.action) == subject(action);
+            let old = entry.order.fence.term < self.term;
             let overtaken = upstream.fencing
-                && matches!(open.order.action, Action::Unload { .. })
+                && matches!(entry.order.action, Action::Unload { .. })
                 && matches!(action, Action::Load { .. });
-            let passable = match open.sent {
+            let passable = match entry.delivery {
                 _ if overtaken => true,
-                Sent::Taken => false,
-                Sent::Perhaps => old && !upstream.fencing,
-                Sent::Doubt => true,
+                Delivery::Accepted => false,
+                Delivery::Unconfirmed => old && !upstream.fencing,
+                Delivery::InDoubt => true,
             };
             same && !passable
         })
@@ -268,9 +272,9 @@
 
     /// Leaves in doubt what may still be on its way about the same weights.
     fn doubt(&mut self, upstream: &str, action: &Action) {
-        for open in &mut self.open {
-            if &*open.upstream == upstream && subject(&open.order.action) == subject(action) {
-                open.sent = Sent::Doubt;
+        for entry in &mut self.open {
+            if &*entry.upstream == upstream && subject(&entry.order.action) == subject(action) {
+                entry.delivery = Delivery::InDoubt;
             }
         }
     }
@@ -284,8 +288,8 @@
             .iter_mut()
             .find(|o| o.upstream == upstream.name && o.order.fence == fence);
         match found {
-            Some(open) if !upstream.fencing && open.sent == Sent::Perhaps => {
-                open.sent = Sent::Doubt;
+            Some(entry) if !upstream.fencing && entry.delivery == Delivery::Unconfirmed => {
+                entry.delivery = Delivery::InDoubt;
                 true
             }
             _ => false,
@@ -303,8 +307,8 @@
         };
         match obeyed {
             Obeyed::Taken => {
-                let changed = self.open[at].sent != Sent::Taken;
-                self.open[at].sent = Sent::Taken;
+                let changed = self.open[at].delivery != Delivery::Accepted;
+                self.open[at].delivery = Delivery::Accepted;
                 changed
             }
             // A copy that came before may have been done: only a report can tell.
@@ -319,15 +323,15 @@
 }
 
 /// Whether a report proves that an order will have no effect beyond what the report shows.
-fn is_resolved(open: &Open, upstream: &Upstream) -> bool {
+fn is_resolved(entry: &Entry, upstream: &Upstream) -> bool {
     let report = &upstream.report;
-    if report.incarnation != open.order.incarnation {
+    if report.incarnation != entry.order.incarnation {
         return true;
     }
     if upstream.fencing {
-        return report.fence >= open.order.fence;
+        return report.fence >= entry.order.fence;
     }
-    open.sent != Sent::Doubt && shows_effect(open, upstream)
+    entry.delivery != Delivery::InDoubt && shows_effect(entry, upstream)
 }
 
 /// What an order is about; none for a role.
@@ -338,20 +342,20 @@
     }
 }
 
-fn identity(upstream: &Upstream) -> Seen {
-    Seen {
+fn identity(upstream: &Upstream) -> ReportId {
+    ReportId {
         incarnation: upstream.report.incarnation,
         number: upstream.report.number,
     }
 }
 
-fn is_current(seen: Option<&Seen>, upstream: &Upstream) -> bool {
+fn is_current(seen: Option<&ReportId>, upstream: &Upstream) -> bool {
     let now = identity(upstream);
     seen.is_none_or(|s| s.incarnation != now.incarnation || s.number <= now.number)
 }
 
-fn shows_effect(open: &Open, upstream: &Upstream) -> bool {
-    match &open.order.action {
+fn shows_effect(entry: &Entry, upstream: &Upstream) -> bool {
+    match &entry.order.action {
         Action::Load { weights, .. } => {
             let found = upstream.find(weights);
             found.is_some_and(|r| r.state == State::Ready)
--- a/crates/place/src/plan/tick.rs
+++ b/crates/place/src/plan/tick.rs
@@ -3,7 +3,7 @@
 use super::{floor, grow, upkeep};
 use crate::fleet::{Fleet, Upstream, is_base};
 use crate::homes::{Hall, Homes, Requirement, assign};
-use crate::ledger::{Denied, Ledger, Wanted};
+use crate::ledger::{Denial, Ledger, NewOrder};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use unit::engine::{Action, Order, State, Weights};
@@ -226,11 +226,11 @@
                 State::Unloading => {}
             }
         }
-        for open in ledger.open.iter().filter(|o| o.upstream == upstream.name) {
-            if let Action::Load { weights, .. } = &open.order.action
+        for entry in ledger.open.iter().filter(|o| o.upstream == upstream.name) {
+            if let Action::Load { weights, .. } = &entry.order.action
                 && weights.adapter.is_none()
                 && upstream.find(weights).is_none()
-                && open.sent != crate::ledger::Sent::Doubt
+                && entry.delivery != crate::ledger::Delivery::InDoubt
             {
                 let at = (i, weights.version.clone());
                 coming.entry(weights.model.clone()).or_default().push(at);
@@ -291,14 +291,16 @@
     }
 
     /// Reserves an order; tells whether the ledger allowed it.
-    fn order(&mut self, at: usize, action: Action, reason: String) -> Result<(), Denied> {
+    fn order(&mut self, at: usize, action: Action, reason: String) -> Result<(), Denial> {
         let upstream = self.upstream(at);
-        let wanted = Wanted {
+        let new_order = NewOrder {
             upstream: upstream.name.clone(),
             action,
             reason,
         };
-        let order = self.ledger.reserve(upstream, &wanted, self.input.wall_ms)?;
+        let order = self
+            .ledger
+            .reserve(upstream, &new_order, self.input.wall_ms)?;
         self.plan.orders.push((upstream.name.clone(), order));
         Ok(())
     }
@@ -365,7 +367,7 @@
         let fresh: BTreeSet<_> = self.plan.orders.iter().map(|(_, o)| o.fence).collect();
         let usable = self.usable();
         let mut again = Vec::new();
-        for open in self
+        for entry in self
             .ledger
             .open
             .iter()
@@ -373,18 +375,18 @@
         {
             let at = usable
                 .iter()
-                .find(|at| self.upstream(**at).name == open.upstream);
+                .find(|at| self.upstream(**at).name == entry.upstream);
             let Some(at) = at.filter(|at| self.upstream(**at).fencing) else {
                 continue;
             };
-            let harmful = match &open.order.action {
+            let harmful = match &entry.order.action {
                 Action::Unload { weights } if weights.adapter.is_none() => {
                     self.takes_last(*at, weights)
                 }
                 _ => false,
             };
             if !harmful {
-                again.push((open.upstream.clone(), open.order.clone()));
+                again.push((entry.upstream.clone(), entry.order.clone()));
             }
         }
         again
