--- a/crates/daemon/src/planner.rs
+++ b/crates/daemon/src/planner.rs
@@ -178,8 +178,8 @@
         let mut changed = false;
         for (name, fence, obeyed) in answers {
             changed |= match (obeyed, fleet.find(&name)) {
-                (Some(obeyed), _) => ledger.answered(&name, fence, obeyed),
-                (None, Some(upstream)) => ledger.unanswered(upstream, fence),
+                (Some(obeyed), _) => ledger.record_answer(&name, fence, obeyed),
+                (None, Some(upstream)) => ledger.record_no_answer(upstream, fence),
                 (None, None) => false,
             };
         }
--- a/crates/place/src/ledger.rs
+++ b/crates/place/src/ledger.rs
@@ -124,7 +124,7 @@
     }
 
     /// Drops orders that a report resolves.
-    pub fn settle(&mut self, fleet: &Fleet) {
+    pub fn resolve(&mut self, fleet: &Fleet) {
         let mut seen = Vec::new();
         let known = &self.seen;
         self.open.retain(|entry| {
@@ -183,12 +183,12 @@
     }
 
     /// Whether weights are on their way to an upstream.
-    pub fn is_coming(&self, upstream: &str, weights: &Weights) -> bool {
+    pub fn has_pending_load(&self, upstream: &str, weights: &Weights) -> bool {
         self.loads(upstream).any(|(w, _)| w == weights)
     }
 
     /// Whether weights at an upstream may go away by an unresolved order.
-    pub fn may_go(&self, upstream: &str, weights: &Weights) -> bool {
+    pub fn has_pending_unload(&self, upstream: &str, weights: &Weights) -> bool {
         self.open.iter().any(|entry| {
             let unload =
                 matches!(&entry.order.action, Action::Unload { weights: w } if w == weights);
@@ -211,7 +211,7 @@
         }
         if let Action::Load { weights, bytes } = &new_order.action {
             let free = self.free(upstream);
-            let counted = self.is_coming(&upstream.name, weights);
+            let counted = self.has_pending_load(&upstream.name, weights);
             let bytes = *bytes;
             if !counted && bytes > free {
                 return Err(Denial::InsufficientMemory {
@@ -220,7 +220,7 @@
                 });
             }
         }
-        self.doubt(&upstream.name, &new_order.action);
+        self.mark_in_doubt(&upstream.name, &new_order.action);
         self.last += 1;
         let order = Order {
             fence: Fence {
@@ -271,7 +271,7 @@
     }
 
     /// Leaves in doubt what may still be on its way about the same weights.
-    fn doubt(&mut self, upstream: &str, action: &Action) {
+    fn mark_in_doubt(&mut self, upstream: &str, action: &Action) {
         for entry in &mut self.open {
             if &*entry.upstream == upstream && subject(&entry.order.action) == subject(action) {
                 entry.delivery = Delivery::InDoubt;
@@ -282,7 +282,7 @@
     /// Takes in that an order to an upstream that checks no fences got no answer.
     ///
     /// It is not sent again: two copies could not be told apart.
-    pub fn unanswered(&mut self, upstream: &Upstream, fence: Fence) -> bool {
+    pub fn record_no_answer(&mut self, upstream: &Upstream, fence: Fence) -> bool {
         let found = self
             .open
             .iter_mut()
@@ -297,7 +297,7 @@
     }
 
     /// Takes in the answer to an order; tells whether that changed anything.
-    pub fn answered(&mut self, upstream: &str, fence: Fence, obeyed: Obeyed) -> bool {
+    pub fn record_answer(&mut self, upstream: &str, fence: Fence, obeyed: Obeyed) -> bool {
         let at = self
             .open
             .iter()
--- a/crates/place/src/plan/floor.rs
+++ b/crates/place/src/plan/floor.rs
@@ -75,7 +75,7 @@
         let kept = upstream.report.resident.iter().find(|r| {
             is_base(&r.weights, &spec.model)
                 && r.state == unit::engine::State::Ready
-                && tick.ledger.may_go(&upstream.name, &r.weights)
+                && tick.ledger.has_pending_unload(&upstream.name, &r.weights)
         });
         if let Some(kept) = kept.filter(|_| upstream.fencing) {
             let reason = format!(
@@ -174,7 +174,8 @@
 pub(super) fn going(tick: &Tick, at: usize) -> Bytes {
     let upstream = tick.upstream(at);
     let going = upstream.report.resident.iter().filter(|r| {
-        r.state == unit::engine::State::Unloading || tick.ledger.may_go(&upstream.name, &r.weights)
+        r.state == unit::engine::State::Unloading
+            || tick.ledger.has_pending_unload(&upstream.name, &r.weights)
     });
     going.map(|r| r.bytes).sum()
 }
@@ -218,7 +219,10 @@
     for resident in &upstream.report.resident {
         let weights = &resident.weights;
         let is_ready = resident.state == unit::engine::State::Ready;
-        if weights.adapter.is_some() || !is_ready || tick.ledger.may_go(&upstream.name, weights) {
+        if weights.adapter.is_some()
+            || !is_ready
+            || tick.ledger.has_pending_unload(&upstream.name, weights)
+        {
             continue;
         }
         let ready = tick.ready(&weights.model).len();
--- a/crates/place/src/plan/tick.rs
+++ b/crates/place/src/plan/tick.rs
@@ -159,7 +159,7 @@
 
 /// Decides a tick; the orders are in the ledger when this returns.
 pub fn plan(input: &Input, ledger: &mut Ledger, limiter: &mut LoadLimiter) -> Plan {
-    ledger.settle(input.fleet);
+    ledger.resolve(input.fleet);
     limiter.refill(input.now);
     let requirements: Vec<Requirement> = input.specs.iter().map(Spec::requirement).collect();
     let assigned = assign(&requirements, input.halls);
@@ -212,7 +212,7 @@
         }
         for resident in &upstream.report.resident {
             let weights = &resident.weights;
-            if weights.adapter.is_some() || ledger.may_go(&upstream.name, weights) {
+            if weights.adapter.is_some() || ledger.has_pending_unload(&upstream.name, weights) {
                 continue;
             }
             let at = (i, weights.version.clone());
--- a/crates/place/src/plan/upkeep.rs
+++ b/crates/place/src/plan/upkeep.rs
@@ -35,7 +35,11 @@
         .usable()
         .into_iter()
         .filter(|at| tick.upstream(*at).find(&weights).is_none())
-        .filter(|at| !tick.ledger.is_coming(&tick.upstream(*at).name, &weights))
+        .filter(|at| {
+            !tick
+                .ledger
+                .has_pending_load(&tick.upstream(*at).name, &weights)
+        })
         .filter(|at| tick.free(*at) >= spec.total_memory())
         .collect();
     // Beside no old replica first, so that the old can go on while the new is loaded.
@@ -118,7 +122,7 @@
             for (at, _) in current {
                 let upstream = tick.upstream(*at);
                 let has = upstream.find(&weights).is_some()
-                    || tick.ledger.is_coming(&upstream.name, &weights);
+                    || tick.ledger.has_pending_load(&upstream.name, &weights);
                 if has || tick.free(*at) < *bytes {
                     continue;
                 }
@@ -139,8 +143,8 @@
         for resident in &upstream.report.resident {
             let weights = &resident.weights;
             let named = is_named(tick, weights);
-            let settled =
-                resident.state == State::Ready && !tick.ledger.may_go(&upstream.name, weights);
+            let settled = resident.state == State::Ready
+                && !tick.ledger.has_pending_unload(&upstream.name, weights);
             if !named && settled {
                 let reason = format!("The bundle in force does not name {}.", show(weights));
                 tick.unload(at, weights.clone(), reason);
--- a/crates/place/tests/world/mod.rs
+++ b/crates/place/tests/world/mod.rs
@@ -479,7 +479,7 @@
             return;
         }
         if let Some(upstream) = fleet.find(&name) {
-            planner.changed |= planner.ledger.unanswered(upstream, fence);
+            planner.changed |= planner.ledger.record_no_answer(upstream, fence);
         }
     }
 
@@ -504,7 +504,7 @@
         if answered {
             let planner = &mut self.planners[flight.planner];
             let fence = flight.order.fence;
-            planner.changed |= planner.ledger.answered(&name, fence, obeyed);
+            planner.changed |= planner.ledger.record_answer(&name, fence, obeyed);
         }
     }
 
--- a/crates/standin/src/experiment/model/planner.rs
+++ b/crates/standin/src/experiment/model/planner.rs
@@ -125,7 +125,9 @@
                 let engine = engines.iter_mut().find(|e| e.name == *name);
                 let engine = engine.expect("orders go to known engines");
                 let obeyed = engine.obey(order, model, LOAD, now);
-                self.halls[h].ledger.answered(name, order.fence, obeyed);
+                self.halls[h]
+                    .ledger
+                    .record_answer(name, order.fence, obeyed);
             }
         }
     }
