--- a/crates/daemon/src/planner.rs
+++ b/crates/daemon/src/planner.rs
@@ -144,7 +144,7 @@
                 name: entry.host.name.clone(),
                 leaving: entry.is_leaving() || found.report.leaving,
                 fencing: bundle.intent.upstreams.checks_fences(&entry.host.name),
-                silent: found.silent,
+                unreachable: found.silent,
                 report: found.report.clone(),
             });
         }
@@ -278,7 +278,7 @@
             report: entry.report.clone()?,
             leaving: entry.is_leaving(),
             fencing: bundle.intent.upstreams.checks_fences(&entry.host.name),
-            silent: false,
+            unreachable: false,
         })
     });
     Fleet {
--- a/crates/place/src/fleet.rs
+++ b/crates/place/src/fleet.rs
@@ -15,7 +15,7 @@
     /// Whether it checks fences.
     pub fencing: bool,
     /// Whether its report could not be had this time; it gets no orders then.
-    pub silent: bool,
+    pub unreachable: bool,
 }
 
 /// Upstreams of one hall.
--- a/crates/place/src/plan/tick.rs
+++ b/crates/place/src/plan/tick.rs
@@ -218,7 +218,7 @@
             let at = (i, weights.version.clone());
             // A silent upstream, or one known only from an old report, may hold it still: no
             // reason to load another, and none to let another go.
-            let sure = !upstream.silent && ledger.is_current(upstream);
+            let sure = !upstream.unreachable && ledger.is_current(upstream);
             match resident.state {
                 State::Ready if !sure => coming.entry(weights.model.clone()).or_default().push(at),
                 State::Ready => ready.entry(weights.model.clone()).or_default().push(at),
@@ -402,7 +402,7 @@
         let all = 0..self.input.fleet.upstreams.len();
         all.filter(|at| {
             let upstream = self.upstream(*at);
-            !upstream.leaving && !upstream.silent && self.ledger.is_current(upstream)
+            !upstream.leaving && !upstream.unreachable && self.ledger.is_current(upstream)
         })
         .collect()
     }
--- a/crates/place/tests/homes.rs
+++ b/crates/place/tests/homes.rs
@@ -47,7 +47,7 @@
             },
             leaving: false,
             fencing: true,
-            silent: false,
+            unreachable: false,
         }],
     }
 }
--- a/crates/place/tests/world/mod.rs
+++ b/crates/place/tests/world/mod.rs
@@ -433,7 +433,7 @@
                 report: line.report.clone(),
                 leaving: false,
                 fencing: engine.fencing,
-                silent: false,
+                unreachable: false,
             })
         });
         Fleet {
--- a/crates/standin/src/experiment/model/planner.rs
+++ b/crates/standin/src/experiment/model/planner.rs
@@ -200,7 +200,7 @@
         report: e.report(),
         leaving: false,
         fencing: true,
-        silent: false,
+        unreachable: false,
     });
     Fleet {
         upstreams: upstreams.collect(),
--- a/crates/standin/src/experiment/slopes/points.rs
+++ b/crates/standin/src/experiment/slopes/points.rs
@@ -142,7 +142,7 @@
             report: report(mine.map(|(_, w)| (w.weights(), w.memory)).collect()),
             leaving: false,
             fencing: true,
-            silent: false,
+            unreachable: false,
         }
     });
     Fleet {
