--- a/crates/daemon/src/planner.rs
+++ b/crates/daemon/src/planner.rs
@@ -172,7 +172,7 @@
             count(&self.core, &order.action);
             info!(target: "planner", "order {}.{} to {upstream}: {:?}", order.fence.term, order.fence.number, order.action);
         }
-        let orders: Vec<_> = plan.orders.into_iter().chain(plan.again).collect();
+        let orders: Vec<_> = plan.orders.into_iter().chain(plan.resends).collect();
         let answers = self.lines.send(orders).await;
         let ledger = self.book.ledger();
         let mut changed = false;
--- a/crates/place/src/plan/tick.rs
+++ b/crates/place/src/plan/tick.rs
@@ -132,7 +132,8 @@
     /// Orders to send, with their upstreams; the ledger holds them already.
     pub orders: Vec<(Name, Order)>,
     /// Orders of earlier ticks to send again: to fencing upstreams that never saw them.
-    pub again: Vec<(Name, Order)>,
+    #[serde(rename = "again")]
+    pub resends: Vec<(Name, Order)>,
     /// Models whose homes this hall joins.
     pub joins: Vec<Name>,
     /// Models whose homes this hall leaves.
@@ -182,7 +183,7 @@
     upkeep::adapters(&mut tick);
     upkeep::unnamed(&mut tick);
     grow::grow(&mut tick);
-    tick.plan.again = tick.again();
+    tick.plan.resends = tick.resends();
     tick.plan
 }
 
@@ -363,10 +364,10 @@
     /// Open orders that may be sent again.
     ///
     /// An unload is judged anew: what stood by when it was decided may be gone.
-    fn again(&self) -> Vec<(Name, Order)> {
+    fn resends(&self) -> Vec<(Name, Order)> {
         let fresh: BTreeSet<_> = self.plan.orders.iter().map(|(_, o)| o.fence).collect();
         let usable = self.usable();
-        let mut again = Vec::new();
+        let mut resends = Vec::new();
         for entry in self
             .ledger
             .open
@@ -386,10 +387,10 @@
                 _ => false,
             };
             if !harmful {
-                again.push((entry.upstream.clone(), entry.order.clone()));
+                resends.push((entry.upstream.clone(), entry.order.clone()));
             }
         }
-        again
+        resends
     }
 
     /// Memory that an upstream has free now.
--- a/crates/place/tests/world/mod.rs
+++ b/crates/place/tests/world/mod.rs
@@ -385,7 +385,10 @@
         for model in &planned.joins {
             self.homes.join(model, &hall);
         }
-        self.queue(p, planned.orders.into_iter().chain(planned.again).collect());
+        self.queue(
+            p,
+            planned.orders.into_iter().chain(planned.resends).collect(),
+        );
         false
     }
 
--- a/crates/standin/src/experiment/model/planner.rs
+++ b/crates/standin/src/experiment/model/planner.rs
@@ -120,7 +120,7 @@
             for model in &plan.leaves {
                 self.homes.leave(model, &self.names[h]);
             }
-            for (name, order) in plan.orders.iter().chain(&plan.again) {
+            for (name, order) in plan.orders.iter().chain(&plan.resends) {
                 let model = self.model(&order.action);
                 let engine = engines.iter_mut().find(|e| e.name == *name);
                 let engine = engine.expect("orders go to known engines");
