--- a/crates/place/src/copies.rs
+++ b/crates/place/src/copies.rs
@@ -6,12 +6,12 @@
 //! least; demand that no copy covers goes first. Loads from copies at hand go before loads from the
 //! weight store, which allows only so many a second.
 //!
-//! `fleet` is what a plan knows while it is made, `step` finds the next step.
+//! `state` is what a plan knows while it is made, `step` finds the next step.
 
-mod fleet;
+mod state;
 mod step;
 
-use fleet::Fleet;
+use state::State;
 
 /// Part of the replicas that may be making room at once. An unload waits for the runs of its model,
 /// some seconds, in which its replica takes no other order; the rest can follow a shift of demand.
@@ -98,21 +98,21 @@
 
 /// Plans at most `most` steps, of which at most `store_loads` load from the weight store.
 pub fn plan(replicas: &[Replica], models: &[Model], store_loads: usize, most: usize) -> Vec<Step> {
-    let mut fleet = Fleet::new(replicas, models);
+    let mut state = State::new(replicas, models);
     let mut bounds = step::Bounds {
         store_loads,
         unloads: unloads(replicas),
     };
-    let mut steps = step::promised(&mut fleet, &mut bounds);
+    let mut steps = step::promised(&mut state, &mut bounds);
     while steps.len() < most {
-        let Some(step) = step::best(&fleet, &bounds) else {
+        let Some(step) = step::best(&state, &bounds) else {
             break;
         };
         match step {
             Step::Load { from_store, .. } => bounds.store_loads -= usize::from(from_store),
             Step::Unload { .. } => bounds.unloads = bounds.unloads.saturating_sub(1),
         }
-        fleet.take(&step);
+        state.take(&step);
         steps.push(step);
     }
     steps
--- a/crates/place/src/copies/fleet.rs
+++ b/crates/place/src/copies/state.rs
@@ -30,7 +30,7 @@
 }
 
 /// Replicas and models while a plan is made; both by index.
-pub(super) struct Fleet<'a> {
+pub(super) struct State<'a> {
     pub(super) replicas: Vec<Replica>,
     pub(super) models: &'a [Model],
     pub(super) counts: Vec<Count>,
@@ -40,18 +40,18 @@
     demand: Vec<f64>,
 }
 
-impl<'a> Fleet<'a> {
+impl<'a> State<'a> {
     /// Takes in the replicas as they are.
-    pub(super) fn new(replicas: &[Replica], models: &'a [Model]) -> Fleet<'a> {
-        let mut fleet = Fleet {
+    pub(super) fn new(replicas: &[Replica], models: &'a [Model]) -> State<'a> {
+        let mut state = State {
             replicas: replicas.to_vec(),
             models,
             counts: Vec::new(),
             scarce: places(replicas, models) < models.len(),
             demand: Vec::new(),
         };
-        fleet.count();
-        fleet
+        state.count();
+        state
     }
 
     /// Takes in a step that is to be done; its replica does no other.
--- a/crates/place/src/copies/step.rs
+++ b/crates/place/src/copies/step.rs
@@ -1,7 +1,7 @@
 //! The next step of a plan of copies.
 
 use super::Step;
-use super::fleet::Fleet;
+use super::state::State;
 
 /// Part of a copy's value that is lost on a replica whose places are all taken.
 const LOADED: f64 = 0.3;
@@ -47,10 +47,10 @@
 
 /// Loads of models for which replicas have made room: these come before all else, since the room was
 /// paid for. A replica whose model must wait for the weight store keeps the room.
-pub(super) fn promised(fleet: &mut Fleet, bounds: &mut Bounds) -> Vec<Step> {
+pub(super) fn promised(state: &mut State, bounds: &mut Bounds) -> Vec<Step> {
     let mut steps = Vec::new();
-    for replica in 0..fleet.replicas.len() {
-        let of = &fleet.replicas[replica];
+    for replica in 0..state.replicas.len() {
+        let of = &state.replicas[replica];
         let Some(model) = of
             .reserved_for
             .filter(|_| of.accepts_orders && of.in_service)
@@ -58,20 +58,20 @@
             continue;
         };
         let from_store = !of.cached.contains(&model);
-        let fits = fleet.models[model].memory_mb <= of.free_mb && !of.held.contains(&model);
-        if fits && fleet.is_needed(model) && from_store && bounds.store_loads == 0 {
-            fleet.settle(replica, true);
+        let fits = state.models[model].memory_mb <= of.free_mb && !of.held.contains(&model);
+        if fits && state.is_needed(model) && from_store && bounds.store_loads == 0 {
+            state.settle(replica, true);
             continue;
         }
-        fleet.settle(replica, false);
-        if fits && fleet.is_needed(model) {
+        state.settle(replica, false);
+        if fits && state.is_needed(model) {
             bounds.store_loads -= usize::from(from_store);
             let step = Step::Load {
                 replica,
                 model,
                 from_store,
             };
-            fleet.take(&step);
+            state.take(&step);
             steps.push(step);
         }
     }
@@ -79,25 +79,25 @@
 }
 
 /// The step with the highest score, of all idle replicas and models.
-pub(super) fn best(fleet: &Fleet, bounds: &Bounds) -> Option<Step> {
-    let wanted = wanted(fleet);
+pub(super) fn best(state: &State, bounds: &Bounds) -> Option<Step> {
+    let wanted = wanted(state);
     let mut best: Option<(Step, Score)> = None;
-    for (r, replica) in fleet.replicas.iter().enumerate() {
+    for (r, replica) in state.replicas.iter().enumerate() {
         if replica.accepts_orders && replica.in_service {
             let above = best.as_ref().map(|(_, score)| *score);
-            best = best_of(fleet, r, &wanted, bounds, above).or(best);
+            best = best_of(state, r, &wanted, bounds, above).or(best);
         }
     }
     best.map(|(step, _)| step)
 }
 
 /// Models by what one more copy gains at the most, the greatest first.
-fn wanted(fleet: &Fleet) -> Vec<(usize, Score)> {
+fn wanted(state: &State) -> Vec<(usize, Score)> {
     let score = |m: usize| Score {
-        urgent: fleet.counts[m].all == 0 && fleet.is_needed(m),
-        gain: fleet.most_gain(m),
+        urgent: state.counts[m].all == 0 && state.is_needed(m),
+        gain: state.most_gain(m),
     };
-    let models = 0..fleet.models.len();
+    let models = 0..state.models.len();
     let mut wanted: Vec<(usize, Score)> = models.map(|m| (m, score(m))).collect();
     let order = |a: &Score, b: &Score| a.urgent.cmp(&b.urgent).then(a.gain.total_cmp(&b.gain));
     wanted.sort_by(|a, b| order(&b.1, &a.1));
@@ -107,7 +107,7 @@
 /// The step with the highest score on one replica, if it is higher than `above` and nothing better
 /// waits for the weight store: a copy that few need would take the room and the time of that one.
 fn best_of(
-    fleet: &Fleet,
+    state: &State,
     r: usize,
     wanted: &[(usize, Score)],
     bounds: &Bounds,
@@ -120,7 +120,7 @@
         if most.is_some_and(|most| *score <= most) {
             break;
         }
-        let Some((next, gain, turns)) = next(fleet, r, *m, bounds) else {
+        let Some((next, gain, turns)) = next(state, r, *m, bounds) else {
             continue;
         };
         let urgent = score.urgent && !turns;
@@ -141,18 +141,18 @@
 
 /// The next step towards one more copy of a model on a replica, what it gains, and whether another model
 /// is on no replica after it.
-fn next(fleet: &Fleet, r: usize, m: usize, bounds: &Bounds) -> Option<(Next, f64, bool)> {
-    if fleet.is_on(m, r) {
+fn next(state: &State, r: usize, m: usize, bounds: &Bounds) -> Option<(Next, f64, bool)> {
+    if state.is_on(m, r) {
         return None;
     }
-    let replica = &fleet.replicas[r];
+    let replica = &state.replicas[r];
     let from_store = !replica.cached.contains(&m);
     let part = match from_store {
-        true => fleet.models[m].store_factor,
+        true => state.models[m].store_factor,
         false => 1.0,
     };
-    let gain = fleet.gain(m, r) * part * (1.0 - LOADED * replica.utilization.min(1.0));
-    if fleet.models[m].memory_mb <= replica.free_mb {
+    let gain = state.gain(m, r) * part * (1.0 - LOADED * replica.utilization.min(1.0));
+    if state.models[m].memory_mb <= replica.free_mb {
         let load = Step::Load {
             replica: r,
             model: m,
@@ -164,11 +164,11 @@
         };
         return Some((next, gain, false));
     }
-    if !fleet.is_needed(m) {
+    if !state.is_needed(m) {
         // It may be asked for, and so may those that would go for it.
         return None;
     }
-    let swap = swap(fleet, r, m)?;
+    let swap = swap(state, r, m)?;
     let gain = gain - swap.lost * HYSTERESIS - LEAST_GAIN * swap.models.len() as f64;
     let unload = Step::Unload {
         replica: r,
@@ -189,23 +189,23 @@
 }
 
 /// What must go for a model on a replica; none when what may go does not make room.
-fn swap(fleet: &Fleet, r: usize, wanted: usize) -> Option<Swap> {
-    let replica = &fleet.replicas[r];
-    let needed = fleet.models[wanted].memory_mb - replica.free_mb;
-    let memory = |m: usize| fleet.models[m].memory_mb;
-    let is_last = |m: usize| fleet.counts[m].held < 2;
-    let is_nowhere = fleet.counts[wanted].all == 0;
+fn swap(state: &State, r: usize, wanted: usize) -> Option<Swap> {
+    let replica = &state.replicas[r];
+    let needed = state.models[wanted].memory_mb - replica.free_mb;
+    let memory = |m: usize| state.models[m].memory_mb;
+    let is_last = |m: usize| state.counts[m].held < 2;
+    let is_nowhere = state.counts[wanted].all == 0;
     // One more copy is worth no last one of a model that is asked for: that would take it back.
     let may_go = |m: &&usize| match is_last(**m) {
         true => {
-            fleet.scarce
+            state.scarce
                 && !replica.recently_loaded.contains(m)
-                && (is_nowhere || !fleet.is_needed(**m))
+                && (is_nowhere || !state.is_needed(**m))
         }
         false => true,
     };
     let loose = replica.held.iter().filter(may_go);
-    let mut loose: Vec<(usize, f64)> = loose.map(|m| (*m, fleet.loss(*m, r))).collect();
+    let mut loose: Vec<(usize, f64)> = loose.map(|m| (*m, state.loss(*m, r))).collect();
     loose.sort_by(|a, b| a.1.total_cmp(&b.1));
     let several = (1..=loose.len()).find(|n| {
         let freed: f64 = loose[..*n].iter().map(|(m, _)| memory(*m)).sum();
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -4,6 +4,7 @@
 //! [`ledger`] alone; [`plan`] only proposes what the ledger allows.
 
 pub mod adapters;
+pub mod balance;
 pub mod copies;
 pub mod demand;
 pub mod fit;
@@ -11,7 +12,6 @@
 pub mod homes;
 pub mod ledger;
 pub mod plan;
-pub mod share;
 
 pub use fleet::{Fleet, Upstream};
 pub use homes::Homes;
--- a/crates/place/src/plan.rs
+++ b/crates/place/src/plan.rs
@@ -6,8 +6,8 @@
 //! later, when a report shows it.
 
 mod floor;
-mod grow;
+mod reconcile;
+mod scale_up;
 mod tick;
-mod upkeep;
 
 pub use tick::{Demand, Input, LoadLimiter, Plan, Spec, plan};
--- a/crates/place/src/plan/floor.rs
+++ b/crates/place/src/plan/floor.rs
@@ -1,6 +1,6 @@
 //! Floors: every served model keeps its replicas.
 
-use super::grow;
+use super::scale_up;
 use super::tick::{Spec, Tick};
 use crate::fleet::is_base;
 use unit::Bytes;
@@ -248,7 +248,7 @@
             weights: weights.clone(),
             bytes: whole.iter().map(|r| r.bytes).sum(),
             all: whole.iter().map(|r| r.weights.clone()).collect(),
-            work: demand.rate * demand.work / grow::replicas(tick, &weights.model) as f64,
+            work: demand.rate * demand.work / scale_up::replicas(tick, &weights.model) as f64,
         });
     }
     found
--- a/crates/place/src/plan/grow.rs
+++ b/crates/place/src/plan/scale_up.rs
@@ -10,8 +10,8 @@
 
 use super::floor::{self, Surplus};
 use super::tick::{Demand, Spec, Tick};
+use crate::balance::{self, Flow};
 use crate::fleet::{Upstream, is_base};
-use crate::share::{self, Flow};
 use unit::engine::{Resident, State};
 use unit::{Bytes, Name};
 
@@ -53,7 +53,7 @@
 }
 
 /// Adds the replicas that are worth most.
-pub(super) fn grow(tick: &mut Tick) {
+pub(super) fn scale_up(tick: &mut Tick) {
     let mut promised: Vec<(usize, usize)> = Vec::new();
     for _ in 0..MOST_PER_TICK {
         if !tick.may_start() {
@@ -122,7 +122,7 @@
         }
     }
     let all = tick.input.fleet.upstreams.len() + tick.input.other_halls.upstreams.len();
-    let work = share::spread(&flows, all);
+    let work = balance::spread(&flows, all);
     let over = over(&work);
     Spread { flows, work, over }
 }
@@ -198,7 +198,7 @@
     for gone in evicted.models(tick) {
         flows[gone].at.retain(|at| *at != u);
     }
-    let after = over(&share::spread(&flows, spread.work.len()));
+    let after = over(&balance::spread(&flows, spread.work.len()));
     let demand = demand(tick, &spec.model);
     let relief = (spread.over - after) / demand.work.max(1e-9);
     let moves = 1 + evicted.count();
--- a/crates/place/src/plan/tick.rs
+++ b/crates/place/src/plan/tick.rs
@@ -1,6 +1,6 @@
 //! The state of one tick, and what its steps share.
 
-use super::{floor, grow, upkeep};
+use super::{floor, reconcile, scale_up};
 use crate::fleet::{Fleet, Upstream, is_base};
 use crate::homes::{Hall, Homes, Requirement, assign};
 use crate::ledger::{Denial, Ledger, NewOrder};
@@ -179,10 +179,10 @@
     };
     floor::homes(&mut tick);
     floor::repair(&mut tick);
-    upkeep::versions(&mut tick);
-    upkeep::adapters(&mut tick);
-    upkeep::unnamed(&mut tick);
-    grow::grow(&mut tick);
+    reconcile::versions(&mut tick);
+    reconcile::adapters(&mut tick);
+    reconcile::unnamed(&mut tick);
+    scale_up::scale_up(&mut tick);
     tick.plan.resends = tick.resends();
     tick.plan
 }
