--- a/crates/front/src/message/quarantine.rs
+++ b/crates/front/src/message/quarantine.rs
@@ -34,7 +34,7 @@
             Decided::Free => Permit::Free,
             Decided::Trial => Permit::Trial,
             Decided::Wait => Permit::Wait,
-            Decided::KeptOut(left) => Permit::KeptOut(left.secs().ceil() as u32),
+            Decided::Quarantined(left) => Permit::KeptOut(left.secs().ceil() as u32),
         }
     }
 }
@@ -47,7 +47,7 @@
             Permit::Free => Some(Decided::Free),
             Permit::Trial => Some(Decided::Trial),
             Permit::Wait => Some(Decided::Wait),
-            Permit::KeptOut(secs) => Some(Decided::KeptOut(Span::from_secs(u64::from(secs)))),
+            Permit::KeptOut(secs) => Some(Decided::Quarantined(Span::from_secs(u64::from(secs)))),
             Permit::Elsewhere => None,
         }
     }
--- a/crates/front/src/peers/quarantine.rs
+++ b/crates/front/src/peers/quarantine.rs
@@ -3,7 +3,7 @@
 use super::Peers;
 use crate::message::{Fallen, Message, Permit};
 use crate::quarantine::{Report, Reports};
-use route::quarantine::{Fall, Group, Ticket};
+use route::quarantine::{Crash, Incident, RequestId};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -35,9 +35,11 @@
     }
 
     /// Tells a fall to the leader, and where hosts are few to all of them, so that the next leader knows of it too.
-    async fn report_fall(&self, group: Group) {
+    async fn report_fall(&self, group: Incident) {
         let now = self.state.now();
-        self.state.quarantine.fell(group.fall, &group.aboard, now);
+        self.state
+            .quarantine
+            .fell(group.crash, &group.in_flight, now);
         let message = fallen(group);
         let others = self.others.lock().clone();
         for other in &others {
@@ -74,7 +76,7 @@
     /// Takes in a fall that another host saw.
     pub(super) fn take_fall(&self, fallen: &Fallen) {
         let now = self.state.now();
-        let fall = Fall(fallen.fall);
+        let fall = Crash(fallen.fall);
         self.state.quarantine.fell(fall, &fallen.aboard, now);
     }
 
@@ -82,7 +84,7 @@
     pub async fn ask_for_trial(
         &self,
         print: Fingerprint,
-        ticket: Ticket,
+        ticket: RequestId,
     ) -> Option<route::quarantine::Permit> {
         let leader = self.state.leader.lock().clone()?.peers;
         if leader == self.state.settings.peers {
@@ -108,12 +110,12 @@
         ticket: u64,
         from: SocketAddr,
     ) {
-        let permit = self.decide(print, Ticket(ticket));
+        let permit = self.decide(print, RequestId(ticket));
         self.send(&Message::Permit(number, permit), from).await;
     }
 
     /// What this host says to such a question.
-    fn decide(&self, print: Fingerprint, ticket: Ticket) -> Permit {
+    fn decide(&self, print: Fingerprint, ticket: RequestId) -> Permit {
         let now = self.state.now();
         match self.state.leads() {
             true => self.state.quarantine.ask(print, ticket, now).into(),
@@ -123,9 +125,9 @@
 }
 
 /// Fall as it is told.
-fn fallen(group: Group) -> Message {
+fn fallen(group: Incident) -> Message {
     Message::Fallen(Fallen {
-        fall: group.fall.0,
-        aboard: group.aboard,
+        fall: group.crash.0,
+        aboard: group.in_flight,
     })
 }
--- a/crates/front/src/quarantine.rs
+++ b/crates/front/src/quarantine.rs
@@ -22,7 +22,7 @@
 use board::Board;
 use parking_lot::Mutex;
 use platform::store::Item;
-use route::quarantine::{Ended, Fall, Group, Permit, Standing, Ticket};
+use route::quarantine::{Crash, Incident, Permit, RequestId, Status, TrialOutcome};
 use std::collections::BTreeMap;
 use tokio::sync::Notify;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 pub enum Report {
     /// A replica fell with these requests in flight here.
-    Fallen(Group),
+    Fallen(Incident),
     /// A run of a request that is listed has ended well.
     Sound(Fingerprint),
     /// A trial has ended, and not well: whether it broke off.
@@ -70,7 +70,7 @@
     }
 
     /// What is held of a request, by the leader's word, the store, or else what this host has seen itself.
-    pub fn standing(&self, print: Fingerprint, now: Time) -> Standing {
+    pub fn standing(&self, print: Fingerprint, now: Time) -> Status {
         self.board.lock().standing(print, now)
     }
 
@@ -92,7 +92,7 @@
     }
 
     /// Takes in a fall, seen here or told by another host.
-    pub fn fell(&self, fall: Fall, aboard: &[Fingerprint], now: Time) {
+    pub fn fell(&self, fall: Crash, aboard: &[Fingerprint], now: Time) {
         let changed = self.board.lock().fell(fall, aboard, now);
         for print in &changed {
             info!(target: "quarantine", event = "suspected", print = %print, "a request was in flight where several replicas fell");
@@ -102,7 +102,7 @@
 
     /// Takes in that a run of a request has ended well on some host.
     pub fn sound(&self, print: Fingerprint) {
-        let cleared = self.board.lock().ledger.ended_well(print);
+        let cleared = self.board.lock().ledger.record_success(print);
         if cleared {
             info!(target: "quarantine", event = "cleared", print = %print, "a run of the request has ended well");
         }
@@ -110,17 +110,17 @@
     }
 
     /// Says, as the leader, what may be done with a request.
-    pub fn ask(&self, print: Fingerprint, ticket: Ticket, now: Time) -> Permit {
-        self.board.lock().ledger.ask(print, ticket, now)
+    pub fn ask(&self, print: Fingerprint, ticket: RequestId, now: Time) -> Permit {
+        self.board.lock().ledger.request_permit(print, ticket, now)
     }
 
     /// Takes in, as the leader, that a trial has not ended well.
     pub fn tried(&self, print: Fingerprint, broke: bool, now: Time) {
         let how = match broke {
-            true => Ended::Broken,
-            false => Ended::Undecided,
+            true => TrialOutcome::Interrupted,
+            false => TrialOutcome::Inconclusive,
         };
-        let changed = self.board.lock().ledger.trial_ended(print, how, now);
+        let changed = self.board.lock().ledger.record_trial(print, how, now);
         self.note(changed);
     }
 
@@ -136,8 +136,8 @@
     }
 
     /// Falls that the leader of a term is to be told once more.
-    pub fn to_tell(&self, term: u64, now: Time) -> Vec<Group> {
-        self.board.lock().falls.to_tell(term, now)
+    pub fn to_tell(&self, term: u64, now: Time) -> Vec<Incident> {
+        self.board.lock().falls.due_reports(term, now)
     }
 
     /// Takes over, as a new leader, what the one before had listed.
--- a/crates/front/src/quarantine/admit.rs
+++ b/crates/front/src/quarantine/admit.rs
@@ -5,7 +5,7 @@
 use crate::peers::Peers;
 use crate::respond::Fault;
 use crate::state::State;
-use route::quarantine::{KEPT_OUT_FOR, Permit, Standing, Ticket};
+use route::quarantine::{Permit, QUARANTINE_DURATION, RequestId, Status};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
@@ -56,14 +56,14 @@
         return Ok(());
     }
     let print = call.fingerprint();
-    let ticket = Ticket(rendezvous::hash(call.id.as_bytes()));
+    let ticket = RequestId(rendezvous::hash(call.id.as_bytes()));
     let held_until = call.arrived + Span::from(call.route.target) * HELD_PART;
     loop {
         let now = state.now();
         let permit = match state.quarantine.standing(print, now) {
-            Standing::Clear => return Ok(()),
-            Standing::KeptOut => Permit::KeptOut(KEPT_OUT_FOR),
-            Standing::Suspected => match peers.ask_for_trial(print, ticket).await {
+            Status::Clear => return Ok(()),
+            Status::Quarantined => Permit::Quarantined(QUARANTINE_DURATION),
+            Status::Suspected => match peers.ask_for_trial(print, ticket).await {
                 Some(permit) => permit,
                 // Nobody can come to lead before the store is back: what is innocent would wait for as long.
                 None if state.table.lock().view.contact.is_away() => {
@@ -82,7 +82,7 @@
                 begin_trial(state, call);
                 return Ok(());
             }
-            Permit::KeptOut(left) => return Err(kept_out(left)),
+            Permit::Quarantined(left) => return Err(kept_out(left)),
             Permit::Wait if now >= held_until || state.is_draining() => return Err(suspected()),
             Permit::Wait => {
                 let _ = timeout(LOOK, state.changed.notified()).await;
@@ -109,9 +109,9 @@
         return Ok(());
     }
     match state.quarantine.standing(call.fingerprint(), now) {
-        Standing::Clear => Ok(()),
-        Standing::Suspected => Err(suspected()),
-        Standing::KeptOut => Err(kept_out(KEPT_OUT_FOR)),
+        Status::Clear => Ok(()),
+        Status::Suspected => Err(suspected()),
+        Status::Quarantined => Err(kept_out(QUARANTINE_DURATION)),
     }
 }
 
--- a/crates/front/src/quarantine/board.rs
+++ b/crates/front/src/quarantine/board.rs
@@ -2,7 +2,7 @@
 
 use super::stored;
 use crate::message::{Listed, Listing};
-use route::quarantine::{Fall, Falls, Ledger, Standing};
+use route::quarantine::{Crash, Incidents, Status, Tracker};
 use std::collections::{BTreeMap, HashMap};
 use unit::{Fingerprint, Span, Time};
 
@@ -19,9 +19,9 @@
 #[derive(Default)]
 pub(super) struct Board {
     /// Falls by request; all that is known of them at the host that leads.
-    pub(super) ledger: Ledger,
+    pub(super) ledger: Tracker,
     /// Requests that broke here, by replica.
-    pub(super) falls: Falls,
+    pub(super) falls: Incidents,
     /// The leader's list.
     told: Told,
     /// The list in the store.
@@ -66,21 +66,21 @@
 }
 
 /// Standing of a request that is listed.
-fn standing_of(is_out: bool) -> Standing {
+fn standing_of(is_out: bool) -> Status {
     match is_out {
-        true => Standing::KeptOut,
-        false => Standing::Suspected,
+        true => Status::Quarantined,
+        false => Status::Suspected,
     }
 }
 
 impl Board {
-    pub(super) fn standing(&self, print: Fingerprint, now: Time) -> Standing {
+    pub(super) fn standing(&self, print: Fingerprint, now: Time) -> Status {
         let told = self.told.listed.get(&print).filter(|_| self.is_told(now));
         let listed = told.into_iter().chain(self.stored.listed.get(&print));
         let listed = listed.map(|is_out| standing_of(*is_out)).max();
         // Only the leader keeps out; what was seen here alone is a reason to ask it.
-        let seen = self.ledger.standing(print, now).min(Standing::Suspected);
-        listed.unwrap_or(Standing::Clear).max(seen)
+        let seen = self.ledger.status(print, now).min(Status::Suspected);
+        listed.unwrap_or(Status::Clear).max(seen)
     }
 
     fn is_told(&self, now: Time) -> bool {
@@ -89,7 +89,7 @@
 
     pub(super) fn is_idle(&self, now: Time) -> bool {
         let told = !self.told.listed.is_empty() && self.is_told(now);
-        !told && self.stored.listed.is_empty() && !self.ledger.holds_any()
+        !told && self.stored.listed.is_empty() && !self.ledger.has_suspects()
     }
 
     pub(super) fn is_alert(&self, now: Time) -> bool {
@@ -108,17 +108,17 @@
         if self.sound.len() < MOST_SOUND {
             self.sound.insert(print, now);
         }
-        self.standing(print, now) != Standing::Clear
+        self.standing(print, now) != Status::Clear
     }
 
     pub(super) fn fell(
         &mut self,
-        fall: Fall,
+        fall: Crash,
         aboard: &[Fingerprint],
         now: Time,
     ) -> Vec<Fingerprint> {
         self.alert(now);
-        self.ledger.fell(fall, aboard, now)
+        self.ledger.record_crash(fall, aboard, now)
     }
 
     pub(super) fn lift(&mut self, print: Fingerprint) {
@@ -137,9 +137,11 @@
     }
 
     pub(super) fn listing(&mut self, term: u64, now: Time) -> (Listing, News) {
-        let listed = self.ledger.listed(now);
-        let next: BTreeMap<Fingerprint, bool> =
-            listed.iter().map(|l| (l.print, l.is_out)).collect();
+        let listed = self.ledger.suspects(now);
+        let next: BTreeMap<Fingerprint, bool> = listed
+            .iter()
+            .map(|l| (l.fingerprint, l.is_quarantined))
+            .collect();
         let changed = next != self.telling.listed;
         let is_new = |print: &Fingerprint| self.telling.listed.get(print) != Some(&true);
         let out = next.iter().filter(|(_, is_out)| **is_out);
@@ -149,8 +151,8 @@
             self.telling.listed = next;
         }
         let listed = listed.into_iter().map(|l| Listed {
-            print: l.print,
-            is_out: l.is_out,
+            print: l.fingerprint,
+            is_out: l.is_quarantined,
             since_ms: u32::try_from(now.since(l.since).0 / 1_000).unwrap_or(u32::MAX),
         });
         let listing = Listing {
@@ -186,8 +188,9 @@
 
     /// List that is to stand in the store, and the revision that it replaces; none while it stands there.
     pub(super) fn unstored(&mut self, now: Time) -> Option<(Vec<u8>, u64)> {
-        let listed = self.ledger.listed(now).into_iter();
-        let listed: BTreeMap<Fingerprint, bool> = listed.map(|l| (l.print, l.is_out)).collect();
+        let listed = self.ledger.suspects(now).into_iter();
+        let listed: BTreeMap<Fingerprint, bool> =
+            listed.map(|l| (l.fingerprint, l.is_quarantined)).collect();
         let replaced = match self.stored.stands {
             true => self.stored.revision,
             false => 0,
--- a/crates/front/src/quarantine/look.rs
+++ b/crates/front/src/quarantine/look.rs
@@ -3,7 +3,7 @@
 use super::Report;
 use crate::attempt::{Call, Place};
 use crate::state::State;
-use route::quarantine::Group;
+use route::quarantine::Incident;
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -30,7 +30,7 @@
     let is_first = {
         let mut board = state.quarantine.board.lock();
         board.alert(now);
-        board.falls.broke(&start, print, now)
+        board.falls.record_failure(&start, print, now)
     };
     if !is_first {
         return;
@@ -55,8 +55,8 @@
 }
 
 /// Tells of a fall, unless it is known.
-fn fallen(state: &State, start: &route::quarantine::Start) {
-    let group = state.quarantine.board.lock().falls.fell(start);
+fn fallen(state: &State, start: &route::quarantine::Instance) {
+    let group = state.quarantine.board.lock().falls.confirm_crash(start);
     if let Some(group) = group {
         tell(state, &start.0, group);
     }
@@ -68,15 +68,15 @@
     let present = seen.map(|s| (s.entry.id.clone(), s.entry.incarnation));
     let groups = {
         let falls = &mut state.quarantine.board.lock().falls;
-        falls.replaced(replica, present.as_ref())
+        falls.confirm_replaced(replica, present.as_ref())
     };
     for group in groups {
         tell(state, replica, group);
     }
 }
 
-fn tell(state: &State, replica: &str, group: Group) {
-    let in_flight = group.aboard.len();
+fn tell(state: &State, replica: &str, group: Incident) {
+    let in_flight = group.in_flight.len();
     state.log.notable(|| {
         info!(target: "quarantine", event = "fell", replica, in_flight, "a replica fell with requests of this host in flight; the failed sendings tell which")
     });
--- a/crates/front/tests/quarantine.rs
+++ b/crates/front/tests/quarantine.rs
@@ -19,7 +19,7 @@
 use platform_standin::proxy::Mode;
 use platform_standin::replica::{Fault, Replica};
 use platform_standin::store::Store;
-use route::quarantine::Fall;
+use route::quarantine::Crash;
 use site::{
     BACK, FATAL, ask, ask_body, behind_a_proxy, daemon, fragile, fragile_engine, keep_alone,
     request, send, settings, store, until,
@@ -351,7 +351,7 @@
     let state = hosts[0].state();
     until(|| state.table.lock().view.contact.is_away()).await;
     for fall in 0..2 {
-        state.quarantine.fell(Fall(fall), &[print], state.now());
+        state.quarantine.fell(Crash(fall), &[print], state.now());
     }
     assert_eq!(
         ask_body(&hosts[0], "/again/x", "popular").await.status(),
--- a/crates/route/src/quarantine.rs
+++ b/crates/route/src/quarantine.rs
@@ -10,21 +10,21 @@
 mod falls;
 mod record;
 
-pub use falls::{Falls, Group, Start};
+pub use falls::{Incident, Incidents, Instance};
 
 use record::Record;
 use std::collections::{HashMap, HashSet, VecDeque};
 use unit::{Fingerprint, Span, Time};
 
 /// Falls from which a request runs on trial only. With one, a whole batch would wait for trials at each fall.
-pub const SUSPECTED_FROM: usize = 2;
+pub const SUSPICION_THRESHOLD: usize = 2;
 
 /// Falls, one of them on trial, from which a request is kept out.
-pub const KEPT_OUT_FROM: usize = 3;
+pub const QUARANTINE_THRESHOLD: usize = 3;
 
 /// Time for which a request is kept out after its last fall: then it has one trial, in which it may end one replica
 /// more an hour, and an engine that was mended meanwhile serves it again.
-pub const KEPT_OUT_FOR: Span = Span::from_secs(3_600);
+pub const QUARANTINE_DURATION: Span = Span::from_secs(3_600);
 
 /// Time for which a fall is remembered against the requests that were in flight.
 const REMEMBERED: Span = Span::from_secs(600);
@@ -49,25 +49,25 @@
 const MOST_FALLS: usize = 128;
 
 /// Requests listed at once, the newest ones: at 12 bytes each they fit one datagram.
-pub const MOST_LISTED: usize = 64;
+pub const MAX_SUSPECTS: usize = 64;
 
 /// Identity of one fall: the replica and its incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Fall(pub u64);
+pub struct Crash(pub u64);
 
 /// Who asks for a trial: the same one may ask again, since an answer may be lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Ticket(pub u64);
+pub struct RequestId(pub u64);
 
 /// What is held of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Standing {
+pub enum Status {
     /// Nothing: it runs as any other.
     Clear,
     /// It runs on trial only.
     Suspected,
     /// It does not run.
-    KeptOut,
+    Quarantined,
 }
 
 /// What a host may do with a request.
@@ -80,25 +80,25 @@
     /// Not send it now: another trial is under way.
     Wait,
     /// Not send it for that long.
-    KeptOut(Span),
+    Quarantined(Span),
 }
 
 /// How a trial ended that did not end well.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ended {
+pub enum TrialOutcome {
     /// It broke off; the replica may have fallen.
-    Broken,
+    Interrupted,
     /// It told nothing: it was refused, or its client left.
-    Undecided,
+    Inconclusive,
 }
 
 /// Request that is suspected or kept out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Listed {
+pub struct Suspect {
     /// The request.
-    pub print: Fingerprint,
+    pub fingerprint: Fingerprint,
     /// Whether it is kept out; it is suspected otherwise.
-    pub is_out: bool,
+    pub is_quarantined: bool,
     /// Its first fall that counts.
     pub since: Time,
 }
@@ -107,27 +107,32 @@
 #[derive(Debug)]
 struct Trial {
     print: Fingerprint,
-    ticket: Ticket,
+    ticket: RequestId,
     until: Time,
 }
 
 /// What is known of requests and falls.
 #[derive(Debug, Default)]
-pub struct Ledger {
+pub struct Tracker {
     records: HashMap<Fingerprint, Record>,
     /// Requests that are suspected or kept out.
     held: HashSet<Fingerprint>,
     /// Requests that were in flight at the last falls, oldest first.
-    falls: VecDeque<(Fall, Vec<Fingerprint>)>,
+    falls: VecDeque<(Crash, Vec<Fingerprint>)>,
     trial: Option<Trial>,
 }
 
-impl Ledger {
+impl Tracker {
     /// Notes requests that were in flight where a replica fell; gives those whose standing has changed. The same fall
     /// may be told often, and by several hosts.
-    pub fn fell(&mut self, fall: Fall, aboard: &[Fingerprint], now: Time) -> Vec<Fingerprint> {
+    pub fn record_crash(
+        &mut self,
+        fall: Crash,
+        aboard: &[Fingerprint],
+        now: Time,
+    ) -> Vec<Fingerprint> {
         self.note_aboard(fall, aboard);
-        let before: Vec<Standing> = aboard.iter().map(|p| self.standing(*p, now)).collect();
+        let before: Vec<Status> = aboard.iter().map(|p| self.status(*p, now)).collect();
         for print in aboard {
             let record = self.records.entry(*print).or_insert(Record::new(now));
             record.fell(fall, now);
@@ -137,7 +142,7 @@
         }
         let mut changed = Vec::new();
         for (print, before) in aboard.iter().zip(before) {
-            if self.standing(*print, now) != before {
+            if self.status(*print, now) != before {
                 changed.push(*print);
             }
         }
@@ -150,7 +155,7 @@
     }
 
     /// Notes that a run of a request has ended well; tells whether that clears it.
-    pub fn ended_well(&mut self, print: Fingerprint) -> bool {
+    pub fn record_success(&mut self, print: Fingerprint) -> bool {
         self.release(print);
         let Some(record) = self.records.get_mut(&print) else {
             return false;
@@ -160,14 +165,14 @@
     }
 
     /// What is held of a request.
-    pub fn standing(&self, print: Fingerprint, now: Time) -> Standing {
+    pub fn status(&self, print: Fingerprint, now: Time) -> Status {
         let record = self.records.get(&print);
         let is_contested = |fall| self.is_contested(fall, print);
-        record.map_or(Standing::Clear, |r| r.standing(now, is_contested))
+        record.map_or(Status::Clear, |r| r.standing(now, is_contested))
     }
 
     /// Whether something else that is suspected was in flight at a fall as well.
-    fn is_contested(&self, fall: Fall, print: Fingerprint) -> bool {
+    fn is_contested(&self, fall: Crash, print: Fingerprint) -> bool {
         let known = self.falls.iter().find(|(known, _)| *known == fall);
         let aboard = known.map_or(&[][..], |(_, aboard)| aboard);
         let is_suspected =
@@ -178,7 +183,7 @@
     }
 
     /// Adds requests to those that were in flight at a fall.
-    fn note_aboard(&mut self, fall: Fall, aboard: &[Fingerprint]) {
+    fn note_aboard(&mut self, fall: Crash, aboard: &[Fingerprint]) {
         let known = self.falls.iter_mut().find(|(known, _)| *known == fall);
         match known {
             Some((_, all)) => {
@@ -194,15 +199,15 @@
     }
 
     /// What may be done with a request; begins its trial where that is the answer.
-    pub fn ask(&mut self, print: Fingerprint, ticket: Ticket, now: Time) -> Permit {
-        let standing = self.standing(print, now);
+    pub fn request_permit(&mut self, print: Fingerprint, ticket: RequestId, now: Time) -> Permit {
+        let standing = self.status(print, now);
         let Some(record) = self.records.get_mut(&print) else {
             return Permit::Free;
         };
         match standing {
-            Standing::Clear => Permit::Free,
-            Standing::KeptOut => Permit::KeptOut(record.kept_out_for(now)),
-            Standing::Suspected => match &self.trial {
+            Status::Clear => Permit::Free,
+            Status::Quarantined => Permit::Quarantined(record.kept_out_for(now)),
+            Status::Suspected => match &self.trial {
                 Some(trial) if now < trial.until => {
                     match (trial.print, trial.ticket) == (print, ticket) {
                         true => Permit::Trial,
@@ -225,13 +230,13 @@
     }
 
     /// Notes that a trial has ended, and not well; tells whether the standing of its request has changed.
-    pub fn trial_ended(&mut self, print: Fingerprint, how: Ended, now: Time) -> bool {
+    pub fn record_trial(&mut self, print: Fingerprint, how: TrialOutcome, now: Time) -> bool {
         self.release(print);
-        let before = self.standing(print, now);
+        let before = self.status(print, now);
         if let Some(record) = self.records.get_mut(&print) {
             record.trial_ended(how, now);
         }
-        self.standing(print, now) != before
+        self.status(print, now) != before
     }
 
     /// Takes over that a request is suspected or kept out, by the word of an earlier leader.
@@ -252,25 +257,25 @@
     }
 
     /// Whether any request is suspected or kept out.
-    pub fn holds_any(&self) -> bool {
+    pub fn has_suspects(&self) -> bool {
         !self.held.is_empty()
     }
 
     /// Requests that are suspected or kept out, the newest first.
-    pub fn listed(&mut self, now: Time) -> Vec<Listed> {
+    pub fn suspects(&mut self, now: Time) -> Vec<Suspect> {
         self.forget(now);
         let listed = self.held.iter().filter_map(|print| {
             let record = self.records.get(print)?;
-            let listed = Listed {
-                print: *print,
-                is_out: self.standing(*print, now) == Standing::KeptOut,
+            let listed = Suspect {
+                fingerprint: *print,
+                is_quarantined: self.status(*print, now) == Status::Quarantined,
                 since: record.first,
             };
             Some((record.last, listed))
         });
         let mut listed: Vec<_> = listed.collect();
-        listed.sort_by_key(|(last, listed)| (std::cmp::Reverse(*last), listed.print));
-        listed.truncate(MOST_LISTED);
+        listed.sort_by_key(|(last, listed)| (std::cmp::Reverse(*last), listed.fingerprint));
+        listed.truncate(MAX_SUSPECTS);
         listed.into_iter().map(|(_, listed)| listed).collect()
     }
 
--- a/crates/route/src/quarantine/falls.rs
+++ b/crates/route/src/quarantine/falls.rs
@@ -4,7 +4,7 @@
 //! requests. It was a fall if the replica then refuses connections, or starts again. All that break at one
 //! incarnation belong to one fall.
 
-use super::Fall;
+use super::Crash;
 use std::collections::HashMap;
 use unit::{Fingerprint, Name, Span, Time, rendezvous};
 
@@ -24,15 +24,15 @@
 const MOST_ABOARD: usize = 128;
 
 /// Incarnation of a replica: its identity, and its start where that is told.
-pub type Start = (Name, Option<u64>);
+pub type Instance = (Name, Option<u64>);
 
 /// Requests that broke at one incarnation of a replica.
 #[derive(Debug, Clone)]
-pub struct Group {
+pub struct Incident {
     /// The fall, if it was one.
-    pub fall: Fall,
+    pub crash: Crash,
     /// The requests.
-    pub aboard: Vec<Fingerprint>,
+    pub in_flight: Vec<Fingerprint>,
     /// When the first one broke.
     pub at: Time,
     /// Whether the replica had fallen.
@@ -43,27 +43,27 @@
 
 /// Breaks at replicas, by incarnation.
 #[derive(Debug, Default)]
-pub struct Falls {
-    groups: HashMap<Start, Group>,
+pub struct Incidents {
+    groups: HashMap<Instance, Incident>,
 }
 
-impl Falls {
+impl Incidents {
     /// Notes that a request broke at a replica; tells whether it is the first, so that the replica is to be looked at.
-    pub fn broke(&mut self, start: &Start, print: Fingerprint, now: Time) -> bool {
+    pub fn record_failure(&mut self, start: &Instance, print: Fingerprint, now: Time) -> bool {
         self.forget(now);
         if self.groups.len() >= MOST_GROUPS && !self.groups.contains_key(start) {
             return false;
         }
         let is_first = !self.groups.contains_key(start);
-        let group = self.groups.entry(start.clone()).or_insert(Group {
-            fall: identity(start),
-            aboard: Vec::new(),
+        let group = self.groups.entry(start.clone()).or_insert(Incident {
+            crash: identity(start),
+            in_flight: Vec::new(),
             at: now,
             is_fall: false,
             told: (0, 0),
         });
-        if group.aboard.len() < MOST_ABOARD && !group.aboard.contains(&print) {
-            group.aboard.push(print);
+        if group.in_flight.len() < MOST_ABOARD && !group.in_flight.contains(&print) {
+            group.in_flight.push(print);
             // What was told lacks this one.
             group.told = (0, 0);
         }
@@ -71,22 +71,25 @@
     }
 
     /// Notes that a replica was down after the breaks, or has started again; gives the fall, unless it was known.
-    pub fn fell(&mut self, start: &Start) -> Option<Group> {
+    pub fn confirm_crash(&mut self, start: &Instance) -> Option<Incident> {
         let group = self.groups.get_mut(start).filter(|group| !group.is_fall)?;
         group.is_fall = true;
         Some(group.clone())
     }
 
     /// Notes which incarnation of a replica there is now, or that there is none; gives the falls that this proves.
-    pub fn replaced(&mut self, replica: &str, present: Option<&Start>) -> Vec<Group> {
+    pub fn confirm_replaced(&mut self, replica: &str, present: Option<&Instance>) -> Vec<Incident> {
         let starts = self.groups.keys();
         let former = starts.filter(|start| *start.0 == *replica && Some(*start) != present);
-        let former: Vec<Start> = former.cloned().collect();
-        former.iter().filter_map(|start| self.fell(start)).collect()
+        let former: Vec<Instance> = former.cloned().collect();
+        former
+            .iter()
+            .filter_map(|start| self.confirm_crash(start))
+            .collect()
     }
 
     /// Falls to tell the leader of a term, which has not heard them often enough.
-    pub fn to_tell(&mut self, term: u64, now: Time) -> Vec<Group> {
+    pub fn due_reports(&mut self, term: u64, now: Time) -> Vec<Incident> {
         self.forget(now);
         let mut due = Vec::new();
         for group in self.groups.values_mut().filter(|group| group.is_fall) {
@@ -102,7 +105,7 @@
     }
 
     /// Whether a replica has fallen a moment ago, or may have.
-    pub fn is_recent(&self) -> bool {
+    pub fn has_recent(&self) -> bool {
         !self.groups.is_empty()
     }
 
@@ -115,6 +118,6 @@
 }
 
 /// Identity of the fall of an incarnation, which all hosts name alike.
-fn identity((replica, start): &Start) -> Fall {
-    Fall(rendezvous::weight(start.unwrap_or(0), replica))
+fn identity((replica, start): &Instance) -> Crash {
+    Crash(rendezvous::weight(start.unwrap_or(0), replica))
 }
--- a/crates/route/src/quarantine/record.rs
+++ b/crates/route/src/quarantine/record.rs
@@ -1,8 +1,8 @@
 //! What is remembered of one request.
 
 use super::{
-    BROKEN_TRIALS, Ended, FALL_FOLLOWS, Fall, KEPT_OUT_FOR, KEPT_OUT_FROM, REMEMBERED,
-    SUSPECTED_FROM, Standing, TRIAL_SETTLES,
+    BROKEN_TRIALS, Crash, FALL_FOLLOWS, QUARANTINE_DURATION, QUARANTINE_THRESHOLD, REMEMBERED,
+    SUSPICION_THRESHOLD, Status, TRIAL_SETTLES, TrialOutcome,
 };
 use unit::{Span, Time};
 
@@ -16,9 +16,9 @@
 #[derive(Debug)]
 pub(super) struct Record {
     /// Falls that count, oldest first.
-    counted: Vec<Fall>,
+    counted: Vec<Crash>,
     /// Falls that no longer count, since a run has ended well after them: they may be told again.
-    forgiven: Vec<Fall>,
+    forgiven: Vec<Crash>,
     /// First fall that counts.
     pub(super) first: Time,
     /// Last fall.
@@ -30,7 +30,7 @@
     /// Trials that broke off where no fall was found yet.
     broken: u32,
     /// Falls on trial, of those that count.
-    on_trial: Vec<Fall>,
+    on_trial: Vec<Crash>,
     /// Whether it is proved in another way: by an earlier leader, or by trials that always break off.
     is_proved: bool,
 }
@@ -52,26 +52,26 @@
 
     /// What is held of it; `is_contested` tells whether something else that is suspected was in flight at a fall, and may
     /// have caused it.
-    pub(super) fn standing(&self, now: Time, is_contested: impl Fn(Fall) -> bool) -> Standing {
+    pub(super) fn standing(&self, now: Time, is_contested: impl Fn(Crash) -> bool) -> Status {
         let fell_on_trial = self.on_trial.len() >= PROVING_TRIALS
             || self.on_trial.iter().any(|fall| !is_contested(*fall));
         let is_proved = self.is_proved || fell_on_trial;
-        let is_proved = is_proved && self.counted.len() >= KEPT_OUT_FROM;
-        if is_proved && now.since(self.last) < KEPT_OUT_FOR {
-            Standing::KeptOut
+        let is_proved = is_proved && self.counted.len() >= QUARANTINE_THRESHOLD;
+        if is_proved && now.since(self.last) < QUARANTINE_DURATION {
+            Status::Quarantined
         } else if self.is_suspected() {
-            Standing::Suspected
+            Status::Suspected
         } else {
-            Standing::Clear
+            Status::Clear
         }
     }
 
     /// Time for which it is still kept out.
     pub(super) fn kept_out_for(&self, now: Time) -> Span {
-        KEPT_OUT_FOR.saturating_sub(now.since(self.last))
+        QUARANTINE_DURATION.saturating_sub(now.since(self.last))
     }
 
-    pub(super) fn fell(&mut self, fall: Fall, now: Time) {
+    pub(super) fn fell(&mut self, fall: Crash, now: Time) {
         if self.counted.contains(&fall) || self.forgiven.contains(&fall) {
             return;
         }
@@ -88,7 +88,7 @@
 
     /// Whether it is suspected at the least.
     pub(super) fn is_suspected(&self) -> bool {
-        self.counted.len() >= SUSPECTED_FROM
+        self.counted.len() >= SUSPICION_THRESHOLD
     }
 
     /// Whether a trial may begin.
@@ -100,12 +100,12 @@
         self.on_trial_until = Some(until + FALL_FOLLOWS);
     }
 
-    pub(super) fn trial_ended(&mut self, how: Ended, now: Time) {
+    pub(super) fn trial_ended(&mut self, how: TrialOutcome, now: Time) {
         if self.on_trial_until.is_none() {
             return;
         }
         self.on_trial_until = Some(now + FALL_FOLLOWS);
-        if how == Ended::Undecided {
+        if how == TrialOutcome::Inconclusive {
             return;
         }
         self.next_trial = now + TRIAL_SETTLES;
@@ -114,16 +114,16 @@
             self.is_proved = true;
             self.last = now;
             // Falls that were not found: what breaks off in each trial is not served either.
-            self.fill(KEPT_OUT_FROM);
+            self.fill(QUARANTINE_THRESHOLD);
         }
     }
 
     /// Takes over what an earlier leader held of it.
     pub(super) fn restore(&mut self, is_out: bool, now: Time) {
         let falls = if is_out {
-            KEPT_OUT_FROM
+            QUARANTINE_THRESHOLD
         } else {
-            SUSPECTED_FROM
+            SUSPICION_THRESHOLD
         };
         if self.counted.is_empty() {
             self.first = now;
@@ -136,7 +136,7 @@
     /// Counts so many falls at least, where it is not known which they were.
     fn fill(&mut self, falls: usize) {
         for unknown in self.counted.len()..falls {
-            self.counted.push(Fall(unknown as u64));
+            self.counted.push(Crash(unknown as u64));
         }
     }
 
@@ -154,7 +154,7 @@
     /// Whether it can be forgotten.
     pub(super) fn is_over(&self, now: Time) -> bool {
         let kept = match self.is_proved || !self.on_trial.is_empty() {
-            true => KEPT_OUT_FOR + REMEMBERED,
+            true => QUARANTINE_DURATION + REMEMBERED,
             false => REMEMBERED,
         };
         now.since(self.last) >= kept
@@ -162,14 +162,14 @@
 
     /// What gives way first where there are too many: what is not proved, and among these the oldest.
     pub(super) fn rank(&self) -> (bool, usize, Time) {
-        let falls = self.counted.len().min(SUSPECTED_FROM);
+        let falls = self.counted.len().min(SUSPICION_THRESHOLD);
         let fell_on_trial = self.is_proved || !self.on_trial.is_empty();
         (fell_on_trial, falls, self.last)
     }
 }
 
 /// Adds a fall, and forgets the oldest beyond the most.
-fn push(falls: &mut Vec<Fall>, fall: Fall) {
+fn push(falls: &mut Vec<Crash>, fall: Crash) {
     if falls.len() >= MOST_FALLS {
         falls.remove(0);
     }
--- a/crates/route/tests/quarantine.rs
+++ b/crates/route/tests/quarantine.rs
@@ -3,14 +3,16 @@
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use route::quarantine::{Ended, Fall, KEPT_OUT_FOR, Ledger, Permit, Standing, Ticket};
+use route::quarantine::{
+    Crash, Permit, QUARANTINE_DURATION, RequestId, Status, Tracker, TrialOutcome,
+};
 use rstest::rstest;
 use std::collections::HashMap;
 use unit::{Fingerprint, Span, Time};
 
 const FATAL: Fingerprint = Fingerprint(1);
 const POPULAR: Fingerprint = Fingerprint(2);
-const ANY: Ticket = Ticket(7);
+const ANY: RequestId = RequestId(7);
 
 fn at(ms: u64) -> Time {
     Time(0) + Span::from_ms(1_000_000 + ms)
@@ -18,106 +20,122 @@
 
 #[test]
 fn the_third_fall_on_trial_keeps_a_request_out() {
-    let mut ledger = Ledger::default();
+    let mut ledger = Tracker::default();
     for fall in 0..2 {
-        assert_eq!(ledger.ask(FATAL, ANY, at(fall)), Permit::Free);
-        ledger.fell(Fall(fall), &[FATAL, POPULAR], at(fall));
+        assert_eq!(ledger.request_permit(FATAL, ANY, at(fall)), Permit::Free);
+        ledger.record_crash(Crash(fall), &[FATAL, POPULAR], at(fall));
     }
-    assert_eq!(ledger.ask(FATAL, ANY, at(10)), Permit::Trial);
-    ledger.trial_ended(FATAL, Ended::Broken, at(20));
-    assert_eq!(ledger.ask(FATAL, ANY, at(21)), Permit::Wait);
-    ledger.fell(Fall(2), &[FATAL], at(50));
-    assert!(matches!(ledger.ask(FATAL, ANY, at(60)), Permit::KeptOut(_)));
-    assert_eq!(ledger.listed(at(60)).len(), 2);
+    assert_eq!(ledger.request_permit(FATAL, ANY, at(10)), Permit::Trial);
+    ledger.record_trial(FATAL, TrialOutcome::Interrupted, at(20));
+    assert_eq!(ledger.request_permit(FATAL, ANY, at(21)), Permit::Wait);
+    ledger.record_crash(Crash(2), &[FATAL], at(50));
+    assert!(matches!(
+        ledger.request_permit(FATAL, ANY, at(60)),
+        Permit::Quarantined(_)
+    ));
+    assert_eq!(ledger.suspects(at(60)).len(), 2);
 }
 
 #[test]
 fn a_request_that_ends_well_anywhere_is_cleared() {
-    let mut ledger = Ledger::default();
+    let mut ledger = Tracker::default();
     for fall in 0..5 {
-        ledger.fell(Fall(fall), &[POPULAR], at(fall));
+        ledger.record_crash(Crash(fall), &[POPULAR], at(fall));
     }
-    assert_eq!(ledger.standing(POPULAR, at(5)), Standing::Suspected);
-    assert!(ledger.ended_well(POPULAR));
+    assert_eq!(ledger.status(POPULAR, at(5)), Status::Suspected);
+    assert!(ledger.record_success(POPULAR));
     // Each fall is told more than once, and later.
     for fall in 0..5 {
-        ledger.fell(Fall(fall), &[POPULAR], at(10 + fall));
+        ledger.record_crash(Crash(fall), &[POPULAR], at(10 + fall));
     }
-    assert_eq!(ledger.ask(POPULAR, ANY, at(20)), Permit::Free);
+    assert_eq!(ledger.request_permit(POPULAR, ANY, at(20)), Permit::Free);
 }
 
 #[test]
 fn one_fall_told_by_many_hosts_counts_once() {
-    let mut ledger = Ledger::default();
+    let mut ledger = Tracker::default();
     for host in 0..8 {
-        ledger.fell(Fall(7), &[POPULAR], at(host));
+        ledger.record_crash(Crash(7), &[POPULAR], at(host));
     }
-    assert_eq!(ledger.standing(POPULAR, at(9)), Standing::Clear);
+    assert_eq!(ledger.status(POPULAR, at(9)), Status::Clear);
 }
 
 #[test]
 fn no_two_suspects_are_tried_at_a_time() {
-    let mut ledger = Ledger::default();
+    let mut ledger = Tracker::default();
     for fall in 0..2 {
-        ledger.fell(Fall(fall), &[FATAL, POPULAR], at(fall));
+        ledger.record_crash(Crash(fall), &[FATAL, POPULAR], at(fall));
     }
-    assert_eq!(ledger.ask(POPULAR, ANY, at(5)), Permit::Trial);
-    assert_eq!(ledger.ask(FATAL, ANY, at(6)), Permit::Wait);
-    assert_eq!(ledger.ask(POPULAR, Ticket(8), at(6)), Permit::Wait);
-    ledger.ended_well(POPULAR);
-    assert_eq!(ledger.ask(POPULAR, ANY, at(301)), Permit::Free);
-    assert_eq!(ledger.ask(FATAL, ANY, at(301)), Permit::Trial);
+    assert_eq!(ledger.request_permit(POPULAR, ANY, at(5)), Permit::Trial);
+    assert_eq!(ledger.request_permit(FATAL, ANY, at(6)), Permit::Wait);
+    assert_eq!(
+        ledger.request_permit(POPULAR, RequestId(8), at(6)),
+        Permit::Wait
+    );
+    ledger.record_success(POPULAR);
+    assert_eq!(ledger.request_permit(POPULAR, ANY, at(301)), Permit::Free);
+    assert_eq!(ledger.request_permit(FATAL, ANY, at(301)), Permit::Trial);
 }
 
 /// Two requests that end replicas come at the same time, each with something else in flight: that is tried while the
 /// second one of them is not suspected yet, and falls with it.
 #[test]
 fn a_fall_that_another_suspect_may_have_caused_proves_nothing_yet() {
-    let mut ledger = Ledger::default();
+    let mut ledger = Tracker::default();
     let second = Fingerprint(3);
-    ledger.fell(Fall(0), &[FATAL, POPULAR], at(0));
-    ledger.fell(Fall(1), &[second, POPULAR], at(1));
-    assert_eq!(ledger.ask(POPULAR, ANY, at(2)), Permit::Trial);
+    ledger.record_crash(Crash(0), &[FATAL, POPULAR], at(0));
+    ledger.record_crash(Crash(1), &[second, POPULAR], at(1));
+    assert_eq!(ledger.request_permit(POPULAR, ANY, at(2)), Permit::Trial);
     // Two hosts tell of the same fall, one after the other.
-    ledger.fell(Fall(2), &[POPULAR], at(10));
-    ledger.fell(Fall(2), &[second], at(12));
-    assert_eq!(ledger.standing(POPULAR, at(13)), Standing::Suspected);
-    assert_eq!(ledger.standing(second, at(13)), Standing::Suspected);
-    ledger.trial_ended(POPULAR, Ended::Broken, at(13));
-    assert_eq!(ledger.ask(second, ANY, at(20)), Permit::Trial);
-    ledger.fell(Fall(3), &[second], at(60));
-    assert_eq!(ledger.standing(second, at(61)), Standing::KeptOut);
-    assert_eq!(ledger.ask(POPULAR, ANY, at(1_100)), Permit::Trial);
-    ledger.ended_well(POPULAR);
-    assert_eq!(ledger.ask(POPULAR, ANY, at(1_200)), Permit::Free);
+    ledger.record_crash(Crash(2), &[POPULAR], at(10));
+    ledger.record_crash(Crash(2), &[second], at(12));
+    assert_eq!(ledger.status(POPULAR, at(13)), Status::Suspected);
+    assert_eq!(ledger.status(second, at(13)), Status::Suspected);
+    ledger.record_trial(POPULAR, TrialOutcome::Interrupted, at(13));
+    assert_eq!(ledger.request_permit(second, ANY, at(20)), Permit::Trial);
+    ledger.record_crash(Crash(3), &[second], at(60));
+    assert_eq!(ledger.status(second, at(61)), Status::Quarantined);
+    assert_eq!(
+        ledger.request_permit(POPULAR, ANY, at(1_100)),
+        Permit::Trial
+    );
+    ledger.record_success(POPULAR);
+    assert_eq!(ledger.request_permit(POPULAR, ANY, at(1_200)), Permit::Free);
 }
 
 /// A host that dies with a trial in hand does not keep the others from being tried for good.
 #[test]
 fn a_trial_that_nobody_ends_is_over_in_time() {
-    let mut ledger = Ledger::default();
+    let mut ledger = Tracker::default();
     for fall in 0..2 {
-        ledger.fell(Fall(fall), &[FATAL], at(fall));
+        ledger.record_crash(Crash(fall), &[FATAL], at(fall));
     }
-    assert_eq!(ledger.ask(FATAL, ANY, at(5)), Permit::Trial);
-    assert_eq!(ledger.ask(FATAL, ANY, at(6)), Permit::Trial, "asked again");
-    assert_eq!(ledger.ask(FATAL, Ticket(8), at(14_000)), Permit::Wait);
-    assert_eq!(ledger.ask(FATAL, ANY, at(16_000)), Permit::Trial);
+    assert_eq!(ledger.request_permit(FATAL, ANY, at(5)), Permit::Trial);
+    assert_eq!(
+        ledger.request_permit(FATAL, ANY, at(6)),
+        Permit::Trial,
+        "asked again"
+    );
+    assert_eq!(
+        ledger.request_permit(FATAL, RequestId(8), at(14_000)),
+        Permit::Wait
+    );
+    assert_eq!(ledger.request_permit(FATAL, ANY, at(16_000)), Permit::Trial);
 }
 
 /// The falls are found by nobody: the replica is back before anyone looks.
 #[test]
 fn trials_that_always_break_off_are_not_repeated_without_end() {
-    let mut ledger = Ledger::default();
+    let mut ledger = Tracker::default();
     for fall in 0..2 {
-        ledger.fell(Fall(fall), &[FATAL], at(fall));
+        ledger.record_crash(Crash(fall), &[FATAL], at(fall));
     }
     let mut trials = 0;
     for step in 0..200 {
         let now = at(10 + step * 100);
-        if ledger.ask(FATAL, ANY, now) == Permit::Trial {
+        if ledger.request_permit(FATAL, ANY, now) == Permit::Trial {
             trials += 1;
-            ledger.trial_ended(FATAL, Ended::Broken, now);
+            ledger.record_trial(FATAL, TrialOutcome::Interrupted, now);
         }
     }
     assert_eq!(trials, 3);
@@ -125,45 +143,48 @@
 
 #[test]
 fn what_an_earlier_leader_held_holds_on() {
-    let mut ledger = Ledger::default();
+    let mut ledger = Tracker::default();
     ledger.restore(FATAL, true, at(0));
-    assert!(matches!(ledger.ask(FATAL, ANY, at(1)), Permit::KeptOut(_)));
+    assert!(matches!(
+        ledger.request_permit(FATAL, ANY, at(1)),
+        Permit::Quarantined(_)
+    ));
     ledger.lift(FATAL);
-    assert_eq!(ledger.ask(FATAL, ANY, at(2)), Permit::Free);
+    assert_eq!(ledger.request_permit(FATAL, ANY, at(2)), Permit::Free);
 }
 
 #[test]
 fn a_request_that_was_kept_out_has_one_trial_after_its_time() {
-    let mut ledger = Ledger::default();
+    let mut ledger = Tracker::default();
     ledger.restore(FATAL, true, at(0));
-    let later = at(1) + KEPT_OUT_FOR;
-    assert_eq!(ledger.ask(FATAL, ANY, later), Permit::Trial);
-    ledger.fell(Fall(9), &[FATAL], later + Span::from_ms(50));
-    let next = ledger.ask(FATAL, ANY, later + Span::from_secs(60));
-    assert!(matches!(next, Permit::KeptOut(_)));
+    let later = at(1) + QUARANTINE_DURATION;
+    assert_eq!(ledger.request_permit(FATAL, ANY, later), Permit::Trial);
+    ledger.record_crash(Crash(9), &[FATAL], later + Span::from_ms(50));
+    let next = ledger.request_permit(FATAL, ANY, later + Span::from_secs(60));
+    assert!(matches!(next, Permit::Quarantined(_)));
 }
 
 #[test]
 fn what_is_remembered_is_bounded_and_keeps_what_is_kept_out() {
-    let mut ledger = Ledger::default();
+    let mut ledger = Tracker::default();
     ledger.restore(FATAL, true, at(0));
     for other in 0..20_000 {
-        ledger.fell(Fall(other), &[Fingerprint(100 + other)], at(other));
+        ledger.record_crash(Crash(other), &[Fingerprint(100 + other)], at(other));
     }
     assert!(ledger.len() <= 4_096);
-    assert_eq!(ledger.standing(FATAL, at(20_000)), Standing::KeptOut);
+    assert_eq!(ledger.status(FATAL, at(20_000)), Status::Quarantined);
 }
 
 /// What is held is forgotten with its falls, also where nobody asks for the list.
 #[test]
 fn what_is_suspected_is_forgotten_in_time() {
-    let mut ledger = Ledger::default();
+    let mut ledger = Tracker::default();
     for fall in 0..2 {
-        ledger.fell(Fall(fall), &[POPULAR], at(fall));
+        ledger.record_crash(Crash(fall), &[POPULAR], at(fall));
     }
-    assert!(ledger.holds_any());
-    assert!(ledger.listed(at(601_000)).is_empty());
-    assert!(!ledger.holds_any() && ledger.is_empty());
+    assert!(ledger.has_suspects());
+    assert!(ledger.suspects(at(601_000)).is_empty());
+    assert!(!ledger.has_suspects() && ledger.is_empty());
 }
 
 /// What came of a load.
@@ -203,7 +224,7 @@
 /// What one way holds of requests.
 struct Decider {
     way: Way,
-    ledger: Ledger,
+    ledger: Tracker,
     /// Falls that count against each request, where the way only counts.
     falls: HashMap<Fingerprint, u32>,
 }
@@ -212,7 +233,7 @@
     fn may_run(&mut self, print: Fingerprint, ms: u64) -> bool {
         match self.way {
             Way::Trials => {
-                let permit = self.ledger.ask(print, Ticket(ms), at(ms));
+                let permit = self.ledger.request_permit(print, RequestId(ms), at(ms));
                 matches!(permit, Permit::Free | Permit::Trial)
             }
             Way::Count | Way::Forgiving => self.falls.get(&print).is_none_or(|falls| *falls < 3),
@@ -220,14 +241,14 @@
     }
 
     fn fell(&mut self, fall: u64, aboard: &[Fingerprint], ms: u64) {
-        self.ledger.fell(Fall(fall), aboard, at(ms));
+        self.ledger.record_crash(Crash(fall), aboard, at(ms));
         for print in aboard {
             *self.falls.entry(*print).or_default() += 1;
         }
     }
 
     fn ended_well(&mut self, print: Fingerprint) {
-        self.ledger.ended_well(print);
+        self.ledger.record_success(print);
         if self.way == Way::Forgiving {
             self.falls.remove(&print);
         }
@@ -240,7 +261,7 @@
     let mut random = SmallRng::seed_from_u64(seed);
     let mut decider = Decider {
         way,
-        ledger: Ledger::default(),
+        ledger: Tracker::default(),
         falls: HashMap::new(),
     };
     let mut outcome = Outcome::default();
