--- a/crates/front/src/grant.rs
+++ b/crates/front/src/grant.rs
@@ -5,7 +5,7 @@
 use crate::message::{Question, Subject, Verdict};
 use crate::peers::Peers;
 use crate::state::State;
-use route::quota::{GIVEN_BACK_WITHIN, Given, Limit, Over};
+use route::quota::{Limit, REFUND_WINDOW, Refusal, Usage};
 use std::sync::Arc;
 use std::time::Duration;
 use unit::{Span, Time};
@@ -47,9 +47,9 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Answer {
     /// They are given.
-    Given(Given),
+    Given(Usage),
     /// There are not enough.
-    Over(Over),
+    Over(Refusal),
     /// There is no limit.
     Unlimited,
 }
@@ -62,7 +62,9 @@
     tries: &[Duration],
 ) -> Option<Answer> {
     let asked = state.now();
-    let untold = state.shares.with(&wanted.subject, |share| share.untold());
+    let untold = state
+        .shares
+        .with(&wanted.subject, |share| share.unreported());
     let question = Question {
         number: 0,
         host: state.settings.name.clone(),
@@ -78,9 +80,9 @@
         return None;
     };
     state.shares.with(&wanted.subject, |share| {
-        share.answered(asked, untold);
+        share.record_answer(asked, untold);
         if let Answer::Given(told) = answer {
-            share.given(wanted.units, told, asked);
+            share.record_grant(wanted.units, told, asked);
         }
     });
     Some(answer)
@@ -89,13 +91,13 @@
 /// What a verdict says; none where the host that was asked does not give out.
 fn answer(verdict: Verdict) -> Option<Answer> {
     match verdict {
-        Verdict::Given { all, left } => Some(Answer::Given(Given {
-            all: f64::from(all),
-            left: f64::from(left),
+        Verdict::Given { all, left } => Some(Answer::Given(Usage {
+            granted: f64::from(all),
+            available: f64::from(left),
         })),
-        Verdict::Refused { wait_ms, left } => Some(Answer::Over(Over {
-            wait: Span::from_ms(u64::from(wait_ms)),
-            left: f64::from(left),
+        Verdict::Refused { wait_ms, left } => Some(Answer::Over(Refusal {
+            retry_after: Span::from_ms(u64::from(wait_ms)),
+            available: f64::from(left),
         })),
         Verdict::Unlimited => Some(Answer::Unlimited),
         Verdict::Elsewhere => None,
@@ -106,7 +108,7 @@
 pub fn use_alone(state: &State, wanted: &Wanted) -> Result<(), Option<Span>> {
     let now = state.now();
     state.shares.with(&wanted.subject, |share| {
-        share.use_alone(wanted.limit, wanted.units, now)
+        share.acquire_local(wanted.limit, wanted.units, now)
     })
 }
 
@@ -127,11 +129,11 @@
     /// Gives the units back: the request did not use them.
     pub async fn give_back(self, state: &State) {
         let age = state.now().since(self.asked);
-        if self.source == Source::Share || age > GIVEN_BACK_WITHIN {
+        if self.source == Source::Share || age > REFUND_WINDOW {
             return;
         }
         state.shares.with(&self.subject, |share| {
-            share.take_back(self.units, self.asked);
+            share.refund(self.units, self.asked);
         });
         self.peers.give_back(self.subject, self.units, age).await;
     }
--- a/crates/front/src/limits.rs
+++ b/crates/front/src/limits.rs
@@ -89,7 +89,7 @@
         let mut table = state.table.lock();
         match answer {
             Some(Answer::Given(given)) => {
-                table.told_of_room(replica, Some(Ok(given.left)), now);
+                table.told_of_room(replica, Some(Ok(given.available)), now);
                 Some(Source::Limiter)
             }
             Some(Answer::Over(over)) => {
--- a/crates/front/src/message/limit.rs
+++ b/crates/front/src/message/limit.rs
@@ -2,7 +2,7 @@
 
 use super::{MOST_DATAGRAM, short};
 use platform::replica::{Entry, Incarnation};
-use route::quota::Notice;
+use route::quota::Advertisement;
 use serde::{Deserialize, Serialize};
 use unit::{Name, Span, Time};
 
@@ -55,13 +55,13 @@
 
 impl Limited {
     /// What was heard, as it is told now.
-    pub fn new(entry: &Entry, notice: &Notice, now: Time) -> Limited {
+    pub fn new(entry: &Entry, notice: &Advertisement, now: Time) -> Limited {
         let age_ms = |at: Time| now.since(at).ms() as u32;
         Limited {
             replica: Limited::name(entry),
             rate: notice.rate as f32,
-            named_ms: age_ms(notice.named),
-            unnamed_ms: notice.unnamed.map(age_ms),
+            named_ms: age_ms(notice.advertised_at),
+            unnamed_ms: notice.withdrawn_at.map(age_ms),
         }
     }
 
@@ -71,13 +71,13 @@
     }
 
     /// What was heard, by this host's time; none where its number cannot be counted.
-    pub fn notice(&self, now: Time) -> Option<Notice> {
+    pub fn notice(&self, now: Time) -> Option<Advertisement> {
         let at = |ms: u32| now - Span::from_ms(u64::from(ms));
         let is_sound = self.rate.is_finite() && self.rate >= 0.0;
-        is_sound.then(|| Notice {
+        is_sound.then(|| Advertisement {
             rate: f64::from(self.rate),
-            named: at(self.named_ms),
-            unnamed: self.unnamed_ms.map(at),
+            advertised_at: at(self.named_ms),
+            withdrawn_at: self.unnamed_ms.map(at),
         })
     }
 }
--- a/crates/front/src/peers/quota.rs
+++ b/crates/front/src/peers/quota.rs
@@ -6,7 +6,7 @@
 use crate::message::{Limited, Message, Question, Refund, Subject, Verdict};
 use crate::shares;
 use parking_lot::Mutex;
-use route::quota::{INTAKE, Limit, Limiter, Notice, Tolerance, Units};
+use route::quota::{Advertisement, Limit, Limiter, REPLICA_TOLERANCE, Tolerance, Units};
 use std::hash::Hash;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -46,7 +46,7 @@
         let now = self.state.now();
         let limiters = Limiters {
             accounts: Limiter::new(tolerance, now),
-            replicas: Limiter::new(INTAKE, now),
+            replicas: Limiter::new(REPLICA_TOLERANCE, now),
         };
         *self.quotas.limiters.lock() = Some((term, limiters));
     }
@@ -163,15 +163,15 @@
     /// Notes that a host is in touch.
     pub(super) fn heard(&self, host: &Name, now: Time) {
         if let Some((_, limiters)) = self.quotas.limiters.lock().as_mut() {
-            limiters.accounts.heard(host, now);
-            limiters.replicas.heard(host, now);
+            limiters.accounts.record_heartbeat(host, now);
+            limiters.replicas.record_heartbeat(host, now);
         }
     }
 
     /// Units given out of an account in the last window, if this host gives out.
     pub fn given_out(&self, account: &Name) -> Option<f64> {
         let now = self.state.now();
-        self.with_accounts(|limiter| limiter.given(account, now))
+        self.with_accounts(|limiter| limiter.granted(account, now))
     }
 
     /// Works with the limiter of accounts while the term holds in which it was begun.
@@ -203,12 +203,17 @@
 
     /// What is known of a replica's limit here and at the host that asks, if it holds; none at all where the question's number
     /// cannot be counted.
-    fn notice_of(&self, limited: &Limited, host: &Name, now: Time) -> Option<Option<Notice>> {
+    fn notice_of(
+        &self,
+        limited: &Limited,
+        host: &Name,
+        now: Time,
+    ) -> Option<Option<Advertisement>> {
         let asked = limited.notice(now)?;
         self.join_limits(std::slice::from_ref(limited), host);
         let known = self.state.table.lock().notice_of(limited.replica);
         let notice = known.unwrap_or(asked);
-        Some(Some(notice).filter(|notice| !notice.is_over(now)))
+        Some(Some(notice).filter(|notice| !notice.is_expired(now)))
     }
 }
 
@@ -225,18 +230,18 @@
         limit,
         host: &question.host,
         count: f64::from(count),
-        kept: f64::from(question.kept),
-        queues: question.queues,
+        reserved: f64::from(question.kept),
+        will_retry: question.queues,
     };
-    limiter.used_alone(units(question.alone), now);
-    match limiter.give(units(question.units), now) {
+    limiter.record_local_use(units(question.alone), now);
+    match limiter.acquire(units(question.units), now) {
         Ok(given) => Verdict::Given {
-            all: given.all as f32,
-            left: given.left as f32,
+            all: given.granted as f32,
+            left: given.available as f32,
         },
         Err(over) => Verdict::Refused {
-            wait_ms: over.wait.ms().ceil() as u32,
-            left: over.left as f32,
+            wait_ms: over.retry_after.ms().ceil() as u32,
+            left: over.available as f32,
         },
     }
 }
@@ -255,8 +260,8 @@
         limit,
         host: &refund.host,
         count: f64::from(refund.units),
-        kept: 0.0,
-        queues: false,
+        reserved: 0.0,
+        will_retry: false,
     };
-    limiter.take_back(units, given, now);
+    limiter.refund(units, given, now);
 }
--- a/crates/front/src/quota.rs
+++ b/crates/front/src/quota.rs
@@ -57,7 +57,7 @@
 ) -> Result<Source, Fault> {
     let decided = |answer| match answer {
         Answer::Given(_) | Answer::Unlimited => Ok(Source::Limiter),
-        Answer::Over(told) => Err(over(account, quota, wanted.units, told.wait)),
+        Answer::Over(told) => Err(over(account, quota, wanted.units, told.retry_after)),
     };
     if state.shares.may_ask(state.now())
         && let Some(answer) = grant::ask(state, peers, wanted, QUICK).await
--- a/crates/front/src/shares.rs
+++ b/crates/front/src/shares.rs
@@ -4,7 +4,7 @@
 use crate::settings::Bounds;
 use parking_lot::Mutex;
 use platform::account::Quota;
-use route::quota::{INTAKE, Limit, Share, Tolerance};
+use route::quota::{Limit, REPLICA_TOLERANCE, Share, Tolerance};
 use std::collections::HashMap;
 use std::hash::Hash;
 use unit::{Name, Span, Time};
@@ -53,7 +53,7 @@
 pub fn open(bounds: &Bounds) -> Shares {
     Shares {
         accounts: Mutex::new(Kind::new(tolerance(bounds))),
-        replicas: Mutex::new(Kind::new(INTAKE)),
+        replicas: Mutex::new(Kind::new(REPLICA_TOLERANCE)),
         not_asked_until: Mutex::default(),
     }
 }
--- a/crates/front/src/table/limits.rs
+++ b/crates/front/src/table/limits.rs
@@ -5,7 +5,7 @@
 use super::{Table, Want};
 use crate::message::Limited;
 use platform::replica::{Entry, Incarnation};
-use route::quota::{INTAKE, Notice, Outlook, Over};
+use route::quota::{Advertisement, Estimate, REPLICA_TOLERANCE, Refusal};
 use std::collections::HashMap;
 use unit::{Name, Span, Time};
 
@@ -38,11 +38,11 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Need {
     /// What it last said, to any host.
-    notice: Notice,
+    notice: Advertisement,
     /// When it last answered this host.
     heard: Option<Time>,
     /// What there was when it was last asked for.
-    outlook: Option<Outlook>,
+    outlook: Option<Estimate>,
     /// Requests of this host that wait for room there.
     held: u32,
     /// What all hosts were told last: the rate, and whether it is over.
@@ -55,13 +55,13 @@
     /// What is told of it to whoever gives out.
     pub limited: Limited,
     /// What the replica last said.
-    pub notice: Notice,
+    pub notice: Advertisement,
     /// Units that are to be left for what is more urgent.
     pub kept: f64,
 }
 
 impl Need {
-    fn new(notice: Notice) -> Need {
+    fn new(notice: Advertisement) -> Need {
         Need {
             notice,
             heard: None,
@@ -73,25 +73,27 @@
 
     /// Whether it is told to all hosts: while it holds, and for a while after.
     fn is_told(&self, now: Time) -> bool {
-        let over = self.notice.unnamed;
+        let over = self.notice.withdrawn_at;
         over.is_none_or(|at| now.since(at) < TOLD_OVER)
     }
 
     /// What matters of it to other hosts.
     fn says(&self) -> (f64, bool) {
-        (self.notice.rate, self.notice.unnamed.is_some())
+        (self.notice.rate, self.notice.withdrawn_at.is_some())
     }
 
     /// Time until there may be room for a request; zero when there may be some now.
     fn wait(&self, kept: f64, now: Time) -> Span {
         let limit = self.notice.limit(1.0);
         let outlook = self.outlook;
-        outlook.map_or(Span::ZERO, |o| o.wait(1.0 + kept, INTAKE, limit, now))
+        outlook.map_or(Span::ZERO, |o| {
+            o.wait(1.0 + kept, REPLICA_TOLERANCE, limit, now)
+        })
     }
 
     /// Time until a request would have its turn that nothing else can take, behind those that wait already.
     fn turn(&self, kept: f64, now: Time) -> Span {
-        let line = self.outlook.map_or(Span::ZERO, |o| o.line(now));
+        let line = self.outlook.map_or(Span::ZERO, |o| o.queue_wait(now));
         let before = Span::from_secs_f64(f64::from(self.held) / self.notice.limit(1.0).rate);
         self.wait(kept, now).max(line) + before
     }
@@ -101,7 +103,7 @@
     /// What is known of its limit, while that holds.
     pub(super) fn limit(&self, now: Time) -> Option<&Need> {
         let need = self.need.as_ref();
-        need.filter(|need| !need.notice.is_over(now))
+        need.filter(|need| !need.notice.is_expired(now))
     }
 
     /// Time until a request would have its turn there; none where there may be room for it now.
@@ -144,9 +146,9 @@
         let known = &mut self.replica(id).need;
         let before = known.map(|need| need.notice);
         let notice = match (rate, before) {
-            (Some(rate), _) => Notice::new(rate, now),
+            (Some(rate), _) => Advertisement::new(rate, now),
             (None, Some(mut notice)) => {
-                notice.unname(now);
+                notice.withdraw(now);
                 notice
             }
             (None, None) => return None,
@@ -162,19 +164,19 @@
         let told = told
             .iter()
             .filter_map(|t| Some((t.replica, t.notice(now)?)));
-        let told: HashMap<u32, Notice> = told.collect();
+        let told: HashMap<u32, Advertisement> = told.collect();
         if told.is_empty() {
             return Vec::new();
         }
         let entries = self.view.all().map(|seen| &seen.entry);
         let named = entries.filter_map(|e| Some((e.id.clone(), *told.get(&Limited::name(e))?)));
-        let named: Vec<(Name, Notice)> = named.collect();
+        let named: Vec<(Name, Advertisement)> = named.collect();
         let mut changes = Vec::new();
         for (id, told) in named {
             let known = &mut self.replica(&id).need;
             let before = known.map(|need| need.notice);
             let need = known.get_or_insert_with(|| Need::new(told));
-            need.notice.join(&told);
+            need.notice.merge(&told);
             let notice = need.notice;
             if let Some(change) = change(before, &notice, now) {
                 changes.push((id, notice.rate, change));
@@ -196,7 +198,7 @@
     }
 
     /// What is known of the limit of an incarnation, by its short name.
-    pub fn notice_of(&self, replica: u32) -> Option<Notice> {
+    pub fn notice_of(&self, replica: u32) -> Option<Advertisement> {
         let mut entries = self.view.all().map(|seen| &seen.entry);
         let entry = entries.find(|entry| Limited::name(entry) == replica)?;
         Some(self.replicas.get(&entry.id)?.need?.notice)
@@ -251,17 +253,17 @@
         let Some(need) = self.need(id) else { return };
         let limit = need.notice.limit(1.0);
         if let Some(outlook) = &mut need.outlook {
-            outlook.take(1.0, limit, now);
+            outlook.deduct(1.0, limit, now);
         }
     }
 
     /// Notes how many requests there were when one was asked for: given, refused, or without an answer.
-    pub fn told_of_room(&mut self, id: &str, told: Option<Result<f64, Over>>, now: Time) {
+    pub fn told_of_room(&mut self, id: &str, told: Option<Result<f64, Refusal>>, now: Time) {
         if let Some(need) = self.need(id) {
             need.outlook = Some(match told {
-                Some(Ok(left)) => Outlook::new(left, now),
-                Some(Err(over)) => Outlook::over(over, now),
-                None => Outlook::nothing(INTAKE, now),
+                Some(Ok(left)) => Estimate::new(left, now),
+                Some(Err(over)) => Estimate::after_refusal(over, now),
+                None => Estimate::without_answer(REPLICA_TOLERANCE, now),
             });
         }
     }
@@ -295,9 +297,9 @@
 }
 
 /// What has changed from one notice to the next.
-fn change(before: Option<Notice>, notice: &Notice, now: Time) -> Option<Change> {
-    let holds = |notice: &Notice| notice.unnamed.is_none();
-    match before.filter(|before| !before.is_over(now)) {
+fn change(before: Option<Advertisement>, notice: &Advertisement, now: Time) -> Option<Change> {
+    let holds = |notice: &Advertisement| notice.withdrawn_at.is_none();
+    match before.filter(|before| !before.is_expired(now)) {
         None => holds(notice).then_some(Change::First),
         Some(before) if holds(&before) && !holds(notice) => Some(Change::Over),
         Some(before) if !holds(&before) && holds(notice) => Some(Change::First),
--- a/crates/route/src/quota.rs
+++ b/crates/route/src/quota.rs
@@ -18,25 +18,25 @@
 mod outlook;
 mod share;
 
-pub use ledger::Ledger;
+pub use ledger::SlidingSum;
 pub use limiter::{Limiter, Units};
-pub use notice::Notice;
-pub use outlook::Outlook;
+pub use notice::Advertisement;
+pub use outlook::Estimate;
 pub use share::Share;
 
 use unit::Span;
 
 /// Time for which a host without an answer goes on by its share: the lease of a leader that died, and
 /// the election of the next one.
-pub const ALONE_FOR: Span = Span::from_ms(5_000);
+pub const FALLBACK_DURATION: Span = Span::from_ms(5_000);
 
 /// Part of an account's rate that all hosts use together by their shares. The burst may have been used
 /// just before, and the hosts do not fall silent at the same moment: `tests/quota.rs` plays both.
-pub const ALONE_PART: f64 = 0.65;
+pub const FALLBACK_FRACTION: f64 = 0.65;
 
 /// Age up to which units of a request that did not run are given back. What is given back lets as much
 /// run later, so a window may hold what the account gains in this time beyond its limit.
-pub const GIVEN_BACK_WITHIN: Span = Span::from_ms(500);
+pub const REFUND_WINDOW: Span = Span::from_ms(500);
 
 /// Rate and burst over all hosts: of an account in its own units, or of a replica in requests.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -49,20 +49,20 @@
 
 /// What a host is told with units that it is given; it knows its share by that.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Given {
+pub struct Usage {
     /// Units that all hosts were given in the last window, these included.
-    pub all: f64,
+    pub granted: f64,
     /// Units that could be given out at once.
-    pub left: f64,
+    pub available: f64,
 }
 
 /// What a host is told that asked for more than there is.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Over {
+pub struct Refusal {
     /// Time after which there will be enough.
-    pub wait: Span,
+    pub retry_after: Span,
     /// Units that are there.
-    pub left: f64,
+    pub available: f64,
 }
 
 /// What may be used beyond the limits, in any window.
@@ -85,7 +85,7 @@
 const NEEDED_OVERAGE: f64 = 0.1;
 
 /// Tolerance of the limits that replicas name, in requests.
-pub const INTAKE: Tolerance = Tolerance {
+pub const REPLICA_TOLERANCE: Tolerance = Tolerance {
     window: Span::from_ms(4_000),
     overage: 0.5,
     slack: 5.0,
@@ -98,7 +98,7 @@
     }
 
     /// Limit by which units are given out, for what an account may use.
-    fn given_out(&self, limit: Limit) -> Limit {
+    fn effective_limit(&self, limit: Limit) -> Limit {
         let part = ((1.0 + self.overage) / (1.0 + NEEDED_OVERAGE)).min(1.0);
         Limit {
             rate: limit.rate * part,
--- a/crates/route/src/quota/ledger.rs
+++ b/crates/route/src/quota/ledger.rs
@@ -8,16 +8,16 @@
 
 /// Sum of units over a sliding window.
 #[derive(Debug, Clone)]
-pub struct Ledger {
+pub struct SlidingSum {
     window: Span,
     /// Begin of each step, and the units of it.
     steps: VecDeque<(Time, f64)>,
 }
 
-impl Ledger {
+impl SlidingSum {
     /// Makes an empty one.
-    pub fn new(window: Span) -> Ledger {
-        Ledger {
+    pub fn new(window: Span) -> SlidingSum {
+        SlidingSum {
             window,
             steps: VecDeque::new(),
         }
@@ -53,7 +53,7 @@
     }
 
     /// Units used in the window that ends at a time.
-    pub fn used(&self, now: Time) -> f64 {
+    pub fn sum(&self, now: Time) -> f64 {
         let window = self.window;
         let in_window = |(begin, _): &&(Time, f64)| *begin <= now && now.since(*begin) < window;
         self.steps
--- a/crates/route/src/quota/limiter.rs
+++ b/crates/route/src/quota/limiter.rs
@@ -1,6 +1,9 @@
 //! The one place that gives out what accounts may use, and what replicas in need take.
 
-use super::{ALONE_FOR, ALONE_PART, GIVEN_BACK_WITHIN, Given, Ledger, Limit, Over, Tolerance};
+use super::{
+    FALLBACK_DURATION, FALLBACK_FRACTION, Limit, REFUND_WINDOW, Refusal, SlidingSum, Tolerance,
+    Usage,
+};
 use std::collections::HashMap;
 use std::hash::Hash;
 use unit::{Name, Span, Time};
@@ -48,13 +51,13 @@
     /// When the level was brought up to date.
     at: Time,
     /// What each host was given.
-    hosts: HashMap<Name, Ledger>,
+    hosts: HashMap<Name, SlidingSum>,
     /// Since when each host was in touch when it last told what it used alone.
     reported: HashMap<Name, Time>,
     /// What all were given.
-    given: Ledger,
+    given: SlidingSum,
     /// What was refused lately.
-    refused: Ledger,
+    refused: SlidingSum,
 }
 
 /// Units that a host asks for, gives back or has used.
@@ -69,9 +72,9 @@
     /// How many.
     pub count: f64,
     /// Units that are to be left for what is more urgent.
-    pub kept: f64,
+    pub reserved: f64,
     /// Whether what is refused comes again for the same units, since nothing else can take it.
-    pub queues: bool,
+    pub will_retry: bool,
 }
 
 impl<K> Clone for Units<'_, K> {
@@ -95,55 +98,55 @@
     }
 
     /// Notes that a host is in touch.
-    pub fn heard(&mut self, host: &Name, now: Time) {
+    pub fn record_heartbeat(&mut self, host: &Name, now: Time) {
         self.hosts.heard(host, now);
     }
 
     /// Gives out units, or tells the time after which there will be enough.
-    pub fn give(&mut self, units: Units<K>, now: Time) -> Result<Given, Over> {
-        self.heard(units.host, now);
+    pub fn acquire(&mut self, units: Units<K>, now: Time) -> Result<Usage, Refusal> {
+        self.record_heartbeat(units.host, now);
         let window = self.tolerance.window;
         let overdraft = self.tolerance.overdraft();
-        let limit = self.tolerance.given_out(units.limit);
+        let limit = self.tolerance.effective_limit(units.limit);
         let bucket = self.bucket(units.subject, limit, now);
         // What never fits into a window would leave a debt for longer than one.
         if units.count > limit.rate * window.secs() + limit.burst {
-            return Err(Over {
-                wait: LONGEST_WAIT,
-                left: bucket.level,
+            return Err(Refusal {
+                retry_after: LONGEST_WAIT,
+                available: bucket.level,
             });
         }
         // A request that is larger than a full bucket is let in by a full one.
-        let needed = (units.count + units.kept).min(limit.burst + overdraft);
+        let needed = (units.count + units.reserved).min(limit.burst + overdraft);
         let missing = needed - overdraft - bucket.level;
         if missing > 0.0 {
-            let queue = bucket.refused.used(now);
-            if units.queues {
+            let queue = bucket.refused.sum(now);
+            if units.will_retry {
                 bucket.refused.add(units.count, now);
             }
             let wait = Span::from_secs_f64((missing + queue) / limit.rate);
-            return Err(Over {
-                wait: wait.min(LONGEST_WAIT),
-                left: bucket.level,
+            return Err(Refusal {
+                retry_after: wait.min(LONGEST_WAIT),
+                available: bucket.level,
             });
         }
         bucket.level -= units.count;
         bucket.given.add(units.count, now);
         let ledger = bucket.hosts.entry(units.host.clone());
-        let ledger = ledger.or_insert_with(|| Ledger::new(window));
+        let ledger = ledger.or_insert_with(|| SlidingSum::new(window));
         ledger.add(units.count, now);
-        Ok(Given {
-            all: bucket.given.used(now),
-            left: bucket.level,
+        Ok(Usage {
+            granted: bucket.given.sum(now),
+            available: bucket.level,
         })
     }
 
     /// Takes back units that were given out at `given` and not used, if that was a moment ago.
-    pub fn take_back(&mut self, units: Units<K>, given: Time, now: Time) {
-        if now.since(given) > GIVEN_BACK_WITHIN {
+    pub fn refund(&mut self, units: Units<K>, given: Time, now: Time) {
+        if now.since(given) > REFUND_WINDOW {
             return;
         }
-        let limit = self.tolerance.given_out(units.limit);
+        let limit = self.tolerance.effective_limit(units.limit);
         let bucket = self.bucket(units.subject, limit, now);
         bucket.level = (bucket.level + units.count).min(limit.burst);
         bucket.given.remove(units.count, given);
@@ -154,10 +157,10 @@
 
     /// Takes in what a host has used by its share since it was answered last. While the host was silent its
     /// share was set aside, and before this limiter began nothing was given out: that is not counted again.
-    pub fn used_alone(&mut self, units: Units<K>, now: Time) {
-        self.heard(units.host, now);
+    pub fn record_local_use(&mut self, units: Units<K>, now: Time) {
+        self.record_heartbeat(units.host, now);
         let since = self.hosts.in_touch_since(units.host);
-        let limit = self.tolerance.given_out(units.limit);
+        let limit = self.tolerance.effective_limit(units.limit);
         let bucket = self.bucket(units.subject, limit, now);
         let before = bucket.reported.insert(units.host.clone(), since);
         if before == Some(since) {
@@ -166,9 +169,9 @@
     }
 
     /// Units given out to a subject in the last window.
-    pub fn given(&self, subject: &K, now: Time) -> f64 {
+    pub fn granted(&self, subject: &K, now: Time) -> f64 {
         let bucket = self.buckets.get(subject);
-        bucket.map_or(0.0, |b| b.given.used(now))
+        bucket.map_or(0.0, |b| b.given.sum(now))
     }
 
     /// The bucket with its level brought up to date.
@@ -181,8 +184,8 @@
             self.buckets.insert(subject.clone(), new);
         }
         let bucket = self.buckets.get_mut(subject).expect("it was just put in");
-        let set_aside = bucket.share_of(&self.hosts.silent) * ALONE_PART;
-        let set_aside = match now.since(self.since) < ALONE_FOR {
+        let set_aside = bucket.share_of(&self.hosts.silent) * FALLBACK_FRACTION;
+        let set_aside = match now.since(self.since) < FALLBACK_DURATION {
             true => set_aside.max(LEFT_TO_UNHEARD),
             false => set_aside,
         };
@@ -199,7 +202,7 @@
             return;
         }
         self.looked = now;
-        let kept = self.tolerance.window + self.tolerance.window + ALONE_FOR;
+        let kept = self.tolerance.window + self.tolerance.window + FALLBACK_DURATION;
         let is_kept = |bucket: &Bucket| now.since(bucket.at) < FORGOTTEN_AFTER;
         self.buckets.retain(|_, bucket| is_kept(bucket));
         for bucket in self.buckets.values_mut() {
@@ -210,7 +213,7 @@
     }
 
     /// Hosts of which something is kept for a subject.
-    pub fn hosts_of(&self, subject: &K) -> usize {
+    pub fn host_count(&self, subject: &K) -> usize {
         let bucket = self.buckets.get(subject);
         bucket.map_or(0, |b| b.hosts.len().max(b.reported.len()))
     }
@@ -225,16 +228,16 @@
             at: since,
             hosts: HashMap::new(),
             reported: HashMap::new(),
-            given: Ledger::new(window),
-            refused: Ledger::new(QUEUE),
+            given: SlidingSum::new(window),
+            refused: SlidingSum::new(QUEUE),
         }
     }
 
     /// Share of hosts that fell silent, in what all were given when each was last heard.
     fn share_of(&self, silent: &HashMap<Name, Time>) -> f64 {
         let share = |(host, at): (&Name, &Time)| {
-            let used = self.hosts.get(host)?.used(*at);
-            (used > 0.0).then(|| used / self.given.used(*at).max(used))
+            let used = self.hosts.get(host)?.sum(*at);
+            (used > 0.0).then(|| used / self.given.sum(*at).max(used))
         };
         silent.iter().filter_map(share).sum::<f64>().min(1.0)
     }
@@ -285,10 +288,11 @@
             return;
         }
         self.looked = now;
-        let kept = SILENT_AFTER + ALONE_FOR + window;
+        let kept = SILENT_AFTER + FALLBACK_DURATION + window;
         self.heard.retain(|_, heard| now.since(heard.last) < kept);
         let last = self.heard.iter().map(|(host, heard)| (host, heard.last));
-        let is_alone = |at: Time| (SILENT_AFTER..ALONE_FOR + SILENT_AFTER).contains(&now.since(at));
+        let is_alone =
+            |at: Time| (SILENT_AFTER..FALLBACK_DURATION + SILENT_AFTER).contains(&now.since(at));
         let silent = last.filter(|(_, at)| is_alone(*at));
         self.silent = silent.map(|(host, at)| (host.clone(), at)).collect();
     }
--- a/crates/route/src/quota/notice.rs
+++ b/crates/route/src/quota/notice.rs
@@ -8,7 +8,7 @@
 
 /// Time for which a limit still holds after the first answer that names none. One that comes back in it has
 /// never been over, so that nothing is sent beyond it in between.
-pub const HOLDS_ON: Span = Span::from_ms(1_000);
+pub const WITHDRAWAL_GRACE: Span = Span::from_ms(1_000);
 
 /// Time by which one and the same naming may seem newer after other hosts passed it on.
 const ECHO: Span = Span::from_ms(250);
@@ -18,35 +18,36 @@
 
 /// What a replica last said.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Notice {
+pub struct Advertisement {
     /// Requests a second, as it named them last.
     pub rate: f64,
     /// When it did.
-    pub named: Time,
+    pub advertised_at: Time,
     /// When the first answer after that came which named none.
-    pub unnamed: Option<Time>,
+    pub withdrawn_at: Option<Time>,
 }
 
-impl Notice {
+impl Advertisement {
     /// Makes one of an answer that has just come and names a rate.
-    pub fn new(rate: f64, now: Time) -> Notice {
-        Notice {
+    pub fn new(rate: f64, now: Time) -> Advertisement {
+        Advertisement {
             rate,
-            named: now,
-            unnamed: None,
+            advertised_at: now,
+            withdrawn_at: None,
         }
     }
 
     /// Takes in an answer that names none.
-    pub fn unname(&mut self, now: Time) {
-        if now > self.named {
-            self.unnamed.get_or_insert(now);
+    pub fn withdraw(&mut self, now: Time) {
+        if now > self.advertised_at {
+            self.withdrawn_at.get_or_insert(now);
         }
     }
 
     /// Whether the limit holds no longer.
-    pub fn is_over(&self, now: Time) -> bool {
-        self.unnamed.is_some_and(|at| now.since(at) >= HOLDS_ON)
+    pub fn is_expired(&self, now: Time) -> bool {
+        self.withdrawn_at
+            .is_some_and(|at| now.since(at) >= WITHDRAWAL_GRACE)
     }
 
     /// Limit by which requests are given out by a host that may give so great a part of it.
@@ -58,19 +59,21 @@
     }
 
     /// Takes in what another host heard; tells whether that says anything else.
-    pub fn join(&mut self, told: &Notice) -> bool {
+    pub fn merge(&mut self, told: &Advertisement) -> bool {
         let before = *self;
         let echo = match told.rate == self.rate {
             true => ECHO,
             false => Span::ZERO,
         };
-        if told.named > self.named + echo {
+        if told.advertised_at > self.advertised_at + echo {
             self.rate = told.rate;
-            self.named = told.named;
+            self.advertised_at = told.advertised_at;
         }
-        let since = |at: &Time| *at > self.named;
-        let unnamed = [before.unnamed, told.unnamed].into_iter().flatten();
-        self.unnamed = unnamed.filter(since).min();
-        self.rate != before.rate || self.unnamed.is_some() != before.unnamed.is_some()
+        let since = |at: &Time| *at > self.advertised_at;
+        let unnamed = [before.withdrawn_at, told.withdrawn_at]
+            .into_iter()
+            .flatten();
+        self.withdrawn_at = unnamed.filter(since).min();
+        self.rate != before.rate || self.withdrawn_at.is_some() != before.withdrawn_at.is_some()
     }
 }
--- a/crates/route/src/quota/outlook.rs
+++ b/crates/route/src/quota/outlook.rs
@@ -1,6 +1,6 @@
 //! What a host may expect of a limit before it asks for a part of it.
 
-use super::{Limit, Over, Tolerance};
+use super::{Limit, Refusal, Tolerance};
 use unit::{Span, Time};
 
 /// Time after a refusal in which nothing is asked for again, however little was missing.
@@ -11,7 +11,7 @@
 /// Other hosts take some of them meanwhile, so that there are at most as many: a request that finds too few here
 /// need not be asked for.
 #[derive(Debug, Clone, Copy)]
-pub struct Outlook {
+pub struct Estimate {
     left: f64,
     at: Time,
     /// Until when nothing is asked for.
@@ -20,10 +20,10 @@
     line: Time,
 }
 
-impl Outlook {
+impl Estimate {
     /// What is known after a question was answered with so many units left.
-    pub fn new(left: f64, now: Time) -> Outlook {
-        Outlook {
+    pub fn new(left: f64, now: Time) -> Estimate {
+        Estimate {
             left,
             at: now,
             closed_until: now,
@@ -32,24 +32,24 @@
     }
 
     /// What is known after a question was refused.
-    pub fn over(over: Over, now: Time) -> Outlook {
-        Outlook {
+    pub fn after_refusal(over: Refusal, now: Time) -> Estimate {
+        Estimate {
             closed_until: now + PAUSE,
-            line: now + over.wait,
-            ..Outlook::new(over.left, now)
+            line: now + over.retry_after,
+            ..Estimate::new(over.available, now)
         }
     }
 
     /// What is to be believed while nobody answers and this host has no part of its own.
-    pub fn nothing(tolerance: Tolerance, now: Time) -> Outlook {
-        Outlook {
+    pub fn without_answer(tolerance: Tolerance, now: Time) -> Estimate {
+        Estimate {
             closed_until: now + PAUSE,
-            ..Outlook::new(-tolerance.overdraft(), now)
+            ..Estimate::new(-tolerance.overdraft(), now)
         }
     }
 
     /// Takes units off that are being asked for.
-    pub fn take(&mut self, units: f64, limit: Limit, now: Time) {
+    pub fn deduct(&mut self, units: f64, limit: Limit, now: Time) {
         self.left = self.left_at(limit, now) - units;
         self.at = now;
     }
@@ -62,7 +62,7 @@
     }
 
     /// Time until those have their turn that were refused before, and stand in line.
-    pub fn line(&self, now: Time) -> Span {
+    pub fn queue_wait(&self, now: Time) -> Span {
         self.line.since(now)
     }
 
--- a/crates/route/src/quota/share.rs
+++ b/crates/route/src/quota/share.rs
@@ -1,6 +1,6 @@
 //! What one host may use of one account while it gets no answer.
 
-use super::{ALONE_FOR, ALONE_PART, Given, Ledger, Limit, Tolerance};
+use super::{FALLBACK_DURATION, FALLBACK_FRACTION, Limit, SlidingSum, Tolerance, Usage};
 use unit::{Span, Time};
 
 /// Longest time since the last answer for which a share is gathered when a host begins to go on by it: a
@@ -23,24 +23,24 @@
 pub struct Share {
     tolerance: Tolerance,
     /// What the host was given.
-    given: Ledger,
+    given: SlidingSum,
     /// When it was given something first.
     first: Option<Time>,
     /// What the limiter told last.
-    told: Given,
+    told: Usage,
     /// When the last question was asked that was answered.
     asked: Option<Time>,
     /// When it was last given something at once for going on alone.
     began: Option<Time>,
     /// What the host uses alone since it gets no answer.
-    alone: Option<Alone>,
+    alone: Option<LocalBucket>,
     /// Units used alone that the limiter has not been told of.
-    untold: f64,
+    unreported: f64,
 }
 
 /// Bucket of a host that goes on alone.
 #[derive(Debug, Clone)]
-struct Alone {
+struct LocalBucket {
     /// Limit of the account that it rests on.
     limit: Limit,
     /// Units a second.
@@ -49,12 +49,12 @@
     at: Time,
 }
 
-impl Alone {
+impl LocalBucket {
     /// The bucket with what it has gathered until now; a lower limit lowers its pace and what it holds.
-    fn gathered(self, now: Time, limit: Limit) -> Alone {
+    fn gathered(self, now: Time, limit: Limit) -> LocalBucket {
         let level = self.level + now.since(self.at).secs() * self.pace;
         let factor = (limit.rate / self.limit.rate).min(1.0);
-        Alone {
+        LocalBucket {
             limit,
             pace: self.pace * factor,
             level: level * factor,
@@ -68,18 +68,18 @@
     pub fn new(tolerance: Tolerance) -> Share {
         Share {
             tolerance,
-            given: Ledger::new(tolerance.window),
+            given: SlidingSum::new(tolerance.window),
             first: None,
-            told: Given::default(),
+            told: Usage::default(),
             asked: None,
             began: None,
             alone: None,
-            untold: 0.0,
+            unreported: 0.0,
         }
     }
 
     /// Notes that the limiter gave units to a question of `asked`.
-    pub fn given(&mut self, units: f64, told: Given, asked: Time) {
+    pub fn record_grant(&mut self, units: f64, told: Usage, asked: Time) {
         self.given.add(units, asked);
         self.first.get_or_insert(asked);
         self.told = told;
@@ -87,35 +87,40 @@
 
     /// Notes that the limiter answered a question of `asked`, in which it was told of `told` units used
     /// alone.
-    pub fn answered(&mut self, asked: Time, told: f64) {
+    pub fn record_answer(&mut self, asked: Time, told: f64) {
         self.asked = self.asked.max(Some(asked));
         self.alone = None;
-        self.untold = (self.untold - told).max(0.0);
+        self.unreported = (self.unreported - told).max(0.0);
     }
 
     /// Units used alone that the limiter has not been told of.
-    pub fn untold(&self) -> f64 {
-        self.untold
+    pub fn unreported(&self) -> f64 {
+        self.unreported
     }
 
     /// Takes units out that were given for a question of `asked` and not used.
-    pub fn take_back(&mut self, units: f64, asked: Time) {
+    pub fn refund(&mut self, units: f64, asked: Time) {
         self.given.remove(units, asked);
     }
 
     /// Uses units without an answer; otherwise the time after which there will be enough, if ever.
-    pub fn use_alone(&mut self, limit: Limit, units: f64, now: Time) -> Result<(), Option<Span>> {
-        let is_young = |asked: &Time| now.since(*asked) < ALONE_FOR;
+    pub fn acquire_local(
+        &mut self,
+        limit: Limit,
+        units: f64,
+        now: Time,
+    ) -> Result<(), Option<Span>> {
+        let is_young = |asked: &Time| now.since(*asked) < FALLBACK_DURATION;
         let Some(asked) = self.asked.filter(is_young) else {
             return Err(None);
         };
-        let limit = self.tolerance.given_out(limit);
+        let limit = self.tolerance.effective_limit(limit);
         let pace = self.pace(limit, now);
         let alone = match self.alone.take() {
             Some(alone) => alone.gathered(now, limit),
             None => {
                 let since = now.since(asked).min(GATHERED);
-                Alone {
+                LocalBucket {
                     limit,
                     pace,
                     level: pace * since.secs() + self.take_left(limit, now),
@@ -130,14 +135,14 @@
             return Err(wait);
         }
         alone.level -= units;
-        self.untold += units;
+        self.unreported += units;
         Ok(())
     }
 
     /// Units a second that this host uses alone: its part in what all were given, of a part of the rate.
     fn pace(&self, limit: Limit, now: Time) -> f64 {
-        let usual = self.given.used(now) / self.known_for(now).secs();
-        let part = self.part(now) * limit.rate * ALONE_PART;
+        let usual = self.given.sum(now) / self.known_for(now).secs();
+        let part = self.part(now) * limit.rate * FALLBACK_FRACTION;
         part.min(usual * MOST_PACE)
     }
 
@@ -149,9 +154,9 @@
 
     /// This host's part in what all were given.
     fn part(&self, now: Time) -> f64 {
-        let own = self.given.used(now);
+        let own = self.given.sum(now);
         if own > 0.0 {
-            own / self.told.all.max(own)
+            own / self.told.granted.max(own)
         } else {
             0.0
         }
@@ -167,6 +172,6 @@
         }
         self.began = Some(now);
         let most = limit.rate * AT_ONCE.secs();
-        self.part(now) * self.told.left.clamp(0.0, most)
+        self.part(now) * self.told.available.clamp(0.0, most)
     }
 }
--- a/crates/route/tests/intake.rs
+++ b/crates/route/tests/intake.rs
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use route::quota::{INTAKE, Limiter, Notice, Outlook, Share, Units};
+use route::quota::{Advertisement, Estimate, Limiter, REPLICA_TOLERANCE, Share, Units};
 use rstest::rstest;
 use std::collections::BTreeMap;
 use unit::{Name, Span, Time};
@@ -70,8 +70,8 @@
 
 struct Host {
     name: Name,
-    notice: Option<Notice>,
-    outlook: Option<Outlook>,
+    notice: Option<Advertisement>,
+    outlook: Option<Estimate>,
     share: Share,
     /// Its own bucket, in the way of equal parts.
     part: f64,
@@ -85,8 +85,8 @@
 enum Event {
     Arrives { host: usize },
     Answers { host: usize, rate: Option<f64> },
-    Heard { from: usize, notice: Notice },
-    Told { host: usize, notice: Notice },
+    Heard { from: usize, notice: Advertisement },
+    Told { host: usize, notice: Advertisement },
     Back { host: usize, given: u64 },
 }
 
@@ -125,7 +125,7 @@
     in_doubt: Option<Limiter<u32>>,
     doubt_until: u64,
     returns_at: u64,
-    leader_notice: Option<Notice>,
+    leader_notice: Option<Advertisement>,
     events: BTreeMap<(u64, u64), Event>,
     number: u64,
     outcome: Outcome,
@@ -139,7 +139,7 @@
             name: format!("h{i}").into(),
             notice: None,
             outlook: None,
-            share: Share::new(INTAKE),
+            share: Share::new(REPLICA_TOLERANCE),
             part: 0.0,
             cut_until: 0,
             told: None,
@@ -152,7 +152,7 @@
             named,
             rng: SmallRng::seed_from_u64(seed),
             hosts: (0..load.hosts).map(host).collect(),
-            limiter: Some(Limiter::new(INTAKE, at(0))),
+            limiter: Some(Limiter::new(REPLICA_TOLERANCE, at(0))),
             in_doubt: None,
             doubt_until: 0,
             returns_at: 0,
@@ -191,7 +191,7 @@
                 self.in_doubt = None;
             }
             if self.limiter.is_none() && ms >= self.returns_at {
-                self.limiter = Some(Limiter::new(INTAKE, at(ms)));
+                self.limiter = Some(Limiter::new(REPLICA_TOLERANCE, at(ms)));
             }
             if happens(cut_at) {
                 for host in &mut self.hosts {
@@ -204,7 +204,7 @@
                 let index = self.rng.random_range(0..self.hosts.len());
                 let host = &mut self.hosts[index];
                 (host.notice, host.outlook, host.told) = (None, None, None);
-                host.share = Share::new(INTAKE);
+                host.share = Share::new(REPLICA_TOLERANCE);
                 host.part = 0.0;
             }
             while let Some(entry) = self.events.first_entry().filter(|e| e.key().0 <= ms) {
@@ -235,7 +235,7 @@
                 continue;
             }
             if let Some(limiter) = &mut self.limiter {
-                limiter.heard(&self.hosts[index].name, at(ms));
+                limiter.record_heartbeat(&self.hosts[index].name, at(ms));
             }
             if let Some(notice) = self.hosts[index].notice
                 && self.hosts[index].told.is_some()
@@ -280,12 +280,12 @@
                 let known = &mut self.hosts[host].notice;
                 match rate {
                     Some(rate) => {
-                        *known = Some(Notice::new(rate, at(ms)));
+                        *known = Some(Advertisement::new(rate, at(ms)));
                         self.hosts[host].told.get_or_insert(ms);
                     }
                     None => {
                         if let Some(notice) = known {
-                            notice.unname(at(ms));
+                            notice.withdraw(at(ms));
                         }
                     }
                 }
@@ -299,7 +299,7 @@
             Event::Heard { from, notice } => {
                 if self.reaches(from, ms) && self.limiter.is_some() {
                     let is_news = match &mut self.leader_notice {
-                        Some(known) => known.join(&notice),
+                        Some(known) => known.merge(&notice),
                         none => {
                             *none = Some(notice);
                             true
@@ -312,18 +312,18 @@
             }
             Event::Told { host, notice } => match &mut self.hosts[host].notice {
                 Some(known) => {
-                    known.join(&notice);
+                    known.merge(&notice);
                 }
                 none => *none = Some(notice),
             },
             Event::Back { host, given } => {
-                self.hosts[host].share.take_back(1.0, at(given));
+                self.hosts[host].share.refund(1.0, at(given));
                 let (Some(notice), true) = (self.hosts[host].notice, self.reaches(host, ms)) else {
                     return;
                 };
                 if let Some(limiter) = &mut self.limiter {
                     let units = units(&self.hosts[host].name, &notice, 1.0, 1.0);
-                    limiter.take_back(units, at(given), at(ms));
+                    limiter.refund(units, at(given), at(ms));
                 }
             }
         }
@@ -350,7 +350,7 @@
     fn may_send(&mut self, index: usize, ms: u64) -> bool {
         let now = at(ms);
         let notice = self.hosts[index].notice;
-        let Some(notice) = notice.filter(|notice| !notice.is_over(now)) else {
+        let Some(notice) = notice.filter(|notice| !notice.is_expired(now)) else {
             return true;
         };
         match self.way {
@@ -370,19 +370,19 @@
                 Some(limiter) => {
                     self.outcome.questions += 1;
                     let units = units(&self.hosts[0].name, &notice, 1.0, 1.0);
-                    limiter.give(units, now).is_ok()
+                    limiter.acquire(units, now).is_ok()
                 }
                 None => false,
             },
         }
     }
 
-    fn ask(&mut self, index: usize, notice: &Notice, ms: u64) -> bool {
+    fn ask(&mut self, index: usize, notice: &Advertisement, ms: u64) -> bool {
         let now = at(ms);
         let kept = 0.3 * f64::from(self.hosts[index].rank + 1);
         let limit = notice.limit(1.0);
         let outlook = self.hosts[index].outlook;
-        if outlook.is_some_and(|o| o.wait(1.0 + kept, INTAKE, limit, now) > Span::ZERO) {
+        if outlook.is_some_and(|o| o.wait(1.0 + kept, REPLICA_TOLERANCE, limit, now) > Span::ZERO) {
             return false;
         }
         let arrives = self.reaches(index, ms) && !self.lost();
@@ -394,44 +394,44 @@
             true => self.limiter.as_mut().map(|l| (l, 1.0)),
             false => self.in_doubt.as_mut().map(|l| (l, 0.5)),
         };
-        let untold = host.share.untold();
+        let untold = host.share.unreported();
         let answer = giver.filter(|_| arrives).map(|(limiter, part)| {
             self.outcome.questions += 1;
-            limiter.used_alone(units(&host.name, &leader_notice, part, untold), now);
+            limiter.record_local_use(units(&host.name, &leader_notice, part, untold), now);
             let one = Units {
-                kept,
+                reserved: kept,
                 ..units(&host.name, &leader_notice, part, 1.0)
             };
-            limiter.give(one, now)
+            limiter.acquire(one, now)
         });
         match answer.filter(|_| !answer_lost) {
             Some(Ok(given)) => {
-                host.share.answered(now, untold);
-                host.share.given(1.0, given, now);
-                host.outlook = Some(Outlook::new(given.left, now));
+                host.share.record_answer(now, untold);
+                host.share.record_grant(1.0, given, now);
+                host.outlook = Some(Estimate::new(given.available, now));
                 true
             }
             Some(Err(over)) => {
-                host.share.answered(now, untold);
-                host.outlook = Some(Outlook::over(over, now));
+                host.share.record_answer(now, untold);
+                host.outlook = Some(Estimate::after_refusal(over, now));
                 false
             }
             None => {
-                host.outlook = Some(Outlook::nothing(INTAKE, now));
-                host.share.use_alone(limit, 1.0, now).is_ok()
+                host.outlook = Some(Estimate::without_answer(REPLICA_TOLERANCE, now));
+                host.share.acquire_local(limit, 1.0, now).is_ok()
             }
         }
     }
 }
 
-fn units<'a>(host: &'a Name, notice: &Notice, part: f64, count: f64) -> Units<'a, u32> {
+fn units<'a>(host: &'a Name, notice: &Advertisement, part: f64, count: f64) -> Units<'a, u32> {
     Units {
         subject: &REPLICA,
         limit: notice.limit(part),
         host,
         count,
-        kept: 0.0,
-        queues: false,
+        reserved: 0.0,
+        will_retry: false,
     }
 }
 
@@ -547,15 +547,15 @@
 #[test]
 fn the_more_urgent_go_first() {
     let (host, subject): (Name, u32) = ("h".into(), REPLICA);
-    let notice = Notice::new(2.0, at(0));
-    let mut limiter = Limiter::new(INTAKE, at(0));
+    let notice = Advertisement::new(2.0, at(0));
+    let mut limiter = Limiter::new(REPLICA_TOLERANCE, at(0));
     let mut give = |kept: f64, ms: u64| {
         let one = Units {
             subject: &subject,
-            kept,
+            reserved: kept,
             ..units(&host, &notice, 1.0, 1.0)
         };
-        limiter.give(one, at(ms)).is_ok()
+        limiter.acquire(one, at(ms)).is_ok()
     };
     let (mut urgent, mut later) = (0, 0);
     for ms in (10_000..20_000).step_by(100) {
@@ -571,18 +571,18 @@
 /// Hundreds of hosts that are given a request each now and then: only those of the last seconds are remembered.
 #[test]
 fn a_limiter_remembers_few_hosts_of_a_replica() {
-    let notice = Notice::new(1.0, at(0));
-    let mut limiter = Limiter::new(INTAKE, at(0));
+    let notice = Advertisement::new(1.0, at(0));
+    let mut limiter = Limiter::new(REPLICA_TOLERANCE, at(0));
     let mut given = 0;
     for second in 1..400 {
         let host: Name = format!("h{second}").into();
         let ms = second * 1_000;
-        limiter.used_alone(units(&host, &notice, 1.0, 0.0), at(ms));
-        let answer = limiter.give(units(&host, &notice, 1.0, 1.0), at(ms));
+        limiter.record_local_use(units(&host, &notice, 1.0, 0.0), at(ms));
+        let answer = limiter.acquire(units(&host, &notice, 1.0, 1.0), at(ms));
         given += u32::from(answer.is_ok());
     }
     assert!(given > 100, "{given} hosts were given one");
-    let hosts = limiter.hosts_of(&REPLICA);
+    let hosts = limiter.host_count(&REPLICA);
     assert!(hosts <= 20, "{hosts} hosts are remembered");
 }
 
--- a/crates/route/tests/quota.rs
+++ b/crates/route/tests/quota.rs
@@ -141,17 +141,17 @@
         while back.front().is_some_and(|(due, ..)| *due <= ms) {
             let (_, index, count, given) = back.pop_front().unwrap();
             let host = &mut hosts[index];
-            host.share.take_back(count, at(given));
+            host.share.refund(count, at(given));
             if let Some(limiter) = limiter.as_mut().filter(|_| ms >= host.cut_until) {
                 let units = Units {
                     subject: &account,
                     limit,
                     host: &host.name,
                     count,
-                    kept: 0.0,
-                    queues: true,
+                    reserved: 0.0,
+                    will_retry: true,
                 };
-                limiter.take_back(units, at(given), now);
+                limiter.refund(units, at(given), now);
             }
         }
         let demand = if half { load.demand.1 } else { load.demand.0 };
@@ -159,7 +159,7 @@
             let reaches = ms >= host.cut_until;
             // Hosts tell their sums several times a second.
             if let Some(limiter) = limiter.as_mut().filter(|_| reaches && ms % 150 == 0) {
-                limiter.heard(&host.name, now);
+                limiter.record_heartbeat(&host.name, now);
             }
             let units_a_step = demand * load.rate * host.weight / weights * STEP_MS as f64 / 1e3;
             let count = rng.random_range(400.0..2_900.0);
@@ -173,31 +173,31 @@
                 limit,
                 host: &host.name,
                 count,
-                kept: 0.0,
-                queues: true,
+                reserved: 0.0,
+                will_retry: true,
             };
-            let untold = host.share.untold();
+            let untold = host.share.unreported();
             let arrives = reaches && !rng.random_bool(trouble.lost);
             let given = limiter.as_mut().filter(|_| arrives).map(|limiter| {
-                limiter.used_alone(
+                limiter.record_local_use(
                     Units {
                         count: untold,
                         ..units
                     },
                     now,
                 );
-                limiter.give(units, now)
+                limiter.acquire(units, now)
             });
             let given = given.filter(|_| !rng.random_bool(trouble.lost));
             let runs = match given {
                 Some(given) => {
-                    host.share.answered(now, untold);
+                    host.share.record_answer(now, untold);
                     if let Ok(told) = given {
-                        host.share.given(count, told, now);
+                        host.share.record_grant(count, told, now);
                     }
                     given.is_ok()
                 }
-                None => host.share.use_alone(limit, count, now).is_ok(),
+                None => host.share.acquire_local(limit, count, now).is_ok(),
             };
             match runs {
                 true if given.is_some() && rng.random_bool(trouble.refused) => {
@@ -379,7 +379,7 @@
         rate: 1e6,
         burst: 1e6,
     };
-    assert_eq!(share.use_alone(limit, 1.0, at(0)), Err(None));
+    assert_eq!(share.acquire_local(limit, 1.0, at(0)), Err(None));
 }
 
 /// A request of more than a whole window holds is refused, and leaves no debt that would lock the account.
@@ -395,12 +395,12 @@
         limit,
         host: &host,
         count,
-        kept: 0.0,
-        queues: true,
+        reserved: 0.0,
+        will_retry: true,
     };
     let mut limiter = Limiter::new(TOLERANCE, at(0));
-    assert!(limiter.give(units(1e19), at(10_000)).is_err());
-    assert!(limiter.give(units(1_600.0), at(10_000)).is_ok());
+    assert!(limiter.acquire(units(1e19), at(10_000)).is_err());
+    assert!(limiter.acquire(units(1_600.0), at(10_000)).is_ok());
 }
 
 /// The time that is told is the time after which the same request is let in.
@@ -416,8 +416,8 @@
         limit,
         host: &host,
         count: 5_000.0,
-        kept: 0.0,
-        queues: true,
+        reserved: 0.0,
+        will_retry: true,
     };
     let mut limiter = Limiter::new(
         Tolerance {
@@ -426,8 +426,8 @@
         },
         at(0),
     );
-    limiter.give(units, at(0)).unwrap_err();
-    let wait = limiter.give(units, at(400)).unwrap_err().wait;
+    limiter.acquire(units, at(0)).unwrap_err();
+    let wait = limiter.acquire(units, at(400)).unwrap_err().retry_after;
     let back = at(400) + wait;
-    assert!(limiter.give(units, back).is_ok(), "told {wait}");
+    assert!(limiter.acquire(units, back).is_ok(), "told {wait}");
 }
