--- a/crates/daemon/src/fleet/entry.rs
+++ b/crates/daemon/src/fleet/entry.rs
@@ -1,10 +1,10 @@
 //! What is known of one upstream.
 
 use backing::hosts::{Host, Kind};
+use route::breaker::Health;
 use route::choose::{self, Candidate};
-use route::health::Health;
-use route::limit::Limit;
-use route::service::Service;
+use route::concurrency::Limit;
+use route::service_time::Service;
 use std::collections::HashMap;
 use unit::{Name, Span, Time};
 use upstream::engine::{Load, Report, State};
--- a/crates/front/src/table.rs
+++ b/crates/front/src/table.rs
@@ -37,7 +37,7 @@
 use rand::rngs::SmallRng;
 use replica::State;
 use rests::Rests;
-use route::window::Window;
+use route::windowed_budget::Window;
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
 use told::Told;
--- a/crates/front/src/table/rests.rs
+++ b/crates/front/src/table/rests.rs
@@ -3,7 +3,7 @@
 
 use super::Table;
 use platform::replica::Incarnation;
-use route::rest::Rest;
+use route::backoff::Rest;
 use std::collections::HashMap;
 use unit::{Name, Span, Time};
 
--- a/crates/route/src/choose.rs
+++ b/crates/route/src/choose.rs
@@ -4,7 +4,7 @@
 //! distance. A few candidates are sampled, so that many daemons acting on the
 //! same stale report do not all choose the same one.
 
-use crate::health::State;
+use crate::breaker::State;
 use rand::{Rng, RngExt};
 use serde::{Deserialize, Serialize};
 use unit::{Name, Span, Time, rendezvous};
--- a/crates/route/src/quarantine.rs
+++ b/crates/route/src/quarantine.rs
@@ -7,10 +7,10 @@
 //! replicas never ends well. What is asked for often ends well somewhere within a fraction of a second, and
 //! so stays served however often it runs beside such a request.
 
-mod falls;
+mod incidents;
 mod record;
 
-pub use falls::{Incident, Incidents, Instance};
+pub use incidents::{Incident, Incidents, Instance};
 
 use record::Record;
 use std::collections::{HashMap, HashSet, VecDeque};
--- a/crates/route/src/quota.rs
+++ b/crates/route/src/quota.rs
@@ -12,17 +12,17 @@
 //! [`ALONE_PART`] of the rate; a host that has just started has no share. The limiter sets aside the
 //! shares of hosts that it does not hear.
 
-mod ledger;
+mod advertisement;
+mod estimate;
 mod limiter;
-mod notice;
-mod outlook;
 mod share;
+mod sliding_sum;
 
-pub use ledger::SlidingSum;
+pub use advertisement::Advertisement;
+pub use estimate::Estimate;
 pub use limiter::{Limiter, Units};
-pub use notice::Advertisement;
-pub use outlook::Estimate;
 pub use share::Share;
+pub use sliding_sum::SlidingSum;
 
 use unit::Span;
 
--- a/crates/route/tests/rest.rs
+++ b/crates/route/tests/backoff.rs
@@ -1,7 +1,7 @@
 //! Rests that a replica asks one host for, and the return after them.
 
 use proptest::prelude::*;
-use route::rest::Rest;
+use route::backoff::Rest;
 use unit::{Span, Time};
 
 fn at(ms: u64) -> Time {
--- a/crates/route/tests/rest_ways.rs
+++ b/crates/route/tests/backoff_strategies.rs
@@ -1,10 +1,10 @@
 //! Two ways of coming back to replicas that asked for rest, beside each other in virtual time: all at once, or one request,
 //! then two, then four. Run by hand:
-//! `cargo test --release -p coveford-route --test rest_ways -- --ignored --nocapture`.
+//! `cargo test --release -p coveford-route --test backoff_strategies -- --ignored --nocapture`.
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use route::rest::Rest;
+use route::backoff::Rest;
 use std::collections::HashMap;
 use unit::{Span, Time};
 
--- a/crates/route/tests/serving.rs
+++ b/crates/route/tests/serving.rs
@@ -5,7 +5,7 @@
 use rand::rngs::SmallRng;
 use route::batch::{Ask, Candidate, choose, return_after};
 use route::routing::{Routing, split};
-use route::window::Window;
+use route::windowed_budget::Window;
 use unit::{Span, Time};
 
 const IDLE: Candidate = Candidate {
--- a/crates/standin/src/experiment/model/router.rs
+++ b/crates/standin/src/experiment/model/router.rs
@@ -3,10 +3,10 @@
 use super::engine::{BATCH, Engine, Job};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
+use route::breaker::State;
 use route::choose::{Ask, Candidate, Verdict, choose};
-use route::health::State;
-use route::limit::Limit;
-use route::service::Service;
+use route::concurrency::Limit;
+use route::service_time::Service;
 use unit::{Name, Span, Time};
 
 /// How requests are routed.
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,10 +1,10 @@
 //! Inner protocol between coveford's own processes: frames in MessagePack, sealed with a shared key.
 
+mod codec;
 mod frame;
-mod seal;
 
+pub use codec::{Error, Key, MOST_BYTES, open, seal};
 pub use frame::{Demand, Frame, Load};
-pub use seal::{Error, Key, MOST_BYTES, open, seal};
 
 /// Path at which a daemon takes frames.
 pub const PATH: &str = "/wire";
