--- a/crates/daemon/src/entry/answer.rs
+++ b/crates/daemon/src/entry/answer.rs
@@ -8,7 +8,7 @@
 use crate::teller::Decision;
 use conn::Reuse;
 use route::choose;
-use route::queue::Shed;
+use route::queue::Rejection;
 use route::retry::{self, Known, Next, Outcome};
 use std::sync::Arc;
 use std::time::Duration;
@@ -441,12 +441,12 @@
     fn placeless(&mut self, placeless: Placeless) -> Fault {
         let outcome = self.true_outcome();
         let (code, message, retry) = match placeless {
-            Placeless::Shed(Shed::Full) => (
+            Placeless::Shed(Rejection::Full) => (
                 "overloaded",
                 "The queue is full of requests that go before this one.",
                 SHED_RETRY,
             ),
-            Placeless::Shed(Shed::Late) => (
+            Placeless::Shed(Rejection::Expired) => (
                 "too_late",
                 "The request cannot be answered before its deadline.",
                 SHED_RETRY,
--- a/crates/daemon/src/entry/service.rs
+++ b/crates/daemon/src/entry/service.rs
@@ -11,7 +11,7 @@
 use hyper::header::{self, HeaderMap, HeaderName};
 use hyper::{Method, Request};
 use route::choose;
-use route::queue::Shed;
+use route::queue::Rejection;
 use route::retry::{self, End, Known, Next, Outcome};
 use std::sync::Arc;
 use unit::{Name, Span, rendezvous};
@@ -174,8 +174,12 @@
     let placed = core.fleet.acquire(want, most).await;
     placed.map_err(|placeless| {
         let message = match placeless {
-            Placeless::Shed(Shed::Full) => "The queue is full of requests that go before this one.",
-            Placeless::Shed(Shed::Late) => "The request cannot be answered before its deadline.",
+            Placeless::Shed(Rejection::Full) => {
+                "The queue is full of requests that go before this one."
+            }
+            Placeless::Shed(Rejection::Expired) => {
+                "The request cannot be answered before its deadline."
+            }
             Placeless::Absent => "No upstream of this service is there at the moment.",
         };
         match Outcome::unanswered(may_have_run) {
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -15,7 +15,7 @@
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
 use route::choose::Ask;
-use route::queue::{Shed, Ticket};
+use route::queue::{Rejection, Ticket};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -51,7 +51,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Placeless {
     /// It was shed.
-    Shed(Shed),
+    Shed(Rejection),
     /// No upstream holds what it asked for.
     Absent,
 }
@@ -89,9 +89,9 @@
         let until = self.clock.instant(waiting.until);
         match timeout_at(until, waiting.receiver).await {
             Ok(Ok(grant)) => grant,
-            Ok(Err(_)) => Err(Placeless::Shed(Shed::Full)),
+            Ok(Err(_)) => Err(Placeless::Shed(Rejection::Full)),
             Err(_) if waiting.until < deadline => Err(Placeless::Absent),
-            Err(_) => Err(Placeless::Shed(Shed::Late)),
+            Err(_) => Err(Placeless::Shed(Rejection::Expired)),
         }
     }
 
@@ -183,7 +183,7 @@
     if let Some(wait) = queue.expected_wait(now, want.priority)
         && now + wait > want.deadline
     {
-        return Err(Placeless::Shed(Shed::Late));
+        return Err(Placeless::Shed(Rejection::Expired));
     }
     let (sender, receiver) = oneshot::channel();
     let ticket = Ticket {
@@ -196,7 +196,10 @@
     };
     queue.expire(now, |waiter| waiter.sender.is_closed());
     if let Some(shed) = queue.push(now, ticket) {
-        let _ = shed.payload.sender.send(Err(Placeless::Shed(Shed::Full)));
+        let _ = shed
+            .payload
+            .sender
+            .send(Err(Placeless::Shed(Rejection::Full)));
     }
     Ok(Waiting { receiver, until })
 }
--- a/crates/daemon/src/fleet/tables.rs
+++ b/crates/daemon/src/fleet/tables.rs
@@ -142,7 +142,7 @@
             .queues
             .entry(target.clone())
             .or_insert_with(|| Queue::new(most));
-        queue.set_most(most);
+        queue.set_capacity(most);
         queue
     }
 
--- a/crates/front/src/routes.rs
+++ b/crates/front/src/routes.rs
@@ -3,7 +3,7 @@
 use crate::accounts::{self, Accounts};
 use platform::account::Account;
 use platform::config::{Config, Engine, Limits, Route, Service};
-use route::routing::Routing;
+use route::routing::Router;
 use std::collections::HashMap;
 use std::sync::Arc;
 use unit::Name;
@@ -19,7 +19,7 @@
     pub limits: Limits,
     /// Client accounts; none when requests need no key.
     pub accounts: Option<Accounts>,
-    table: Routing<Route>,
+    table: Router<Route>,
     /// Ranks of urgency that its routes may have: one more than the highest number.
     levels: u8,
     services: HashMap<Name, Arc<Service>>,
@@ -42,7 +42,7 @@
         revision,
         limits: config.limits,
         accounts: config.accounts.map(accounts::build),
-        table: Routing::new(routes),
+        table: Router::new(routes),
         levels,
         services: services.collect(),
     }
--- a/crates/front/src/serve/admit.rs
+++ b/crates/front/src/serve/admit.rs
@@ -187,7 +187,7 @@
 
 /// Answer to a request that would wait too long for its first token.
 fn overloaded(expected: Span, target: Span, coming: Option<Span>) -> Fault {
-    let wait = batch::return_after(expected, target, coming);
+    let wait = batch::retry_after(expected, target, coming);
     let wait = wait.max(RETURN_RANGE.0).min(RETURN_RANGE.1);
     let message = format!("The request would wait {expected} for its first token.");
     Fault::not_run("overloaded", message, wait)
--- a/crates/front/src/serve/read.rs
+++ b/crates/front/src/serve/read.rs
@@ -74,7 +74,7 @@
     let (body, room) = read_body(state, routes, body, deadline).await?;
     let id = ask.id.clone().unwrap_or_else(|| "-".into());
     let hash = rendezvous::hash(id.as_bytes());
-    let service = route::routing::split(&route.services, hash);
+    let service = route::routing::pick_weighted(&route.services, hash);
     let service = service.cloned().ok_or_else(|| {
         Fault::not_run("no_service", "The route leads to no service.", RETURN_LATER)
     })?;
--- a/crates/front/src/table.rs
+++ b/crates/front/src/table.rs
@@ -37,7 +37,7 @@
 use rand::rngs::SmallRng;
 use replica::State;
 use rests::Rests;
-use route::windowed_budget::Window;
+use route::windowed_budget::WindowedBudget;
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
 use told::Told;
@@ -68,7 +68,7 @@
     rests: Rests,
     paces: Paces,
     /// Retry budgets by service.
-    windows: HashMap<Name, Window>,
+    windows: HashMap<Name, WindowedBudget>,
     demand: Demands,
     told: Told,
     /// When what was told before was set aside.
@@ -293,9 +293,9 @@
     /// Notes the arrival of a request, for the demand and for the retry budget.
     pub fn arrived(&mut self, service: &Name, ask: &Ask, bounds: &Bounds, now: Time) {
         let length = bounds.retry_window.into();
-        let new = || Window::new(bounds.retry_share, bounds.retry_slack, length);
+        let new = || WindowedBudget::new(bounds.retry_share, bounds.retry_slack, length);
         let window = self.windows.entry(service.clone()).or_insert_with(new);
-        window.arrived(now);
+        window.record_request(now);
         if let Some(model) = &ask.model {
             self.demand.arrived(service, model, ask.prompt, now);
         }
--- a/crates/front/src/table/choose.rs
+++ b/crates/front/src/table/choose.rs
@@ -142,22 +142,22 @@
         let ask = batch_ask(want, engine, self.blur(now));
         let is_unheard = |at: &usize| {
             let id = &found[*at].entry.id;
-            candidates[*at].takes(&ask) && self.is_unheard(id, now)
+            candidates[*at].is_available(&ask) && self.is_unheard(id, now)
         };
         let unheard = (0..found.len()).find(is_unheard);
         let (at, first_token) = match unheard {
-            Some(at) => (at, candidates[at].first_token(&ask)),
+            Some(at) => (at, candidates[at].ttft(&ask)),
             None => batch::choose(&ask, &candidates, &mut self.rng).ok_or(Nowhere::NoReplica)?,
         };
-        let takes = |seen: &&Seen| self.candidate(&seen.entry, &terms).takes(&ask);
-        let crowded = !candidates[at].takes(&ask) && beside.iter().any(takes);
+        let takes = |seen: &&Seen| self.candidate(&seen.entry, &terms).is_available(&ask);
+        let crowded = !candidates[at].is_available(&ask) && beside.iter().any(takes);
         Ok(Choice {
             replica: found[at].entry.id.clone(),
             addr: found[at].entry.addr,
             first_token,
-            paced: candidates[at].is_paced(&ask),
-            held_up: candidates[at].is_held_up(&ask),
-            free: candidates.iter().any(Candidate::has_place),
+            paced: candidates[at].fits_prefill_limit(&ask),
+            held_up: candidates[at].exceeds_prefill_limit(&ask),
+            free: candidates.iter().any(Candidate::has_free_slot),
             crowded,
             candidates: candidates.len(),
             revision: found[at].revision,
@@ -229,7 +229,7 @@
             rests,
         };
         let rest = self.rest(&entry.id, entry.incarnation, now);
-        if let Some(turn) = rest.and_then(|rest| rest.turn(now)) {
+        if let Some(turn) = rest.and_then(|rest| rest.wait(now)) {
             return Some(full(turn, true));
         }
         let state = self.replicas.get(&entry.id)?;
@@ -258,26 +258,26 @@
         Candidate {
             slots: entry.slots,
             in_flight: f64::from(load.requests),
-            ahead: ms(load.unread[..=rank].iter().sum()),
-            backlog: ms(load.unread.iter().sum()),
-            reading: terms.pace.reading(model, ask, kept),
-            reserved: f64::from(load.reserved),
-            memory: terms.memory,
-            run: terms.pace.run,
-            near: entry.hall == self.hall,
-            failing: state.failing.at(terms.now),
-            lagging: state.lagging.at(terms.now),
+            prefill_ahead: ms(load.unread[..=rank].iter().sum()),
+            prefill_backlog: ms(load.unread.iter().sum()),
+            prefill: terms.pace.reading(model, ask, kept),
+            reserved_tokens: f64::from(load.reserved),
+            token_capacity: terms.memory,
+            decode: terms.pace.run,
+            same_hall: entry.hall == self.hall,
+            failure_rate: state.failing.at(terms.now),
+            stall_rate: state.lagging.at(terms.now),
         }
     }
 }
 
 /// What a request asks of a batch.
-fn batch_ask(want: &Want, engine: Option<&Engine>, blur: Span) -> batch::Ask {
+fn batch_ask(want: &Want, engine: Option<&Engine>, blur: Span) -> batch::Request {
     let stride = engine.map_or(1, |e| e.stride);
-    batch::Ask {
+    batch::Request {
         tokens: tokens(want.ask) as f64,
-        pace: want.gap.map(|gap| step_pace(gap, stride)),
-        blur,
+        prefill_limit: want.gap.map(|gap| step_pace(gap, stride)),
+        jitter: blur,
     }
 }
 
--- a/crates/front/src/table/limits.rs
+++ b/crates/front/src/table/limits.rs
@@ -278,7 +278,7 @@
     /// Counts a request of this host in that waits for room at a replica, or out.
     pub fn hold(&mut self, id: &str, waits: bool) {
         if let Some((_, rest)) = self.rests.get_mut(id) {
-            rest.hold(waits);
+            rest.count_waiting(waits);
         }
         if let Some(need) = self.need(id) {
             need.held = match waits {
--- a/crates/front/src/table/permit.rs
+++ b/crates/front/src/table/permit.rs
@@ -33,7 +33,7 @@
             return Err(closed);
         }
         if let Some((_, rest)) = self.rests.get_mut(id) {
-            rest.sent(now);
+            rest.record_sent(now);
         }
         Ok(Permit(()))
     }
@@ -45,6 +45,6 @@
             return Some(Closed::Leaves);
         };
         let rest = self.rest(id, seen.entry.incarnation, now)?;
-        rest.turn(now).map(Closed::Rests)
+        rest.wait(now).map(Closed::Rests)
     }
 }
--- a/crates/front/src/table/rests.rs
+++ b/crates/front/src/table/rests.rs
@@ -3,12 +3,12 @@
 
 use super::Table;
 use platform::replica::Incarnation;
-use route::backoff::Rest;
+use route::backoff::Backoff;
 use std::collections::HashMap;
 use unit::{Name, Span, Time};
 
 /// Rests by replica, with the incarnation that asked for each.
-pub(super) type Rests = HashMap<Name, (Incarnation, Rest)>;
+pub(super) type Rests = HashMap<Name, (Incarnation, Backoff)>;
 
 /// What changed when a replica asked for rest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -40,23 +40,23 @@
         }
         let rest = match known {
             Some((_, rest)) => {
-                rest.ask(time, now);
+                rest.extend(time, now);
                 *rest
             }
             None => {
-                let rest = Rest::new(time, now);
+                let rest = Backoff::new(time, now);
                 self.rests.insert(id.clone(), (incarnation, rest));
                 rest
             }
         };
         Some(Asked {
             first,
-            left: rest.left(now),
+            left: rest.remaining(now),
         })
     }
 
     /// Rest that an incarnation of a replica asked this host for, while it or the return from it lasts.
-    pub(super) fn rest(&self, id: &str, incarnation: Incarnation, now: Time) -> Option<&Rest> {
+    pub(super) fn rest(&self, id: &str, incarnation: Incarnation, now: Time) -> Option<&Backoff> {
         let (of, rest) = self.rests.get(id)?;
         (*of == incarnation && !rest.is_over(now)).then_some(rest)
     }
@@ -72,7 +72,7 @@
     pub fn rest_times(&self, now: Time) -> Vec<(Name, Span)> {
         let holds = |id: &Name, of: &Incarnation| !self.view.knows_other(id, *of);
         let rests = self.rests.iter().filter(|(id, (of, _))| holds(id, of));
-        let left = rests.map(|(id, (_, rest))| (id.clone(), rest.left(now)));
+        let left = rests.map(|(id, (_, rest))| (id.clone(), rest.remaining(now)));
         let mut left: Vec<(Name, Span)> = left.collect();
         left.sort_by_key(|(_, left)| std::cmp::Reverse(*left));
         left
@@ -81,7 +81,7 @@
     /// Takes out the replicas whose rest and the return from it are over, or that have started again.
     pub fn end_rests(&mut self, now: Time) -> Vec<Name> {
         let view = &self.view;
-        let is_over = |id: &Name, of: &Incarnation, rest: &Rest| {
+        let is_over = |id: &Name, of: &Incarnation, rest: &Backoff| {
             rest.is_over(now) || view.knows_other(id, *of)
         };
         let over = self
--- a/crates/route/src/backoff.rs
+++ b/crates/route/src/backoff.rs
@@ -13,7 +13,7 @@
 
 /// Rest that a replica asked one host for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Rest {
+pub struct Backoff {
     /// When it ends.
     until: Time,
     /// Requests that were sent since then.
@@ -22,10 +22,10 @@
     waiting: u32,
 }
 
-impl Rest {
+impl Backoff {
     /// Rest of a time from now on.
-    pub fn new(time: Span, now: Time) -> Rest {
-        Rest {
+    pub fn new(time: Span, now: Time) -> Backoff {
+        Backoff {
             until: now + time,
             sent: 0,
             waiting: 0,
@@ -33,15 +33,15 @@
     }
 
     /// Takes in that the replica asks again. A longer time that was asked for before holds on, and the return begins anew.
-    pub fn ask(&mut self, time: Span, now: Time) {
-        *self = Rest {
+    pub fn extend(&mut self, time: Span, now: Time) {
+        *self = Backoff {
             waiting: self.waiting,
-            ..Rest::new(time.max(self.left(now)), now)
+            ..Backoff::new(time.max(self.remaining(now)), now)
         };
     }
 
     /// Time that is left of it.
-    pub fn left(&self, now: Time) -> Span {
+    pub fn remaining(&self, now: Time) -> Span {
         self.until.since(now)
     }
 
@@ -51,23 +51,23 @@
     }
 
     /// Time until a request would have its turn behind those that wait; none if one may be sent now.
-    pub fn turn(&self, now: Time) -> Option<Span> {
-        let is_closed = now < self.opens(self.sent);
+    pub fn wait(&self, now: Time) -> Option<Span> {
+        let is_closed = now < self.opens_at(self.sent);
         is_closed.then(|| {
-            self.opens(self.sent.saturating_add(self.waiting))
+            self.opens_at(self.sent.saturating_add(self.waiting))
                 .since(now)
         })
     }
 
     /// When a request may be sent behind so many since the end.
-    fn opens(&self, before: u32) -> Time {
+    fn opens_at(&self, before: u32) -> Time {
         // Requests that may be sent by the end of each step: 1, 3, 7.
         let step = (0..STEPS).find(|step| before < (2 << step) - 1);
         self.until + STEP * f64::from(step.unwrap_or(STEPS))
     }
 
     /// Counts a request in that waits for its turn, or out.
-    pub fn hold(&mut self, waits: bool) {
+    pub fn count_waiting(&mut self, waits: bool) {
         self.waiting = match waits {
             true => self.waiting.saturating_add(1),
             false => self.waiting.saturating_sub(1),
@@ -75,7 +75,7 @@
     }
 
     /// Notes that a request is sent.
-    pub fn sent(&mut self, now: Time) {
+    pub fn record_sent(&mut self, now: Time) {
         if now >= self.until {
             self.sent = self.sent.saturating_add(1);
         }
--- a/crates/route/src/batch.rs
+++ b/crates/route/src/batch.rs
@@ -32,94 +32,95 @@
     /// Requests in flight there, as far as they are known here.
     pub in_flight: f64,
     /// Time to read the prompts sent there that are as urgent or more, and not read yet.
-    pub ahead: Span,
+    pub prefill_ahead: Span,
     /// Time to read all prompts sent there and not read yet.
-    pub backlog: Span,
+    pub prefill_backlog: Span,
     /// Time to read what it does not keep of this prompt.
-    pub reading: Span,
+    pub prefill: Span,
     /// Tokens that the requests in flight there need at the most.
-    pub reserved: f64,
+    pub reserved_tokens: f64,
     /// Tokens that its memory holds; 0 when it is not limited.
-    pub memory: f64,
+    pub token_capacity: f64,
     /// Time of one request there from its first token to its last.
-    pub run: Span,
+    pub decode: Span,
     /// Whether it stands in this host's hall.
-    pub near: bool,
+    pub same_hall: bool,
     /// Smoothed share of its answers that failed.
-    pub failing: f64,
+    pub failure_rate: f64,
     /// Smoothed mark of long pauses in its streams, from 0 to 1: it is slow, or has too much to do.
-    pub lagging: f64,
+    pub stall_rate: f64,
 }
 
 /// What is asked of a replica.
 #[derive(Debug, Clone, Copy)]
-pub struct Ask {
+pub struct Request {
     /// Tokens that prompt and answer need together.
     pub tokens: f64,
     /// Time of reading that a replica may have before it at once, so that the streams which run
     /// there make no longer pauses than they may; none when there is no such bound.
-    pub pace: Option<Span>,
+    pub prefill_limit: Option<Span>,
     /// Width of the random part of a cost, so that hosts with equal tables do not choose alike: about
     /// the work that other hosts may have sent since the tables were told.
-    pub blur: Span,
+    pub jitter: Span,
 }
 
 impl Candidate {
     /// Expected time to the first token.
-    pub fn first_token(&self, ask: &Ask) -> Span {
-        self.ahead + self.reading + self.place_wait(ask)
+    pub fn ttft(&self, ask: &Request) -> Span {
+        self.prefill_ahead + self.prefill + self.slot_wait(ask)
     }
 
     /// Time until the batch and the memory have room.
-    fn place_wait(&self, ask: &Ask) -> Span {
+    fn slot_wait(&self, ask: &Request) -> Span {
         let slots = f64::from(self.slots.max(1));
         let beyond = (self.in_flight + 1.0 - slots).max(0.0);
-        let places = self.run * (beyond / slots);
-        if self.memory <= 0.0 {
+        let places = self.decode * (beyond / slots);
+        if self.token_capacity <= 0.0 {
             return places;
         }
-        let over = (self.reserved + ask.tokens - self.memory).max(0.0);
-        places.max(self.run * (over / self.memory))
+        let over = (self.reserved_tokens + ask.tokens - self.token_capacity).max(0.0);
+        places.max(self.decode * (over / self.token_capacity))
     }
 
     /// Whether a place of the batch is free, so that a request would not wait for one.
-    pub fn has_place(&self) -> bool {
+    pub fn has_free_slot(&self) -> bool {
         self.in_flight + 1.0 <= f64::from(self.slots)
     }
 
     /// Whether a request would neither wait for a place there nor hold up those that run.
-    pub fn takes(&self, ask: &Ask) -> bool {
-        self.is_paced(ask) && self.has_place()
+    pub fn is_available(&self, ask: &Request) -> bool {
+        self.fits_prefill_limit(ask) && self.has_free_slot()
     }
 
     /// Whether the prompt can be read there now without a long pause for those that run.
-    pub fn is_paced(&self, ask: &Ask) -> bool {
-        let fits = |pace| self.backlog + self.reading <= pace;
-        self.backlog == Span::ZERO || ask.pace.is_none_or(fits)
+    pub fn fits_prefill_limit(&self, ask: &Request) -> bool {
+        let fits = |pace| self.prefill_backlog + self.prefill <= pace;
+        self.prefill_backlog == Span::ZERO || ask.prefill_limit.is_none_or(fits)
     }
 
     /// Whether what is to be read there already holds up those that run for as long as it may, however
     /// long the prompt of the request itself is.
-    pub fn is_held_up(&self, ask: &Ask) -> bool {
-        ask.pace.is_some_and(|pace| self.backlog > pace)
+    pub fn exceeds_prefill_limit(&self, ask: &Request) -> bool {
+        ask.prefill_limit
+            .is_some_and(|pace| self.prefill_backlog > pace)
     }
 
     /// Cost of sending the request there.
-    fn cost(&self, ask: &Ask, rng: &mut impl Rng) -> Span {
-        let distance = match self.near {
+    fn cost(&self, ask: &Request, rng: &mut impl Rng) -> Span {
+        let distance = match self.same_hall {
             true => Span::ZERO,
             false => OTHER_HALL,
         };
-        let late = match self.is_paced(ask) {
+        let late = match self.fits_prefill_limit(ask) {
             true => Span::ZERO,
-            false => self.backlog,
+            false => self.prefill_backlog,
         };
-        let jitter = Span(rng.random_range(0..=ask.blur.0));
-        let lagging = LAGGING * self.lagging;
+        let jitter = Span(rng.random_range(0..=ask.jitter.0));
+        let lagging = LAGGING * self.stall_rate;
         let taken = (self.in_flight / f64::from(self.slots.max(1))).min(1.0);
         let taken = TAKEN * (taken * taken);
-        let failing = 1.0 + FAILING_CHARGE * self.failing;
-        (self.first_token(ask) + late + taken + lagging + distance + jitter) * failing
+        let failing = 1.0 + FAILING_CHARGE * self.failure_rate;
+        (self.ttft(ask) + late + taken + lagging + distance + jitter) * failing
     }
 }
 
@@ -128,17 +129,21 @@
 
 /// Time after which the client of a request that would wait too long may come back: when that wait
 /// has mostly passed, but not before one more copy of its model is there, if one is on its way.
-pub fn return_after(expected: Span, target: Span, coming: Option<Span>) -> Span {
+pub fn retry_after(expected: Span, target: Span, coming: Option<Span>) -> Span {
     let passed = expected.saturating_sub(target * BACK_WITHIN);
     passed.max(coming.unwrap_or(Span::ZERO))
 }
 
 /// Index of the cheapest candidate, and its expected time to the first token.
-pub fn choose(ask: &Ask, candidates: &[Candidate], rng: &mut impl Rng) -> Option<(usize, Span)> {
-    let sound = candidates.iter().any(|c| c.failing < FAILING);
+pub fn choose(
+    ask: &Request,
+    candidates: &[Candidate],
+    rng: &mut impl Rng,
+) -> Option<(usize, Span)> {
+    let sound = candidates.iter().any(|c| c.failure_rate < FAILING);
     let mut best: Option<(usize, Span)> = None;
     for (i, candidate) in candidates.iter().enumerate() {
-        if sound && candidate.failing >= FAILING {
+        if sound && candidate.failure_rate >= FAILING {
             continue;
         }
         let cost = candidate.cost(ask, rng);
@@ -146,5 +151,5 @@
             best = Some((i, cost));
         }
     }
-    best.map(|(i, _)| (i, candidates[i].first_token(ask)))
+    best.map(|(i, _)| (i, candidates[i].ttft(ask)))
 }
--- a/crates/route/src/queue.rs
+++ b/crates/route/src/queue.rs
@@ -33,17 +33,17 @@
 
 /// Why a request was shed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Shed {
+pub enum Rejection {
     /// The queue is full of requests that go before it.
     Full,
     /// Its deadline has passed.
-    Late,
+    Expired,
 }
 
 /// Bounded queue.
 #[derive(Debug)]
 pub struct Queue<T> {
-    most: usize,
+    capacity: usize,
     tickets: Vec<Ticket<T>>,
     served: HashMap<Name, f64>,
     floor: f64,
@@ -63,7 +63,7 @@
     /// Makes a queue for `most` requests.
     pub fn new(most: usize) -> Queue<T> {
         Queue {
-            most,
+            capacity: most,
             tickets: Vec::new(),
             served: HashMap::new(),
             floor: 0.0,
@@ -116,14 +116,14 @@
     }
 
     /// Changes the bound; requests that wait already stay.
-    pub fn set_most(&mut self, most: usize) {
-        self.most = most;
+    pub fn set_capacity(&mut self, most: usize) {
+        self.capacity = most;
     }
 
     /// Takes a request in; gives back the one that had to go, which may be itself.
     pub fn push(&mut self, now: Time, ticket: Ticket<T>) -> Option<Ticket<T>> {
         self.tickets.push(ticket);
-        if self.tickets.len() <= self.most {
+        if self.tickets.len() <= self.capacity {
             return None;
         }
         let held = self.held();
--- a/crates/route/src/routing.rs
+++ b/crates/route/src/routing.rs
@@ -5,20 +5,20 @@
 
 /// Table from hosts and beginnings of paths to routes of any type.
 #[derive(Debug, Clone, Default)]
-pub struct Routing<R> {
+pub struct Router<R> {
     hosts: HashMap<String, HashMap<String, Arc<R>>>,
 }
 
-impl<R> Routing<R> {
+impl<R> Router<R> {
     /// Makes a table from hosts, beginnings of paths (each ends with a slash) and routes.
-    pub fn new(routes: impl IntoIterator<Item = (String, String, R)>) -> Routing<R> {
+    pub fn new(routes: impl IntoIterator<Item = (String, String, R)>) -> Router<R> {
         let mut hosts: HashMap<String, HashMap<String, Arc<R>>> = HashMap::new();
         for (host, prefix, route) in routes {
             let host = host.to_ascii_lowercase();
             let paths = hosts.entry(host).or_default();
             paths.insert(prefix, Arc::new(route));
         }
-        Routing { hosts }
+        Router { hosts }
     }
 
     /// The route with the longest beginning of `path` at `host`; a port behind the host is ignored.
@@ -32,7 +32,7 @@
 }
 
 /// Picks one of weighted alternatives by a hash, so that the same request always goes one way.
-pub fn split<T>(alternatives: &[(T, u32)], hash: u64) -> Option<&T> {
+pub fn pick_weighted<T>(alternatives: &[(T, u32)], hash: u64) -> Option<&T> {
     let sum: u64 = alternatives.iter().map(|(_, w)| u64::from(*w)).sum();
     let mut at = hash.checked_rem(sum)?;
     for (alternative, weight) in alternatives {
--- a/crates/route/src/windowed_budget.rs
+++ b/crates/route/src/windowed_budget.rs
@@ -14,7 +14,7 @@
 
 /// Sliding counts of requests and retries of one service at one host.
 #[derive(Debug, Clone)]
-pub struct Window {
+pub struct WindowedBudget {
     share: f64,
     slack: f64,
     length: Span,
@@ -29,10 +29,10 @@
     retries: u32,
 }
 
-impl Window {
+impl WindowedBudget {
     /// Makes an empty window: `share` of the requests in `length`, and `slack` over all hosts.
-    pub fn new(share: f64, slack: f64, length: Span) -> Window {
-        Window {
+    pub fn new(share: f64, slack: f64, length: Span) -> WindowedBudget {
+        WindowedBudget {
             share,
             slack,
             length,
@@ -64,7 +64,7 @@
     }
 
     /// Notes a request.
-    pub fn arrived(&mut self, now: Time) {
+    pub fn record_request(&mut self, now: Time) {
         self.step(now).requests += 1;
     }
 
--- a/crates/route/tests/backoff.rs
+++ b/crates/route/tests/backoff.rs
@@ -1,7 +1,7 @@
 //! Rests that a replica asks one host for, and the return after them.
 
 use proptest::prelude::*;
-use route::backoff::Rest;
+use route::backoff::Backoff;
 use unit::{Span, Time};
 
 fn at(ms: u64) -> Time {
@@ -10,12 +10,12 @@
 
 #[test]
 fn the_return_is_one_then_two_then_four_requests() {
-    let mut rest = Rest::new(Span::from_ms(1_000), at(0));
-    assert_eq!(rest.turn(at(400)), Some(Span::from_ms(600)));
+    let mut rest = Backoff::new(Span::from_ms(1_000), at(0));
+    assert_eq!(rest.wait(at(400)), Some(Span::from_ms(600)));
     let mut sent = Vec::new();
     for ms in (1_000..2_000).step_by(10) {
-        while rest.turn(at(ms)).is_none() && !rest.is_over(at(ms)) {
-            rest.sent(at(ms));
+        while rest.wait(at(ms)).is_none() && !rest.is_over(at(ms)) {
+            rest.record_sent(at(ms));
             sent.push(ms);
         }
     }
@@ -25,16 +25,16 @@
 
 #[test]
 fn those_that_wait_have_their_turns_one_behind_the_other() {
-    let mut rest = Rest::new(Span::from_ms(1_000), at(0));
+    let mut rest = Backoff::new(Span::from_ms(1_000), at(0));
     let turns = [1_000, 1_300, 1_300, 1_600, 1_600, 1_600, 1_600, 1_900];
     for turn in turns {
-        assert_eq!(rest.turn(at(0)), Some(Span::from_ms(turn)));
-        rest.hold(true);
+        assert_eq!(rest.wait(at(0)), Some(Span::from_ms(turn)));
+        rest.count_waiting(true);
     }
     for _ in turns {
-        rest.hold(false);
+        rest.count_waiting(false);
     }
-    assert_eq!(rest.turn(at(0)), Some(Span::from_ms(1_000)));
+    assert_eq!(rest.wait(at(0)), Some(Span::from_ms(1_000)));
 }
 
 proptest! {
@@ -44,25 +44,25 @@
         steps in proptest::collection::vec((0u64..900, 0u64..4_000, any::<bool>()), 1..40),
     ) {
         let mut now = 0;
-        let mut rest: Option<Rest> = None;
+        let mut rest: Option<Backoff> = None;
         let mut ends = Vec::new();
         for (passed, time, asks) in steps {
             now += passed;
             if asks {
                 let time = Span::from_ms(time);
                 match &mut rest {
-                    Some(rest) => rest.ask(time, at(now)),
-                    None => rest = Some(Rest::new(time, at(now))),
+                    Some(rest) => rest.extend(time, at(now)),
+                    None => rest = Some(Backoff::new(time, at(now))),
                 }
                 ends.push(at(now) + time);
             }
             let last = ends.iter().max().copied().unwrap_or(Time(0));
             if let Some(rest) = &mut rest {
-                let may_send = rest.turn(at(now)).is_none();
+                let may_send = rest.wait(at(now)).is_none();
                 prop_assert!(!may_send || at(now) >= last, "within a rest");
                 prop_assert!(may_send || at(now) < last + Span::from_ms(900) || asks);
                 if may_send {
-                    rest.sent(at(now));
+                    rest.record_sent(at(now));
                 }
             }
         }
--- a/crates/route/tests/backoff_strategies.rs
+++ b/crates/route/tests/backoff_strategies.rs
@@ -4,7 +4,7 @@
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use route::backoff::Rest;
+use route::backoff::Backoff;
 use std::collections::HashMap;
 use unit::{Span, Time};
 
@@ -63,10 +63,10 @@
     }
 }
 
-fn may_send(way: Way, rest: Option<&Rest>, now: Time) -> bool {
+fn may_send(way: Way, rest: Option<&Backoff>, now: Time) -> bool {
     rest.is_none_or(|rest| match way {
-        Way::AtOnce => rest.left(now) == Span::ZERO,
-        Way::Doubling => rest.turn(now).is_none(),
+        Way::AtOnce => rest.remaining(now) == Span::ZERO,
+        Way::Doubling => rest.wait(now).is_none(),
     })
 }
 
@@ -77,7 +77,7 @@
         queue: Vec::new(),
     };
     let mut replicas: Vec<Replica> = (0..REPLICAS).map(|_| new()).collect();
-    let mut rests: HashMap<(usize, usize), Rest> = HashMap::new();
+    let mut rests: HashMap<(usize, usize), Backoff> = HashMap::new();
     let mut known = vec![[0; REPLICAS]; hosts];
     let mut figures = Figures::default();
     let a_ms = load * (REPLICAS * SLOTS) as f64 / RUN_MS as f64;
@@ -110,7 +110,7 @@
                 let Some((_, r)) = best else { return false };
                 tried.push(r);
                 if let Some(rest) = rests.get_mut(&(host, r)) {
-                    rest.sent(now);
+                    rest.record_sent(now);
                 }
                 if r < weak && ms >= DAY_MS - 1_000 {
                     figures.back += 1;
@@ -121,8 +121,8 @@
                     return true;
                 }
                 figures.turned_away += 1;
-                let rest = rests.entry((host, r)).or_insert(Rest::new(REST, now));
-                rest.ask(REST, now);
+                let rest = rests.entry((host, r)).or_insert(Backoff::new(REST, now));
+                rest.extend(REST, now);
                 false
             });
             figures.refused += u32::from(!taken);
--- a/crates/route/tests/serving.rs
+++ b/crates/route/tests/serving.rs
@@ -3,29 +3,29 @@
 use proptest::prelude::*;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
-use route::batch::{Ask, Candidate, choose, return_after};
-use route::routing::{Routing, split};
-use route::windowed_budget::Window;
+use route::batch::{Candidate, Request, choose, retry_after};
+use route::routing::{Router, pick_weighted};
+use route::windowed_budget::WindowedBudget;
 use unit::{Span, Time};
 
 const IDLE: Candidate = Candidate {
     slots: 8,
     in_flight: 0.0,
-    ahead: Span::ZERO,
-    backlog: Span::ZERO,
-    reading: Span::from_ms(70),
-    reserved: 0.0,
-    memory: 10_000.0,
-    run: Span::from_ms(2_000),
-    near: true,
-    failing: 0.0,
-    lagging: 0.0,
+    prefill_ahead: Span::ZERO,
+    prefill_backlog: Span::ZERO,
+    prefill: Span::from_ms(70),
+    reserved_tokens: 0.0,
+    token_capacity: 10_000.0,
+    decode: Span::from_ms(2_000),
+    same_hall: true,
+    failure_rate: 0.0,
+    stall_rate: 0.0,
 };
 
-const ASK: Ask = Ask {
+const ASK: Request = Request {
     tokens: 1_600.0,
-    pace: Some(Span::from_ms(130)),
-    blur: Span::from_ms(2),
+    prefill_limit: Some(Span::from_ms(130)),
+    jitter: Span::from_ms(2),
 };
 
 fn pick(candidates: &[Candidate]) -> usize {
@@ -36,24 +36,27 @@
 #[test]
 fn a_replica_with_prompts_to_read_is_passed_over() {
     let busy = Candidate {
-        ahead: Span::from_ms(90),
-        backlog: Span::from_ms(90),
+        prefill_ahead: Span::from_ms(90),
+        prefill_backlog: Span::from_ms(90),
         ..IDLE
     };
     assert_eq!(pick(&[busy, IDLE]), 1);
-    assert!(!busy.is_paced(&ASK), "90 + 70 ms are more than 130");
+    assert!(
+        !busy.fits_prefill_limit(&ASK),
+        "90 + 70 ms are more than 130"
+    );
 }
 
 /// ddrct-coveford-grown scale-1: 24% of the streams paused too long, also those of models with twelve
 /// holders and more: all hosts chose the same one until the next sums told them.
 #[test]
 fn hosts_with_the_same_table_spread_over_replicas_that_are_nearly_alike() {
-    let ask = Ask {
-        blur: Span::from_ms(40),
+    let ask = Request {
+        jitter: Span::from_ms(40),
         ..ASK
     };
     let slightly_better = Candidate {
-        reading: Span::from_ms(65),
+        prefill: Span::from_ms(65),
         ..IDLE
     };
     let mut candidates = vec![IDLE; 5];
@@ -80,7 +83,7 @@
     };
     let half = Candidate {
         in_flight: 4.0,
-        near: false,
+        same_hall: false,
         ..IDLE
     };
     assert_eq!(
@@ -94,20 +97,20 @@
 #[test]
 fn an_idle_replica_takes_a_prompt_of_any_length() {
     let long = Candidate {
-        reading: Span::from_ms(400),
+        prefill: Span::from_ms(400),
         ..IDLE
     };
-    assert!(long.is_paced(&ASK));
+    assert!(long.fits_prefill_limit(&ASK));
 }
 
 #[test]
 fn a_refused_client_comes_back_when_the_wait_has_passed_or_a_copy_has_come() {
     let ms = Span::from_ms;
-    assert_eq!(return_after(ms(1_300), ms(1_000), None), ms(800));
+    assert_eq!(retry_after(ms(1_300), ms(1_000), None), ms(800));
     let coming = Some(ms(2_500));
-    assert_eq!(return_after(ms(1_300), ms(1_000), coming), ms(2_500));
+    assert_eq!(retry_after(ms(1_300), ms(1_000), coming), ms(2_500));
     let soon = Some(ms(100));
-    assert_eq!(return_after(ms(1_300), ms(1_000), soon), ms(800));
+    assert_eq!(retry_after(ms(1_300), ms(1_000), soon), ms(800));
 }
 
 #[test]
@@ -117,10 +120,10 @@
         ..IDLE
     };
     let reading = Candidate {
-        backlog: Span::from_ms(90),
+        prefill_backlog: Span::from_ms(90),
         ..IDLE
     };
-    assert!(IDLE.takes(&ASK) && !full.takes(&ASK) && !reading.takes(&ASK));
+    assert!(IDLE.is_available(&ASK) && !full.is_available(&ASK) && !reading.is_available(&ASK));
 }
 
 #[test]
@@ -130,18 +133,18 @@
         ..IDLE
     };
     let crowded = Candidate {
-        reserved: 9_900.0,
+        reserved_tokens: 9_900.0,
         ..IDLE
     };
-    assert!(!full.has_place());
-    assert!(full.first_token(&ASK) > IDLE.first_token(&ASK));
-    assert!(crowded.first_token(&ASK) > IDLE.first_token(&ASK));
+    assert!(!full.has_free_slot());
+    assert!(full.ttft(&ASK) > IDLE.ttft(&ASK));
+    assert!(crowded.ttft(&ASK) > IDLE.ttft(&ASK));
 }
 
 #[test]
 fn a_replica_whose_streams_pause_is_passed_over() {
     let lagging = Candidate {
-        lagging: 0.5,
+        stall_rate: 0.5,
         ..IDLE
     };
     assert_eq!(pick(&[lagging, IDLE]), 1);
@@ -150,11 +153,11 @@
 #[test]
 fn a_failing_replica_is_taken_only_when_no_other_is_left() {
     let failing = Candidate {
-        failing: 0.5,
+        failure_rate: 0.5,
         ..IDLE
     };
     let slow = Candidate {
-        ahead: Span::from_secs(3),
+        prefill_ahead: Span::from_secs(3),
         ..IDLE
     };
     assert_eq!(pick(&[failing, slow]), 1);
@@ -166,11 +169,11 @@
 #[test]
 fn hosts_that_start_together_spend_no_more_than_their_requests_earn() {
     let (hosts, requests, now) = (90, 10, Time(1));
-    let new = || Window::new(0.2, 300.0, Span::from_secs(10));
-    let mut windows: Vec<Window> = (0..hosts).map(|_| new()).collect();
+    let new = || WindowedBudget::new(0.2, 300.0, Span::from_secs(10));
+    let mut windows: Vec<WindowedBudget> = (0..hosts).map(|_| new()).collect();
     let mut spent = 0;
     for window in &mut windows {
-        (0..requests).for_each(|_| window.arrived(now));
+        (0..requests).for_each(|_| window.record_request(now));
         spent += (0..100).filter(|_| window.spend(now, None)).count();
     }
     assert!(spent as f64 <= 0.2 * f64::from(hosts * requests), "{spent}");
@@ -183,13 +186,13 @@
         steps in proptest::collection::vec((0usize..4, 0u64..400, any::<bool>()), 1..600),
     ) {
         let (share, slack, length) = (0.2, 20.0, Span::from_secs(10));
-        let mut hosts = vec![Window::new(share, slack, length); 4];
+        let mut hosts = vec![WindowedBudget::new(share, slack, length); 4];
         let (mut now, mut requests, mut retries) = (Time(1), Vec::new(), Vec::new());
         for (host, pause, retry) in steps {
             now = now + Span::from_ms(pause);
             match retry {
                 false => {
-                    hosts[host].arrived(now);
+                    hosts[host].record_request(now);
                     requests.push(now);
                 }
                 true if hosts[host].spend(now, Some(4)) => retries.push(now),
@@ -208,7 +211,7 @@
     #[test]
     fn weights_split_requests(hash in any::<u64>()) {
         let alternatives = [("a", 90), ("b", 10), ("c", 0)];
-        let taken = split(&alternatives, hash).unwrap();
+        let taken = pick_weighted(&alternatives, hash).unwrap();
         prop_assert_ne!(*taken, "c");
         let expected = if hash % 100 < 90 { "a" } else { "b" };
         prop_assert_eq!(*taken, expected);
@@ -219,7 +222,7 @@
 fn the_longest_beginning_of_the_path_wins() {
     let rows = [("h", "/a/", 1), ("h", "/a/b/", 2), ("g", "/", 3)];
     let rows = rows.map(|(h, p, r)| (h.to_owned(), p.to_owned(), r));
-    let routing = Routing::new(rows);
+    let routing = Router::new(rows);
     let find = |host, path| routing.find(host, path).map(|r| **r);
     assert_eq!(find("h", "/a/b/c"), Some(2));
     assert_eq!(find("H:8080", "/a/bc"), Some(1));
