--- a/crates/daemon/src/core.rs
+++ b/crates/daemon/src/core.rs
@@ -144,13 +144,13 @@
         demand
             .entry(model.clone())
             .or_insert_with(|| Demand::new(now))
-            .arrived(now);
+            .record_arrival(now);
     }
 
     /// Notes whether a request for a model met its targets.
     pub fn ended(&self, model: &Name, met: bool) {
         if let Some(demand) = self.demand.lock().get_mut(model) {
-            demand.ended(met);
+            demand.record_completion(met);
         }
     }
 
@@ -167,7 +167,7 @@
         let demands = demand.iter_mut().map(|(model, demand)| wire::Demand {
             model: model.clone(),
             rate: demand.rate(now),
-            attained: demand.attained(),
+            attained: demand.attainment(),
             waiting: waiting.get(model).copied().unwrap_or(0) as u32,
         });
         demands.collect()
--- a/crates/daemon/src/entry/answer.rs
+++ b/crates/daemon/src/entry/answer.rs
@@ -9,7 +9,7 @@
 use conn::Reuse;
 use route::choose;
 use route::queue::Rejection;
-use route::retry::{self, Known, Next, Outcome};
+use route::retry::{self, Action, Context, Outcome};
 use std::sync::Arc;
 use std::time::Duration;
 use unit::{Name, Span, Time, rendezvous};
@@ -222,27 +222,27 @@
         let mut failure = failure;
         loop {
             let (end, text) = self.ended(failure);
-            let known = Known {
+            let known = Context {
                 repeatable: self.ask.asker.repeatable,
                 attempts: self.attempts,
                 resumes: self.resumes,
                 may_have_run: self.may_have_run,
                 deadline: self.ask.asker.deadline(),
             };
-            match retry::next(&known, end, self.core.now()) {
-                Next::Resume => match self.resume().await {
+            match retry::decide(&known, end, self.core.now()) {
+                Action::Resume => match self.resume().await {
                     Ok(()) => return Ok(()),
                     Err(again) => failure = again,
                 },
-                Next::Again if self.core.spend(&self.ask.asker.caller) => {
+                Action::Retry if self.core.spend(&self.ask.asker.caller) => {
                     self.abandon();
                     return self.attempt().await;
                 }
-                Next::Again => {
+                Action::Retry => {
                     let text = format!("{text}; the caller's retry budget is spent");
                     return Err(self.fail(self.true_outcome(), text));
                 }
-                Next::GiveUp(outcome) => return Err(self.fail(outcome, text)),
+                Action::GiveUp(outcome) => return Err(self.fail(outcome, text)),
             }
         }
     }
@@ -256,34 +256,34 @@
 
     /// Outcome that is true of the request so far, if it ended now.
     fn true_outcome(&self) -> Outcome {
-        Outcome::unanswered(self.may_have_run)
+        Outcome::without_answer(self.may_have_run)
     }
 
     /// Notes how an attempt ended, for routing, for the record and for what follows.
-    fn ended(&mut self, failure: Failure) -> (retry::End, String) {
+    fn ended(&mut self, failure: Failure) -> (retry::Failure, String) {
         let placed = self.running.as_ref().map(|r| &r.placed);
         let (end, text) = match failure {
             Failure::Unsent(e) => {
                 placed.inspect(|p| p.failed());
-                (retry::End::NotRun, format!("not run: {e}"))
+                (retry::Failure::NotRun, format!("not run: {e}"))
             }
             Failure::Refused(Cause::Unknown) => (
-                retry::End::Forgotten,
+                retry::Failure::UnknownStream,
                 "lost: the engine does not know the stream any more".into(),
             ),
             Failure::Refused(cause) => {
                 placed.inspect(|p| p.refused(cause));
                 (
-                    retry::End::NotRun,
+                    retry::Failure::NotRun,
                     format!("not run: the engine refused ({cause:?})"),
                 )
             }
             Failure::Lost(why) => {
                 placed.inspect(|p| p.failed());
-                (retry::End::Lost, format!("lost: {why}"))
+                (retry::Failure::Lost, format!("lost: {why}"))
             }
         };
-        self.may_have_run |= end != retry::End::NotRun;
+        self.may_have_run |= end != retry::Failure::NotRun;
         self.core
             .teller
             .attempt_ended(&self.ask.asker.request, &text);
@@ -378,16 +378,16 @@
         if resumable {
             return Ok(false);
         }
-        let known = Known {
+        let known = Context {
             repeatable: self.ask.asker.repeatable,
             attempts: self.attempts,
             resumes: u32::MAX,
             may_have_run: self.may_have_run,
             deadline: self.ask.asker.deadline(),
         };
-        match retry::next(&known, end, self.core.now()) {
-            Next::Again if self.core.spend(&self.ask.asker.caller) => Ok(true),
-            Next::GiveUp(outcome) => Err(self.fail(outcome, text)),
+        match retry::decide(&known, end, self.core.now()) {
+            Action::Retry if self.core.spend(&self.ask.asker.caller) => Ok(true),
+            Action::GiveUp(outcome) => Err(self.fail(outcome, text)),
             _ => {
                 let text = format!("{text}; the caller's retry budget is spent");
                 Err(self.fail(self.true_outcome(), text))
@@ -421,7 +421,7 @@
         };
         let want = asker.want(
             target,
-            choose::Ask {
+            choose::Request {
                 prefix: Some(prefix(&self.ask.model, &self.ask.prompt)),
                 prefill: Span((self.ask.prompt.len() as f64 * PREFILL_PER_BYTE) as u64),
                 avoid: self.avoid,
--- a/crates/daemon/src/entry/ask.rs
+++ b/crates/daemon/src/entry/ask.rs
@@ -72,7 +72,7 @@
     }
 
     /// What the fleet is asked for on behalf of this request.
-    pub fn want(&self, target: Target, ask: choose::Ask) -> Want {
+    pub fn want(&self, target: Target, ask: choose::Request) -> Want {
         Want {
             target,
             caller: self.caller.clone(),
--- a/crates/daemon/src/entry/fault.rs
+++ b/crates/daemon/src/entry/fault.rs
@@ -73,7 +73,7 @@
                 "message": self.message,
                 "type": kind,
                 "code": self.code,
-                "outcome": self.outcome.word(),
+                "outcome": self.outcome.as_str(),
             }
         });
         error.to_string().into_bytes()
--- a/crates/daemon/src/entry/respond.rs
+++ b/crates/daemon/src/entry/respond.rs
@@ -72,7 +72,7 @@
     let mut response = Response::new(full(body));
     let headers = response.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    mark(headers, id, Outcome::Complete.word());
+    mark(headers, id, Outcome::Complete.as_str());
     response
 }
 
@@ -80,7 +80,7 @@
     let mut response = whole_response(id, fault.body());
     *response.status_mut() = fault.status;
     let headers = response.headers_mut();
-    mark(headers, id, fault.outcome.word());
+    mark(headers, id, fault.outcome.as_str());
     if fault.outcome == Outcome::Unknown {
         headers.insert(SHOULD_RETRY, HeaderValue::from_static("false"));
     }
--- a/crates/daemon/src/entry/serve.rs
+++ b/crates/daemon/src/entry/serve.rs
@@ -369,7 +369,7 @@
     let mut response = Response::new(full(out.freeze()));
     let headers = response.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
-    mark(headers, &ask.asker.request, Outcome::Complete.word());
+    mark(headers, &ask.asker.request, Outcome::Complete.as_str());
     Ok(response)
 }
 
@@ -443,7 +443,7 @@
     let mut response = Response::new(full(reply.body.clone()));
     *response.status_mut() = reply.status;
     *response.headers_mut() = service::answer_headers(reply);
-    mark(response.headers_mut(), id, Outcome::Complete.word());
+    mark(response.headers_mut(), id, Outcome::Complete.as_str());
     response
 }
 
@@ -467,6 +467,6 @@
     if let Some(value) = content_type.and_then(|v| HeaderValue::from_str(&v).ok()) {
         response.headers_mut().insert(CONTENT_TYPE, value);
     }
-    mark(response.headers_mut(), id, Outcome::Complete.word());
+    mark(response.headers_mut(), id, Outcome::Complete.as_str());
     Ok(response)
 }
--- a/crates/daemon/src/entry/service.rs
+++ b/crates/daemon/src/entry/service.rs
@@ -12,7 +12,7 @@
 use hyper::{Method, Request};
 use route::choose;
 use route::queue::Rejection;
-use route::retry::{self, End, Known, Next, Outcome};
+use route::retry::{self, Action, Context, Outcome};
 use std::sync::Arc;
 use unit::{Name, Span, rendezvous};
 use upstream::service::{self, Failure, Rules};
@@ -115,34 +115,34 @@
             }
             Err(Failure::Unsent(e)) => {
                 placed.failed();
-                (End::NotRun, format!("not run: {e}"))
+                (retry::Failure::NotRun, format!("not run: {e}"))
             }
             Err(Failure::Refused(reply)) => {
                 placed.refused(upstream::engine::Cause::Full);
                 (
-                    End::NotRun,
+                    retry::Failure::NotRun,
                     format!("not run: the service refused with status {}", reply.status),
                 )
             }
             Err(Failure::Lost(why)) => {
                 placed.failed();
-                (End::Lost, format!("lost: {why}"))
+                (retry::Failure::Lost, format!("lost: {why}"))
             }
         };
         drop(placed);
         core.teller.attempt_ended(id, &text);
-        may_have_run |= end == End::Lost;
-        let known = Known {
+        may_have_run |= end == retry::Failure::Lost;
+        let known = Context {
             repeatable: call.asker.repeatable,
             attempts,
             resumes: u32::MAX,
             may_have_run,
             deadline: call.asker.deadline(),
         };
-        match retry::next(&known, end, core.now()) {
-            Next::Again if core.spend(&call.asker.caller) => {}
-            Next::GiveUp(outcome) => return Err(lost(outcome, &text)),
-            _ => return Err(lost(Outcome::unanswered(may_have_run), &text)),
+        match retry::decide(&known, end, core.now()) {
+            Action::Retry if core.spend(&call.asker.caller) => {}
+            Action::GiveUp(outcome) => return Err(lost(outcome, &text)),
+            _ => return Err(lost(Outcome::without_answer(may_have_run), &text)),
         }
     }
 }
@@ -164,7 +164,7 @@
     let target = Target::Service(call.service.clone());
     let want = asker.want(
         target,
-        choose::Ask {
+        choose::Request {
             prefix: None,
             prefill: Span::ZERO,
             avoid,
@@ -182,7 +182,7 @@
             }
             Placeless::Absent => "No upstream of this service is there at the moment.",
         };
-        match Outcome::unanswered(may_have_run) {
+        match Outcome::without_answer(may_have_run) {
             Outcome::NotRun => Fault::busy("overloaded", message, RETRY_AFTER),
             outcome => Fault::lost(outcome, message),
         }
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -14,7 +14,7 @@
 use parking_lot::Mutex;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
-use route::choose::Ask;
+use route::choose::Request;
 use route::queue::{Rejection, Ticket};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -44,7 +44,7 @@
     /// When nobody needs it any more.
     pub deadline: Time,
     /// How it is to be placed.
-    pub ask: Ask,
+    pub ask: Request,
 }
 
 /// Why no place could be had; the request was not run.
@@ -124,7 +124,7 @@
         let now = self.clock.now();
         let mut tables = self.tables.lock();
         if let Some(entry) = tables.find_mut(upstream) {
-            entry.health.failed(now);
+            entry.health.record_failure(now);
         }
     }
 
--- a/crates/daemon/src/fleet/entry.rs
+++ b/crates/daemon/src/fleet/entry.rs
@@ -1,10 +1,10 @@
 //! What is known of one upstream.
 
 use backing::hosts::{Host, Kind};
-use route::breaker::Health;
+use route::breaker::Breaker;
 use route::choose::{self, Candidate};
 use route::concurrency::Limit;
-use route::service_time::Service;
+use route::service_time::ServiceTime;
 use std::collections::HashMap;
 use unit::{Name, Span, Time};
 use upstream::engine::{Load, Report, State};
@@ -69,11 +69,11 @@
     /// When that load came.
     pub loaded_at: Time,
     /// Whether it fails.
-    pub health: Health,
+    pub health: Breaker,
     /// Requests of this daemon that may be in flight there.
     pub limit: Limit,
     /// Time that one request takes there.
-    pub service: Service,
+    pub service: ServiceTime,
     /// Whether it refused a request since it is leaving, in this incarnation.
     pub refused_leaving: bool,
     /// What it serves now, as last put into the index.
@@ -90,12 +90,12 @@
             reported_at: Time(0),
             load: Load::default(),
             loaded_at: Time(0),
-            health: Health::default(),
+            health: Breaker::default(),
             limit: Limit::new(
                 UNKNOWN_BATCH * START_PER_BATCH,
                 UNKNOWN_BATCH * MOST_PER_BATCH,
             ),
-            service: Service::default(),
+            service: ServiceTime::default(),
             refused_leaving: false,
             serves: Vec::new(),
             flights: Vec::new(),
@@ -166,7 +166,7 @@
         distance: Span,
         prefix: Option<u64>,
     ) -> Candidate<'_> {
-        let age = choose::age(now, self.loaded_at, Span::ZERO);
+        let age = choose::report_age(now, self.loaded_at, Span::ZERO);
         let before = self.flights.partition_point(|f| f.sent <= self.loaded_at);
         Candidate {
             upstream: &self.host.name,
@@ -175,10 +175,10 @@
             age,
             sent_since: (self.flights.len() - before) as u32,
             batch: self.report.as_ref().map_or(UNKNOWN_BATCH, |r| r.batch),
-            service: self.service.time(),
+            service_time: self.service.estimate(),
             in_flight: self.in_flight(),
-            allowed: self.limit.allowed(),
-            health: self.health.state(now),
+            limit: self.limit.allowed(),
+            breaker: self.health.state(now),
             cached: prefix.is_some_and(|p| self.prefixes.contains_key(&p)),
         }
     }
--- a/crates/daemon/src/fleet/placed.rs
+++ b/crates/daemon/src/fleet/placed.rs
@@ -2,7 +2,7 @@
 
 use super::Fleet;
 use backing::hosts::Host;
-use route::choose::Weighed;
+use route::choose::Evaluation;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use unit::{Name, Span, Time};
@@ -18,7 +18,7 @@
     /// Its address.
     pub addr: SocketAddr,
     /// How the candidates were weighed.
-    pub weighed: Vec<Weighed>,
+    pub weighed: Vec<Evaluation>,
     /// When it was given.
     pub at: Time,
 }
@@ -29,7 +29,7 @@
         slot: usize,
         flight: u64,
         host: &Host,
-        weighed: Vec<Weighed>,
+        weighed: Vec<Evaluation>,
         at: Time,
     ) -> Placed {
         Placed {
@@ -58,17 +58,17 @@
     /// Notes the first sign of an answer: `delay` after sending, which should be within `target`.
     pub fn answered(&self, delay: Span, target: Span) {
         self.change(|now, entry| {
-            entry.health.succeeded();
+            entry.health.record_success();
             let in_flight = entry.in_flight();
-            entry.limit.learn(now, in_flight, delay, target);
+            entry.limit.observe(now, in_flight, delay, target);
         });
     }
 
     /// Notes the end of a whole answer: its delay to the first sign, and its whole time.
     pub fn ended(&self, first: Span, whole: Span, load: Option<Load>) {
         self.change(|_, entry| {
-            entry.health.succeeded();
-            entry.service.learn(first, whole);
+            entry.health.record_success();
+            entry.service.record(first, whole);
         });
         if let (Some(fleet), Some(load)) = (&self.fleet, load) {
             fleet.loaded(self.slot, load);
@@ -78,7 +78,7 @@
     /// Notes a failure.
     pub fn failed(&self) {
         self.change(|now, entry| {
-            entry.health.failed(now);
+            entry.health.record_failure(now);
         });
     }
 
@@ -86,7 +86,7 @@
     pub fn refused(&self, cause: Cause) {
         self.change(|now, entry| match cause {
             Cause::Leaving => entry.refused_leaving = true,
-            Cause::Full => entry.limit.cut(now),
+            Cause::Full => entry.limit.decrease(now),
             Cause::Absent | Cause::Unknown => entry.reported_at = Time(0),
         });
     }
--- a/crates/daemon/src/fleet/tables.rs
+++ b/crates/daemon/src/fleet/tables.rs
@@ -5,7 +5,7 @@
 use super::{Fleet, Grant, Want};
 use backing::hosts::{Host, Kind};
 use rand_chacha::ChaCha8Rng;
-use route::choose::{self, Candidate, Verdict};
+use route::choose::{self, Candidate, Selection};
 use route::queue::Queue;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -111,10 +111,10 @@
         let slots = self.upstreams.serving(&want.target);
         let candidates = self.upstreams.candidates(now, &slots, want.ask.prefix);
         let verdict = choose::choose(&want.ask, &candidates, &mut self.rng);
-        let Verdict::Take(taken) = verdict else {
+        let Selection::Take(taken) = verdict else {
             return None;
         };
-        let weighed = choose::weigh(&want.ask, &candidates, taken);
+        let weighed = choose::evaluate(&want.ask, &candidates, taken);
         let slot = slots[taken];
         let flight = self.take_off(now, slot);
         let host = &self.upstreams.entries[slot].host;
@@ -125,7 +125,7 @@
         self.next_flight += 1;
         let id = self.next_flight;
         let entry = self.entry_mut(slot);
-        entry.health.sent(now);
+        entry.health.record_sent(now);
         entry.flights.push(Flight { id, sent: now });
         id
     }
@@ -134,7 +134,7 @@
     pub(super) fn land(&mut self, slot: usize, flight: u64) {
         let entry = self.entry_mut(slot);
         entry.flights.retain(|f| f.id != flight);
-        entry.health.undecided();
+        entry.health.record_inconclusive();
     }
 
     pub(super) fn queue(&mut self, target: &Target, most: usize) -> &mut Queue<Waiter> {
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -110,9 +110,9 @@
             wait: self.histogram("coveford_wait_seconds", &labels),
             first_token: self.histogram("coveford_first_token_seconds", &labels),
             between_tokens: self.histogram("coveford_between_tokens_seconds", &labels),
-            complete: outcome(Outcome::Complete.word()),
-            not_run: outcome(Outcome::NotRun.word()),
-            unknown: outcome(Outcome::Unknown.word()),
+            complete: outcome(Outcome::Complete.as_str()),
+            not_run: outcome(Outcome::NotRun.as_str()),
+            unknown: outcome(Outcome::Unknown.as_str()),
             attained: self.counter("coveford_attained_total", &labels),
             missed: self.counter("coveford_missed_total", &labels),
         });
--- a/crates/daemon/src/operator/status.rs
+++ b/crates/daemon/src/operator/status.rs
@@ -121,7 +121,7 @@
         name: entry.host.name.clone(),
         hall: entry.host.hall.clone(),
         leaving: entry.is_leaving(),
-        ejected: matches!(entry.health.state(now), breaker::State::Out(_)),
+        ejected: matches!(entry.health.state(now), breaker::State::Open(_)),
         report_age: now.since(entry.reported_at),
         memory: report.map(|r| r.memory).unwrap_or_default(),
         taken: report
--- a/crates/daemon/src/planner.rs
+++ b/crates/daemon/src/planner.rs
@@ -297,7 +297,7 @@
         let Some(report) = &entry.report else {
             continue;
         };
-        let service = entry.service.time();
+        let service = entry.service.estimate();
         if service == Span::ZERO {
             continue;
         }
--- a/crates/daemon/src/teller.rs
+++ b/crates/daemon/src/teller.rs
@@ -1,7 +1,7 @@
 //! What this daemon decided, for `coveford why`: a bounded ring of records.
 
 use parking_lot::Mutex;
-use route::choose::{Passed, Weighed};
+use route::choose::{Evaluation, Exclusion};
 use route::retry::Outcome;
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, VecDeque};
@@ -23,7 +23,7 @@
     /// Upstream that was chosen.
     pub upstream: Name,
     /// All candidates as they were weighed.
-    pub weighed: Vec<Weighed>,
+    pub weighed: Vec<Evaluation>,
     /// How the attempt ended, as a sentence; empty while it runs.
     pub ended: String,
 }
@@ -75,7 +75,7 @@
         }
         lines.push(match self.outcome {
             None => "It is still running.".into(),
-            Some(outcome) => format!("Its outcome is {}: {}", outcome.word(), self.reason),
+            Some(outcome) => format!("Its outcome is {}: {}", outcome.as_str(), self.reason),
         });
         lines
     }
@@ -100,14 +100,14 @@
     }
 }
 
-fn explain(weighed: &Weighed) -> String {
-    let why = match weighed.passed {
+fn explain(weighed: &Evaluation) -> String {
+    let why = match weighed.exclusion {
         None => "chosen as the cheapest of those sampled",
-        Some(Passed::Dearer) => "passed over: no cheaper",
-        Some(Passed::NotSampled) => "passed over: not among those sampled",
-        Some(Passed::Ejected) => "passed over: it failed too often lately",
-        Some(Passed::Full) => "passed over: this daemon has as many requests there as it may",
-        Some(Passed::Failed) => "passed over: it failed this request before",
+        Some(Exclusion::Costlier) => "passed over: no cheaper",
+        Some(Exclusion::NotSampled) => "passed over: not among those sampled",
+        Some(Exclusion::Ejected) => "passed over: it failed too often lately",
+        Some(Exclusion::Full) => "passed over: this daemon has as many requests there as it may",
+        Some(Exclusion::Failed) => "passed over: it failed this request before",
     };
     format!(
         "{}: wait {}, prefill {}, distance {}; {why}.",
--- a/crates/route/src/breaker.rs
+++ b/crates/route/src/breaker.rs
@@ -13,7 +13,7 @@
 
 /// Health of one upstream, as seen by one daemon.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Health {
+pub struct Breaker {
     failures: u32,
     ejections: u32,
     out_until: Option<Time>,
@@ -24,42 +24,42 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
     /// Takes requests.
-    In,
+    Closed,
     /// Its time out is over: one request may try it.
-    Probe,
+    HalfOpen,
     /// Takes none, until that time.
-    Out(Time),
+    Open(Time),
 }
 
-impl Health {
+impl Breaker {
     /// State at a time.
     pub fn state(&self, now: Time) -> State {
         match self.out_until {
-            None => State::In,
-            Some(until) if now >= until && !self.probing => State::Probe,
-            Some(until) => State::Out(until),
+            None => State::Closed,
+            Some(until) if now >= until && !self.probing => State::HalfOpen,
+            Some(until) => State::Open(until),
         }
     }
 
     /// Notes that a request was sent there.
-    pub fn sent(&mut self, now: Time) {
-        if self.state(now) == State::Probe {
+    pub fn record_sent(&mut self, now: Time) {
+        if self.state(now) == State::HalfOpen {
             self.probing = true;
         }
     }
 
     /// Notes an answer.
-    pub fn succeeded(&mut self) {
-        *self = Health::default();
+    pub fn record_success(&mut self) {
+        *self = Breaker::default();
     }
 
     /// Notes that a request ended without a verdict on the upstream, such as a caller's leaving.
-    pub fn undecided(&mut self) {
+    pub fn record_inconclusive(&mut self) {
         self.probing = false;
     }
 
     /// Notes a failure; tells whether it ejected the upstream.
-    pub fn failed(&mut self, now: Time) -> bool {
+    pub fn record_failure(&mut self, now: Time) -> bool {
         self.failures += 1;
         let due = self.probing || self.failures >= FAILURES;
         self.probing = false;
@@ -80,22 +80,22 @@
 
     #[test]
     fn ejects_probes_and_returns() {
-        let mut health = Health::default();
+        let mut health = Breaker::default();
         let at = |ms: u64| Time(ms * 1_000);
-        assert!(!health.failed(at(0)));
-        assert!(!health.failed(at(1)));
-        assert!(health.failed(at(2)));
-        assert_eq!(health.state(at(3)), State::Out(at(502)));
-        assert_eq!(health.state(at(600)), State::Probe);
-        health.sent(at(600));
+        assert!(!health.record_failure(at(0)));
+        assert!(!health.record_failure(at(1)));
+        assert!(health.record_failure(at(2)));
+        assert_eq!(health.state(at(3)), State::Open(at(502)));
+        assert_eq!(health.state(at(600)), State::HalfOpen);
+        health.record_sent(at(600));
         assert!(
-            matches!(health.state(at(600)), State::Out(_)),
+            matches!(health.state(at(600)), State::Open(_)),
             "one probe at a time"
         );
-        assert!(health.failed(at(700)));
-        assert_eq!(health.state(at(1_600)), State::Out(at(1_700)));
-        health.sent(at(1_700));
-        health.succeeded();
-        assert_eq!(health.state(at(1_701)), State::In);
+        assert!(health.record_failure(at(700)));
+        assert_eq!(health.state(at(1_600)), State::Open(at(1_700)));
+        health.record_sent(at(1_700));
+        health.record_success();
+        assert_eq!(health.state(at(1_701)), State::Closed);
     }
 }
--- a/crates/route/src/choose.rs
+++ b/crates/route/src/choose.rs
@@ -43,20 +43,20 @@
     /// Requests it runs at once.
     pub batch: u32,
     /// Smoothed time of one request there; zero when not known.
-    pub service: Span,
+    pub service_time: Span,
     /// Requests of this daemon in flight there.
     pub in_flight: u32,
     /// Requests of this daemon that may be in flight there.
-    pub allowed: u32,
+    pub limit: u32,
     /// Whether it takes requests.
-    pub health: State,
+    pub breaker: State,
     /// Whether a cache event says that it holds the prefix.
     pub cached: bool,
 }
 
 /// Request to be placed.
 #[derive(Debug, Clone, Copy)]
-pub struct Ask {
+pub struct Request {
     /// Hash of its prefix, if it has one worth keeping together.
     pub prefix: Option<u64>,
     /// Time its prompt takes when nothing is cached.
@@ -67,9 +67,10 @@
 
 /// Why a candidate was not taken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Passed {
+pub enum Exclusion {
     /// Another had a lower cost.
-    Dearer,
+    #[serde(rename = "Dearer")]
+    Costlier,
     /// It was not among the sampled.
     NotSampled,
     /// It has failed too often.
@@ -82,7 +83,7 @@
 
 /// Candidate as it was weighed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Weighed {
+pub struct Evaluation {
     /// The upstream.
     pub upstream: Name,
     /// Expected wait.
@@ -92,10 +93,11 @@
     /// Distance.
     pub distance: Span,
     /// Why it was not taken; none for the chosen.
-    pub passed: Option<Passed>,
+    #[serde(rename = "passed")]
+    pub exclusion: Option<Exclusion>,
 }
 
-impl Weighed {
+impl Evaluation {
     /// Whole cost.
     pub fn cost(&self) -> Span {
         self.wait + self.prefill + self.distance
@@ -104,23 +106,23 @@
 
 /// Outcome of a choice.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Selection {
     /// That candidate, by index.
     Take(usize),
     /// Each candidate has as many requests as it may; wait.
     Full,
     /// There is no candidate at all.
-    Nowhere,
+    NoCandidate,
 }
 
 /// Chooses a candidate.
-pub fn choose(ask: &Ask, candidates: &[Candidate], rng: &mut impl Rng) -> Verdict {
+pub fn choose(ask: &Request, candidates: &[Candidate], rng: &mut impl Rng) -> Selection {
     if candidates.is_empty() {
-        return Verdict::Nowhere;
+        return Selection::NoCandidate;
     }
-    let open = open(ask, candidates);
+    let open = eligible(ask, candidates);
     if open.is_empty() {
-        return Verdict::Full;
+        return Selection::Full;
     }
     let mean = mean_reported(candidates);
     let holder = holder(ask, candidates, &open);
@@ -129,12 +131,12 @@
     let best = sampled
         .into_iter()
         .min_by_key(|i| cost(ask, &candidates[*i], mean, holder == Some(*i)));
-    best.map_or(Verdict::Full, Verdict::Take)
+    best.map_or(Selection::Full, Selection::Take)
 }
 
 /// Explains a choice: every candidate with its cost and why it was passed over.
-pub fn weigh(ask: &Ask, candidates: &[Candidate], taken: usize) -> Vec<Weighed> {
-    let open = open(ask, candidates);
+pub fn evaluate(ask: &Request, candidates: &[Candidate], taken: usize) -> Vec<Evaluation> {
+    let open = eligible(ask, candidates);
     let mean = mean_reported(candidates);
     let holder = holder(ask, candidates, &open);
     let chosen = cost(ask, &candidates[taken], mean, holder == Some(taken));
@@ -143,24 +145,24 @@
         let dearer = cost(ask, c, mean, holds) >= chosen;
         let passed = match () {
             _ if i == taken => None,
-            _ if open.contains(&i) && dearer => Some(Passed::Dearer),
-            _ if open.contains(&i) => Some(Passed::NotSampled),
-            _ if c.in_flight >= c.allowed => Some(Passed::Full),
-            _ if failed_before(ask, c) => Some(Passed::Failed),
-            _ => Some(Passed::Ejected),
+            _ if open.contains(&i) && dearer => Some(Exclusion::Costlier),
+            _ if open.contains(&i) => Some(Exclusion::NotSampled),
+            _ if c.in_flight >= c.limit => Some(Exclusion::Full),
+            _ if failed_before(ask, c) => Some(Exclusion::Failed),
+            _ => Some(Exclusion::Ejected),
         };
-        Weighed {
+        Evaluation {
             upstream: c.upstream.clone(),
             wait: wait(c, mean),
             prefill: prefill(ask, c, holds),
             distance: c.distance,
-            passed,
+            exclusion: passed,
         }
     };
     candidates.iter().enumerate().map(weigh).collect()
 }
 
-fn failed_before(ask: &Ask, candidate: &Candidate) -> bool {
+fn failed_before(ask: &Request, candidate: &Candidate) -> bool {
     ask.avoid == Some(rendezvous::hash(candidate.upstream.as_bytes()))
 }
 
@@ -168,13 +170,13 @@
 ///
 /// When ejection would leave too few, the ejected serve too: better a doubtful
 /// upstream than none.
-fn open(ask: &Ask, candidates: &[Candidate]) -> Vec<usize> {
-    let healthy = |c: &Candidate| !matches!(c.health, State::Out(_));
+fn eligible(ask: &Request, candidates: &[Candidate]) -> Vec<usize> {
+    let healthy = |c: &Candidate| !matches!(c.breaker, State::Open(_));
     let alive = candidates.iter().filter(|c| healthy(c)).count();
     let enough = alive * 100 >= candidates.len() * FLOOR_PERCENT;
     let fit = |avoid: bool, i: &usize| {
         let c = &candidates[*i];
-        c.in_flight < c.allowed && (!enough || healthy(c)) && !(avoid && failed_before(ask, c))
+        c.in_flight < c.limit && (!enough || healthy(c)) && !(avoid && failed_before(ask, c))
     };
     let all = 0..candidates.len();
     let open: Vec<usize> = all.clone().filter(|i| fit(true, i)).collect();
@@ -198,7 +200,7 @@
 
 /// Expected wait: a share of the batch slows all of it, what is beyond it queues.
 fn wait(candidate: &Candidate, mean: f64) -> Span {
-    let service = match candidate.service {
+    let service = match candidate.service_time {
         Span::ZERO => UNKNOWN_SERVICE,
         known => known,
     };
@@ -208,19 +210,19 @@
     service * (filled.min(1.0) * 0.5 + beyond)
 }
 
-fn prefill(ask: &Ask, candidate: &Candidate, holds: bool) -> Span {
+fn prefill(ask: &Request, candidate: &Candidate, holds: bool) -> Span {
     if holds || candidate.cached {
         return Span::ZERO;
     }
     ask.prefill
 }
 
-fn cost(ask: &Ask, candidate: &Candidate, mean: f64, holds: bool) -> Span {
+fn cost(ask: &Request, candidate: &Candidate, mean: f64, holds: bool) -> Span {
     wait(candidate, mean) + prefill(ask, candidate, holds) + candidate.distance
 }
 
 /// Candidate that the prefix points to, unless it is loaded beyond the bound.
-fn holder(ask: &Ask, candidates: &[Candidate], open: &[usize]) -> Option<usize> {
+fn holder(ask: &Request, candidates: &[Candidate], open: &[usize]) -> Option<usize> {
     let prefix = ask.prefix?;
     let load = |c: &Candidate| f64::from(c.reported + c.sent_since + 1);
     let mean = open.iter().map(|i| load(&candidates[*i])).sum::<f64>() / open.len() as f64;
@@ -248,6 +250,6 @@
 }
 
 /// Age of a report that came `received`, was `lag` old then, at `now`.
-pub fn age(now: Time, received: Time, lag: Span) -> Span {
+pub fn report_age(now: Time, received: Time, lag: Span) -> Span {
     now.since(received) + lag
 }
--- a/crates/route/src/concurrency.rs
+++ b/crates/route/src/concurrency.rs
@@ -35,9 +35,9 @@
     }
 
     /// Learns from a request that used the limit: its delay and what it should have been.
-    pub fn learn(&mut self, now: Time, in_flight: u32, delay: Span, target: Span) {
+    pub fn observe(&mut self, now: Time, in_flight: u32, delay: Span, target: Span) {
         if delay > target {
-            self.cut(now);
+            self.decrease(now);
             return;
         }
         let used = f64::from(in_flight) * 2.0 >= self.current;
@@ -47,7 +47,7 @@
     }
 
     /// Shrinks after a refusal for want of room.
-    pub fn cut(&mut self, now: Time) {
+    pub fn decrease(&mut self, now: Time) {
         if now.since(self.last_cut) < CUT_EVERY {
             return;
         }
@@ -65,7 +65,7 @@
         let mut limit = Limit::new(100, 200);
         let (now, slow, target) = (Time(10_000_000), Span::from_secs(2), Span::from_secs(1));
         for _ in 0..50 {
-            limit.learn(now, 100, slow, target);
+            limit.observe(now, 100, slow, target);
         }
         assert_eq!(limit.allowed(), 80);
     }
@@ -75,11 +75,11 @@
         let mut limit = Limit::new(10, 20);
         let (fast, target) = (Span::from_ms(1), Span::from_secs(1));
         for _ in 0..1_000 {
-            limit.learn(Time(0), 1, fast, target);
+            limit.observe(Time(0), 1, fast, target);
         }
         assert_eq!(limit.allowed(), 10);
         for _ in 0..1_000 {
-            limit.learn(Time(0), 20, fast, target);
+            limit.observe(Time(0), 20, fast, target);
         }
         assert_eq!(limit.allowed(), 20);
     }
--- a/crates/route/src/demand.rs
+++ b/crates/route/src/demand.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Demand {
     rate: f64,
-    attained: f64,
+    attainment: f64,
     last: Time,
 }
 
@@ -18,7 +18,7 @@
     pub fn new(now: Time) -> Demand {
         Demand {
             rate: 0.0,
-            attained: 1.0,
+            attainment: 1.0,
             last: now,
         }
     }
@@ -30,15 +30,15 @@
     }
 
     /// Notes an arrival.
-    pub fn arrived(&mut self, now: Time) {
+    pub fn record_arrival(&mut self, now: Time) {
         self.decay(now);
         self.rate += 1.0 / SMOOTHED_OVER.secs();
     }
 
     /// Notes an end and whether its targets were met.
-    pub fn ended(&mut self, met: bool) {
+    pub fn record_completion(&mut self, met: bool) {
         // A weight of 1/20: some twenty requests make up the figure.
-        self.attained += (f64::from(u8::from(met)) - self.attained) / 20.0;
+        self.attainment += (f64::from(u8::from(met)) - self.attainment) / 20.0;
     }
 
     /// Requests a second.
@@ -48,8 +48,8 @@
     }
 
     /// Share of requests that met their targets.
-    pub fn attained(&self) -> f64 {
-        self.attained
+    pub fn attainment(&self) -> f64 {
+        self.attainment
     }
 }
 
@@ -61,7 +61,7 @@
     fn follows_a_steady_rate() {
         let mut demand = Demand::new(Time(0));
         for i in 0..10_000 {
-            demand.arrived(Time(i * 10_000));
+            demand.record_arrival(Time(i * 10_000));
         }
         let rate = demand.rate(Time(10_000 * 10_000));
         assert!((90.0..110.0).contains(&rate), "{rate}");
--- a/crates/route/src/queue.rs
+++ b/crates/route/src/queue.rs
@@ -153,7 +153,7 @@
         let first = self.first(now)?;
         let ticket = self.tickets.swap_remove(first);
         self.charge(&ticket);
-        self.drained.arrived(now);
+        self.drained.record_arrival(now);
         Some(ticket)
     }
 
--- a/crates/route/src/retry.rs
+++ b/crates/route/src/retry.rs
@@ -26,7 +26,7 @@
 
 impl Outcome {
     /// What is true of a request that has no answer.
-    pub fn unanswered(may_have_run: bool) -> Outcome {
+    pub fn without_answer(may_have_run: bool) -> Outcome {
         match may_have_run {
             true => Outcome::Unknown,
             false => Outcome::NotRun,
@@ -34,7 +34,7 @@
     }
 
     /// The word in the outcome header.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Outcome::Complete => "complete",
             Outcome::NotRun => "not-run",
@@ -45,18 +45,18 @@
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum Failure {
     /// Nothing was sent, or the upstream documented that it ran nothing.
     NotRun,
     /// It was sent, and its answer broke off or never came.
     Lost,
     /// The upstream knows nothing of the stream that was to be resumed.
-    Forgotten,
+    UnknownStream,
 }
 
 /// What is known of a request when an attempt has failed.
 #[derive(Debug, Clone, Copy)]
-pub struct Known {
+pub struct Context {
     /// Whether the request may be repeated.
     pub repeatable: bool,
     /// Attempts so far.
@@ -71,37 +71,37 @@
 
 /// What to do next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Next {
+pub enum Action {
     /// Resume the attempt's stream at the same upstream.
     Resume,
     /// Make another attempt, elsewhere if possible, if the retry budget allows.
-    Again,
+    Retry,
     /// Tell the caller.
     GiveUp(Outcome),
 }
 
 /// Decides what follows a failed attempt.
-pub fn next(known: &Known, end: End, now: Time) -> Next {
-    let ran = known.may_have_run || end != End::NotRun;
-    let verdict = Outcome::unanswered(ran);
+pub fn decide(known: &Context, end: Failure, now: Time) -> Action {
+    let ran = known.may_have_run || end != Failure::NotRun;
+    let verdict = Outcome::without_answer(ran);
     if now >= known.deadline {
-        return Next::GiveUp(verdict);
+        return Action::GiveUp(verdict);
     }
-    if end == End::Lost && known.resumes < MOST_RESUMES {
-        return Next::Resume;
+    if end == Failure::Lost && known.resumes < MOST_RESUMES {
+        return Action::Resume;
     }
     let may = known.repeatable || !ran;
     if may && known.attempts < MOST_ATTEMPTS {
-        return Next::Again;
+        return Action::Retry;
     }
-    Next::GiveUp(verdict)
+    Action::GiveUp(verdict)
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    const KNOWN: Known = Known {
+    const KNOWN: Context = Context {
         repeatable: false,
         attempts: 1,
         resumes: 0,
@@ -111,48 +111,48 @@
 
     #[test]
     fn unrepeatable_is_attempted_again_only_when_nothing_ran() {
-        assert_eq!(next(&KNOWN, End::NotRun, Time(1)), Next::Again);
-        let ran = Known {
+        assert_eq!(decide(&KNOWN, Failure::NotRun, Time(1)), Action::Retry);
+        let ran = Context {
             may_have_run: true,
             ..KNOWN
         };
         assert_eq!(
-            next(&ran, End::NotRun, Time(1)),
-            Next::GiveUp(Outcome::Unknown)
+            decide(&ran, Failure::NotRun, Time(1)),
+            Action::GiveUp(Outcome::Unknown)
         );
         assert_eq!(
-            next(&KNOWN, End::Forgotten, Time(1)),
-            Next::GiveUp(Outcome::Unknown)
+            decide(&KNOWN, Failure::UnknownStream, Time(1)),
+            Action::GiveUp(Outcome::Unknown)
         );
     }
 
     #[test]
     fn a_lost_stream_is_resumed_then_given_up_or_continued() {
-        assert_eq!(next(&KNOWN, End::Lost, Time(1)), Next::Resume);
-        let resumed = Known {
+        assert_eq!(decide(&KNOWN, Failure::Lost, Time(1)), Action::Resume);
+        let resumed = Context {
             resumes: MOST_RESUMES,
             ..KNOWN
         };
         assert_eq!(
-            next(&resumed, End::Lost, Time(1)),
-            Next::GiveUp(Outcome::Unknown)
+            decide(&resumed, Failure::Lost, Time(1)),
+            Action::GiveUp(Outcome::Unknown)
         );
-        let repeatable = Known {
+        let repeatable = Context {
             repeatable: true,
             ..resumed
         };
-        assert_eq!(next(&repeatable, End::Lost, Time(1)), Next::Again);
+        assert_eq!(decide(&repeatable, Failure::Lost, Time(1)), Action::Retry);
     }
 
     #[test]
     fn nothing_follows_the_deadline() {
         assert_eq!(
-            next(&KNOWN, End::NotRun, Time(10)),
-            Next::GiveUp(Outcome::NotRun)
+            decide(&KNOWN, Failure::NotRun, Time(10)),
+            Action::GiveUp(Outcome::NotRun)
         );
         assert_eq!(
-            next(&KNOWN, End::Lost, Time(10)),
-            Next::GiveUp(Outcome::Unknown)
+            decide(&KNOWN, Failure::Lost, Time(10)),
+            Action::GiveUp(Outcome::Unknown)
         );
     }
 }
--- a/crates/route/src/service_time.rs
+++ b/crates/route/src/service_time.rs
@@ -15,14 +15,14 @@
 /// recent requests is what the prompt alone takes. Without this an overloaded upstream would seem
 /// to need ever more capacity for each request.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Service {
+pub struct ServiceTime {
     generation: Span,
     first: Span,
 }
 
-impl Service {
+impl ServiceTime {
     /// Learns from a whole answer: its delay to the first token, and its whole time.
-    pub fn learn(&mut self, first: Span, whole: Span) {
+    pub fn record(&mut self, first: Span, whole: Span) {
         let generation = whole.saturating_sub(first);
         if self.generation == Span::ZERO && self.first == Span::ZERO {
             (self.generation, self.first) = (generation, first);
@@ -33,7 +33,7 @@
     }
 
     /// The service time; zero when not known.
-    pub fn time(&self) -> Span {
+    pub fn estimate(&self) -> Span {
         self.generation + self.first
     }
 }
@@ -44,11 +44,15 @@
 
     #[test]
     fn waiting_does_not_count_as_service() {
-        let mut service = Service::default();
-        service.learn(Span::from_ms(300), Span::from_ms(1_300));
+        let mut service = ServiceTime::default();
+        service.record(Span::from_ms(300), Span::from_ms(1_300));
         for _ in 0..10 {
-            service.learn(Span::from_secs(8), Span::from_secs(9));
+            service.record(Span::from_secs(8), Span::from_secs(9));
         }
-        assert!(service.time() < Span::from_ms(1_400), "{}", service.time());
+        assert!(
+            service.estimate() < Span::from_ms(1_400),
+            "{}",
+            service.estimate()
+        );
     }
 }
--- a/crates/standin/src/experiment/model/router.rs
+++ b/crates/standin/src/experiment/model/router.rs
@@ -4,9 +4,9 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use route::breaker::State;
-use route::choose::{Ask, Candidate, Verdict, choose};
+use route::choose::{Candidate, Request, Selection, choose};
 use route::concurrency::Limit;
-use route::service_time::Service;
+use route::service_time::ServiceTime;
 use unit::{Name, Span, Time};
 
 /// How requests are routed.
@@ -34,7 +34,7 @@
     at: Time,
     sent: Vec<Time>,
     limit: Limit,
-    service: Service,
+    service: ServiceTime,
 }
 
 /// Router.
@@ -55,7 +55,7 @@
             at: Time(0),
             sent: Vec::new(),
             limit: Limit::new(BATCH as u32 * 2, BATCH as u32 * 4),
-            service: Service::default(),
+            service: ServiceTime::default(),
         });
         Router {
             hall,
@@ -76,7 +76,7 @@
 
     /// Smoothed time of a request at an engine; zero when not known.
     pub fn service(&self, engine: usize) -> Span {
-        self.views[engine].service.time()
+        self.views[engine].service.estimate()
     }
 
     /// Chooses an engine for a request; none when it must wait.
@@ -131,22 +131,22 @@
                 age: now.since(view.at),
                 sent_since: (view.sent.len() - before) as u32,
                 batch: BATCH as u32,
-                service: view.service.time(),
+                service_time: view.service.estimate(),
                 in_flight: view.sent.len() as u32,
-                allowed: view.limit.allowed(),
-                health: State::In,
+                limit: view.limit.allowed(),
+                breaker: State::Closed,
                 cached: false,
             }
         };
         let candidates: Vec<Candidate> = ready.iter().map(candidate).collect();
-        let ask = Ask {
+        let ask = Request {
             prefix: Some(job.prefix),
             prefill: PREFILL,
             avoid: None,
         };
         match choose(&ask, &candidates, &mut self.rng) {
-            Verdict::Take(i) => Some(ready[i]),
-            Verdict::Full | Verdict::Nowhere => None,
+            Selection::Take(i) => Some(ready[i]),
+            Selection::Full | Selection::NoCandidate => None,
         }
     }
 
@@ -159,9 +159,9 @@
         let in_flight = view.sent.len() as u32 + 1;
         if let Some(first) = job.first_at {
             view.limit
-                .learn(now, in_flight, first.since(job.sent), target);
+                .observe(now, in_flight, first.since(job.sent), target);
             let took = now.since(job.sent);
-            view.service.learn(first.since(job.sent), took);
+            view.service.record(first.since(job.sent), took);
         }
     }
 }
--- a/crates/standin/src/experiment/slopes/points.rs
+++ b/crates/standin/src/experiment/slopes/points.rs
@@ -13,7 +13,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use route::breaker::State as Health;
-use route::choose::{Ask, Candidate, choose, weigh};
+use route::choose::{Candidate, Request, choose, evaluate};
 use std::collections::BTreeMap;
 use std::hint::black_box;
 use std::time::{Duration, Instant};
@@ -47,16 +47,16 @@
         age: Span::from_ms(rng.random_range(0..1_000)),
         sent_since: rng.random_range(0..5),
         batch: 16,
-        service: Span::from_secs(1),
+        service_time: Span::from_secs(1),
         in_flight: rng.random_range(0..16),
-        allowed: 64,
-        health: Health::In,
+        limit: 64,
+        breaker: Health::Closed,
         cached: false,
     };
     names.iter().map(candidate).collect()
 }
 
-const ASK: Ask = Ask {
+const ASK: Request = Request {
     prefix: Some(7),
     prefill: Span::from_ms(300),
     avoid: None,
@@ -75,7 +75,7 @@
     let names = names(n);
     let candidates = candidates(&names);
     time(|| {
-        black_box(weigh(&ASK, black_box(&candidates), 0));
+        black_box(evaluate(&ASK, black_box(&candidates), 0));
     })
 }
 
