--- a/crates/cli/src/why.rs
+++ b/crates/cli/src/why.rs
@@ -101,7 +101,7 @@
     match action {
         Action::Load { weights, bytes } => format!("load {} ({bytes})", weights_name(weights)),
         Action::Unload { weights } => format!("unload {}", weights_name(weights)),
-        Action::Turn { role } => format!("turn to {role:?}"),
+        Action::SetRole { role } => format!("turn to {role:?}"),
     }
 }
 
@@ -198,6 +198,6 @@
 fn concerns(moved: &Move, model: &Name) -> bool {
     match &moved.action {
         Action::Load { weights, .. } | Action::Unload { weights } => weights.model == *model,
-        Action::Turn { .. } => false,
+        Action::SetRole { .. } => false,
     }
 }
--- a/crates/daemon/src/core.rs
+++ b/crates/daemon/src/core.rs
@@ -167,7 +167,7 @@
         let demands = demand.iter_mut().map(|(model, demand)| wire::Demand {
             model: model.clone(),
             rate: demand.rate(now),
-            attained: demand.attainment(),
+            attainment: demand.attainment(),
             waiting: waiting.get(model).copied().unwrap_or(0) as u32,
         });
         demands.collect()
--- a/crates/daemon/src/entry/answer.rs
+++ b/crates/daemon/src/entry/answer.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use unit::{Name, Span, Time, rendezvous};
-use upstream::engine::{self, Attempt, Cause, End, Failure, Item, Run, Stream};
+use upstream::engine::{self, Attempt, End, Failure, Item, RefusalReason, Run, Stream};
 
 /// Bytes of a prompt that make up its prefix for affinity.
 const PREFIX_BYTES: usize = 512;
@@ -267,7 +267,7 @@
                 placed.inspect(|p| p.failed());
                 (retry::Failure::NotRun, format!("not run: {e}"))
             }
-            Failure::Refused(Cause::Unknown) => (
+            Failure::Refused(RefusalReason::UnknownStream) => (
                 retry::Failure::UnknownStream,
                 "lost: the engine does not know the stream any more".into(),
             ),
@@ -307,7 +307,7 @@
         let resumed = engine::start(&self.core.pool, addr, Reuse::Fresh, &run, limit).await;
         running.stream = resumed.map_err(|failure| match failure {
             Failure::Unsent(e) => Failure::Lost(e.to_string()),
-            Failure::Refused(_) => Failure::Refused(Cause::Unknown),
+            Failure::Refused(_) => Failure::Refused(RefusalReason::UnknownStream),
             lost => lost,
         })?;
         Ok(())
--- a/crates/daemon/src/entry/service.rs
+++ b/crates/daemon/src/entry/service.rs
@@ -118,7 +118,7 @@
                 (retry::Failure::NotRun, format!("not run: {e}"))
             }
             Err(Failure::Refused(reply)) => {
-                placed.refused(upstream::engine::Cause::Full);
+                placed.refused(upstream::engine::RefusalReason::Full);
                 (
                     retry::Failure::NotRun,
                     format!("not run: the service refused with status {}", reply.status),
--- a/crates/daemon/src/fleet/placed.rs
+++ b/crates/daemon/src/fleet/placed.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use unit::{Name, Span, Time};
-use upstream::engine::{Cause, Load};
+use upstream::engine::{Load, RefusalReason};
 
 /// Place of one attempt.
 pub struct Placed {
@@ -83,11 +83,11 @@
     }
 
     /// Notes a documented refusal.
-    pub fn refused(&self, cause: Cause) {
+    pub fn refused(&self, cause: RefusalReason) {
         self.change(|now, entry| match cause {
-            Cause::Leaving => entry.refused_leaving = true,
-            Cause::Full => entry.limit.decrease(now),
-            Cause::Absent | Cause::Unknown => entry.reported_at = Time(0),
+            RefusalReason::Leaving => entry.refused_leaving = true,
+            RefusalReason::Full => entry.limit.decrease(now),
+            RefusalReason::NotLoaded | RefusalReason::UnknownStream => entry.reported_at = Time(0),
         });
     }
 }
--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -96,7 +96,7 @@
 }
 
 async fn frame(core: &Arc<Core>, request: Request<Incoming>) -> Response<Full<Bytes>> {
-    let body = Limited::new(request.into_body(), wire::MOST_BYTES).collect();
+    let body = Limited::new(request.into_body(), wire::MAX_MESSAGE_BYTES).collect();
     let message = match timeout(FRAME_LIMIT, body).await {
         Ok(Ok(whole)) => whole.to_bytes(),
         Ok(Err(_)) => {
@@ -113,7 +113,7 @@
         }
     };
     let key = &core.settings.wire_key;
-    let question = match wire::open(key, &[], &message) {
+    let question = match wire::decode(key, &[], &message) {
         Ok(question) => question,
         Err(e) => {
             core.metrics
@@ -124,7 +124,7 @@
         }
     };
     let answer = spread::answer(core, question).await;
-    match wire::seal(key, &message, &answer) {
+    match wire::encode(key, &message, &answer) {
         Ok(sealed) => Response::new(Full::new(sealed.into())),
         Err(e) => text(StatusCode::INTERNAL_SERVER_ERROR, format!("{e}\n")),
     }
--- a/crates/daemon/src/planner.rs
+++ b/crates/daemon/src/planner.rs
@@ -206,7 +206,7 @@
     let kind = match action {
         Action::Load { .. } => "load",
         Action::Unload { .. } => "unload",
-        Action::Turn { .. } => "turn",
+        Action::SetRole { .. } => "turn",
     };
     let counter = core
         .metrics
@@ -255,7 +255,7 @@
     let peers = core.others();
     let asked = peers
         .iter()
-        .map(|peer| spread::ask(core, peer.addr, &Frame::AskDemand, DEMAND_LIMIT));
+        .map(|peer| spread::ask(core, peer.addr, &Frame::GetDemand, DEMAND_LIMIT));
     let answers = futures::future::join_all(asked).await;
     let mut sum: BTreeMap<Name, f64> = BTreeMap::new();
     let others = answers.into_iter().flat_map(|answer| match answer {
--- a/crates/daemon/src/planner/lines.rs
+++ b/crates/daemon/src/planner/lines.rs
@@ -4,7 +4,7 @@
 use futures::future::join_all;
 use std::collections::HashMap;
 use std::time::Duration;
-use unit::engine::{Fence, Obeyed, Order, Report};
+use unit::engine::{Fence, Order, OrderStatus, Report};
 use unit::{Name, Span, Time};
 use upstream::engine::Orders;
 
@@ -68,7 +68,7 @@
     pub(super) async fn send(
         &mut self,
         orders: Vec<(Name, Order)>,
-    ) -> Vec<(Name, Fence, Option<Obeyed>)> {
+    ) -> Vec<(Name, Fence, Option<OrderStatus>)> {
         let mut by_upstream: HashMap<Name, Vec<Order>> = HashMap::new();
         for (name, order) in orders {
             by_upstream.entry(name).or_default().push(order);
@@ -113,7 +113,7 @@
     name: Name,
     mut line: Option<Orders>,
     orders: Vec<Order>,
-) -> (Name, Option<Orders>, Vec<(Fence, Option<Obeyed>)>) {
+) -> (Name, Option<Orders>, Vec<(Fence, Option<OrderStatus>)>) {
     let mut answers = Vec::new();
     for order in orders {
         let Some(open) = &mut line else {
--- a/crates/daemon/src/spread.rs
+++ b/crates/daemon/src/spread.rs
@@ -55,7 +55,7 @@
         .map(|p| p.name.clone())
         .collect();
     let key = rendezvous::hash(core.settings.hall.as_bytes());
-    rendezvous::first(key, &hall, RELAYS)
+    rendezvous::top(key, &hall, RELAYS)
         .into_iter()
         .cloned()
         .collect()
--- a/crates/daemon/src/spread/peer.rs
+++ b/crates/daemon/src/spread/peer.rs
@@ -82,14 +82,14 @@
     question: &Frame,
     wait: Duration,
 ) -> Result<(Frame, Traffic), Error> {
-    let sealed = wire::seal(key, &[], question)?;
+    let sealed = wire::encode(key, &[], question)?;
     let request = Request::post(wire::PATH)
         .header(HOST, addr.to_string())
         .body(conn::Body::new(Bytes::from(sealed.clone())))
         .expect("a constant path makes a valid request");
     let limit = wait + ANSWER_LIMIT;
     let reply = pool
-        .exchange(addr, request, limit, wire::MOST_BYTES)
+        .exchange(addr, request, limit, wire::MAX_MESSAGE_BYTES)
         .await?;
     if reply.status != StatusCode::OK {
         let reason = String::from_utf8_lossy(&reply.body).into_owned();
@@ -99,7 +99,7 @@
         sent: sealed.len(),
         received: reply.body.len(),
     };
-    Ok((wire::open(key, &sealed, &reply.body)?, bytes))
+    Ok((wire::decode(key, &sealed, &reply.body)?, bytes))
 }
 
 /// Answers a frame of another daemon.
@@ -110,10 +110,10 @@
             head_past(core, after, wait).await
         }
         Frame::Fetch { hashes } => parts(core, &hashes),
-        Frame::AskDemand => Frame::Demands {
+        Frame::GetDemand => Frame::Demands {
             demands: core.demands(),
         },
-        Frame::AskLoads => Frame::Loads { loads: loads(core) },
+        Frame::GetLoads => Frame::Loads { loads: loads(core) },
         Frame::Drain => {
             core.stop.notify_one();
             Frame::Draining {
--- a/crates/place/src/homes.rs
+++ b/crates/place/src/homes.rs
@@ -91,7 +91,7 @@
             }
             let chosen = assigned.entry(kept.model.clone()).or_default();
             let key = rendezvous::hash(kept.model.as_bytes());
-            let ranked = rendezvous::first(key, &names, names.len());
+            let ranked = rendezvous::top(key, &names, names.len());
             let open = ranked.into_iter().filter(|hall| !chosen.contains(hall));
             let open: Vec<&Name> = open.collect();
             let roomy = open.iter().find(|hall| left[**hall] >= kept.memory.0);
--- a/crates/place/src/ledger.rs
+++ b/crates/place/src/ledger.rs
@@ -15,7 +15,7 @@
 use crate::fleet::{Fleet, Upstream};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use unit::engine::{Action, Fence, Obeyed, Order, State, Weights};
+use unit::engine::{Action, Fence, Order, OrderStatus, State, Weights};
 use unit::{Bytes, Name};
 
 /// Reasons kept for `coveford why`.
@@ -293,7 +293,7 @@
     }
 
     /// Takes in the answer to an order; tells whether that changed anything.
-    pub fn answered(&mut self, upstream: &str, fence: Fence, obeyed: Obeyed) -> bool {
+    pub fn answered(&mut self, upstream: &str, fence: Fence, obeyed: OrderStatus) -> bool {
         let at = self
             .open
             .iter()
@@ -302,15 +302,15 @@
             return false;
         };
         match obeyed {
-            Obeyed::Taken => {
+            OrderStatus::Accepted => {
                 let changed = self.open[at].sent != Sent::Taken;
                 self.open[at].sent = Sent::Taken;
                 changed
             }
             // A copy that came before may have been done: only a report can tell.
-            Obeyed::Stale => false,
+            OrderStatus::Stale => false,
             // It was not and will not be done.
-            Obeyed::Other | Obeyed::Unable => {
+            OrderStatus::WrongIncarnation | OrderStatus::Infeasible => {
                 self.open.remove(at);
                 true
             }
@@ -334,7 +334,7 @@
 fn subject(action: &Action) -> Option<&Weights> {
     match action {
         Action::Load { weights, .. } | Action::Unload { weights } => Some(weights),
-        Action::Turn { .. } => None,
+        Action::SetRole { .. } => None,
     }
 }
 
@@ -357,6 +357,6 @@
             found.is_some_and(|r| r.state == State::Ready)
         }
         Action::Unload { weights } => upstream.find(weights).is_none(),
-        Action::Turn { role } => upstream.report.role == *role,
+        Action::SetRole { role } => upstream.report.role == *role,
     }
 }
--- a/crates/place/tests/world/mod.rs
+++ b/crates/place/tests/world/mod.rs
@@ -7,7 +7,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet};
-use unit::engine::{Action, Fence, Load, Obeyed, Order, Report, Resident, Role, State};
+use unit::engine::{Action, Fence, Load, Order, OrderStatus, Report, Resident, Role, State};
 use unit::{Bytes, Name, Time};
 
 const ENGINES: usize = 4;
@@ -69,13 +69,13 @@
         self.reports.push(report);
     }
 
-    fn obey(&mut self, order: &Order, guards: Guards) -> Obeyed {
+    fn obey(&mut self, order: &Order, guards: Guards) -> OrderStatus {
         if self.fencing && guards.fences {
             if order.incarnation != self.incarnation {
-                return Obeyed::Other;
+                return OrderStatus::WrongIncarnation;
             }
             if order.fence <= self.fence {
-                return Obeyed::Stale;
+                return OrderStatus::Stale;
             }
         }
         if self.fencing {
@@ -90,19 +90,19 @@
                         state: State::Loading,
                     });
                 }
-                Obeyed::Taken
+                OrderStatus::Accepted
             }
             Action::Unload { weights } => {
                 let found = self.resident.iter_mut().find(|r| r.weights == *weights);
                 match found {
                     Some(resident) => {
                         resident.state = State::Unloading;
-                        Obeyed::Taken
+                        OrderStatus::Accepted
                     }
-                    None => Obeyed::Unable,
+                    None => OrderStatus::Infeasible,
                 }
             }
-            Action::Turn { .. } => Obeyed::Taken,
+            Action::SetRole { .. } => OrderStatus::Accepted,
         };
         self.changed();
         obeyed
@@ -495,7 +495,8 @@
             "{} obeys {:?}: {obeyed:?}, answered {answered}",
             engine.name, flight.order
         ));
-        if let (Action::Unload { weights }, Obeyed::Taken) = (&flight.order.action, obeyed) {
+        if let (Action::Unload { weights }, OrderStatus::Accepted) = (&flight.order.action, obeyed)
+        {
             let decided = self.decided.get(&flight.order.fence).copied();
             self.unloaded
                 .insert(weights.model.clone(), decided.unwrap_or(0));
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -21,7 +21,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use unit::Bytes;
-use unit::engine::{Obeyed, Report, Weights};
+use unit::engine::{OrderStatus, Report, Weights};
 use upstream::engine::{Attempt, CACHE_PATH, CANCEL_PATH, ORDER_PATH, REPORT_PATH, RUN_PATH};
 
 /// Running stand-in.
@@ -155,7 +155,7 @@
         }
         (&Method::POST, ORDER_PATH) => {
             let order = web::read(request).await.ok_or(Cut)?;
-            let obeyed: Obeyed = orders::take(&state, order).await?;
+            let obeyed: OrderStatus = orders::take(&state, order).await?;
             Ok(web::json(StatusCode::OK, &obeyed))
         }
         (&Method::GET, CACHE_PATH) => {
--- a/crates/standin/src/engine/orders.rs
+++ b/crates/standin/src/engine/orders.rs
@@ -6,13 +6,13 @@
 use std::time::Duration;
 use tokio::time::sleep;
 use unit::Bytes;
-use unit::engine::{Action, Obeyed, Order, Resident, State as WeightState, Weights};
+use unit::engine::{Action, Order, OrderStatus, Resident, State as WeightState, Weights};
 
 /// Time between two looks at whether requests have ended.
 const LOOK_EVERY: Duration = Duration::from_millis(2);
 
 /// Takes an order, perhaps late; a lost one cuts the connection.
-pub(super) async fn take(state: &Arc<State>, order: Order) -> Result<Obeyed, Cut> {
+pub(super) async fn take(state: &Arc<State>, order: Order) -> Result<OrderStatus, Cut> {
     let delay = state.inner.lock().order_delay;
     match delay {
         None => return Err(Cut),
@@ -29,36 +29,36 @@
     Ok(obey(state, &order))
 }
 
-fn obey(state: &Arc<State>, order: &Order) -> Obeyed {
+fn obey(state: &Arc<State>, order: &Order) -> OrderStatus {
     let mut inner = state.inner.lock();
     if inner.incarnation != order.incarnation {
-        return Obeyed::Other;
+        return OrderStatus::WrongIncarnation;
     }
     if inner.fencing {
         if order.fence <= inner.fence {
-            return Obeyed::Stale;
+            return OrderStatus::Stale;
         }
         inner.fence = order.fence;
     }
     let obeyed = match &order.action {
         Action::Load { weights, bytes } => load(state, &mut inner, weights, *bytes),
         Action::Unload { weights } => unload(state, &mut inner, weights),
-        Action::Turn { role } => {
+        Action::SetRole { role } => {
             inner.role = *role;
-            Obeyed::Taken
+            OrderStatus::Accepted
         }
     };
     inner.changed();
     obeyed
 }
 
-fn load(state: &Arc<State>, inner: &mut Inner, weights: &Weights, bytes: Bytes) -> Obeyed {
+fn load(state: &Arc<State>, inner: &mut Inner, weights: &Weights, bytes: Bytes) -> OrderStatus {
     if inner.resident.iter().any(|r| r.weights == *weights) {
-        return Obeyed::Taken;
+        return OrderStatus::Accepted;
     }
     if inner.taken() + bytes > inner.memory {
         inner.overcommitted += 1;
-        return Obeyed::Unable;
+        return OrderStatus::Infeasible;
     }
     inner.resident.push(Resident {
         weights: weights.clone(),
@@ -78,14 +78,14 @@
         }
         inner.changed();
     });
-    Obeyed::Taken
+    OrderStatus::Accepted
 }
 
 /// Unloads weights once the requests on them have ended.
-fn unload(state: &Arc<State>, inner: &mut Inner, weights: &Weights) -> Obeyed {
+fn unload(state: &Arc<State>, inner: &mut Inner, weights: &Weights) -> OrderStatus {
     let found = inner.resident.iter_mut().find(|r| r.weights == *weights);
     let Some(resident) = found else {
-        return Obeyed::Unable;
+        return OrderStatus::Infeasible;
     };
     resident.state = WeightState::Unloading;
     let (state, weights, incarnation) = (state.clone(), weights.clone(), inner.incarnation);
@@ -105,5 +105,5 @@
             sleep(LOOK_EVERY).await;
         }
     });
-    Obeyed::Taken
+    OrderStatus::Accepted
 }
--- a/crates/standin/src/engine/runs.rs
+++ b/crates/standin/src/engine/runs.rs
@@ -14,7 +14,7 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep};
 use unit::Name;
-use upstream::engine::{Attempt, Cause, End, Event, Refusal, Run};
+use upstream::engine::{Attempt, End, Event, Refusal, RefusalReason, Run};
 
 /// Starts or resumes a run and streams it.
 pub(super) async fn run(
@@ -25,14 +25,14 @@
     if let Some(offset) = run.resume_at {
         return Ok(match follow(&state, &run.attempt, offset, None) {
             Some(body) => Response::new(body),
-            None => refuse(&run.attempt, Cause::Unknown),
+            None => refuse(&run.attempt, RefusalReason::UnknownStream),
         });
     }
     let faults = state.inner.lock().faults.clone();
     let fault = faults.lock().pop_front();
     match fault {
         Some(Fault::CloseBefore) => return Err(Cut),
-        Some(Fault::Refuse) => return Ok(refuse(&run.attempt, Cause::Full)),
+        Some(Fault::Refuse) => return Ok(refuse(&run.attempt, RefusalReason::Full)),
         _ => {}
     }
     if let Err(cause) = start(&state, &run) {
@@ -52,7 +52,7 @@
     Ok(Response::new(body))
 }
 
-fn refuse(attempt: &Attempt, cause: Cause) -> Response<Body> {
+fn refuse(attempt: &Attempt, cause: RefusalReason) -> Response<Body> {
     let refusal = Refusal {
         attempt: attempt.clone(),
         refused: cause,
@@ -61,13 +61,13 @@
 }
 
 /// Starts a run; it goes on by itself.
-fn start(state: &Arc<State>, run: &Run) -> Result<(), Cause> {
+fn start(state: &Arc<State>, run: &Run) -> Result<(), RefusalReason> {
     let mut inner = state.inner.lock();
     if inner.leaving && inner.refuses_when_leaving {
-        return Err(Cause::Leaving);
+        return Err(RefusalReason::Leaving);
     }
     if !inner.holds(&run.model, run.adapter.as_ref()) {
-        return Err(Cause::Absent);
+        return Err(RefusalReason::NotLoaded);
     }
     let leaving = inner.leaving;
     inner.started.push(Started {
--- a/crates/standin/src/experiment/model/engine.rs
+++ b/crates/standin/src/experiment/model/engine.rs
@@ -1,7 +1,9 @@
 //! Model of an engine.
 
 use std::collections::VecDeque;
-use unit::engine::{Action, Fence, Load, Obeyed, Order, Report, Resident, Role, State, Weights};
+use unit::engine::{
+    Action, Fence, Load, Order, OrderStatus, Report, Resident, Role, State, Weights,
+};
 use unit::{Bytes, Name, Span, Time};
 
 /// Requests that an engine runs at once.
@@ -162,12 +164,12 @@
     }
 
     /// Takes an order of a planner.
-    pub fn obey(&mut self, order: &Order, model: usize, work: Span, now: Time) -> Obeyed {
+    pub fn obey(&mut self, order: &Order, model: usize, work: Span, now: Time) -> OrderStatus {
         if order.incarnation != self.incarnation || !self.alive {
-            return Obeyed::Other;
+            return OrderStatus::WrongIncarnation;
         }
         if order.fence <= self.fence {
-            return Obeyed::Stale;
+            return OrderStatus::Stale;
         }
         self.fence = order.fence;
         match &order.action {
@@ -180,9 +182,9 @@
                 self.load(model, weights.clone(), *bytes, work, now);
             }
             Action::Unload { .. } => self.unload(model),
-            Action::Turn { .. } => {}
+            Action::SetRole { .. } => {}
         }
-        Obeyed::Taken
+        OrderStatus::Accepted
     }
 
     /// Takes a request in.
--- a/crates/standin/src/experiment/slopes/points.rs
+++ b/crates/standin/src/experiment/slopes/points.rs
@@ -295,12 +295,12 @@
     let demands = (0..models).map(|i| wire::Demand {
         model: format!("judge-{i:04}").into(),
         rate: 1.5,
-        attained: 0.99,
+        attainment: 0.99,
         waiting: 0,
     });
     let frame = wire::Frame::Demands {
         demands: demands.collect(),
     };
     let key = wire::Key::new(vec![1; 32]).expect("the key is long enough");
-    wire::seal(&key, b"", &frame).map_or(0, |m| m.len()) as f64
+    wire::encode(&key, b"", &frame).map_or(0, |m| m.len()) as f64
 }
--- a/crates/standin/src/quickstart/report.rs
+++ b/crates/standin/src/quickstart/report.rs
@@ -83,7 +83,7 @@
         let kind = match moved.moved.action {
             unit::engine::Action::Load { .. } => "load",
             unit::engine::Action::Unload { .. } => "unload",
-            unit::engine::Action::Turn { .. } => "turn",
+            unit::engine::Action::SetRole { .. } => "turn",
         };
         *counts.entry((moved.hall.to_string(), kind)).or_default() += 1;
     }
--- a/crates/standin/tests/input.rs
+++ b/crates/standin/tests/input.rs
@@ -227,14 +227,14 @@
     let addr = fleet.daemons[0].operator();
     let key = &fleet.tool.settings.wire_key;
     let other = wire::Key::new(vec![7; 32]).unwrap();
-    let question = wire::Frame::AskDemand;
-    let good = wire::seal(key, &[], &question).unwrap();
+    let question = wire::Frame::GetDemand;
+    let good = wire::encode(key, &[], &question).unwrap();
     let mut flipped = good.clone();
     *flipped.last_mut().unwrap() ^= 1;
     let mut newer = good.clone();
     newer[0] = 9;
-    let foreign = wire::seal(&other, &[], &question).unwrap();
-    let long = vec![1; wire::MOST_BYTES + 10];
+    let foreign = wire::encode(&other, &[], &question).unwrap();
+    let long = vec![1; wire::MAX_MESSAGE_BYTES + 10];
     let cut = good[..20].to_vec();
     for (message, status) in [
         (good, 200),
--- a/crates/unit/src/bytes.rs
+++ b/crates/unit/src/bytes.rs
@@ -1,6 +1,6 @@
 //! Amounts of memory.
 
-use crate::{Unreadable, split};
+use crate::{ParseError, split_unit};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::iter::Sum;
@@ -66,9 +66,9 @@
 }
 
 impl FromStr for Bytes {
-    type Err = Unreadable;
+    type Err = ParseError;
 
-    fn from_str(text: &str) -> Result<Bytes, Unreadable> {
+    fn from_str(text: &str) -> Result<Bytes, ParseError> {
         let factor = |unit: &str| match unit {
             "B" => Some(1),
             "KB" => Some(KB),
@@ -76,11 +76,11 @@
             "GB" => Some(GB),
             _ => None,
         };
-        split(text)
+        split_unit(text)
             .and_then(|(number, unit)| number.checked_mul(factor(unit)?))
             .map(Bytes)
             .ok_or_else(|| {
-                Unreadable(format!(
+                ParseError(format!(
                     "'{text}' is not an amount of memory; write a whole number with B, KB, MB or GB, such as 24GB."
                 ))
             })
--- a/crates/unit/src/engine.rs
+++ b/crates/unit/src/engine.rs
@@ -15,15 +15,17 @@
 /// Why an engine refuses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Cause {
+pub enum RefusalReason {
     /// It is leaving.
     Leaving,
     /// It has no room in its queue.
     Full,
     /// It does not hold that model, version or adapter ready.
-    Absent,
+    #[serde(rename = "absent")]
+    NotLoaded,
     /// It knows nothing of the stream that should be resumed.
-    Unknown,
+    #[serde(rename = "unknown")]
+    UnknownStream,
 }
 
 /// Name of weights that take memory: a model's version, or an adapter on it.
@@ -124,7 +126,8 @@
         weights: Weights,
     },
     /// Change role.
-    Turn {
+    #[serde(rename = "turn")]
+    SetRole {
         /// The new one.
         role: Role,
     },
@@ -144,13 +147,16 @@
 /// Answer to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Obeyed {
+pub enum OrderStatus {
     /// It will be done, or was already.
-    Taken,
+    #[serde(rename = "taken")]
+    Accepted,
     /// A later order was seen before.
     Stale,
     /// It was meant for another incarnation.
-    Other,
+    #[serde(rename = "other")]
+    WrongIncarnation,
     /// It cannot be done: no memory, or unknown weights.
-    Unable,
+    #[serde(rename = "unable")]
+    Infeasible,
 }
--- a/crates/unit/src/lib.rs
+++ b/crates/unit/src/lib.rs
@@ -18,16 +18,16 @@
 
 /// Reason why a quantity could not be read, as a full sentence.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Unreadable(pub String);
+pub struct ParseError(pub String);
 
-impl std::fmt::Display for Unreadable {
+impl std::fmt::Display for ParseError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(&self.0)
     }
 }
 
 /// Splits a quantity such as `1600ms` into its number and its unit.
-fn split(text: &str) -> Option<(u64, &str)> {
+fn split_unit(text: &str) -> Option<(u64, &str)> {
     let text = text.trim();
     let end = text
         .find(|c: char| !c.is_ascii_digit())
--- a/crates/unit/src/rendezvous.rs
+++ b/crates/unit/src/rendezvous.rs
@@ -30,7 +30,7 @@
 }
 
 /// The `most` names that stand first for a key, in order.
-pub fn first<T: AsRef<str>>(key: u64, names: &[T], most: usize) -> Vec<&T> {
+pub fn top<T: AsRef<str>>(key: u64, names: &[T], most: usize) -> Vec<&T> {
     let mut ranked: Vec<&T> = names.iter().collect();
     ranked.sort_by_key(|name| std::cmp::Reverse(weight(key, name.as_ref())));
     ranked.truncate(most);
@@ -46,9 +46,9 @@
         let all: Vec<String> = (0..10).map(|i| format!("host-{i}")).collect();
         let fewer: Vec<String> = all[..9].to_vec();
         for key in 0..1_000 {
-            let before = first(key, &all, 1)[0];
+            let before = top(key, &all, 1)[0];
             if before != &all[9] {
-                assert_eq!(first(key, &fewer, 1)[0], before);
+                assert_eq!(top(key, &fewer, 1)[0], before);
             }
         }
     }
@@ -58,7 +58,7 @@
         let all: Vec<String> = (0..10).map(|i| format!("host-{i}")).collect();
         let mut counts = [0; 10];
         for key in 0..10_000 {
-            let name = first(mix(key), &all, 1)[0];
+            let name = top(mix(key), &all, 1)[0];
             counts[all.iter().position(|n| n == name).unwrap()] += 1;
         }
         assert!(
--- a/crates/unit/src/time.rs
+++ b/crates/unit/src/time.rs
@@ -1,6 +1,6 @@
 //! Points in time and lengths of time.
 
-use crate::{Unreadable, split};
+use crate::{ParseError, split_unit};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::ops::{Add, AddAssign, Mul, Sub};
@@ -117,9 +117,9 @@
 }
 
 impl FromStr for Span {
-    type Err = Unreadable;
+    type Err = ParseError;
 
-    fn from_str(text: &str) -> Result<Span, Unreadable> {
+    fn from_str(text: &str) -> Result<Span, ParseError> {
         let factor = |unit: &str| match unit {
             "us" => Some(1),
             "ms" => Some(1_000),
@@ -128,11 +128,11 @@
             "h" => Some(3_600_000_000),
             _ => None,
         };
-        split(text)
+        split_unit(text)
             .and_then(|(number, unit)| number.checked_mul(factor(unit)?))
             .map(Span)
             .ok_or_else(|| {
-                Unreadable(format!(
+                ParseError(format!(
                     "'{text}' is not a length of time; write a whole number with us, ms, s, min or h, such as 1600ms."
                 ))
             })
--- a/crates/upstream/src/engine/format.rs
+++ b/crates/upstream/src/engine/format.rs
@@ -105,7 +105,7 @@
     /// Whose attempt it was.
     pub attempt: Attempt,
     /// Why.
-    pub refused: Cause,
+    pub refused: RefusalReason,
 }
 
 /// Cache event: a hint with gaps.
--- a/crates/upstream/src/engine/orders.rs
+++ b/crates/upstream/src/engine/orders.rs
@@ -38,7 +38,7 @@
     }
 
     /// Sends an order.
-    pub async fn order(&mut self, order: &Order) -> Result<Obeyed, Error> {
+    pub async fn order(&mut self, order: &Order) -> Result<OrderStatus, Error> {
         let request = conn::json_request(self.addr, ORDER_PATH, Some(order))?;
         let reply = self.line.exchange(request, self.limit, MOST_REPORT).await?;
         conn::read_json(self.addr, &reply)
--- a/crates/upstream/src/engine/stream.rs
+++ b/crates/upstream/src/engine/stream.rs
@@ -25,7 +25,7 @@
     /// Proven not to have run: nothing was sent.
     Unsent(Error),
     /// Proven not to have run: the engine's documented refusal.
-    Refused(Cause),
+    Refused(RefusalReason),
     /// It may have run, or run in part.
     Lost(String),
 }
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -12,7 +12,7 @@
 const SEAL: usize = 32;
 
 /// Longest message: a head with all parts of a bundle of 1,700 models fits many times.
-pub const MOST_BYTES: usize = 4_000_000;
+pub const MAX_MESSAGE_BYTES: usize = 4_000_000;
 
 /// Shortest key in bytes: as long as the hash.
 const LEAST_KEY: usize = 32;
@@ -46,7 +46,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Error {
     /// It is longer than allowed.
-    #[snafu(display("The message has {length} bytes; at most {MOST_BYTES} are allowed."))]
+    #[snafu(display("The message has {length} bytes; at most {MAX_MESSAGE_BYTES} are allowed."))]
     Oversized {
         /// Its length.
         length: usize,
@@ -69,7 +69,7 @@
     #[snafu(display(
         "The message is not sealed with this fleet's key; check [wire] key on both hosts."
     ))]
-    Unsealed,
+    Unauthenticated,
     /// Its content is no frame.
     #[snafu(display("The message cannot be read: {reason}."))]
     Unreadable {
@@ -79,13 +79,13 @@
 }
 
 /// Seals a frame; an answer is bound to the message it answers, `asked` (empty for a request).
-pub fn seal(key: &Key, asked: &[u8], frame: &Frame) -> Result<Vec<u8>, Error> {
+pub fn encode(key: &Key, asked: &[u8], frame: &Frame) -> Result<Vec<u8>, Error> {
     let body = rmp_serde::to_vec(frame).map_err(unreadable)?;
     let mut message = Vec::with_capacity(1 + SEAL + body.len());
     message.push(VERSION);
     message.extend_from_slice(&key.mac(asked, &body).finalize().into_bytes());
     message.extend_from_slice(&body);
-    if message.len() > MOST_BYTES {
+    if message.len() > MAX_MESSAGE_BYTES {
         return Err(Error::Oversized {
             length: message.len(),
         });
@@ -94,9 +94,9 @@
 }
 
 /// Opens a sealed frame.
-pub fn open(key: &Key, asked: &[u8], message: &[u8]) -> Result<Frame, Error> {
+pub fn decode(key: &Key, asked: &[u8], message: &[u8]) -> Result<Frame, Error> {
     let length = message.len();
-    if length > MOST_BYTES {
+    if length > MAX_MESSAGE_BYTES {
         return Err(Error::Oversized { length });
     }
     if length <= 1 + SEAL {
@@ -110,7 +110,7 @@
     let (tag, body) = message[1..].split_at(SEAL);
     key.mac(asked, body)
         .verify_slice(tag)
-        .map_err(|_| Error::Unsealed)?;
+        .map_err(|_| Error::Unauthenticated)?;
     rmp_serde::from_slice(body).map_err(unreadable)
 }
 
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -38,14 +38,16 @@
         texts: Vec<Name>,
     },
     /// Asks for the demand seen at a daemon in its last window.
-    AskDemand,
+    #[serde(rename = "AskDemand")]
+    GetDemand,
     /// Demand seen at a daemon.
     Demands {
         /// By model.
         demands: Vec<Demand>,
     },
     /// Asks for the loads of upstreams that a daemon has seen itself.
-    AskLoads,
+    #[serde(rename = "AskLoads")]
+    GetLoads,
     /// Loads of upstreams.
     Loads {
         /// By upstream.
@@ -73,7 +75,7 @@
     /// Requests a second that arrived, smoothed.
     pub rate: f64,
     /// Share of them that met their targets, smoothed.
-    pub attained: f64,
+    pub attainment: f64,
     /// Requests that wait now.
     pub waiting: u32,
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -3,7 +3,7 @@
 mod codec;
 mod frame;
 
-pub use codec::{Error, Key, MOST_BYTES, open, seal};
+pub use codec::{Error, Key, MAX_MESSAGE_BYTES, decode, encode};
 pub use frame::{Demand, Frame, Load};
 
 /// Path at which a daemon takes frames.
