--- a/crates/front/src/follow.rs
+++ b/crates/front/src/follow.rs
@@ -2,21 +2,21 @@
 //!
 //! A watch is answered at the first change and is priced, so the next one starts only after a pause;
 //! changes of that time come together. In a large fleet most hosts hear of the changes from
-//! [`readers`]. Its parts: `begin` reads the store for the first time, `take` takes in what it tells.
+//! [`readers`]. Its parts: `bootstrap` reads the store for the first time, `apply` takes in what it tells.
 
-mod begin;
-mod take;
+mod apply;
+mod bootstrap;
 
-pub use take::{set_leader, told};
+pub use apply::{set_leader, told};
 
 use crate::contact::Contact;
 use crate::readers;
 use crate::readers::Heard;
 use crate::state::State;
+use apply::{apply, compare};
 use platform::store::{Change, Item, Listing};
 use std::sync::Arc;
 use std::time::Duration;
-use take::{apply, compare};
 use tracing::{info, warn};
 use unit::{Span, Time};
 
@@ -100,7 +100,7 @@
     }
     match after {
         Some(after) => watch(state, after).await,
-        None => begin::read(state).await,
+        None => bootstrap::read(state).await,
     }
 }
 
--- a/crates/front/src/follow/begin.rs
+++ b/crates/front/src/follow/bootstrap.rs
@@ -5,7 +5,7 @@
 //! fleet read all pages at once, as after a loss of power, the store's link would be full for so long
 //! that calls run out of time and are made anew. A host to which nobody gives the rest in time reads it.
 
-use super::take::{apply, written};
+use super::apply::{apply, written};
 use super::{Next, hear, heard};
 use crate::state::State;
 use crate::{leader, quarantine, readers};
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -5,18 +5,18 @@
 //! sooner. A lost datagram only makes a sum older; sums past their
 //! age are not used.
 //!
-//! Its parts: `inbox` is what hosts told the leader, `quota` what is asked for and given of limits over all hosts, `limits` which of these replicas name, `leaving` which replicas leave, `sums` when this host tells what it has in
-//! flight, `parts` which hosts pass on what the leader tells all, `quarantine` which requests end replicas, `questions`
+//! Its parts: `inbox` is what hosts told the leader, `quota` what is asked for and given of limits over all hosts, `limits` which of these replicas name, `leaving` which replicas leave, `load_reports` when this host tells what it has in
+//! flight, `fanout` which hosts pass on what the leader tells all, `quarantine` which requests end replicas, `pending`
 //! what waits for an answer. The datagrams themselves are in [`message`].
 
+pub mod fanout;
 mod inbox;
 mod leaving;
 mod limits;
-pub mod parts;
+mod load_reports;
+mod pending;
 mod quarantine;
-mod questions;
 pub mod quota;
-mod sums;
 
 pub use inbox::Inbox;
 
@@ -24,9 +24,9 @@
 use crate::readers::Candidate;
 use crate::state::{State, Wanted, Wish};
 use bytes::Bytes;
+use fanout::Part;
 use parking_lot::Mutex;
-use parts::Part;
-use questions::Questions;
+use pending::Questions;
 use quota::Quotas;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -302,7 +302,7 @@
         if self.is_direct() {
             return;
         }
-        let parts = parts::cut(hosts);
+        let parts = fanout::cut(hosts);
         *self.parts.lock() = parts.clone();
         let own = self.state.settings.peers;
         for part in parts {
--- a/crates/front/src/peers/quota.rs
+++ b/crates/front/src/peers/quota.rs
@@ -1,7 +1,7 @@
 //! Asking the host that leads for units of limits over all hosts, and answering as the one that leads.
 
 use super::Peers;
-use super::questions::Questions;
+use super::pending::Questions;
 use crate::leader::Term;
 use crate::message::{Limited, Message, Question, Refund, Subject, Verdict};
 use crate::shares;
--- a/crates/front/src/readers.rs
+++ b/crates/front/src/readers.rs
@@ -6,17 +6,17 @@
 //! another one, and then reads the store on its own; a host that cannot reach the store hears of it
 //! from any reader that can.
 //!
-//! This module knows whom a host hears from. Its parts: `choice` is how the leader names readers,
-//! `question` how a host asks one, `answer` how a reader answers, `message` what passes between them.
+//! This module knows whom a host hears from. Its parts: `selection` is how the leader names readers,
+//! `client` how a host asks one, `server` how a reader answers, `message` what passes between them.
 
-mod answer;
-mod choice;
+mod client;
 mod message;
-mod question;
+mod selection;
+mod server;
 
-pub use answer::answer;
-pub use choice::{Candidate, choose};
-pub use question::{Error, Heard, ask};
+pub use client::{Error, Heard, ask};
+pub use selection::{Candidate, choose};
+pub use server::answer;
 
 use crate::recent::Recent;
 use crate::state::State;
--- a/crates/front/src/readers/answer.rs
+++ b/crates/front/src/readers/server.rs
@@ -1,7 +1,7 @@
 //! Answering other hosts' questions about what has changed in the store.
 
+use super::client::is_old;
 use super::message::{Answer, MOST_QUESTION, News, PATH, Question, Row};
-use super::question::is_old;
 use crate::respond::{Body, whole};
 use crate::state::State;
 use bytes::Bytes;
--- a/crates/front/tests/parts.rs
+++ b/crates/front/tests/fanout.rs
@@ -5,7 +5,7 @@
 use front::Daemon;
 use front::message::{Demand, Row, Sums, short};
 use front::peers::Inbox;
-use front::peers::parts::{self, Part};
+use front::peers::fanout::{self, Part};
 use front::readers::Candidate;
 use front::table::Table;
 use platform::ingress;
@@ -41,7 +41,7 @@
                 hosts.push(candidate(hall, port, (i % 3) as f32, i % 4 == 3));
             }
         }
-        let parts = parts::cut(hosts.clone());
+        let parts = fanout::cut(hosts.clone());
         let mut told = HashSet::new();
         for Part { relay, others } in &parts {
             prop_assert!(others.len() < 32, "{}", others.len());
