--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -18,7 +18,7 @@
 use unit::{Fingerprint, Name};
 
 /// Ranks of urgency that sums are kept apart for; less urgent ones share the last.
-pub const RANKS: usize = 4;
+pub const PRIORITY_LEVELS: usize = 4;
 
 /// Longest datagram, in bytes, so that it fits the usual packet.
 pub const MOST_DATAGRAM: usize = 1_400;
@@ -193,7 +193,7 @@
 /// A replica is named by 32 bits of its identity's hash; that two of some thousands share them is
 /// unlikely, and costs no more than a worse choice.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Row(u32, u16, u16, [u16; RANKS]);
+pub struct Row(u32, u16, u16, [u16; PRIORITY_LEVELS]);
 
 /// Tokens that one step of a row's reserved memory stands for.
 const TOKEN_STEP: f32 = 64.0;
@@ -234,7 +234,7 @@
     /// Tokens that they need at the most.
     pub reserved: f32,
     /// Time to read the prompts that are not read yet, in milliseconds, by rank of urgency.
-    pub unread: [f32; RANKS],
+    pub unread: [f32; PRIORITY_LEVELS],
 }
 
 impl Load {
--- a/crates/front/src/table/choose.rs
+++ b/crates/front/src/table/choose.rs
@@ -4,7 +4,7 @@
 use super::pace::Pace;
 use super::replica::State;
 use super::{STEP, Table, Want};
-use crate::message::RANKS;
+use crate::message::PRIORITY_LEVELS;
 use crate::view::Seen;
 use platform::config::Engine;
 use platform::ingress::Ask;
@@ -301,5 +301,5 @@
 
 /// Rank of urgency that a priority belongs to.
 pub(super) fn rank(priority: u8) -> usize {
-    usize::from(priority).min(RANKS - 1)
+    usize::from(priority).min(PRIORITY_LEVELS - 1)
 }
