--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -21,7 +21,7 @@
 pub const PRIORITY_LEVELS: usize = 4;
 
 /// Longest datagram, in bytes, so that it fits the usual packet.
-pub const MOST_DATAGRAM: usize = 1_400;
+pub const MAX_DATAGRAM: usize = 1_400;
 
 /// Datagram between daemons.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -129,7 +129,7 @@
 }
 
 /// Rows of sums that fit one datagram: each takes at most 40 bytes.
-const ROWS: usize = MOST_DATAGRAM / 40;
+const ROWS: usize = MAX_DATAGRAM / 40;
 
 /// Least rows of a datagram, however many replicas are absent: a larger packet than usual is cut into
 /// fragments, and arrives.
--- a/crates/front/src/message/leaving.rs
+++ b/crates/front/src/message/leaving.rs
@@ -1,6 +1,6 @@
 //! What hosts tell each other of replicas that leave by their own word.
 
-use super::MOST_DATAGRAM;
+use super::MAX_DATAGRAM;
 use platform::replica::Incarnation;
 use serde::{Deserialize, Serialize};
 use unit::Name;
@@ -9,7 +9,7 @@
 const ROW_SIZE: usize = 64;
 
 /// Replicas that fit one datagram, beside the host's name.
-pub const ROWS: usize = MOST_DATAGRAM / ROW_SIZE - 2;
+pub const ROWS: usize = MAX_DATAGRAM / ROW_SIZE - 2;
 
 /// Replicas that have said in an answer that they leave.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
--- a/crates/front/src/planner/digest.rs
+++ b/crates/front/src/planner/digest.rs
@@ -1,7 +1,7 @@
 //! Telling all hosts the sums, and what is planned.
 
 use super::{Book, Planner};
-use crate::message::{Digest, Load, MOST_DATAGRAM, Message, Plans, Row, short};
+use crate::message::{Digest, Load, MAX_DATAGRAM, Message, Plans, Row, short};
 use crate::orders::Known;
 use crate::readers::{self, Candidate, Reader};
 use std::collections::HashMap;
@@ -80,7 +80,7 @@
         let loads = self.peers.inbox.loads(self.state.now());
         let rows = self.rows(&loads, false);
         let hosts = self.peers.inbox.hosts().len() as u32;
-        for rows in rows.chunks(MOST_DATAGRAM / ROW_SIZE) {
+        for rows in rows.chunks(MAX_DATAGRAM / ROW_SIZE) {
             let digest = Digest {
                 term: self.term.token,
                 hosts,
@@ -139,7 +139,7 @@
     /// The part that has room for so many bytes more.
     fn room(&mut self, size: usize) -> &mut Digest {
         self.size += size;
-        if self.size > MOST_DATAGRAM {
+        if self.size > MAX_DATAGRAM {
             self.size = ROW_SIZE + size;
             let first = &self.all[0];
             let next = Digest {
--- a/crates/front/tests/fanout.rs
+++ b/crates/front/tests/fanout.rs
@@ -132,7 +132,7 @@
     for part in parts {
         let bytes = front::message::encode(&front::message::Message::Sums(part));
         assert!(
-            bytes.len() <= front::message::MOST_DATAGRAM,
+            bytes.len() <= front::message::MAX_DATAGRAM,
             "{}",
             bytes.len()
         );
--- a/crates/front/tests/leaving.rs
+++ b/crates/front/tests/leaving.rs
@@ -4,7 +4,7 @@
 mod site;
 
 use front::Daemon;
-use front::message::{Leaving, MOST_DATAGRAM, Message, encode, leaving};
+use front::message::{Leaving, MAX_DATAGRAM, Message, encode, leaving};
 use platform_standin::proxy;
 use platform_standin::replica::{self, Options, Replica, Word, Words};
 use platform_standin::store::{Mode, Store};
@@ -261,5 +261,5 @@
         host: "a-host-with-a-name-of-some-sixty-signs-as-platforms-give-them".into(),
         replicas: vec![row; leaving::ROWS],
     });
-    assert!(encode(&message).len() <= MOST_DATAGRAM);
+    assert!(encode(&message).len() <= MAX_DATAGRAM);
 }
--- a/crates/front/tests/limits.rs
+++ b/crates/front/tests/limits.rs
@@ -8,7 +8,7 @@
 
 use front::Daemon;
 use front::message::{
-    Limited, Limits, MOST_DATAGRAM, Message, Question, Subject, Verdict, encode, limit,
+    Limited, Limits, MAX_DATAGRAM, Message, Question, Subject, Verdict, encode, limit,
 };
 use platform_standin::replica::{Fault, Replica};
 use platform_standin::store::{Mode, Store};
@@ -381,7 +381,7 @@
         limits: vec![row; limit::ROWS],
     };
     let bytes = encode(&Message::Limits(limits)).len();
-    assert!(bytes <= MOST_DATAGRAM, "{bytes} bytes");
+    assert!(bytes <= MAX_DATAGRAM, "{bytes} bytes");
     let question = Question {
         number: u32::MAX,
         host,
