--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -27,11 +27,11 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Message {
     /// A host's sums, to the leader.
-    Sums(Sums),
+    Sums(LoadReport),
     /// A host's requests in flight, to every other host.
-    Direct(Sums),
+    Direct(LoadReport),
     /// A host's requests in flight, to the leader, between two rounds of sums.
-    Loads(Sums),
+    Loads(LoadReport),
     /// The sums of all hosts, from the leader.
     Digest(Digest),
     /// A host needs an adapter somewhere.
@@ -103,7 +103,7 @@
 
 /// What one host has seen and has in flight.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct Sums {
+pub struct LoadReport {
     /// The host.
     pub host: Name,
     /// Its hall.
@@ -135,16 +135,16 @@
 /// fragments, and arrives.
 const LEAST_ROWS: usize = 8;
 
-impl Sums {
+impl LoadReport {
     /// Cuts them into parts that fit a datagram each.
-    pub fn parts(self) -> Vec<Sums> {
+    pub fn parts(self) -> Vec<LoadReport> {
         // Words of absent and resting replicas are in each part, so they take their room first.
         let named = self.absent.len() + self.resting.len();
         let rows = ROWS.saturating_sub(named).max(LEAST_ROWS);
         if self.demand.len() + self.loads.len() + self.used.len() <= rows {
             return vec![self];
         }
-        let part = |demand: &[Demand], loads: &[Row], used: &[Use]| Sums {
+        let part = |demand: &[Demand], loads: &[Row], used: &[Use]| LoadReport {
             demand: demand.to_vec(),
             loads: loads.to_vec(),
             used: used.to_vec(),
--- a/crates/front/src/peers/inbox.rs
+++ b/crates/front/src/peers/inbox.rs
@@ -1,7 +1,7 @@
 //! What other hosts have told the leader, while this host leads.
 
 use crate::contact::{self, Word};
-use crate::message::{Load, Missing, Row, Sums, Use, Want};
+use crate::message::{Load, LoadReport, Missing, Row, Use, Want};
 use crate::readers::Candidate;
 use parking_lot::Mutex;
 use std::collections::{HashMap, HashSet};
@@ -38,7 +38,7 @@
 
 /// What one host has told.
 struct Told {
-    sums: Sums,
+    sums: LoadReport,
     /// Number of the telling between two rounds that its loads are from, if they are.
     telling: Option<u32>,
     /// Where it takes datagrams.
@@ -51,7 +51,7 @@
 
 impl Inbox {
     /// Sums that still count.
-    pub fn sums(&self, now: Time) -> Vec<Sums> {
+    pub fn sums(&self, now: Time) -> Vec<LoadReport> {
         let mut hosts = self.hosts.lock();
         hosts.retain(|_, told| now.since(told.at) < SUMS_AGE);
         hosts.values().map(|told| told.sums.clone()).collect()
@@ -96,7 +96,7 @@
     }
 
     /// Takes in a part of what a host tells in one round; parts of the same round add up. Tells whether the host is new.
-    pub fn put(&self, mut sums: Sums, from: SocketAddr, now: Time) -> bool {
+    pub fn put(&self, mut sums: LoadReport, from: SocketAddr, now: Time) -> bool {
         self.uses.lock().append(&mut sums.used);
         let mut hosts = self.hosts.lock();
         let known = hosts.get_mut(&sums.host);
@@ -127,7 +127,7 @@
 
     /// Takes in a part of what a host has in flight between two rounds; parts of the same telling add
     /// up, and all else it told in its last round stays.
-    pub fn put_loads(&self, sums: Sums, now: Time) {
+    pub fn put_loads(&self, sums: LoadReport, now: Time) {
         if let Some(told) = self.hosts.lock().get_mut(&sums.host) {
             match told.telling == Some(sums.round) {
                 true => told.sums.loads.extend(sums.loads),
--- a/crates/front/src/peers/load_reports.rs
+++ b/crates/front/src/peers/load_reports.rs
@@ -2,7 +2,7 @@
 //! soon as a request is counted in or a prompt is read.
 
 use super::{MOST_DIRECT, Peers};
-use crate::message::{Demand, Message, Row, Sums, short};
+use crate::message::{Demand, LoadReport, Message, Row, short};
 use crate::readers;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -101,7 +101,7 @@
             let resting = table.resting(now).iter().map(|id| short(id)).collect();
             (demand, loads, table.take_used(), table.absent(now), resting)
         };
-        let sums = Sums {
+        let sums = LoadReport {
             used,
             absent,
             resting,
@@ -117,11 +117,11 @@
     }
 
     /// This host's sums. The table must not be locked.
-    fn sums(&self, round: u32, demand: Vec<Demand>, loads: Vec<Row>) -> Sums {
+    fn sums(&self, round: u32, demand: Vec<Demand>, loads: Vec<Row>) -> LoadReport {
         let settings = &self.state.settings;
         let now = self.state.now();
         let store = self.state.table.lock().view.contact.word(now);
-        Sums {
+        LoadReport {
             host: settings.name.clone(),
             hall: settings.hall.clone(),
             cores: settings.limits.cores as f32,
--- a/crates/front/tests/fanout.rs
+++ b/crates/front/tests/fanout.rs
@@ -3,7 +3,7 @@
 mod site;
 
 use front::Daemon;
-use front::message::{Demand, Row, Sums, short};
+use front::message::{Demand, LoadReport, Row, short};
 use front::peers::Inbox;
 use front::peers::fanout::{self, Part};
 use front::readers::Candidate;
@@ -82,16 +82,16 @@
     until(|| all_know(&hosts, 19)).await;
 }
 
-fn sums(round: u32, loads: usize, absent: usize) -> Sums {
+fn sums(round: u32, loads: usize, absent: usize) -> LoadReport {
     let load = front::message::Load::default();
-    Sums {
+    LoadReport {
         host: "h".into(),
         round,
         loads: (0..loads)
             .map(|i| Row::new(&format!("i-{i}"), &load))
             .collect(),
         absent: (0..absent as u32).collect(),
-        ..Sums::default()
+        ..LoadReport::default()
     }
 }
 
@@ -167,7 +167,7 @@
             1 => vec![short("i-1")],
             _ => Vec::new(),
         };
-        let sums = Sums {
+        let sums = LoadReport {
             host: format!("h{host}").into(),
             resting,
             ..sums(1, 1, 0)
--- a/crates/front/tests/malformed.rs
+++ b/crates/front/tests/malformed.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use front::events::Splitter;
-use front::message::{Demand, Load, Message, Row, Sums, decode, encode};
+use front::message::{Demand, Load, LoadReport, Message, Row, decode, encode};
 use front::{Settings, settings};
 use proptest::prelude::*;
 
@@ -38,7 +38,7 @@
         requests: 3.0,
         ..Load::default()
     };
-    let sums = Sums {
+    let sums = LoadReport {
         host: "d1".into(),
         loads: vec![Row::new("i-1", &load); 4],
         demand: vec![Demand {
@@ -47,7 +47,7 @@
             rate: 1.5,
             tokens: 900.0,
         }],
-        ..Sums::default()
+        ..LoadReport::default()
     };
     encode(&Message::Sums(sums))
 }
--- a/crates/front/tests/suspended.rs
+++ b/crates/front/tests/suspended.rs
@@ -219,7 +219,7 @@
     let host = daemon(&store, "d1").await;
     until(|| host.state().leads()).await;
     let other = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
-    let sums = front::message::Sums {
+    let sums = front::message::LoadReport {
         host: "other".into(),
         hall: "a".into(),
         round: 1,
