--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -35,7 +35,7 @@
     /// The sums of all hosts, from the leader.
     Digest(Digest),
     /// A host needs an adapter somewhere.
-    Want(Want),
+    Want(AdapterRequest),
     /// A host has a request for a model that is on no replica.
     Missing(Missing),
     /// The leader says where an adapter is.
@@ -306,7 +306,7 @@
 
 /// Request for an adapter.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Want {
+pub struct AdapterRequest {
     /// Service that serves the model.
     pub service: Name,
     /// The model.
--- a/crates/front/src/peers/inbox.rs
+++ b/crates/front/src/peers/inbox.rs
@@ -1,7 +1,7 @@
 //! What other hosts have told the leader, while this host leads.
 
 use crate::contact::{self, Word};
-use crate::message::{Load, LoadReport, Missing, Row, Use, Want};
+use crate::message::{AdapterRequest, Load, LoadReport, Missing, Row, Use};
 use crate::readers::Candidate;
 use parking_lot::Mutex;
 use std::collections::{HashMap, HashSet};
@@ -27,7 +27,7 @@
     /// What each host told last, by its name.
     hosts: Mutex<HashMap<Name, Told>>,
     /// Adapters wanted since they were taken out last.
-    wants: Mutex<Vec<Want>>,
+    wants: Mutex<Vec<AdapterRequest>>,
     /// Models that are on no replica and were asked for, since they were taken out last.
     missing: Mutex<Vec<Missing>>,
     /// Uses of adapters since they were taken out last.
@@ -81,7 +81,7 @@
     }
 
     /// Takes out the adapters that are wanted.
-    pub fn wants(&self) -> Vec<Want> {
+    pub fn wants(&self) -> Vec<AdapterRequest> {
         std::mem::take(&mut *self.wants.lock())
     }
 
@@ -140,7 +140,7 @@
     }
 
     /// Takes in that a host needs an adapter.
-    pub(super) fn want(&self, want: Want) {
+    pub(super) fn want(&self, want: AdapterRequest) {
         self.wants.lock().push(want);
         self.wanted.notify_one();
     }
--- a/crates/front/src/planner/adapters.rs
+++ b/crates/front/src/planner/adapters.rs
@@ -1,7 +1,7 @@
 //! Places for the adapters that hosts want.
 
 use super::{Book, Planner, entries, taken};
-use crate::message::{Load, Message, Placed, Want};
+use crate::message::{AdapterRequest, Load, Message, Placed};
 use crate::orders::{Job, Known};
 use platform::config::Engine;
 use platform::replica::{Entry, Operation};
@@ -47,7 +47,7 @@
     /// Queues the orders for one adapter; gives the replica that gets them.
     fn place_adapter(
         self: &Arc<Self>,
-        want: &Want,
+        want: &AdapterRequest,
         loads: &HashMap<u32, Load>,
         now: Time,
     ) -> Option<Name> {
@@ -120,7 +120,7 @@
     }
 
     /// Queues the load of an adapter at a replica; the one used longest ago makes room.
-    fn queue_adapter(&mut self, id: &Name, want: &Want, engine: &Engine) {
+    fn queue_adapter(&mut self, id: &Name, want: &AdapterRequest, engine: &Engine) {
         let Some(known) = self.known.get_mut(id) else {
             return;
         };
@@ -140,7 +140,7 @@
     fn beside(
         &mut self,
         entries: &[Entry],
-        want: &Want,
+        want: &AdapterRequest,
         engine: &Engine,
         loads: &HashMap<u32, Load>,
         now: Time,
--- a/crates/front/src/serve/lacking.rs
+++ b/crates/front/src/serve/lacking.rs
@@ -4,7 +4,7 @@
 use super::{RETURN_LATER, RETURN_RANGE};
 use crate::attempt::Call;
 use crate::limits::{self, Held};
-use crate::message::{Missing, Want};
+use crate::message::{AdapterRequest, Missing};
 use crate::respond::Fault;
 use crate::state::{State, Wish};
 use crate::table::{Full, Nowhere};
@@ -137,7 +137,7 @@
 pub(super) fn want_adapter(state: &State, call: &Call, beside: bool) {
     if let (Some(model), Some(adapter)) = (&call.ask.model, &call.ask.adapter) {
         // The task that receives lives as long as the daemon.
-        let _ = state.wanted.send(Wish::Adapter(Want {
+        let _ = state.wanted.send(Wish::Adapter(AdapterRequest {
             service: call.service.clone(),
             model: model.clone(),
             adapter: adapter.clone(),
--- a/crates/front/src/state.rs
+++ b/crates/front/src/state.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::{self, Clock};
 use crate::log::Log;
-use crate::message::{Missing, Want};
+use crate::message::{AdapterRequest, Missing};
 use crate::pool::Pool;
 use crate::quarantine::{self, Quarantine, Reports};
 use crate::readers::Readers;
@@ -81,7 +81,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Wish {
     /// An adapter.
-    Adapter(Want),
+    Adapter(AdapterRequest),
     /// A model.
     Model(Missing),
 }
