--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -37,7 +37,7 @@
     /// A host needs an adapter somewhere.
     Want(AdapterRequest),
     /// A host has a request for a model that is on no replica.
-    Missing(Missing),
+    Missing(ModelRequest),
     /// The leader says where an adapter is.
     Placed(Placed),
     /// Where the hosts of a part of the fleet take datagrams, from the leader to the one that passes
@@ -319,7 +319,7 @@
 
 /// Request for a model that is on no replica.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Missing {
+pub struct ModelRequest {
     /// Service that serves the model.
     pub service: Name,
     /// The model.
--- a/crates/front/src/peers/inbox.rs
+++ b/crates/front/src/peers/inbox.rs
@@ -1,7 +1,7 @@
 //! What other hosts have told the leader, while this host leads.
 
 use crate::contact::{self, Word};
-use crate::message::{AdapterRequest, Load, LoadReport, Missing, Row, Use};
+use crate::message::{AdapterRequest, Load, LoadReport, ModelRequest, Row, Use};
 use crate::readers::Candidate;
 use parking_lot::Mutex;
 use std::collections::{HashMap, HashSet};
@@ -29,7 +29,7 @@
     /// Adapters wanted since they were taken out last.
     wants: Mutex<Vec<AdapterRequest>>,
     /// Models that are on no replica and were asked for, since they were taken out last.
-    missing: Mutex<Vec<Missing>>,
+    missing: Mutex<Vec<ModelRequest>>,
     /// Uses of adapters since they were taken out last.
     uses: Mutex<Vec<Use>>,
     /// Notified when an adapter or a model is wanted.
@@ -86,7 +86,7 @@
     }
 
     /// Takes out the models that are on no replica and were asked for.
-    pub fn missing(&self) -> Vec<Missing> {
+    pub fn missing(&self) -> Vec<ModelRequest> {
         std::mem::take(&mut *self.missing.lock())
     }
 
@@ -146,7 +146,7 @@
     }
 
     /// Takes in that a host has a request for a model that is on no replica.
-    pub(super) fn miss(&self, missing: Missing) {
+    pub(super) fn miss(&self, missing: ModelRequest) {
         self.missing.lock().push(missing);
         self.wanted.notify_one();
     }
--- a/crates/front/src/planner.rs
+++ b/crates/front/src/planner.rs
@@ -15,7 +15,7 @@
 mod service;
 
 use crate::leader::Term;
-use crate::message::{Load, Missing, Row, Use, short};
+use crate::message::{Load, ModelRequest, Row, Use, short};
 use crate::orders::{Bucket, Known};
 use crate::peers::Peers;
 use crate::shares;
@@ -240,7 +240,7 @@
         let missing = self.peers.inbox.missing();
         let mut book = self.book.lock();
         let mut news = false;
-        for Missing { service, model } in missing {
+        for ModelRequest { service, model } in missing {
             let awaited = book.known.values().filter_map(Known::awaited);
             if !awaited.map(|(m, _)| m).any(|m| *m == model) {
                 let demand = book.demand.entry((service, model)).or_default();
--- a/crates/front/src/serve/lacking.rs
+++ b/crates/front/src/serve/lacking.rs
@@ -4,7 +4,7 @@
 use super::{RETURN_LATER, RETURN_RANGE};
 use crate::attempt::Call;
 use crate::limits::{self, Held};
-use crate::message::{AdapterRequest, Missing};
+use crate::message::{AdapterRequest, ModelRequest};
 use crate::respond::Fault;
 use crate::state::{State, Wish};
 use crate::table::{Full, Nowhere};
@@ -150,7 +150,7 @@
 fn want_model(state: &State, call: &Call) {
     if let Some(model) = &call.ask.model {
         // The task that receives lives as long as the daemon.
-        let _ = state.wanted.send(Wish::Model(Missing {
+        let _ = state.wanted.send(Wish::Model(ModelRequest {
             service: call.service.clone(),
             model: model.clone(),
         }));
--- a/crates/front/src/state.rs
+++ b/crates/front/src/state.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::{self, Clock};
 use crate::log::Log;
-use crate::message::{AdapterRequest, Missing};
+use crate::message::{AdapterRequest, ModelRequest};
 use crate::pool::Pool;
 use crate::quarantine::{self, Quarantine, Reports};
 use crate::readers::Readers;
@@ -83,7 +83,7 @@
     /// An adapter.
     Adapter(AdapterRequest),
     /// A model.
-    Model(Missing),
+    Model(ModelRequest),
 }
 
 /// Receiver of what is wanted at this host.
