--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -39,7 +39,7 @@
     /// A host has a request for a model that is on no replica.
     Missing(ModelRequest),
     /// The leader says where an adapter is.
-    Placed(Placed),
+    Placed(AdapterPlacement),
     /// Where the hosts of a part of the fleet take datagrams, from the leader to the one that passes
     /// on to them.
     Part(Vec<SocketAddr>),
@@ -328,7 +328,7 @@
 
 /// Place of an adapter.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Placed {
+pub struct AdapterPlacement {
     /// The model.
     pub model: Name,
     /// Its adapter.
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -20,7 +20,7 @@
 
 pub use inbox::Inbox;
 
-use crate::message::{self, Digest, Message, Permit, Placed};
+use crate::message::{self, AdapterPlacement, Digest, Message, Permit};
 use crate::readers::Candidate;
 use crate::state::{State, Wanted, Wish};
 use bytes::Bytes;
@@ -225,7 +225,7 @@
     }
 
     /// Takes in where an adapter is.
-    fn placed(&self, placed: Placed) {
+    fn placed(&self, placed: AdapterPlacement) {
         if let Some(replica) = &placed.replica {
             let mut table = self.state.table.lock();
             table.add_adapter(replica, &placed.model, &placed.adapter);
--- a/crates/front/src/planner/adapters.rs
+++ b/crates/front/src/planner/adapters.rs
@@ -1,7 +1,7 @@
 //! Places for the adapters that hosts want.
 
 use super::{Book, Planner, entries, taken};
-use crate::message::{AdapterRequest, Load, Message, Placed};
+use crate::message::{AdapterPlacement, AdapterRequest, Load, Message};
 use crate::orders::{Job, Known};
 use platform::config::Engine;
 use platform::replica::{Entry, Operation};
@@ -93,7 +93,7 @@
         replica: Name,
         after: Duration,
     ) {
-        let placed = Placed {
+        let placed = AdapterPlacement {
             model,
             adapter,
             replica: Some(replica),
