--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -117,7 +117,7 @@
     /// Requests in flight by replica.
     pub loads: Vec<Row>,
     /// Adapters that requests were sent to since the round before.
-    pub used: Vec<Use>,
+    pub used: Vec<AdapterUse>,
     /// Short names of replicas that this host leaves alone, since it could not reach them.
     pub absent: Vec<u32>,
     /// Short names of replicas that want nothing from this host now.
@@ -144,7 +144,7 @@
         if self.demand.len() + self.loads.len() + self.used.len() <= rows {
             return vec![self];
         }
-        let part = |demand: &[Demand], loads: &[Row], used: &[Use]| LoadReport {
+        let part = |demand: &[Demand], loads: &[Row], used: &[AdapterUse]| LoadReport {
             demand: demand.to_vec(),
             loads: loads.to_vec(),
             used: used.to_vec(),
@@ -166,7 +166,7 @@
 
 /// Use of an adapter at a replica.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Use {
+pub struct AdapterUse {
     /// Short name of the replica.
     pub replica: u32,
     /// Its model.
--- a/crates/front/src/peers/inbox.rs
+++ b/crates/front/src/peers/inbox.rs
@@ -1,7 +1,7 @@
 //! What other hosts have told the leader, while this host leads.
 
 use crate::contact::{self, Word};
-use crate::message::{AdapterRequest, Load, LoadReport, ModelRequest, Row, Use};
+use crate::message::{AdapterRequest, AdapterUse, Load, LoadReport, ModelRequest, Row};
 use crate::readers::Candidate;
 use parking_lot::Mutex;
 use std::collections::{HashMap, HashSet};
@@ -31,7 +31,7 @@
     /// Models that are on no replica and were asked for, since they were taken out last.
     missing: Mutex<Vec<ModelRequest>>,
     /// Uses of adapters since they were taken out last.
-    uses: Mutex<Vec<Use>>,
+    uses: Mutex<Vec<AdapterUse>>,
     /// Notified when an adapter or a model is wanted.
     pub wanted: Notify,
 }
@@ -91,7 +91,7 @@
     }
 
     /// Takes out the adapters that were used.
-    pub fn uses(&self) -> Vec<Use> {
+    pub fn uses(&self) -> Vec<AdapterUse> {
         std::mem::take(&mut *self.uses.lock())
     }
 
--- a/crates/front/src/planner.rs
+++ b/crates/front/src/planner.rs
@@ -15,7 +15,7 @@
 mod service;
 
 use crate::leader::Term;
-use crate::message::{Load, ModelRequest, Row, Use, short};
+use crate::message::{AdapterUse, Load, ModelRequest, Row, short};
 use crate::orders::{Bucket, Known};
 use crate::peers::Peers;
 use crate::shares;
@@ -263,7 +263,7 @@
 
 impl Book {
     /// Notes which adapters hosts have sent requests to.
-    fn note_uses(&mut self, mut uses: Vec<Use>, now: Time) {
+    fn note_uses(&mut self, mut uses: Vec<AdapterUse>, now: Time) {
         uses.sort_by_key(|used| used.replica);
         for (id, known) in &mut self.known {
             let name = short(id);
--- a/crates/front/src/table.rs
+++ b/crates/front/src/table.rs
@@ -24,7 +24,7 @@
 pub use replica::Footprint;
 pub use rests::Asked;
 
-use crate::message::Use;
+use crate::message::AdapterUse;
 use crate::routes::Routes;
 use crate::settings::Bounds;
 use crate::view::{News, View};
@@ -74,7 +74,7 @@
     /// When what was told before was set aside.
     told_before_at: Time,
     /// Adapters that requests of this host used since they were told last.
-    used: HashSet<Use>,
+    used: HashSet<AdapterUse>,
     /// When another host last told its sums directly.
     direct_at: Time,
     rng: SmallRng,
--- a/crates/front/src/table/adapters.rs
+++ b/crates/front/src/table/adapters.rs
@@ -2,7 +2,7 @@
 
 use super::replica::State;
 use super::{SUMS_AGE, Table, Want};
-use crate::message::{Use, short};
+use crate::message::{AdapterUse, short};
 use platform::replica::Entry;
 use unit::{Name, Time};
 
@@ -16,7 +16,7 @@
             return;
         };
         if self.used.len() < MOST_USES {
-            self.used.insert(Use {
+            self.used.insert(AdapterUse {
                 replica: short(replica),
                 model: model.clone(),
                 adapter: adapter.clone(),
@@ -25,7 +25,7 @@
     }
 
     /// Adapters that requests of this host used since the last call.
-    pub fn take_used(&mut self) -> Vec<Use> {
+    pub fn take_used(&mut self) -> Vec<AdapterUse> {
         self.used.drain().collect()
     }
 
