--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -115,7 +115,7 @@
     /// Demand by model.
     pub demand: Vec<Demand>,
     /// Requests in flight by replica.
-    pub loads: Vec<Row>,
+    pub loads: Vec<PackedLoad>,
     /// Adapters that requests were sent to since the round before.
     pub used: Vec<AdapterUse>,
     /// Short names of replicas that this host leaves alone, since it could not reach them.
@@ -144,7 +144,7 @@
         if self.demand.len() + self.loads.len() + self.used.len() <= rows {
             return vec![self];
         }
-        let part = |demand: &[Demand], loads: &[Row], used: &[AdapterUse]| LoadReport {
+        let part = |demand: &[Demand], loads: &[PackedLoad], used: &[AdapterUse]| LoadReport {
             demand: demand.to_vec(),
             loads: loads.to_vec(),
             used: used.to_vec(),
@@ -193,7 +193,7 @@
 /// A replica is named by 32 bits of its identity's hash; that two of some thousands share them is
 /// unlikely, and costs no more than a worse choice.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Row(u32, u16, u16, [u16; PRIORITY_LEVELS]);
+pub struct PackedLoad(u32, u16, u16, [u16; PRIORITY_LEVELS]);
 
 /// Tokens that one step of a row's reserved memory stands for.
 const TOKEN_STEP: f32 = 64.0;
@@ -203,12 +203,12 @@
     (unit::rendezvous::hash(replica.as_bytes()) >> 32) as u32
 }
 
-impl Row {
+impl PackedLoad {
     /// Row of a replica's load.
-    pub fn new(replica: &str, load: &Load) -> Row {
+    pub fn new(replica: &str, load: &Load) -> PackedLoad {
         let reserved = (load.reserved / TOKEN_STEP).round() as u16;
         let unread = load.unread.map(|ms| ms.ceil() as u16);
-        Row(short(replica), load.requests as u16, reserved, unread)
+        PackedLoad(short(replica), load.requests as u16, reserved, unread)
     }
 
     /// Short name of the replica.
@@ -278,7 +278,7 @@
     /// Hosts whose sums are in it.
     pub hosts: u32,
     /// Requests in flight by replica: those that changed since the digest before, or all.
-    pub loads: Vec<Row>,
+    pub loads: Vec<PackedLoad>,
     /// Adapters that the leader has had loaded, by replica.
     pub adapters: Vec<(Name, Vec<(Name, Name)>)>,
     /// What the planner is about, in one datagram of each round.
--- a/crates/front/src/peers/inbox.rs
+++ b/crates/front/src/peers/inbox.rs
@@ -1,7 +1,7 @@
 //! What other hosts have told the leader, while this host leads.
 
 use crate::contact::{self, Word};
-use crate::message::{AdapterRequest, AdapterUse, Load, LoadReport, ModelRequest, Row};
+use crate::message::{AdapterRequest, AdapterUse, Load, LoadReport, ModelRequest, PackedLoad};
 use crate::readers::Candidate;
 use parking_lot::Mutex;
 use std::collections::{HashMap, HashSet};
@@ -161,7 +161,7 @@
             for replica in &sums.absent {
                 votes.entry(*replica).or_default().0 += 1;
             }
-            let reached = sums.loads.iter().map(Row::replica);
+            let reached = sums.loads.iter().map(PackedLoad::replica);
             for replica in reached.filter(|r| !sums.absent.contains(r)) {
                 votes.entry(replica).or_default().1 += 1;
             }
--- a/crates/front/src/peers/load_reports.rs
+++ b/crates/front/src/peers/load_reports.rs
@@ -2,7 +2,7 @@
 //! soon as a request is counted in or a prompt is read.
 
 use super::{MOST_DIRECT, Peers};
-use crate::message::{Demand, LoadReport, Message, Row, short};
+use crate::message::{Demand, LoadReport, Message, PackedLoad, short};
 use crate::readers;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -117,7 +117,7 @@
     }
 
     /// This host's sums. The table must not be locked.
-    fn sums(&self, round: u32, demand: Vec<Demand>, loads: Vec<Row>) -> LoadReport {
+    fn sums(&self, round: u32, demand: Vec<Demand>, loads: Vec<PackedLoad>) -> LoadReport {
         let settings = &self.state.settings;
         let now = self.state.now();
         let store = self.state.table.lock().view.contact.word(now);
--- a/crates/front/src/planner.rs
+++ b/crates/front/src/planner.rs
@@ -15,7 +15,7 @@
 mod service;
 
 use crate::leader::Term;
-use crate::message::{AdapterUse, Load, ModelRequest, Row, short};
+use crate::message::{AdapterUse, Load, ModelRequest, PackedLoad, short};
 use crate::orders::{Bucket, Known};
 use crate::peers::Peers;
 use crate::shares;
@@ -56,7 +56,7 @@
     pool: Pool,
     book: Mutex<Book>,
     /// What hosts were told last to be in flight at each replica, by its short name.
-    told: Mutex<HashMap<u32, Row>>,
+    told: Mutex<HashMap<u32, PackedLoad>>,
     /// Whether the list of requests that are kept out is being stored.
     storing: AtomicBool,
 }
--- a/crates/front/src/planner/digest.rs
+++ b/crates/front/src/planner/digest.rs
@@ -1,7 +1,7 @@
 //! Telling all hosts the sums, and what is planned.
 
 use super::{Book, Planner};
-use crate::message::{Digest, Load, MAX_DATAGRAM, Message, Plans, Row, short};
+use crate::message::{Digest, Load, MAX_DATAGRAM, Message, PackedLoad, Plans, short};
 use crate::orders::Known;
 use crate::readers::{self, Candidate, Reader};
 use std::collections::HashMap;
@@ -92,14 +92,14 @@
     }
 
     /// Rows of all replicas, or of those whose load has changed since they were told.
-    fn rows(&self, loads: &HashMap<u32, Load>, whole: bool) -> Vec<Row> {
+    fn rows(&self, loads: &HashMap<u32, Load>, whole: bool) -> Vec<PackedLoad> {
         let mut told = self.told.lock();
         if whole {
             told.clear();
         }
         let rows = self.replicas().into_iter().filter_map(|id| {
             let load = loads.get(&short(&id)).copied().unwrap_or_default();
-            let row = Row::new(&id, &load);
+            let row = PackedLoad::new(&id, &load);
             let before = told.insert(row.replica(), row);
             (whole || before != Some(row)).then_some(row)
         });
--- a/crates/front/src/table/sums.rs
+++ b/crates/front/src/table/sums.rs
@@ -1,7 +1,7 @@
 //! Sums that are exchanged with other hosts: what is in flight here, and what is elsewhere.
 
 use super::Table;
-use crate::message::{Demand, Load, Row, short};
+use crate::message::{Demand, Load, PackedLoad, short};
 use std::collections::HashMap;
 use unit::{Name, Span, Time};
 
@@ -16,9 +16,9 @@
     }
 
     /// What this host has in flight.
-    pub fn in_flight(&self) -> Vec<Row> {
+    pub fn in_flight(&self) -> Vec<PackedLoad> {
         let busy = self.replicas.iter().filter(|(_, s)| s.mine.requests > 0.0);
-        busy.map(|(id, s)| Row::new(id, &s.mine)).collect()
+        busy.map(|(id, s)| PackedLoad::new(id, &s.mine)).collect()
     }
 
     /// Short names of replicas that this host found unreachable lately.
@@ -31,7 +31,7 @@
     }
 
     /// What this host has in flight, remembered as told.
-    pub fn tell(&mut self, now: Time) -> Vec<Row> {
+    pub fn tell(&mut self, now: Time) -> Vec<PackedLoad> {
         let set_aside = now.since(self.told_before_at) >= UNDER_WAY;
         if set_aside {
             self.told_before_at = now;
@@ -46,7 +46,7 @@
     }
 
     /// Takes in the sums of all hosts.
-    pub fn told(&mut self, rows: &[Row], now: Time) {
+    pub fn told(&mut self, rows: &[PackedLoad], now: Time) {
         for (id, load) in self.named(rows) {
             let state = self.replicas.entry(id).or_default();
             // Whether the sums hold what was told last is not known; to count some of this host's own
@@ -58,7 +58,7 @@
     }
 
     /// Takes in what another host has in flight, as it tells itself.
-    pub fn told_by(&mut self, host: &Name, rows: &[Row], now: Time) {
+    pub fn told_by(&mut self, host: &Name, rows: &[PackedLoad], now: Time) {
         self.direct_at = now;
         for state in self.replicas.values_mut() {
             state.hosts.remove(host);
@@ -70,8 +70,8 @@
     }
 
     /// Rows of replicas that are known, with their identities.
-    fn named(&self, rows: &[Row]) -> Vec<(Name, Load)> {
-        let rows: HashMap<u32, &Row> = rows.iter().map(|r| (r.replica(), r)).collect();
+    fn named(&self, rows: &[PackedLoad]) -> Vec<(Name, Load)> {
+        let rows: HashMap<u32, &PackedLoad> = rows.iter().map(|r| (r.replica(), r)).collect();
         let ids = self.view.all().map(|s| &s.entry.id);
         ids.filter_map(|id| rows.get(&short(id)).map(|row| (id.clone(), row.load())))
             .collect()
--- a/crates/front/tests/changes.rs
+++ b/crates/front/tests/changes.rs
@@ -2,7 +2,7 @@
 
 mod site;
 
-use front::message::{Load, Row};
+use front::message::{Load, PackedLoad};
 use platform_standin::replica::Fault;
 use platform_standin::store::Mode;
 use rstest::rstest;
@@ -206,7 +206,7 @@
             unread: [0.0, 0.0, 0.0, 5_000.0],
         };
         loop {
-            let (row, now) = (Row::new("i-1", &load), state.now());
+            let (row, now) = (PackedLoad::new("i-1", &load), state.now());
             state.table.lock().told_by(&"d2".into(), &[row], now);
             sleep(Duration::from_millis(50)).await;
         }
--- a/crates/front/tests/fanout.rs
+++ b/crates/front/tests/fanout.rs
@@ -3,7 +3,7 @@
 mod site;
 
 use front::Daemon;
-use front::message::{Demand, LoadReport, Row, short};
+use front::message::{Demand, LoadReport, PackedLoad, short};
 use front::peers::Inbox;
 use front::peers::fanout::{self, Part};
 use front::readers::Candidate;
@@ -88,7 +88,7 @@
         host: "h".into(),
         round,
         loads: (0..loads)
-            .map(|i| Row::new(&format!("i-{i}"), &load))
+            .map(|i| PackedLoad::new(&format!("i-{i}"), &load))
             .collect(),
         absent: (0..absent as u32).collect(),
         ..LoadReport::default()
--- a/crates/front/tests/load_exchange.rs
+++ b/crates/front/tests/load_exchange.rs
@@ -2,7 +2,7 @@
 
 mod site;
 
-use front::message::{Load, Row};
+use front::message::{Load, PackedLoad};
 use front::table::{Table, Want};
 use hyper::HeaderMap;
 use platform::ingress;
@@ -28,12 +28,12 @@
     table
 }
 
-fn row(id: &str, requests: f32) -> Row {
+fn row(id: &str, requests: f32) -> PackedLoad {
     let load = Load {
         requests,
         ..Load::default()
     };
-    Row::new(id, &load)
+    PackedLoad::new(id, &load)
 }
 
 /// Sums under way when a host told its requests do not hold them yet.
--- a/crates/front/tests/malformed.rs
+++ b/crates/front/tests/malformed.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use front::events::Splitter;
-use front::message::{Demand, Load, LoadReport, Message, Row, decode, encode};
+use front::message::{Demand, Load, LoadReport, Message, PackedLoad, decode, encode};
 use front::{Settings, settings};
 use proptest::prelude::*;
 
@@ -40,7 +40,7 @@
     };
     let sums = LoadReport {
         host: "d1".into(),
-        loads: vec![Row::new("i-1", &load); 4],
+        loads: vec![PackedLoad::new("i-1", &load); 4],
         demand: vec![Demand {
             service: "llm".into(),
             model: "m1".into(),
--- a/crates/standin/src/experiment/platform.rs
+++ b/crates/standin/src/experiment/platform.rs
@@ -3,7 +3,7 @@
 use super::Options;
 use super::measure::allocated;
 use cli::render::{json, out, table};
-use front::message::{Digest, Load, Message, Row, encode};
+use front::message::{Digest, Load, Message, PackedLoad, encode};
 use front::table::{Table, Want};
 use place::copies::{self, Model, Replica};
 use platform::ingress::{Ask, Part};
@@ -113,7 +113,7 @@
         reserved: 14_400.0,
         unread: [0.0, 140.0, 0.0, 0.0],
     };
-    let rows = (0..replicas).map(|n| Row::new(&format!("i-{n:010x}"), &load));
+    let rows = (0..replicas).map(|n| PackedLoad::new(&format!("i-{n:010x}"), &load));
     let digest = Digest {
         loads: rows.collect(),
         ..Digest::default()
