--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -199,7 +199,7 @@
 const TOKEN_STEP: f32 = 64.0;
 
 /// Short name of a replica in a row.
-pub fn short(replica: &str) -> u32 {
+pub fn replica_hash(replica: &str) -> u32 {
     (unit::rendezvous::hash(replica.as_bytes()) >> 32) as u32
 }
 
@@ -208,7 +208,12 @@
     pub fn new(replica: &str, load: &Load) -> PackedLoad {
         let reserved = (load.reserved / TOKEN_STEP).round() as u16;
         let unread = load.unread.map(|ms| ms.ceil() as u16);
-        PackedLoad(short(replica), load.requests as u16, reserved, unread)
+        PackedLoad(
+            replica_hash(replica),
+            load.requests as u16,
+            reserved,
+            unread,
+        )
     }
 
     /// Short name of the replica.
--- a/crates/front/src/message/limit.rs
+++ b/crates/front/src/message/limit.rs
@@ -1,6 +1,6 @@
 //! What hosts tell each other of the limits that replicas name.
 
-use super::{MAX_DATAGRAM, short};
+use super::{MAX_DATAGRAM, replica_hash};
 use platform::replica::{Entry, Incarnation};
 use route::quota::Notice;
 use serde::{Deserialize, Serialize};
@@ -50,7 +50,7 @@
 
 /// Short name of one incarnation of a replica.
 fn incarnation(id: &str, incarnation: Incarnation) -> u32 {
-    short(&format!("{id}/{}", incarnation.unwrap_or_default()))
+    replica_hash(&format!("{id}/{}", incarnation.unwrap_or_default()))
 }
 
 impl Limited {
--- a/crates/front/src/peers/load_reports.rs
+++ b/crates/front/src/peers/load_reports.rs
@@ -2,7 +2,7 @@
 //! soon as a request is counted in or a prompt is read.
 
 use super::{MOST_DIRECT, Peers};
-use crate::message::{Demand, LoadReport, Message, PackedLoad, short};
+use crate::message::{Demand, LoadReport, Message, PackedLoad, replica_hash};
 use crate::readers;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -98,7 +98,11 @@
         let (demand, loads, used, absent, resting) = {
             let mut table = self.state.table.lock();
             let (demand, loads) = (table.demand(now), table.tell(now));
-            let resting = table.resting(now).iter().map(|id| short(id)).collect();
+            let resting = table
+                .resting(now)
+                .iter()
+                .map(|id| replica_hash(id))
+                .collect();
             (demand, loads, table.take_used(), table.absent(now), resting)
         };
         let sums = LoadReport {
--- a/crates/front/src/planner.rs
+++ b/crates/front/src/planner.rs
@@ -15,7 +15,7 @@
 mod service;
 
 use crate::leader::Term;
-use crate::message::{AdapterUse, Load, ModelRequest, PackedLoad, short};
+use crate::message::{AdapterUse, Load, ModelRequest, PackedLoad, replica_hash};
 use crate::orders::{Bucket, Known};
 use crate::peers::Peers;
 use crate::shares;
@@ -199,7 +199,7 @@
                 tell_found(&seen.entry);
                 Known::default()
             });
-            known.note_absent(absent.contains(&short(&seen.entry.id)), now);
+            known.note_absent(absent.contains(&replica_hash(&seen.entry.id)), now);
             known.sync(&seen.entry, now);
         }
         book.note_uses(self.peers.inbox.uses(), now);
@@ -266,7 +266,7 @@
     fn note_uses(&mut self, mut uses: Vec<AdapterUse>, now: Time) {
         uses.sort_by_key(|used| used.replica);
         for (id, known) in &mut self.known {
-            let name = short(id);
+            let name = replica_hash(id);
             let first = uses.partition_point(|used| used.replica < name);
             let here = uses[first..].iter().take_while(|used| used.replica == name);
             for used in here {
@@ -295,6 +295,6 @@
 
 /// Share of a replica's places that are taken, by the sums of all hosts.
 fn taken(entry: &Entry, loads: &HashMap<u32, Load>) -> f64 {
-    let load = loads.get(&short(&entry.id));
+    let load = loads.get(&replica_hash(&entry.id));
     load.map_or(0.0, |l| f64::from(l.requests)) / f64::from(entry.slots)
 }
--- a/crates/front/src/planner/digest.rs
+++ b/crates/front/src/planner/digest.rs
@@ -1,7 +1,7 @@
 //! Telling all hosts the sums, and what is planned.
 
 use super::{Book, Planner};
-use crate::message::{Digest, Load, MAX_DATAGRAM, Message, PackedLoad, Plans, short};
+use crate::message::{Digest, Load, MAX_DATAGRAM, Message, PackedLoad, Plans, replica_hash};
 use crate::orders::Known;
 use crate::readers::{self, Candidate, Reader};
 use std::collections::HashMap;
@@ -98,7 +98,7 @@
             told.clear();
         }
         let rows = self.replicas().into_iter().filter_map(|id| {
-            let load = loads.get(&short(&id)).copied().unwrap_or_default();
+            let load = loads.get(&replica_hash(&id)).copied().unwrap_or_default();
             let row = PackedLoad::new(&id, &load);
             let before = told.insert(row.replica(), row);
             (whole || before != Some(row)).then_some(row)
@@ -189,7 +189,7 @@
 
 /// Adapters of the replicas whose turn it is in a round; changes are told when they are made.
 fn adapters(book: &Book, round: usize) -> Vec<(Name, Vec<(Name, Name)>)> {
-    let turn = |id: &Name| short(id) as usize % ADAPTER_ROUNDS == round % ADAPTER_ROUNDS;
+    let turn = |id: &Name| replica_hash(id) as usize % ADAPTER_ROUNDS == round % ADAPTER_ROUNDS;
     book.known
         .iter()
         .filter(|(id, k)| turn(id) && k.doubtful.is_none())
--- a/crates/front/src/planner/service.rs
+++ b/crates/front/src/planner/service.rs
@@ -1,7 +1,7 @@
 //! Planning of one service: which replicas load and unload which models.
 
 use super::{Book, Demand, Planner, demand, entries, taken};
-use crate::message::{Load, short};
+use crate::message::{Load, replica_hash};
 use crate::orders::{Bucket, Job, Known};
 use crate::table::Table;
 use place::copies::{self, Step};
@@ -332,7 +332,9 @@
     resting: &HashSet<u32>,
     loads: &HashMap<u32, Load>,
 ) -> HashMap<Name, f64> {
-    let resting = entries.iter().filter(|e| resting.contains(&short(&e.id)));
+    let resting = entries
+        .iter()
+        .filter(|e| resting.contains(&replica_hash(&e.id)));
     let busy = resting.map(|entry| (entry.id.clone(), taken(entry, loads).min(1.0)));
     busy.collect()
 }
--- a/crates/front/src/table/adapters.rs
+++ b/crates/front/src/table/adapters.rs
@@ -2,7 +2,7 @@
 
 use super::replica::State;
 use super::{SUMS_AGE, Table, Want};
-use crate::message::{AdapterUse, short};
+use crate::message::{AdapterUse, replica_hash};
 use platform::replica::Entry;
 use unit::{Name, Time};
 
@@ -17,7 +17,7 @@
         };
         if self.used.len() < MOST_USES {
             self.used.insert(AdapterUse {
-                replica: short(replica),
+                replica: replica_hash(replica),
                 model: model.clone(),
                 adapter: adapter.clone(),
             });
--- a/crates/front/src/table/sums.rs
+++ b/crates/front/src/table/sums.rs
@@ -1,7 +1,7 @@
 //! Sums that are exchanged with other hosts: what is in flight here, and what is elsewhere.
 
 use super::Table;
-use crate::message::{Demand, Load, PackedLoad, short};
+use crate::message::{Demand, Load, PackedLoad, replica_hash};
 use std::collections::HashMap;
 use unit::{Name, Span, Time};
 
@@ -27,7 +27,7 @@
             .replicas
             .iter()
             .filter(|(_, s)| s.absence.is_suspected(now));
-        absent.map(|(id, _)| short(id)).collect()
+        absent.map(|(id, _)| replica_hash(id)).collect()
     }
 
     /// What this host has in flight, remembered as told.
@@ -73,7 +73,10 @@
     fn named(&self, rows: &[PackedLoad]) -> Vec<(Name, Load)> {
         let rows: HashMap<u32, &PackedLoad> = rows.iter().map(|r| (r.replica(), r)).collect();
         let ids = self.view.all().map(|s| &s.entry.id);
-        ids.filter_map(|id| rows.get(&short(id)).map(|row| (id.clone(), row.load())))
-            .collect()
+        ids.filter_map(|id| {
+            rows.get(&replica_hash(id))
+                .map(|row| (id.clone(), row.load()))
+        })
+        .collect()
     }
 }
--- a/crates/front/src/table/told.rs
+++ b/crates/front/src/table/told.rs
@@ -2,7 +2,7 @@
 //! replicas that several hosts could not reach.
 
 use super::{SUMS_AGE, Table};
-use crate::message::short;
+use crate::message::replica_hash;
 use std::collections::{HashMap, HashSet};
 use unit::{Name, Span, Time};
 
@@ -39,7 +39,7 @@
     /// Whether several hosts could not reach a replica a moment ago.
     pub(super) fn is_absent(&self, replica: &str, now: Time) -> bool {
         let (absent, at) = &self.absent;
-        !absent.is_empty() && now.since(*at) < ABSENT_AGE && absent.contains(&short(replica))
+        !absent.is_empty() && now.since(*at) < ABSENT_AGE && absent.contains(&replica_hash(replica))
     }
 
     /// Time until a model is expected somewhere.
--- a/crates/front/tests/fanout.rs
+++ b/crates/front/tests/fanout.rs
@@ -3,7 +3,7 @@
 mod site;
 
 use front::Daemon;
-use front::message::{Demand, LoadReport, PackedLoad, short};
+use front::message::{Demand, LoadReport, PackedLoad, replica_hash};
 use front::peers::Inbox;
 use front::peers::fanout::{self, Part};
 use front::readers::Candidate;
@@ -163,8 +163,8 @@
     let inbox = Inbox::default();
     for host in 0..3u16 {
         let resting = match host {
-            0 => vec![short("i-1"), short("i-2")],
-            1 => vec![short("i-1")],
+            0 => vec![replica_hash("i-1"), replica_hash("i-2")],
+            1 => vec![replica_hash("i-1")],
             _ => Vec::new(),
         };
         let sums = LoadReport {
@@ -174,6 +174,6 @@
         };
         inbox.put(sums, addr(host), at(0));
     }
-    assert_eq!(inbox.resting(at(10)), HashSet::from([short("i-1")]));
+    assert_eq!(inbox.resting(at(10)), HashSet::from([replica_hash("i-1")]));
     assert!(inbox.resting(at(5_000)).is_empty(), "nobody tells any more");
 }
