--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -207,7 +207,7 @@
     /// Row of a replica's load.
     pub fn new(replica: &str, load: &Load) -> PackedLoad {
         let reserved = (load.reserved / TOKEN_STEP).round() as u16;
-        let unread = load.unread.map(|ms| ms.ceil() as u16);
+        let unread = load.prefill_ms.map(|ms| ms.ceil() as u16);
         PackedLoad(
             replica_hash(replica),
             load.requests as u16,
@@ -226,7 +226,7 @@
         Load {
             requests: f32::from(self.1),
             reserved: f32::from(self.2) * TOKEN_STEP,
-            unread: self.3.map(f32::from),
+            prefill_ms: self.3.map(f32::from),
         }
     }
 }
@@ -239,7 +239,7 @@
     /// Tokens that they need at the most.
     pub reserved: f32,
     /// Time to read the prompts that are not read yet, in milliseconds, by rank of urgency.
-    pub unread: [f32; PRIORITY_LEVELS],
+    pub prefill_ms: [f32; PRIORITY_LEVELS],
 }
 
 impl Load {
@@ -247,7 +247,7 @@
     pub fn add(&mut self, other: &Load) {
         self.requests += other.requests;
         self.reserved += other.reserved;
-        for (sum, more) in self.unread.iter_mut().zip(other.unread) {
+        for (sum, more) in self.prefill_ms.iter_mut().zip(other.prefill_ms) {
             *sum += more;
         }
     }
@@ -257,7 +257,7 @@
         let mut least = *self;
         least.requests = least.requests.min(other.requests);
         least.reserved = least.reserved.min(other.reserved);
-        for (mine, its) in least.unread.iter_mut().zip(other.unread) {
+        for (mine, its) in least.prefill_ms.iter_mut().zip(other.prefill_ms) {
             *mine = mine.min(its);
         }
         least
@@ -268,7 +268,7 @@
         let mut rest = *self;
         rest.requests = (rest.requests - other.requests).max(0.0);
         rest.reserved = (rest.reserved - other.reserved).max(0.0);
-        for (left, less) in rest.unread.iter_mut().zip(other.unread) {
+        for (left, less) in rest.prefill_ms.iter_mut().zip(other.prefill_ms) {
             *left = (*left - less).max(0.0);
         }
         rest
--- a/crates/front/src/table.rs
+++ b/crates/front/src/table.rs
@@ -207,7 +207,7 @@
         let load = state
             .map(|s| s.load(now, self.is_direct(now)))
             .unwrap_or_default();
-        let unread: f32 = load.unread.iter().sum();
+        let unread: f32 = load.prefill_ms.iter().sum();
         (
             f64::from(load.requests),
             Span((f64::from(unread) * 1e3) as u64),
@@ -285,7 +285,7 @@
         let model = ask.model.as_ref()?;
         let state = self.replicas.get(replica);
         let load = state.map(|s| s.load(now, self.is_direct(now)));
-        let unread: f32 = load.unwrap_or_default().unread.iter().sum();
+        let unread: f32 = load.unwrap_or_default().prefill_ms.iter().sum();
         let kept = state.map_or(0, |s| s.kept(model, ask));
         (unread <= 0.0).then(|| ask.prompt.saturating_sub(kept) as f64)
     }
--- a/crates/front/src/table/choose.rs
+++ b/crates/front/src/table/choose.rs
@@ -258,8 +258,8 @@
         Candidate {
             slots: entry.slots,
             in_flight: f64::from(load.requests),
-            ahead: ms(load.unread[..=rank].iter().sum()),
-            backlog: ms(load.unread.iter().sum()),
+            ahead: ms(load.prefill_ms[..=rank].iter().sum()),
+            backlog: ms(load.prefill_ms.iter().sum()),
             reading: terms.pace.reading(model, ask, kept),
             reserved: f64::from(load.reserved),
             memory: terms.memory,
--- a/crates/front/src/table/replica.rs
+++ b/crates/front/src/table/replica.rs
@@ -100,13 +100,13 @@
         }
         self.mine.requests += 1.0;
         self.mine.reserved += print.reserved;
-        self.mine.unread[print.rank] += print.reading_ms;
+        self.mine.prefill_ms[print.rank] += print.reading_ms;
         print
     }
 
     /// Notes that the prompt of a request is read.
     pub(super) fn started(&mut self, print: &Footprint) {
-        let unread = &mut self.mine.unread[print.rank];
+        let unread = &mut self.mine.prefill_ms[print.rank];
         *unread = (*unread - print.reading_ms).max(0.0);
     }
 
--- a/crates/front/tests/changes.rs
+++ b/crates/front/tests/changes.rs
@@ -203,7 +203,7 @@
         let load = Load {
             requests: 1.0,
             reserved: 100.0,
-            unread: [0.0, 0.0, 0.0, 5_000.0],
+            prefill_ms: [0.0, 0.0, 0.0, 5_000.0],
         };
         loop {
             let (row, now) = (PackedLoad::new("i-1", &load), state.now());
--- a/crates/standin/src/experiment/platform.rs
+++ b/crates/standin/src/experiment/platform.rs
@@ -111,7 +111,7 @@
     let load = Load {
         requests: 9.0,
         reserved: 14_400.0,
-        unread: [0.0, 140.0, 0.0, 0.0],
+        prefill_ms: [0.0, 140.0, 0.0, 0.0],
     };
     let rows = (0..replicas).map(|n| PackedLoad::new(&format!("i-{n:010x}"), &load));
     let digest = Digest {
