--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -206,7 +206,7 @@
 impl PackedLoad {
     /// Row of a replica's load.
     pub fn new(replica: &str, load: &Load) -> PackedLoad {
-        let reserved = (load.reserved / TOKEN_STEP).round() as u16;
+        let reserved = (load.reserved_tokens / TOKEN_STEP).round() as u16;
         let unread = load.prefill_ms.map(|ms| ms.ceil() as u16);
         PackedLoad(
             replica_hash(replica),
@@ -225,7 +225,7 @@
     pub fn load(&self) -> Load {
         Load {
             requests: f32::from(self.1),
-            reserved: f32::from(self.2) * TOKEN_STEP,
+            reserved_tokens: f32::from(self.2) * TOKEN_STEP,
             prefill_ms: self.3.map(f32::from),
         }
     }
@@ -237,7 +237,7 @@
     /// Requests.
     pub requests: f32,
     /// Tokens that they need at the most.
-    pub reserved: f32,
+    pub reserved_tokens: f32,
     /// Time to read the prompts that are not read yet, in milliseconds, by rank of urgency.
     pub prefill_ms: [f32; PRIORITY_LEVELS],
 }
@@ -246,7 +246,7 @@
     /// Adds another load.
     pub fn add(&mut self, other: &Load) {
         self.requests += other.requests;
-        self.reserved += other.reserved;
+        self.reserved_tokens += other.reserved_tokens;
         for (sum, more) in self.prefill_ms.iter_mut().zip(other.prefill_ms) {
             *sum += more;
         }
@@ -256,7 +256,7 @@
     pub fn least(&self, other: &Load) -> Load {
         let mut least = *self;
         least.requests = least.requests.min(other.requests);
-        least.reserved = least.reserved.min(other.reserved);
+        least.reserved_tokens = least.reserved_tokens.min(other.reserved_tokens);
         for (mine, its) in least.prefill_ms.iter_mut().zip(other.prefill_ms) {
             *mine = mine.min(its);
         }
@@ -267,7 +267,7 @@
     pub fn without(&self, other: &Load) -> Load {
         let mut rest = *self;
         rest.requests = (rest.requests - other.requests).max(0.0);
-        rest.reserved = (rest.reserved - other.reserved).max(0.0);
+        rest.reserved_tokens = (rest.reserved_tokens - other.reserved_tokens).max(0.0);
         for (left, less) in rest.prefill_ms.iter_mut().zip(other.prefill_ms) {
             *left = (*left - less).max(0.0);
         }
--- a/crates/front/src/table/choose.rs
+++ b/crates/front/src/table/choose.rs
@@ -261,7 +261,7 @@
             ahead: ms(load.prefill_ms[..=rank].iter().sum()),
             backlog: ms(load.prefill_ms.iter().sum()),
             reading: terms.pace.reading(model, ask, kept),
-            reserved: f64::from(load.reserved),
+            reserved: f64::from(load.reserved_tokens),
             memory: terms.memory,
             run: terms.pace.run,
             near: entry.hall == self.hall,
--- a/crates/front/src/table/replica.rs
+++ b/crates/front/src/table/replica.rs
@@ -99,7 +99,7 @@
             self.keep(model, want.ask);
         }
         self.mine.requests += 1.0;
-        self.mine.reserved += print.reserved;
+        self.mine.reserved_tokens += print.reserved;
         self.mine.prefill_ms[print.rank] += print.reading_ms;
         print
     }
@@ -113,7 +113,7 @@
     /// Counts a request out.
     pub(super) fn leave(&mut self, print: &Footprint) {
         self.mine.requests = (self.mine.requests - 1.0).max(0.0);
-        self.mine.reserved = (self.mine.reserved - print.reserved).max(0.0);
+        self.mine.reserved_tokens = (self.mine.reserved_tokens - print.reserved).max(0.0);
         self.started(print);
     }
 
--- a/crates/front/tests/changes.rs
+++ b/crates/front/tests/changes.rs
@@ -202,7 +202,7 @@
         // Another host has prompts there that are less urgent, so that this one waits its turn.
         let load = Load {
             requests: 1.0,
-            reserved: 100.0,
+            reserved_tokens: 100.0,
             prefill_ms: [0.0, 0.0, 0.0, 5_000.0],
         };
         loop {
--- a/crates/standin/src/experiment/platform.rs
+++ b/crates/standin/src/experiment/platform.rs
@@ -110,7 +110,7 @@
 fn digest(replicas: usize) -> usize {
     let load = Load {
         requests: 9.0,
-        reserved: 14_400.0,
+        reserved_tokens: 14_400.0,
         prefill_ms: [0.0, 140.0, 0.0, 0.0],
     };
     let rows = (0..replicas).map(|n| PackedLoad::new(&format!("i-{n:010x}"), &load));
