--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -264,7 +264,7 @@
     }
 
     /// What remains without another load; never below nothing.
-    pub fn without(&self, other: &Load) -> Load {
+    pub fn saturating_sub(&self, other: &Load) -> Load {
         let mut rest = *self;
         rest.requests = (rest.requests - other.requests).max(0.0);
         rest.reserved_tokens = (rest.reserved_tokens - other.reserved_tokens).max(0.0);
