--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -287,12 +287,12 @@
     /// Adapters that the leader has had loaded, by replica.
     pub adapters: Vec<(Name, Vec<(Name, Name)>)>,
     /// What the planner is about, in one datagram of each round.
-    pub plans: Option<Plans>,
+    pub plans: Option<PlannerStatus>,
 }
 
 /// What the planner is about.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct Plans {
+pub struct PlannerStatus {
     /// Models on their way, with the time left in milliseconds.
     pub coming: Vec<(Name, u32)>,
     /// Replicas and a model that each has just loaded: its entry may not show it yet.
--- a/crates/front/src/planner/digest.rs
+++ b/crates/front/src/planner/digest.rs
@@ -1,7 +1,9 @@
 //! Telling all hosts the sums, and what is planned.
 
 use super::{Book, Planner};
-use crate::message::{Digest, Load, MAX_DATAGRAM, Message, PackedLoad, Plans, replica_hash};
+use crate::message::{
+    Digest, Load, MAX_DATAGRAM, Message, PackedLoad, PlannerStatus, replica_hash,
+};
 use crate::orders::Known;
 use crate::readers::{self, Candidate, Reader};
 use std::collections::HashMap;
@@ -36,7 +38,7 @@
         let readers = self.readers(hosts);
         let (plans, adapters) = {
             let book = self.book.lock();
-            let plans = Plans {
+            let plans = PlannerStatus {
                 absent,
                 readers,
                 peers: self.peers.direct(),
@@ -154,7 +156,7 @@
 }
 
 /// What hosts are told of the plan.
-fn plans(book: &Book, now: Time) -> Plans {
+fn plans(book: &Book, now: Time) -> PlannerStatus {
     let coming = book.known.values().filter_map(|k| coming(k, now));
     let closing = book.known.iter().flat_map(|(id, k)| {
         let models = closing(k, now).into_iter();
@@ -164,11 +166,11 @@
         let (model, at) = k.loaded.as_ref()?;
         (now.since(*at) < TOLD_LOADED).then(|| (id.clone(), model.clone()))
     });
-    Plans {
+    PlannerStatus {
         loaded: loaded.collect(),
         coming: coming.collect(),
         closing: closing.collect(),
-        ..Plans::default()
+        ..PlannerStatus::default()
     }
 }
 
