--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -78,7 +78,9 @@
             Message::Sums(_) => "sums",
             Message::Direct(_) => "direct",
             Message::Loads(_) => "loads",
-            Message::Digest(Digest { plans: Some(_), .. }) => "plans",
+            Message::Digest(Digest {
+                planner: Some(_), ..
+            }) => "plans",
             Message::Digest(_) => "digest",
             Message::Want(_) => "want",
             Message::Missing(_) => "missing",
@@ -287,7 +289,7 @@
     /// Adapters that the leader has had loaded, by replica.
     pub adapters: Vec<(Name, Vec<(Name, Name)>)>,
     /// What the planner is about, in one datagram of each round.
-    pub plans: Option<PlannerStatus>,
+    pub planner: Option<PlannerStatus>,
 }
 
 /// What the planner is about.
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -209,7 +209,7 @@
         for (replica, adapters) in digest.adapters {
             table.set_adapters(&replica, adapters, now);
         }
-        if let Some(plans) = digest.plans {
+        if let Some(plans) = digest.planner {
             let own = self.state.settings.peers;
             let others = plans.peers.into_iter().filter(|p| *p != own);
             *self.others.lock() = others.collect();
--- a/crates/front/src/planner/digest.rs
+++ b/crates/front/src/planner/digest.rs
@@ -51,7 +51,7 @@
         let first = Digest {
             term: self.term.token,
             hosts,
-            plans: Some(plans),
+            planner: Some(plans),
             ..Digest::default()
         };
         let mut parts = Parts::new(first);
@@ -124,7 +124,7 @@
 
 impl Parts {
     fn new(first: Digest) -> Parts {
-        let plans = first.plans.as_ref().map_or(0, |p| {
+        let plans = first.planner.as_ref().map_or(0, |p| {
             p.coming.len()
                 + p.loaded.len()
                 + p.closing.len()
