--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -296,7 +296,7 @@
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct PlannerStatus {
     /// Models on their way, with the time left in milliseconds.
-    pub coming: Vec<(Name, u32)>,
+    pub loading: Vec<(Name, u32)>,
     /// Replicas and a model that each has just loaded: its entry may not show it yet.
     pub loaded: Vec<(Name, Name)>,
     /// Replicas and the model that each is about to give up: it gets no new work.
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -218,7 +218,7 @@
                 table.view.contact.told(word, now);
             }
             table.set_absent(plans.absent, now);
-            table.set_coming(&plans.coming, now);
+            table.set_coming(&plans.loading, now);
             table.set_loaded(plans.loaded, now);
             table.set_closing(plans.closing, now);
         }
--- a/crates/front/src/planner/digest.rs
+++ b/crates/front/src/planner/digest.rs
@@ -125,7 +125,7 @@
 impl Parts {
     fn new(first: Digest) -> Parts {
         let plans = first.planner.as_ref().map_or(0, |p| {
-            p.coming.len()
+            p.loading.len()
                 + p.loaded.len()
                 + p.closing.len()
                 + p.absent.len()
@@ -168,7 +168,7 @@
     });
     PlannerStatus {
         loaded: loaded.collect(),
-        coming: coming.collect(),
+        loading: coming.collect(),
         closing: closing.collect(),
         ..PlannerStatus::default()
     }
