--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -300,7 +300,7 @@
     /// Replicas and a model that each has just loaded: its entry may not show it yet.
     pub loaded: Vec<(Name, Name)>,
     /// Replicas and the model that each is about to give up: it gets no new work.
-    pub closing: Vec<(Name, Name)>,
+    pub unloading: Vec<(Name, Name)>,
     /// Short names of replicas that several hosts could not reach, and none does.
     pub absent: Vec<u32>,
     /// Hosts that read the store for their halls.
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -220,7 +220,7 @@
             table.set_absent(plans.absent, now);
             table.set_coming(&plans.loading, now);
             table.set_loaded(plans.loaded, now);
-            table.set_closing(plans.closing, now);
+            table.set_closing(plans.unloading, now);
         }
     }
 
--- a/crates/front/src/planner/digest.rs
+++ b/crates/front/src/planner/digest.rs
@@ -127,7 +127,7 @@
         let plans = first.planner.as_ref().map_or(0, |p| {
             p.loading.len()
                 + p.loaded.len()
-                + p.closing.len()
+                + p.unloading.len()
                 + p.absent.len()
                 + p.readers.len()
                 + p.peers.len()
@@ -169,7 +169,7 @@
     PlannerStatus {
         loaded: loaded.collect(),
         loading: coming.collect(),
-        closing: closing.collect(),
+        unloading: closing.collect(),
         ..PlannerStatus::default()
     }
 }
