--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -125,7 +125,7 @@
     /// Short names of replicas that want nothing from this host now.
     pub resting: Vec<u32>,
     /// Whether the store failed this host a moment ago.
-    pub cut: bool,
+    pub store_failed: bool,
     /// Time through which this host heard from the store, if it ever did.
     pub store: Option<Word>,
 }
@@ -156,7 +156,7 @@
             resting: self.resting.clone(),
             cores: self.cores,
             round: self.round,
-            cut: self.cut,
+            store_failed: self.store_failed,
             store: self.store,
         };
         let demand = self.demand.chunks(rows).map(|rows| part(rows, &[], &[]));
--- a/crates/front/src/peers/inbox.rs
+++ b/crates/front/src/peers/inbox.rs
@@ -74,7 +74,7 @@
             hall: told.sums.hall.clone(),
             addr: told.from,
             cores: told.sums.cores,
-            cut: told.cut.is_some_and(|at| now.since(at) < CUT_KEPT),
+            store_failed: told.cut.is_some_and(|at| now.since(at) < CUT_KEPT),
             silent: now.since(told.at) > SILENT_AFTER,
         });
         candidates.collect()
@@ -102,7 +102,7 @@
         let known = hosts.get_mut(&sums.host);
         let is_new = known.is_none();
         let cut = known.as_ref().and_then(|told| told.cut);
-        let cut = if sums.cut { Some(now) } else { cut };
+        let cut = if sums.store_failed { Some(now) } else { cut };
         match known {
             Some(told) if told.sums.round == sums.round => {
                 told.sums.demand.extend(sums.demand);
--- a/crates/front/src/peers/load_reports.rs
+++ b/crates/front/src/peers/load_reports.rs
@@ -135,7 +135,7 @@
             used: Vec::new(),
             absent: Vec::new(),
             resting: Vec::new(),
-            cut: readers::is_cut(&self.state),
+            store_failed: readers::is_cut(&self.state),
             store,
         }
     }
--- a/crates/front/src/readers/selection.rs
+++ b/crates/front/src/readers/selection.rs
@@ -15,7 +15,7 @@
     /// Its processor, in cores.
     pub cores: f32,
     /// Whether the store failed it a moment ago.
-    pub cut: bool,
+    pub store_failed: bool,
     /// Whether it has told nothing for longer than hosts pause between two tellings.
     pub silent: bool,
 }
@@ -69,7 +69,7 @@
     let mut ranked: Vec<&&Candidate> = readers.iter().collect();
     ranked.sort_by(|a, b| {
         let beside = |r: &Candidate| r.addr != leader && hall == Some(&r.hall);
-        let least = |r: &Candidate| (r.cut, r.addr != leader, beside(r));
+        let least = |r: &Candidate| (r.store_failed, r.addr != leader, beside(r));
         least(a)
             .cmp(&least(b))
             .then(b.cores.total_cmp(&a.cores))
--- a/crates/front/tests/fanout.rs
+++ b/crates/front/tests/fanout.rs
@@ -24,7 +24,7 @@
         hall: format!("hall-{hall}").into(),
         addr: addr(port),
         cores,
-        cut: false,
+        store_failed: false,
         silent,
     }
 }
--- a/crates/front/tests/readers.rs
+++ b/crates/front/tests/readers.rs
@@ -342,7 +342,7 @@
         hall: hall.into(),
         addr: ([127, 0, 0, 1], port).into(),
         cores,
-        cut: false,
+        store_failed: false,
         silent: false,
     }
 }
@@ -383,13 +383,13 @@
     };
     assert_eq!(heads(hosts()), [2, 4]);
     let mut cut = hosts();
-    cut[3].cut = true;
+    cut[3].store_failed = true;
     assert_eq!(heads(cut), [2, 5], "the store turns 4 away");
     let mut silent = hosts();
     silent[3].silent = true;
     silent[4].silent = true;
     assert_eq!(heads(silent), [2, 6]);
     let mut all = hosts();
-    all.iter_mut().for_each(|host| host.cut = true);
+    all.iter_mut().for_each(|host| host.store_failed = true);
     assert_eq!(heads(all).len(), 2, "somebody notices the store's return");
 }
