--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -119,7 +119,7 @@
     /// Requests in flight by replica.
     pub loads: Vec<PackedLoad>,
     /// Adapters that requests were sent to since the round before.
-    pub used: Vec<AdapterUse>,
+    pub adapter_uses: Vec<AdapterUse>,
     /// Short names of replicas that this host leaves alone, since it could not reach them.
     pub absent: Vec<u32>,
     /// Short names of replicas that want nothing from this host now.
@@ -143,13 +143,13 @@
         // Words of absent and resting replicas are in each part, so they take their room first.
         let named = self.absent.len() + self.resting.len();
         let rows = ROWS.saturating_sub(named).max(LEAST_ROWS);
-        if self.demand.len() + self.loads.len() + self.used.len() <= rows {
+        if self.demand.len() + self.loads.len() + self.adapter_uses.len() <= rows {
             return vec![self];
         }
         let part = |demand: &[Demand], loads: &[PackedLoad], used: &[AdapterUse]| LoadReport {
             demand: demand.to_vec(),
             loads: loads.to_vec(),
-            used: used.to_vec(),
+            adapter_uses: used.to_vec(),
             host: self.host.clone(),
             hall: self.hall.clone(),
             absent: self.absent.clone(),
@@ -161,7 +161,10 @@
         };
         let demand = self.demand.chunks(rows).map(|rows| part(rows, &[], &[]));
         let loads = self.loads.chunks(rows).map(|rows| part(&[], rows, &[]));
-        let used = self.used.chunks(rows).map(|rows| part(&[], &[], rows));
+        let used = self
+            .adapter_uses
+            .chunks(rows)
+            .map(|rows| part(&[], &[], rows));
         demand.chain(loads).chain(used).collect()
     }
 }
--- a/crates/front/src/peers/load_reports.rs
+++ b/crates/front/src/peers/load_reports.rs
@@ -106,7 +106,7 @@
             (demand, loads, table.take_used(), table.absent(now), resting)
         };
         let sums = LoadReport {
-            used,
+            adapter_uses: used,
             absent,
             resting,
             ..self.sums(round, demand, loads)
@@ -132,7 +132,7 @@
             round,
             demand,
             loads,
-            used: Vec::new(),
+            adapter_uses: Vec::new(),
             absent: Vec::new(),
             resting: Vec::new(),
             store_failed: readers::is_cut(&self.state),
