--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -139,7 +139,7 @@
 
 impl LoadReport {
     /// Cuts them into parts that fit a datagram each.
-    pub fn parts(self) -> Vec<LoadReport> {
+    pub fn split(self) -> Vec<LoadReport> {
         // Words of absent and resting replicas are in each part, so they take their room first.
         let named = self.absent.len() + self.resting.len();
         let rows = ROWS.saturating_sub(named).max(LEAST_ROWS);
--- a/crates/front/src/peers/load_reports.rs
+++ b/crates/front/src/peers/load_reports.rs
@@ -84,7 +84,7 @@
             self.inbox.put_loads(sums, now);
             return;
         }
-        for part in sums.parts() {
+        for part in sums.split() {
             self.send(&Message::Loads(part), leader.peers).await;
         }
     }
@@ -115,7 +115,7 @@
             self.inbox.put(sums, leader.peers, now);
             return;
         }
-        for part in sums.parts() {
+        for part in sums.split() {
             self.send(&Message::Sums(part), leader.peers).await;
         }
     }
--- a/crates/front/tests/fanout.rs
+++ b/crates/front/tests/fanout.rs
@@ -100,11 +100,11 @@
 fn parts_of_one_telling_add_up() {
     let inbox = Inbox::default();
     inbox.put(sums(1, 0, 0), addr(1), at(0));
-    for part in sums(7, 100, 0).parts() {
+    for part in sums(7, 100, 0).split() {
         inbox.put_loads(part, at(10));
     }
     assert_eq!(inbox.loads(at(20)).len(), 100);
-    for part in sums(8, 40, 0).parts() {
+    for part in sums(8, 40, 0).split() {
         inbox.put_loads(part, at(30));
     }
     assert_eq!(
@@ -127,7 +127,7 @@
         };
         10
     ];
-    let parts = sums.parts();
+    let parts = sums.split();
     assert_eq!(parts.iter().map(|p| p.loads.len()).sum::<usize>(), 60);
     for part in parts {
         let bytes = front::message::encode(&front::message::Message::Sums(part));
