--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -324,7 +324,7 @@
     /// Its adapter.
     pub adapter: Name,
     /// Whether it is wanted on one more replica, since those that hold it have too much to do.
-    pub beside: bool,
+    pub additional: bool,
 }
 
 /// Request for a model that is on no replica.
--- a/crates/front/src/planner/adapters.rs
+++ b/crates/front/src/planner/adapters.rs
@@ -53,7 +53,7 @@
     ) -> Option<Name> {
         let (engine, entries) = self.staying(&want.service)?;
         let mut book = self.book.lock();
-        if want.beside {
+        if want.additional {
             let id = book.beside(&entries, want, &engine, loads, now)?;
             book.queue_adapter(&id, want, &engine);
             return Some(id);
--- a/crates/front/src/serve/lacking.rs
+++ b/crates/front/src/serve/lacking.rs
@@ -141,7 +141,7 @@
             service: call.service.clone(),
             model: model.clone(),
             adapter: adapter.clone(),
-            beside,
+            additional: beside,
         }));
     }
 }
