--- a/crates/front/src/grant.rs
+++ b/crates/front/src/grant.rs
@@ -2,7 +2,7 @@
 //!
 //! The host that leads gives out. While it does not answer, this one goes on by its share of what was given out lately.
 
-use crate::message::{Question, Subject, Verdict};
+use crate::message::{QuotaRequest, Subject, Verdict};
 use crate::peers::Peers;
 use crate::state::State;
 use route::quota::{GIVEN_BACK_WITHIN, Given, Limit, Over};
@@ -63,7 +63,7 @@
 ) -> Option<Answer> {
     let asked = state.now();
     let untold = state.shares.with(&wanted.subject, |share| share.untold());
-    let question = Question {
+    let question = QuotaRequest {
         number: 0,
         host: state.settings.name.clone(),
         subject: wanted.subject.clone(),
--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -8,7 +8,7 @@
 pub use leaving::Leaving;
 pub use limit::{Heard, Limited, Limits};
 pub use quarantine::{Fallen, Listed, Listing, Permit};
-pub use quota::{Question, Refund, Subject, Verdict};
+pub use quota::{QuotaRequest, Refund, Subject, Verdict};
 
 use crate::contact::Word;
 use crate::readers::Reader;
@@ -44,7 +44,7 @@
     /// on to them.
     Part(Vec<SocketAddr>),
     /// A host asks the leader for units of a limit over all hosts.
-    Question(Question),
+    Question(QuotaRequest),
     /// The leader's answer to the question of that number.
     Verdict(u32, Verdict),
     /// A host gives back what a request did not use.
--- a/crates/front/src/message/quota.rs
+++ b/crates/front/src/message/quota.rs
@@ -15,7 +15,7 @@
 
 /// Question of a host: may one more request run, or go to a replica?
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Question {
+pub struct QuotaRequest {
     /// Number under which it is answered.
     pub number: u32,
     /// The host.
@@ -32,7 +32,7 @@
     pub alone: f32,
 }
 
-impl Question {
+impl QuotaRequest {
     /// Whether its numbers can be counted.
     pub fn is_sound(&self) -> bool {
         is_sound(self.units) && is_sound(self.kept) && is_sound(self.alone)
--- a/crates/front/src/peers/quota.rs
+++ b/crates/front/src/peers/quota.rs
@@ -3,7 +3,7 @@
 use super::Peers;
 use super::pending::Questions;
 use crate::leader::Term;
-use crate::message::{Limited, Message, Question, Refund, Subject, Verdict};
+use crate::message::{Limited, Message, QuotaRequest, Refund, Subject, Verdict};
 use crate::shares;
 use parking_lot::Mutex;
 use route::quota::{INTAKE, Limit, Limiter, Notice, Tolerance, Units};
@@ -52,7 +52,7 @@
     }
 
     /// Asks for units, once for each time that a try may take; none when there was no answer.
-    pub async fn ask_for(&self, question: Question, tries: &[Duration]) -> Option<Verdict> {
+    pub async fn ask_for(&self, question: QuotaRequest, tries: &[Duration]) -> Option<Verdict> {
         let leader = self.state.leader.lock().clone()?.peers;
         if leader == self.state.settings.peers {
             return self.judge(&question);
@@ -69,12 +69,12 @@
     /// Asks once and waits for the answer.
     async fn ask_once(
         &self,
-        question: &Question,
+        question: &QuotaRequest,
         leader: SocketAddr,
         limit: Duration,
     ) -> Option<Verdict> {
         let send = |number| async move {
-            let question = Question {
+            let question = QuotaRequest {
                 number,
                 ..question.clone()
             };
@@ -89,14 +89,14 @@
     }
 
     /// Answers a question of another host.
-    pub(super) async fn answer(&self, question: Question, from: SocketAddr) {
+    pub(super) async fn answer(&self, question: QuotaRequest, from: SocketAddr) {
         let verdict = self.judge(&question).unwrap_or(Verdict::Elsewhere);
         let answer = Message::Verdict(question.number, verdict);
         self.send(&answer, from).await;
     }
 
     /// What this host says to a question; none when it does not give out.
-    fn judge(&self, question: &Question) -> Option<Verdict> {
+    fn judge(&self, question: &QuotaRequest) -> Option<Verdict> {
         if !question.is_sound() {
             return None;
         }
@@ -217,7 +217,7 @@
     limiter: &mut Limiter<K>,
     subject: &K,
     limit: Limit,
-    question: &Question,
+    question: &QuotaRequest,
     now: Time,
 ) -> Verdict {
     let units = |count: f32| Units {
--- a/crates/front/tests/limits.rs
+++ b/crates/front/tests/limits.rs
@@ -8,7 +8,7 @@
 
 use front::Daemon;
 use front::message::{
-    Limited, Limits, MAX_DATAGRAM, Message, Question, Subject, Verdict, encode, limit,
+    Limited, Limits, MAX_DATAGRAM, Message, QuotaRequest, Subject, Verdict, encode, limit,
 };
 use platform_standin::replica::{Fault, Replica};
 use platform_standin::store::{Mode, Store};
@@ -382,7 +382,7 @@
     };
     let bytes = encode(&Message::Limits(limits)).len();
     assert!(bytes <= MAX_DATAGRAM, "{bytes} bytes");
-    let question = Question {
+    let question = QuotaRequest {
         number: u32::MAX,
         host,
         subject: Subject::Replica(row),
--- a/crates/front/tests/quota.rs
+++ b/crates/front/tests/quota.rs
@@ -3,7 +3,7 @@
 mod site;
 
 use front::Daemon;
-use front::message::{Message, Question, Refund, Subject, Verdict, decode, encode};
+use front::message::{Message, QuotaRequest, Refund, Subject, Verdict, decode, encode};
 use platform_standin::replica::Fault;
 use platform_standin::store::Store;
 use platform_standin::{Account, store};
@@ -146,7 +146,7 @@
     sleep(Duration::from_millis(1_500)).await;
     let stranger = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     for units in [f32::NAN, f32::INFINITY, -1.0] {
-        let question = Question {
+        let question = QuotaRequest {
             number: 7,
             host: "h".into(),
             subject: Subject::Account("mine".into()),
