--- a/crates/front/src/grant.rs
+++ b/crates/front/src/grant.rs
@@ -2,7 +2,7 @@
 //!
 //! The host that leads gives out. While it does not answer, this one goes on by its share of what was given out lately.
 
-use crate::message::{QuotaRequest, Subject, Verdict};
+use crate::message::{QuotaRequest, QuotaResponse, Subject};
 use crate::peers::Peers;
 use crate::state::State;
 use route::quota::{GIVEN_BACK_WITHIN, Given, Limit, Over};
@@ -87,18 +87,18 @@
 }
 
 /// What a verdict says; none where the host that was asked does not give out.
-fn answer(verdict: Verdict) -> Option<Answer> {
+fn answer(verdict: QuotaResponse) -> Option<Answer> {
     match verdict {
-        Verdict::Given { all, left } => Some(Answer::Given(Given {
+        QuotaResponse::Given { all, left } => Some(Answer::Given(Given {
             all: f64::from(all),
             left: f64::from(left),
         })),
-        Verdict::Refused { wait_ms, left } => Some(Answer::Over(Over {
+        QuotaResponse::Refused { wait_ms, left } => Some(Answer::Over(Over {
             wait: Span::from_ms(u64::from(wait_ms)),
             left: f64::from(left),
         })),
-        Verdict::Unlimited => Some(Answer::Unlimited),
-        Verdict::Elsewhere => None,
+        QuotaResponse::Unlimited => Some(Answer::Unlimited),
+        QuotaResponse::Elsewhere => None,
     }
 }
 
--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -8,7 +8,7 @@
 pub use leaving::Leaving;
 pub use limit::{Heard, Limited, Limits};
 pub use quarantine::{Fallen, Listed, Listing, Permit};
-pub use quota::{QuotaRequest, Refund, Subject, Verdict};
+pub use quota::{QuotaRequest, QuotaResponse, Refund, Subject};
 
 use crate::contact::Word;
 use crate::readers::Reader;
@@ -46,7 +46,7 @@
     /// A host asks the leader for units of a limit over all hosts.
     Question(QuotaRequest),
     /// The leader's answer to the question of that number.
-    Verdict(u32, Verdict),
+    Verdict(u32, QuotaResponse),
     /// A host gives back what a request did not use.
     Refund(Refund),
     /// Limits that replicas named to a host, to the leader.
--- a/crates/front/src/message/quota.rs
+++ b/crates/front/src/message/quota.rs
@@ -46,7 +46,7 @@
 
 /// Answer to a question.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub enum Verdict {
+pub enum QuotaResponse {
     /// It may run.
     Given {
         /// Units that all hosts were given in the last window.
--- a/crates/front/src/peers/quota.rs
+++ b/crates/front/src/peers/quota.rs
@@ -3,7 +3,7 @@
 use super::Peers;
 use super::pending::Questions;
 use crate::leader::Term;
-use crate::message::{Limited, Message, QuotaRequest, Refund, Subject, Verdict};
+use crate::message::{Limited, Message, QuotaRequest, QuotaResponse, Refund, Subject};
 use crate::shares;
 use parking_lot::Mutex;
 use route::quota::{INTAKE, Limit, Limiter, Notice, Tolerance, Units};
@@ -30,7 +30,7 @@
     /// What is given out in the term in which this host leads.
     limiters: Mutex<Option<(Term, Limiters)>>,
     /// Questions that wait for an answer.
-    open: Questions<Verdict>,
+    open: Questions<QuotaResponse>,
 }
 
 /// What one host gives out.
@@ -52,7 +52,11 @@
     }
 
     /// Asks for units, once for each time that a try may take; none when there was no answer.
-    pub async fn ask_for(&self, question: QuotaRequest, tries: &[Duration]) -> Option<Verdict> {
+    pub async fn ask_for(
+        &self,
+        question: QuotaRequest,
+        tries: &[Duration],
+    ) -> Option<QuotaResponse> {
         let leader = self.state.leader.lock().clone()?.peers;
         if leader == self.state.settings.peers {
             return self.judge(&question);
@@ -72,7 +76,7 @@
         question: &QuotaRequest,
         leader: SocketAddr,
         limit: Duration,
-    ) -> Option<Verdict> {
+    ) -> Option<QuotaResponse> {
         let send = |number| async move {
             let question = QuotaRequest {
                 number,
@@ -84,19 +88,19 @@
     }
 
     /// Gives an answer to the question that waits for it.
-    pub(super) fn answered(&self, number: u32, verdict: Verdict) {
+    pub(super) fn answered(&self, number: u32, verdict: QuotaResponse) {
         self.quotas.open.answered(number, verdict);
     }
 
     /// Answers a question of another host.
     pub(super) async fn answer(&self, question: QuotaRequest, from: SocketAddr) {
-        let verdict = self.judge(&question).unwrap_or(Verdict::Elsewhere);
+        let verdict = self.judge(&question).unwrap_or(QuotaResponse::Elsewhere);
         let answer = Message::Verdict(question.number, verdict);
         self.send(&answer, from).await;
     }
 
     /// What this host says to a question; none when it does not give out.
-    fn judge(&self, question: &QuotaRequest) -> Option<Verdict> {
+    fn judge(&self, question: &QuotaRequest) -> Option<QuotaResponse> {
         if !question.is_sound() {
             return None;
         }
@@ -108,7 +112,7 @@
             }
             Subject::Replica(limited) => {
                 let Some(notice) = self.notice_of(limited, &question.host, now)? else {
-                    return Some(Verdict::Unlimited);
+                    return Some(QuotaResponse::Unlimited);
                 };
                 let replica = &limited.replica;
                 self.with_replicas(|limiter, part| {
@@ -219,7 +223,7 @@
     limit: Limit,
     question: &QuotaRequest,
     now: Time,
-) -> Verdict {
+) -> QuotaResponse {
     let units = |count: f32| Units {
         subject,
         limit,
@@ -230,11 +234,11 @@
     };
     limiter.used_alone(units(question.alone), now);
     match limiter.give(units(question.units), now) {
-        Ok(given) => Verdict::Given {
+        Ok(given) => QuotaResponse::Given {
             all: given.all as f32,
             left: given.left as f32,
         },
-        Err(over) => Verdict::Refused {
+        Err(over) => QuotaResponse::Refused {
             wait_ms: over.wait.ms().ceil() as u32,
             left: over.left as f32,
         },
--- a/crates/front/tests/limits.rs
+++ b/crates/front/tests/limits.rs
@@ -8,7 +8,7 @@
 
 use front::Daemon;
 use front::message::{
-    Limited, Limits, MAX_DATAGRAM, Message, QuotaRequest, Subject, Verdict, encode, limit,
+    Limited, Limits, MAX_DATAGRAM, Message, QuotaRequest, QuotaResponse, Subject, encode, limit,
 };
 use platform_standin::replica::{Fault, Replica};
 use platform_standin::store::{Mode, Store};
@@ -391,7 +391,7 @@
         queues: true,
         alone: 0.5,
     };
-    let verdict = Verdict::Refused {
+    let verdict = QuotaResponse::Refused {
         wait_ms: 9_000,
         left: -1.5,
     };
--- a/crates/front/tests/quota.rs
+++ b/crates/front/tests/quota.rs
@@ -3,7 +3,7 @@
 mod site;
 
 use front::Daemon;
-use front::message::{Message, QuotaRequest, Refund, Subject, Verdict, decode, encode};
+use front::message::{Message, QuotaRequest, QuotaResponse, Refund, Subject, decode, encode};
 use platform_standin::replica::Fault;
 use platform_standin::store::Store;
 use platform_standin::{Account, store};
@@ -170,7 +170,10 @@
         let received = timeout(Duration::from_secs(5), stranger.recv(&mut buffer));
         let length = received.await.unwrap().unwrap();
         let answer = decode(&buffer[..length]).unwrap();
-        assert!(matches!(answer, Message::Verdict(7, Verdict::Elsewhere)));
+        assert!(matches!(
+            answer,
+            Message::Verdict(7, QuotaResponse::Elsewhere)
+        ));
     }
     let (ran, _) = press(&daemon, "k-1", Duration::from_millis(300)).await;
     assert!(ran > 0);
