--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -6,7 +6,7 @@
 mod quota;
 
 pub use leaving::Leaving;
-pub use limit::{Heard, Limited, Limits};
+pub use limit::{Heard, Limits, ReplicaLimit};
 pub use quarantine::{Fallen, Listed, Listing, Permit};
 pub use quota::{QuotaRequest, QuotaResponse, Refund, Subject};
 
--- a/crates/front/src/message/limit.rs
+++ b/crates/front/src/message/limit.rs
@@ -17,7 +17,7 @@
 
 /// What was heard of the limit of one incarnation of a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Limited {
+pub struct ReplicaLimit {
     /// Short name of the incarnation.
     pub replica: u32,
     /// Requests a second that it named last.
@@ -34,7 +34,7 @@
     /// The host.
     pub host: Name,
     /// The limits.
-    pub limits: Vec<Limited>,
+    pub limits: Vec<ReplicaLimit>,
 }
 
 /// Limits that hold, or are over since a while ago, from the leader to all.
@@ -45,7 +45,7 @@
     /// The leader.
     pub host: Name,
     /// The limits.
-    pub limits: Vec<Limited>,
+    pub limits: Vec<ReplicaLimit>,
 }
 
 /// Short name of one incarnation of a replica.
@@ -53,12 +53,12 @@
     replica_hash(&format!("{id}/{}", incarnation.unwrap_or_default()))
 }
 
-impl Limited {
+impl ReplicaLimit {
     /// What was heard, as it is told now.
-    pub fn new(entry: &Entry, notice: &Notice, now: Time) -> Limited {
+    pub fn new(entry: &Entry, notice: &Notice, now: Time) -> ReplicaLimit {
         let age_ms = |at: Time| now.since(at).ms() as u32;
-        Limited {
-            replica: Limited::name(entry),
+        ReplicaLimit {
+            replica: ReplicaLimit::name(entry),
             rate: notice.rate as f32,
             named_ms: age_ms(notice.named),
             unnamed_ms: notice.unnamed.map(age_ms),
--- a/crates/front/src/message/quota.rs
+++ b/crates/front/src/message/quota.rs
@@ -1,6 +1,6 @@
 //! What hosts and the one that gives out tell each other of limits over all hosts.
 
-use super::Limited;
+use super::ReplicaLimit;
 use serde::{Deserialize, Serialize};
 use unit::Name;
 
@@ -10,7 +10,7 @@
     /// A client account, which uses units of its own.
     Account(Name),
     /// A replica that takes so many requests a second, with what the host knows of its limit.
-    Replica(Limited),
+    Replica(ReplicaLimit),
 }
 
 /// Question of a host: may one more request run, or go to a replica?
--- a/crates/front/src/peers/limits.rs
+++ b/crates/front/src/peers/limits.rs
@@ -3,7 +3,7 @@
 use super::Peers;
 use crate::limits;
 use crate::message::limit::ROWS;
-use crate::message::{Heard, Limited, Limits, Message};
+use crate::message::{Heard, Limits, Message, ReplicaLimit};
 use std::sync::Arc;
 use std::time::Duration;
 use unit::Name;
@@ -75,12 +75,12 @@
     }
 
     /// Limits as this host tells them while it leads, in datagrams.
-    fn messages(&self, limits: &[Limited]) -> Vec<Message> {
+    fn messages(&self, limits: &[ReplicaLimit]) -> Vec<Message> {
         let leader = self.state.leader.lock();
         let Some(term) = leader.as_ref().map(|l| l.term) else {
             return Vec::new();
         };
-        let message = |limits: &[Limited]| {
+        let message = |limits: &[ReplicaLimit]| {
             Message::Limits(Limits {
                 term,
                 host: self.state.settings.name.clone(),
@@ -91,7 +91,7 @@
     }
 
     /// Takes in what another host heard, and has it told on if it is news.
-    pub(super) fn join_limits(&self, told: &[Limited], by: &Name) {
+    pub(super) fn join_limits(&self, told: &[ReplicaLimit], by: &Name) {
         let now = self.state.now();
         let changes = self.state.table.lock().join_limits(told, now);
         if changes.is_empty() {
--- a/crates/front/src/peers/quota.rs
+++ b/crates/front/src/peers/quota.rs
@@ -3,7 +3,7 @@
 use super::Peers;
 use super::pending::Questions;
 use crate::leader::Term;
-use crate::message::{Limited, Message, QuotaRequest, QuotaResponse, Refund, Subject};
+use crate::message::{Message, QuotaRequest, QuotaResponse, Refund, ReplicaLimit, Subject};
 use crate::shares;
 use parking_lot::Mutex;
 use route::quota::{INTAKE, Limit, Limiter, Notice, Tolerance, Units};
@@ -207,7 +207,7 @@
 
     /// What is known of a replica's limit here and at the host that asks, if it holds; none at all where the question's number
     /// cannot be counted.
-    fn notice_of(&self, limited: &Limited, host: &Name, now: Time) -> Option<Option<Notice>> {
+    fn notice_of(&self, limited: &ReplicaLimit, host: &Name, now: Time) -> Option<Option<Notice>> {
         let asked = limited.notice(now)?;
         self.join_limits(std::slice::from_ref(limited), host);
         let known = self.state.table.lock().notice_of(limited.replica);
--- a/crates/front/src/table/limits.rs
+++ b/crates/front/src/table/limits.rs
@@ -3,7 +3,7 @@
 use super::choose::rank;
 use super::replica::State;
 use super::{Table, Want};
-use crate::message::Limited;
+use crate::message::ReplicaLimit;
 use platform::replica::{Entry, Incarnation};
 use route::quota::{INTAKE, Notice, Outlook, Over};
 use std::collections::HashMap;
@@ -53,7 +53,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Met {
     /// What is told of it to whoever gives out.
-    pub limited: Limited,
+    pub limited: ReplicaLimit,
     /// What the replica last said.
     pub notice: Notice,
     /// Units that are to be left for what is more urgent.
@@ -158,7 +158,7 @@
     }
 
     /// Takes in what other hosts heard; tells replicas, what they name, and what that changes.
-    pub fn join_limits(&mut self, told: &[Limited], now: Time) -> Vec<(Name, f64, Change)> {
+    pub fn join_limits(&mut self, told: &[ReplicaLimit], now: Time) -> Vec<(Name, f64, Change)> {
         let told = told
             .iter()
             .filter_map(|t| Some((t.replica, t.notice(now)?)));
@@ -167,7 +167,8 @@
             return Vec::new();
         }
         let entries = self.view.all().map(|seen| &seen.entry);
-        let named = entries.filter_map(|e| Some((e.id.clone(), *told.get(&Limited::name(e))?)));
+        let named =
+            entries.filter_map(|e| Some((e.id.clone(), *told.get(&ReplicaLimit::name(e))?)));
         let named: Vec<(Name, Notice)> = named.collect();
         let mut changes = Vec::new();
         for (id, told) in named {
@@ -198,23 +199,23 @@
     /// What is known of the limit of an incarnation, by its short name.
     pub fn notice_of(&self, replica: u32) -> Option<Notice> {
         let mut entries = self.view.all().map(|seen| &seen.entry);
-        let entry = entries.find(|entry| Limited::name(entry) == replica)?;
+        let entry = entries.find(|entry| ReplicaLimit::name(entry) == replica)?;
         Some(self.replicas.get(&entry.id)?.need?.notice)
     }
 
     /// Limits that this host has heard itself lately, to be told.
-    pub fn heard_limits(&self, now: Time) -> Vec<Limited> {
+    pub fn heard_limits(&self, now: Time) -> Vec<ReplicaLimit> {
         let is_own = |need: &Need| need.heard.is_some_and(|at| now.since(at) < TOLD_AGAIN);
         self.rows(is_own, now)
     }
 
     /// Limits that hold, or are over since a while ago, to be told.
-    pub fn limits(&self, now: Time) -> Vec<Limited> {
+    pub fn limits(&self, now: Time) -> Vec<ReplicaLimit> {
         self.rows(|need| need.is_told(now), now)
     }
 
     /// Those of them that say something else than was told last, which they now are.
-    pub fn changed_limits(&mut self, now: Time) -> Vec<Limited> {
+    pub fn changed_limits(&mut self, now: Time) -> Vec<ReplicaLimit> {
         let is_news = |need: &Need| need.is_told(now) && need.told != Some(need.says());
         let changed = self.rows(is_news, now);
         let needs = self.replicas.values_mut().filter_map(|s| s.need.as_mut());
@@ -224,10 +225,10 @@
         changed
     }
 
-    fn rows(&self, is_told: impl Fn(&Need) -> bool, now: Time) -> Vec<Limited> {
+    fn rows(&self, is_told: impl Fn(&Need) -> bool, now: Time) -> Vec<ReplicaLimit> {
         let row = |entry: &Entry| {
             let need = self.replicas.get(&entry.id)?.need.as_ref()?;
-            is_told(need).then(|| Limited::new(entry, &need.notice, now))
+            is_told(need).then(|| ReplicaLimit::new(entry, &need.notice, now))
         };
         self.view
             .all()
@@ -240,7 +241,7 @@
         let notice = self.replicas.get(id)?.limit(now)?.notice;
         let entry = &self.view.get(id)?.entry;
         Some(Met {
-            limited: Limited::new(entry, &notice, now),
+            limited: ReplicaLimit::new(entry, &notice, now),
             notice,
             kept: kept(want),
         })
--- a/crates/front/tests/limits.rs
+++ b/crates/front/tests/limits.rs
@@ -8,7 +8,8 @@
 
 use front::Daemon;
 use front::message::{
-    Limited, Limits, MAX_DATAGRAM, Message, QuotaRequest, QuotaResponse, Subject, encode, limit,
+    Limits, MAX_DATAGRAM, Message, QuotaRequest, QuotaResponse, ReplicaLimit, Subject, encode,
+    limit,
 };
 use platform_standin::replica::{Fault, Replica};
 use platform_standin::store::{Mode, Store};
@@ -368,7 +369,7 @@
 /// What is told of limits fits the usual packet, however large its numbers; a question and its answer are small.
 #[test]
 fn what_is_told_fits_a_datagram() {
-    let row = Limited {
+    let row = ReplicaLimit {
         replica: u32::MAX,
         rate: 1.0e-30,
         named_ms: u32::MAX,
