--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -6,7 +6,7 @@
 mod quota;
 
 pub use leaving::Leaving;
-pub use limit::{Heard, Limits, ReplicaLimit};
+pub use limit::{LimitReport, Limits, ReplicaLimit};
 pub use quarantine::{Fallen, Listed, Listing, Permit};
 pub use quota::{QuotaRequest, QuotaResponse, Refund, Subject};
 
@@ -50,7 +50,7 @@
     /// A host gives back what a request did not use.
     Refund(Refund),
     /// Limits that replicas named to a host, to the leader.
-    Heard(Heard),
+    Heard(LimitReport),
     /// Limits that replicas name, from the leader.
     Limits(Limits),
     /// Replicas that leave by their own word: to the leader, and from it to all; where hosts are few, to all.
--- a/crates/front/src/message/limit.rs
+++ b/crates/front/src/message/limit.rs
@@ -30,7 +30,7 @@
 
 /// Limits that a host has heard itself, to the leader.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Heard {
+pub struct LimitReport {
     /// The host.
     pub host: Name,
     /// The limits.
--- a/crates/front/src/peers/limits.rs
+++ b/crates/front/src/peers/limits.rs
@@ -3,7 +3,7 @@
 use super::Peers;
 use crate::limits;
 use crate::message::limit::ROWS;
-use crate::message::{Heard, Limits, Message, ReplicaLimit};
+use crate::message::{LimitReport, Limits, Message, ReplicaLimit};
 use std::sync::Arc;
 use std::time::Duration;
 use unit::Name;
@@ -57,7 +57,7 @@
         let now = self.state.now();
         let limits = self.state.table.lock().heard_limits(now);
         for limits in limits.chunks(ROWS) {
-            let heard = Heard {
+            let heard = LimitReport {
                 host: self.state.settings.name.clone(),
                 limits: limits.to_vec(),
             };
