--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -6,7 +6,7 @@
 mod quota;
 
 pub use leaving::Leaving;
-pub use limit::{LimitReport, Limits, ReplicaLimit};
+pub use limit::{LimitDigest, LimitReport, ReplicaLimit};
 pub use quarantine::{Fallen, Listed, Listing, Permit};
 pub use quota::{QuotaRequest, QuotaResponse, Refund, Subject};
 
@@ -52,7 +52,7 @@
     /// Limits that replicas named to a host, to the leader.
     Heard(LimitReport),
     /// Limits that replicas name, from the leader.
-    Limits(Limits),
+    Limits(LimitDigest),
     /// Replicas that leave by their own word: to the leader, and from it to all; where hosts are few, to all.
     Leaving(Leaving),
     /// A host saw a replica fall, to the leader; where hosts are few, to all.
--- a/crates/front/src/message/limit.rs
+++ b/crates/front/src/message/limit.rs
@@ -39,7 +39,7 @@
 
 /// Limits that hold, or are over since a while ago, from the leader to all.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Limits {
+pub struct LimitDigest {
     /// Fencing token of the leader's term.
     pub term: u64,
     /// The leader.
--- a/crates/front/src/peers/limits.rs
+++ b/crates/front/src/peers/limits.rs
@@ -3,7 +3,7 @@
 use super::Peers;
 use crate::limits;
 use crate::message::limit::ROWS;
-use crate::message::{LimitReport, Limits, Message, ReplicaLimit};
+use crate::message::{LimitDigest, LimitReport, Message, ReplicaLimit};
 use std::sync::Arc;
 use std::time::Duration;
 use unit::Name;
@@ -81,7 +81,7 @@
             return Vec::new();
         };
         let message = |limits: &[ReplicaLimit]| {
-            Message::Limits(Limits {
+            Message::Limits(LimitDigest {
                 term,
                 host: self.state.settings.name.clone(),
                 limits: limits.to_vec(),
--- a/crates/front/tests/limits.rs
+++ b/crates/front/tests/limits.rs
@@ -8,7 +8,7 @@
 
 use front::Daemon;
 use front::message::{
-    Limits, MAX_DATAGRAM, Message, QuotaRequest, QuotaResponse, ReplicaLimit, Subject, encode,
+    LimitDigest, MAX_DATAGRAM, Message, QuotaRequest, QuotaResponse, ReplicaLimit, Subject, encode,
     limit,
 };
 use platform_standin::replica::{Fault, Replica};
@@ -376,7 +376,7 @@
         unnamed_ms: Some(u32::MAX),
     };
     let host: unit::Name = "a-host-with-a-rather-long-name-12".into();
-    let limits = Limits {
+    let limits = LimitDigest {
         term: u64::MAX,
         host: host.clone(),
         limits: vec![row; limit::ROWS],
