--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -7,7 +7,7 @@
 
 pub use leaving::Leaving;
 pub use limit::{LimitDigest, LimitReport, ReplicaLimit};
-pub use quarantine::{Fallen, Listed, Listing, Permit};
+pub use quarantine::{CrashReport, Listed, Listing, Permit};
 pub use quota::{QuotaRequest, QuotaResponse, Refund, Subject};
 
 use crate::contact::Word;
@@ -56,7 +56,7 @@
     /// Replicas that leave by their own word: to the leader, and from it to all; where hosts are few, to all.
     Leaving(Leaving),
     /// A host saw a replica fall, to the leader; where hosts are few, to all.
-    Fallen(Fallen),
+    Fallen(CrashReport),
     /// A run of a request that is listed has ended well, to the leader.
     Sound(Fingerprint),
     /// A trial of a request has ended, and not well, to the leader: whether it broke off.
--- a/crates/front/src/message/quarantine.rs
+++ b/crates/front/src/message/quarantine.rs
@@ -5,7 +5,7 @@
 
 /// Fall of a replica, as a host saw it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Fallen {
+pub struct CrashReport {
     /// Identity of the fall, alike on all hosts.
     pub fall: u64,
     /// Requests of the host that broke there.
--- a/crates/front/src/peers/quarantine.rs
+++ b/crates/front/src/peers/quarantine.rs
@@ -1,7 +1,7 @@
 //! Telling the leader of falls and of how runs ended, asking it for trials, and answering as the one that leads.
 
 use super::Peers;
-use crate::message::{Fallen, Message, Permit};
+use crate::message::{CrashReport, Message, Permit};
 use crate::quarantine::{Report, Reports};
 use route::quarantine::{Fall, Group, Ticket};
 use std::net::SocketAddr;
@@ -72,7 +72,7 @@
     }
 
     /// Takes in a fall that another host saw.
-    pub(super) fn take_fall(&self, fallen: &Fallen) {
+    pub(super) fn take_fall(&self, fallen: &CrashReport) {
         let now = self.state.now();
         let fall = Fall(fallen.fall);
         self.state.quarantine.fell(fall, &fallen.aboard, now);
@@ -124,7 +124,7 @@
 
 /// Fall as it is told.
 fn fallen(group: Group) -> Message {
-    Message::Fallen(Fallen {
+    Message::Fallen(CrashReport {
         fall: group.fall.0,
         aboard: group.aboard,
     })
