--- a/crates/front/src/message/quarantine.rs
+++ b/crates/front/src/message/quarantine.rs
@@ -7,7 +7,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
     /// Identity of the fall, alike on all hosts.
-    pub fall: u64,
+    pub crash: u64,
     /// Requests of the host that broke there.
     pub aboard: Vec<Fingerprint>,
 }
--- a/crates/front/src/peers/quarantine.rs
+++ b/crates/front/src/peers/quarantine.rs
@@ -74,7 +74,7 @@
     /// Takes in a fall that another host saw.
     pub(super) fn take_fall(&self, fallen: &CrashReport) {
         let now = self.state.now();
-        let fall = Fall(fallen.fall);
+        let fall = Fall(fallen.crash);
         self.state.quarantine.fell(fall, &fallen.aboard, now);
     }
 
@@ -125,7 +125,7 @@
 /// Fall as it is told.
 fn fallen(group: Group) -> Message {
     Message::Fallen(CrashReport {
-        fall: group.fall.0,
+        crash: group.fall.0,
         aboard: group.aboard,
     })
 }
