--- a/crates/front/src/message/quarantine.rs
+++ b/crates/front/src/message/quarantine.rs
@@ -9,7 +9,7 @@
     /// Identity of the fall, alike on all hosts.
     pub crash: u64,
     /// Requests of the host that broke there.
-    pub aboard: Vec<Fingerprint>,
+    pub in_flight: Vec<Fingerprint>,
 }
 
 /// Leader's answer to a host that asks what may be done with a request.
--- a/crates/front/src/peers/quarantine.rs
+++ b/crates/front/src/peers/quarantine.rs
@@ -75,7 +75,7 @@
     pub(super) fn take_fall(&self, fallen: &CrashReport) {
         let now = self.state.now();
         let fall = Fall(fallen.crash);
-        self.state.quarantine.fell(fall, &fallen.aboard, now);
+        self.state.quarantine.fell(fall, &fallen.in_flight, now);
     }
 
     /// Asks the leader what may be done with a request that is suspected; none when there was no answer.
@@ -126,6 +126,6 @@
 fn fallen(group: Group) -> Message {
     Message::Fallen(CrashReport {
         crash: group.fall.0,
-        aboard: group.aboard,
+        in_flight: group.aboard,
     })
 }
