--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -7,7 +7,7 @@
 
 pub use leaving::Leaving;
 pub use limit::{LimitDigest, LimitReport, ReplicaLimit};
-pub use quarantine::{CrashReport, Listed, Listing, Permit};
+pub use quarantine::{CrashReport, Listed, Listing, TrialResponse};
 pub use quota::{QuotaRequest, QuotaResponse, Refund, Subject};
 
 use crate::contact::Word;
@@ -64,7 +64,7 @@
     /// A host asks the leader for a trial: number of the question, request, and who asks.
     Trial(u32, Fingerprint, u64),
     /// The leader's answer to the question of that number.
-    Permit(u32, Permit),
+    Permit(u32, TrialResponse),
     /// Requests that are suspected or kept out, from the leader.
     Listing(Listing),
     /// A datagram of the leader, to be taken in and passed on to the hosts of that part.
--- a/crates/front/src/message/quarantine.rs
+++ b/crates/front/src/message/quarantine.rs
@@ -14,7 +14,7 @@
 
 /// Leader's answer to a host that asks what may be done with a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Permit {
+pub enum TrialResponse {
     /// Send it as any other.
     Free,
     /// Send it once, and tell how that ended.
@@ -27,28 +27,30 @@
     Elsewhere,
 }
 
-impl From<route::quarantine::Permit> for Permit {
-    fn from(permit: route::quarantine::Permit) -> Permit {
+impl From<route::quarantine::Permit> for TrialResponse {
+    fn from(permit: route::quarantine::Permit) -> TrialResponse {
         use route::quarantine::Permit as Decided;
         match permit {
-            Decided::Free => Permit::Free,
-            Decided::Trial => Permit::Trial,
-            Decided::Wait => Permit::Wait,
-            Decided::KeptOut(left) => Permit::KeptOut(left.secs().ceil() as u32),
+            Decided::Free => TrialResponse::Free,
+            Decided::Trial => TrialResponse::Trial,
+            Decided::Wait => TrialResponse::Wait,
+            Decided::KeptOut(left) => TrialResponse::KeptOut(left.secs().ceil() as u32),
         }
     }
 }
 
-impl Permit {
+impl TrialResponse {
     /// The decision; none where the host that was asked made none.
     pub fn decision(self) -> Option<route::quarantine::Permit> {
         use route::quarantine::Permit as Decided;
         match self {
-            Permit::Free => Some(Decided::Free),
-            Permit::Trial => Some(Decided::Trial),
-            Permit::Wait => Some(Decided::Wait),
-            Permit::KeptOut(secs) => Some(Decided::KeptOut(Span::from_secs(u64::from(secs)))),
-            Permit::Elsewhere => None,
+            TrialResponse::Free => Some(Decided::Free),
+            TrialResponse::Trial => Some(Decided::Trial),
+            TrialResponse::Wait => Some(Decided::Wait),
+            TrialResponse::KeptOut(secs) => {
+                Some(Decided::KeptOut(Span::from_secs(u64::from(secs))))
+            }
+            TrialResponse::Elsewhere => None,
         }
     }
 }
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -20,7 +20,7 @@
 
 pub use inbox::Inbox;
 
-use crate::message::{self, AdapterPlacement, Digest, Message, Permit};
+use crate::message::{self, AdapterPlacement, Digest, Message, TrialResponse};
 use crate::readers::Candidate;
 use crate::state::{State, Wanted, Wish};
 use bytes::Bytes;
@@ -64,7 +64,7 @@
     /// Hosts that have just begun, and are to be told of limits.
     newcomers: Mutex<Vec<SocketAddr>>,
     /// Questions for trials that wait for an answer.
-    trials: Questions<Permit>,
+    trials: Questions<TrialResponse>,
     /// Hosts that this one passes on to, and when the leader named them.
     passes_to: Mutex<(Vec<SocketAddr>, Time)>,
 }
--- a/crates/front/src/peers/quarantine.rs
+++ b/crates/front/src/peers/quarantine.rs
@@ -1,7 +1,7 @@
 //! Telling the leader of falls and of how runs ended, asking it for trials, and answering as the one that leads.
 
 use super::Peers;
-use crate::message::{CrashReport, Message, Permit};
+use crate::message::{CrashReport, Message, TrialResponse};
 use crate::quarantine::{Report, Reports};
 use route::quarantine::{Fall, Group, Ticket};
 use std::net::SocketAddr;
@@ -113,11 +113,11 @@
     }
 
     /// What this host says to such a question.
-    fn decide(&self, print: Fingerprint, ticket: Ticket) -> Permit {
+    fn decide(&self, print: Fingerprint, ticket: Ticket) -> TrialResponse {
         let now = self.state.now();
         match self.state.leads() {
             true => self.state.quarantine.ask(print, ticket, now).into(),
-            false => Permit::Elsewhere,
+            false => TrialResponse::Elsewhere,
         }
     }
 }
