--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -7,7 +7,7 @@
 
 pub use leaving::Leaving;
 pub use limit::{LimitDigest, LimitReport, ReplicaLimit};
-pub use quarantine::{CrashReport, Listed, Listing, TrialResponse};
+pub use quarantine::{CrashReport, Listed, QuarantineList, TrialResponse};
 pub use quota::{QuotaRequest, QuotaResponse, Refund, Subject};
 
 use crate::contact::Word;
@@ -66,7 +66,7 @@
     /// The leader's answer to the question of that number.
     Permit(u32, TrialResponse),
     /// Requests that are suspected or kept out, from the leader.
-    Listing(Listing),
+    Listing(QuarantineList),
     /// A datagram of the leader, to be taken in and passed on to the hosts of that part.
     Pass(Bytes),
 }
--- a/crates/front/src/message/quarantine.rs
+++ b/crates/front/src/message/quarantine.rs
@@ -57,7 +57,7 @@
 
 /// Requests that are suspected or kept out, from the leader to all.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listing {
+pub struct QuarantineList {
     /// Fencing token of the leader's term.
     pub term: u64,
     /// Number of the list in that term, which rises as it changes.
--- a/crates/front/src/quarantine.rs
+++ b/crates/front/src/quarantine.rs
@@ -17,7 +17,7 @@
 pub use look::{broke, replaced};
 pub use stored::KEY;
 
-use crate::message::Listing;
+use crate::message::QuarantineList;
 use crate::state::State;
 use board::Board;
 use parking_lot::Mutex;
@@ -146,7 +146,7 @@
     }
 
     /// What a leader is to tell all hosts, and whether it has changed since it was asked for last.
-    pub fn listing(&self, term: u64, now: Time) -> (Listing, bool) {
+    pub fn listing(&self, term: u64, now: Time) -> (QuarantineList, bool) {
         let mut board = self.board.lock();
         let (listing, news) = board.listing(term, now);
         drop(board);
@@ -158,7 +158,7 @@
 
     /// Takes in the leader's list, and tells it which of these requests have ended well here since they were first in
     /// flight at a fall.
-    pub fn told(&self, listing: Listing, now: Time) {
+    pub fn told(&self, listing: QuarantineList, now: Time) {
         let sound = self.board.lock().told(listing, now);
         for print in sound {
             self.report(Report::Sound(print));
--- a/crates/front/src/quarantine/board.rs
+++ b/crates/front/src/quarantine/board.rs
@@ -1,7 +1,7 @@
 //! What one host knows of requests that end replicas.
 
 use super::stored;
-use crate::message::{Listed, Listing};
+use crate::message::{Listed, QuarantineList};
 use route::quarantine::{Fall, Falls, Ledger, Standing};
 use std::collections::{BTreeMap, HashMap};
 use unit::{Fingerprint, Span, Time};
@@ -136,7 +136,7 @@
         self.telling = Telling::default();
     }
 
-    pub(super) fn listing(&mut self, term: u64, now: Time) -> (Listing, News) {
+    pub(super) fn listing(&mut self, term: u64, now: Time) -> (QuarantineList, News) {
         let listed = self.ledger.listed(now);
         let next: BTreeMap<Fingerprint, bool> =
             listed.iter().map(|l| (l.print, l.is_out)).collect();
@@ -153,7 +153,7 @@
             is_out: l.is_out,
             since_ms: u32::try_from(now.since(l.since).0 / 1_000).unwrap_or(u32::MAX),
         });
-        let listing = Listing {
+        let listing = QuarantineList {
             term,
             number: self.telling.number,
             listed: listed.collect(),
@@ -162,7 +162,7 @@
     }
 
     /// Takes in the leader's list; gives the requests in it that have ended well here since they were suspected.
-    pub(super) fn told(&mut self, listing: Listing, now: Time) -> Vec<Fingerprint> {
+    pub(super) fn told(&mut self, listing: QuarantineList, now: Time) -> Vec<Fingerprint> {
         let number = (listing.term, listing.number);
         if number < self.told.number {
             return Vec::new();
