--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -7,7 +7,7 @@
 
 pub use leaving::Leaving;
 pub use limit::{LimitDigest, LimitReport, ReplicaLimit};
-pub use quarantine::{CrashReport, Listed, QuarantineList, TrialResponse};
+pub use quarantine::{CrashReport, QuarantineEntry, QuarantineList, TrialResponse};
 pub use quota::{QuotaRequest, QuotaResponse, Refund, Subject};
 
 use crate::contact::Word;
--- a/crates/front/src/message/quarantine.rs
+++ b/crates/front/src/message/quarantine.rs
@@ -63,12 +63,12 @@
     /// Number of the list in that term, which rises as it changes.
     pub number: u32,
     /// The requests.
-    pub listed: Vec<Listed>,
+    pub listed: Vec<QuarantineEntry>,
 }
 
 /// Request in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct QuarantineEntry {
     /// The request.
     pub print: Fingerprint,
     /// Whether it is kept out; it is suspected otherwise.
--- a/crates/front/src/quarantine/board.rs
+++ b/crates/front/src/quarantine/board.rs
@@ -1,7 +1,7 @@
 //! What one host knows of requests that end replicas.
 
 use super::stored;
-use crate::message::{Listed, QuarantineList};
+use crate::message::{QuarantineEntry, QuarantineList};
 use route::quarantine::{Fall, Falls, Ledger, Standing};
 use std::collections::{BTreeMap, HashMap};
 use unit::{Fingerprint, Span, Time};
@@ -148,7 +148,7 @@
             self.telling.number += 1;
             self.telling.listed = next;
         }
-        let listed = listed.into_iter().map(|l| Listed {
+        let listed = listed.into_iter().map(|l| QuarantineEntry {
             print: l.print,
             is_out: l.is_out,
             since_ms: u32::try_from(now.since(l.since).0 / 1_000).unwrap_or(u32::MAX),
