--- a/crates/front/src/message/quarantine.rs
+++ b/crates/front/src/message/quarantine.rs
@@ -72,7 +72,7 @@
     /// The request.
     pub print: Fingerprint,
     /// Whether it is kept out; it is suspected otherwise.
-    pub is_out: bool,
+    pub is_blocked: bool,
     /// Time since its first fall that counts, in milliseconds: a good end after that clears it.
     pub since_ms: u32,
 }
--- a/crates/front/src/quarantine/board.rs
+++ b/crates/front/src/quarantine/board.rs
@@ -150,7 +150,7 @@
         }
         let listed = listed.into_iter().map(|l| QuarantineEntry {
             print: l.print,
-            is_out: l.is_out,
+            is_blocked: l.is_out,
             since_ms: u32::try_from(now.since(l.since).0 / 1_000).unwrap_or(u32::MAX),
         });
         let listing = QuarantineList {
@@ -173,13 +173,17 @@
         let sound = listing.listed.iter().filter(|listed| {
             let since = now - Span::from_ms(u64::from(listed.since_ms));
             let ended = self.sound.get(&listed.print);
-            !listed.is_out && ended.is_some_and(|at| *at > since)
+            !listed.is_blocked && ended.is_some_and(|at| *at > since)
         });
         let sound = sound.map(|listed| listed.print).collect();
         self.told = Told {
             number,
             at: now,
-            listed: listing.listed.iter().map(|l| (l.print, l.is_out)).collect(),
+            listed: listing
+                .listed
+                .iter()
+                .map(|l| (l.print, l.is_blocked))
+                .collect(),
         };
         sound
     }
