--- a/crates/front/src/message/quarantine.rs
+++ b/crates/front/src/message/quarantine.rs
@@ -63,7 +63,7 @@
     /// Number of the list in that term, which rises as it changes.
     pub number: u32,
     /// The requests.
-    pub listed: Vec<QuarantineEntry>,
+    pub entries: Vec<QuarantineEntry>,
 }
 
 /// Request in the list.
--- a/crates/front/src/planner/quarantine.rs
+++ b/crates/front/src/planner/quarantine.rs
@@ -14,7 +14,7 @@
     pub(super) async fn tell_listing(self: &Arc<Self>, again: bool) {
         let now = self.state.now();
         let (listing, changed) = self.state.quarantine.listing(self.term.token, now);
-        if changed || (again && !listing.listed.is_empty()) {
+        if changed || (again && !listing.entries.is_empty()) {
             self.peers.send_all(&Message::Listing(listing)).await;
         }
         self.begin_storing();
--- a/crates/front/src/quarantine/board.rs
+++ b/crates/front/src/quarantine/board.rs
@@ -156,7 +156,7 @@
         let listing = QuarantineList {
             term,
             number: self.telling.number,
-            listed: listed.collect(),
+            entries: listed.collect(),
         };
         (listing, News { changed, kept_out })
     }
@@ -167,10 +167,10 @@
         if number < self.told.number {
             return Vec::new();
         }
-        if !listing.listed.is_empty() {
+        if !listing.entries.is_empty() {
             self.alert(now);
         }
-        let sound = listing.listed.iter().filter(|listed| {
+        let sound = listing.entries.iter().filter(|listed| {
             let since = now - Span::from_ms(u64::from(listed.since_ms));
             let ended = self.sound.get(&listed.print);
             !listed.is_blocked && ended.is_some_and(|at| *at > since)
@@ -180,7 +180,7 @@
             number,
             at: now,
             listed: listing
-                .listed
+                .entries
                 .iter()
                 .map(|l| (l.print, l.is_blocked))
                 .collect(),
