--- a/crates/front/src/message/quarantine.rs
+++ b/crates/front/src/message/quarantine.rs
@@ -70,7 +70,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineEntry {
     /// The request.
-    pub print: Fingerprint,
+    pub fingerprint: Fingerprint,
     /// Whether it is kept out; it is suspected otherwise.
     pub is_blocked: bool,
     /// Time since its first fall that counts, in milliseconds: a good end after that clears it.
--- a/crates/front/src/quarantine/board.rs
+++ b/crates/front/src/quarantine/board.rs
@@ -149,7 +149,7 @@
             self.telling.listed = next;
         }
         let listed = listed.into_iter().map(|l| QuarantineEntry {
-            print: l.print,
+            fingerprint: l.print,
             is_blocked: l.is_out,
             since_ms: u32::try_from(now.since(l.since).0 / 1_000).unwrap_or(u32::MAX),
         });
@@ -172,17 +172,17 @@
         }
         let sound = listing.entries.iter().filter(|listed| {
             let since = now - Span::from_ms(u64::from(listed.since_ms));
-            let ended = self.sound.get(&listed.print);
+            let ended = self.sound.get(&listed.fingerprint);
             !listed.is_blocked && ended.is_some_and(|at| *at > since)
         });
-        let sound = sound.map(|listed| listed.print).collect();
+        let sound = sound.map(|listed| listed.fingerprint).collect();
         self.told = Told {
             number,
             at: now,
             listed: listing
                 .entries
                 .iter()
-                .map(|l| (l.print, l.is_blocked))
+                .map(|l| (l.fingerprint, l.is_blocked))
                 .collect(),
         };
         sound
