--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -258,7 +258,7 @@
     }
 
     /// The lesser of two loads, part by part.
-    pub fn least(&self, other: &Load) -> Load {
+    pub fn min(&self, other: &Load) -> Load {
         let mut least = *self;
         least.requests = least.requests.min(other.requests);
         least.reserved_tokens = least.reserved_tokens.min(other.reserved_tokens);
--- a/crates/front/src/table/sums.rs
+++ b/crates/front/src/table/sums.rs
@@ -51,7 +51,7 @@
             let state = self.replicas.entry(id).or_default();
             // Whether the sums hold what was told last is not known; to count some of this host's own
             // requests twice for a moment is better than to miss them.
-            let own = state.told.least(&state.told_before);
+            let own = state.told.min(&state.told_before);
             state.others = load.saturating_sub(&own);
             state.others_at = now;
         }
