--- a/crates/front/src/message/quarantine.rs
+++ b/crates/front/src/message/quarantine.rs
@@ -34,7 +34,7 @@
             Decided::Free => TrialResponse::Free,
             Decided::Trial => TrialResponse::Trial,
             Decided::Wait => TrialResponse::Wait,
-            Decided::KeptOut(left) => TrialResponse::KeptOut(left.secs().ceil() as u32),
+            Decided::Quarantined(left) => TrialResponse::KeptOut(left.secs().ceil() as u32),
         }
     }
 }
@@ -48,7 +48,7 @@
             TrialResponse::Trial => Some(Decided::Trial),
             TrialResponse::Wait => Some(Decided::Wait),
             TrialResponse::KeptOut(secs) => {
-                Some(Decided::KeptOut(Span::from_secs(u64::from(secs))))
+                Some(Decided::Quarantined(Span::from_secs(u64::from(secs))))
             }
             TrialResponse::Elsewhere => None,
         }
