--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -27,7 +27,8 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Message {
     /// A host's sums, to the leader.
-    Sums(LoadReport),
+    #[serde(rename = "Sums")]
+    Report(LoadReport),
     /// A host's requests in flight, to every other host.
     Direct(LoadReport),
     /// A host's requests in flight, to the leader, between two rounds of sums.
@@ -75,7 +76,7 @@
     /// Word for it in metrics.
     pub fn kind(&self) -> &'static str {
         match self {
-            Message::Sums(_) => "sums",
+            Message::Report(_) => "sums",
             Message::Direct(_) => "direct",
             Message::Loads(_) => "loads",
             Message::Digest(Digest {
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -130,7 +130,7 @@
     fn take(&self, message: Message, from: SocketAddr) {
         let now = self.state.now();
         match message {
-            Message::Sums(sums) => {
+            Message::Report(sums) => {
                 self.heard(&sums.host, now);
                 if self.inbox.put(sums, from, now) {
                     self.newcomers.lock().push(from);
--- a/crates/front/src/peers/load_reports.rs
+++ b/crates/front/src/peers/load_reports.rs
@@ -116,7 +116,7 @@
             return;
         }
         for part in sums.split() {
-            self.send(&Message::Sums(part), leader.peers).await;
+            self.send(&Message::Report(part), leader.peers).await;
         }
     }
 
--- a/crates/front/tests/fanout.rs
+++ b/crates/front/tests/fanout.rs
@@ -130,7 +130,7 @@
     let parts = sums.split();
     assert_eq!(parts.iter().map(|p| p.loads.len()).sum::<usize>(), 60);
     for part in parts {
-        let bytes = front::message::encode(&front::message::Message::Sums(part));
+        let bytes = front::message::encode(&front::message::Message::Report(part));
         assert!(
             bytes.len() <= front::message::MAX_DATAGRAM,
             "{}",
--- a/crates/front/tests/malformed.rs
+++ b/crates/front/tests/malformed.rs
@@ -49,7 +49,7 @@
         }],
         ..LoadReport::default()
     };
-    encode(&Message::Sums(sums))
+    encode(&Message::Report(sums))
 }
 
 #[test]
--- a/crates/front/tests/suspended.rs
+++ b/crates/front/tests/suspended.rs
@@ -225,7 +225,7 @@
         round: 1,
         ..Default::default()
     };
-    let bytes = front::message::encode(&front::message::Message::Sums(sums));
+    let bytes = front::message::encode(&front::message::Message::Report(sums));
     let hosts = host.state().table.lock().hosts;
     suspend(&host);
     other.send_to(&bytes, host.state().settings.peers).unwrap();
