--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -30,7 +30,8 @@
     #[serde(rename = "Sums")]
     Report(LoadReport),
     /// A host's requests in flight, to every other host.
-    Direct(LoadReport),
+    #[serde(rename = "Direct")]
+    PeerLoads(LoadReport),
     /// A host's requests in flight, to the leader, between two rounds of sums.
     Loads(LoadReport),
     /// The sums of all hosts, from the leader.
@@ -77,7 +78,7 @@
     pub fn kind(&self) -> &'static str {
         match self {
             Message::Report(_) => "sums",
-            Message::Direct(_) => "direct",
+            Message::PeerLoads(_) => "direct",
             Message::Loads(_) => "loads",
             Message::Digest(Digest {
                 planner: Some(_), ..
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -141,7 +141,7 @@
                 self.heard(&sums.host, now);
                 self.inbox.put_loads(sums, now);
             }
-            Message::Direct(sums) => {
+            Message::PeerLoads(sums) => {
                 let mut table = self.state.table.lock();
                 table.told_by(&sums.host, &sums.loads, now);
                 if let Some(word) = sums.store {
--- a/crates/front/src/peers/load_reports.rs
+++ b/crates/front/src/peers/load_reports.rs
@@ -64,7 +64,7 @@
                 continue;
             }
             let loads = self.state.table.lock().in_flight();
-            let message = Message::Direct(self.sums(0, Vec::new(), loads));
+            let message = Message::PeerLoads(self.sums(0, Vec::new(), loads));
             for other in others {
                 self.send(&message, other).await;
             }
