--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -37,7 +37,8 @@
     /// The sums of all hosts, from the leader.
     Digest(Digest),
     /// A host needs an adapter somewhere.
-    Want(AdapterRequest),
+    #[serde(rename = "Want")]
+    AdapterRequest(AdapterRequest),
     /// A host has a request for a model that is on no replica.
     Missing(ModelRequest),
     /// The leader says where an adapter is.
@@ -84,7 +85,7 @@
                 planner: Some(_), ..
             }) => "plans",
             Message::Digest(_) => "digest",
-            Message::Want(_) => "want",
+            Message::AdapterRequest(_) => "want",
             Message::Missing(_) => "missing",
             Message::Placed(_) => "placed",
             Message::Part(_) => "part",
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -150,7 +150,7 @@
                 drop(table);
                 self.state.changed.notify_waiters();
             }
-            Message::Want(want) => self.inbox.want(want),
+            Message::AdapterRequest(want) => self.inbox.want(want),
             Message::Missing(missing) => self.inbox.miss(missing),
             Message::Digest(digest) => self.digest(digest, now),
             Message::Placed(placed) => self.placed(placed),
@@ -327,7 +327,7 @@
             };
             asked.insert(wish.clone(), now);
             let message = match wish {
-                Wish::Adapter(want) => Message::Want(want),
+                Wish::Adapter(want) => Message::AdapterRequest(want),
                 Wish::Model(missing) => Message::Missing(missing),
             };
             match leader.peers == self.state.settings.peers {
