--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -40,7 +40,8 @@
     #[serde(rename = "Want")]
     AdapterRequest(AdapterRequest),
     /// A host has a request for a model that is on no replica.
-    Missing(ModelRequest),
+    #[serde(rename = "Missing")]
+    ModelRequest(ModelRequest),
     /// The leader says where an adapter is.
     Placed(AdapterPlacement),
     /// Where the hosts of a part of the fleet take datagrams, from the leader to the one that passes
@@ -86,7 +87,7 @@
             }) => "plans",
             Message::Digest(_) => "digest",
             Message::AdapterRequest(_) => "want",
-            Message::Missing(_) => "missing",
+            Message::ModelRequest(_) => "missing",
             Message::Placed(_) => "placed",
             Message::Part(_) => "part",
             Message::Question(_) => "question",
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -151,7 +151,7 @@
                 self.state.changed.notify_waiters();
             }
             Message::AdapterRequest(want) => self.inbox.want(want),
-            Message::Missing(missing) => self.inbox.miss(missing),
+            Message::ModelRequest(missing) => self.inbox.miss(missing),
             Message::Digest(digest) => self.digest(digest, now),
             Message::Placed(placed) => self.placed(placed),
             Message::Part(hosts) => *self.passes_to.lock() = (hosts, now),
@@ -328,7 +328,7 @@
             asked.insert(wish.clone(), now);
             let message = match wish {
                 Wish::Adapter(want) => Message::AdapterRequest(want),
-                Wish::Model(missing) => Message::Missing(missing),
+                Wish::Model(missing) => Message::ModelRequest(missing),
             };
             match leader.peers == self.state.settings.peers {
                 true => self.take(message, leader.peers),
