--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -43,7 +43,8 @@
     #[serde(rename = "Missing")]
     ModelRequest(ModelRequest),
     /// The leader says where an adapter is.
-    Placed(AdapterPlacement),
+    #[serde(rename = "Placed")]
+    AdapterPlacement(AdapterPlacement),
     /// Where the hosts of a part of the fleet take datagrams, from the leader to the one that passes
     /// on to them.
     Part(Vec<SocketAddr>),
@@ -88,7 +89,7 @@
             Message::Digest(_) => "digest",
             Message::AdapterRequest(_) => "want",
             Message::ModelRequest(_) => "missing",
-            Message::Placed(_) => "placed",
+            Message::AdapterPlacement(_) => "placed",
             Message::Part(_) => "part",
             Message::Question(_) => "question",
             Message::Verdict(..) => "verdict",
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -153,7 +153,7 @@
             Message::AdapterRequest(want) => self.inbox.want(want),
             Message::ModelRequest(missing) => self.inbox.miss(missing),
             Message::Digest(digest) => self.digest(digest, now),
-            Message::Placed(placed) => self.placed(placed),
+            Message::AdapterPlacement(placed) => self.placed(placed),
             Message::Part(hosts) => *self.passes_to.lock() = (hosts, now),
             Message::Verdict(number, verdict) => self.answered(number, verdict),
             Message::Refund(refund) => self.take_back(&refund),
--- a/crates/front/src/planner/adapters.rs
+++ b/crates/front/src/planner/adapters.rs
@@ -101,7 +101,10 @@
         let planner = self.clone();
         tokio::spawn(async move {
             tokio::time::sleep(after).await;
-            planner.peers.send_all(&Message::Placed(placed)).await;
+            planner
+                .peers
+                .send_all(&Message::AdapterPlacement(placed))
+                .await;
         });
     }
 }
