--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -47,7 +47,8 @@
     AdapterPlacement(AdapterPlacement),
     /// Where the hosts of a part of the fleet take datagrams, from the leader to the one that passes
     /// on to them.
-    Part(Vec<SocketAddr>),
+    #[serde(rename = "Part")]
+    FanoutGroup(Vec<SocketAddr>),
     /// A host asks the leader for units of a limit over all hosts.
     Question(QuotaRequest),
     /// The leader's answer to the question of that number.
@@ -90,7 +91,7 @@
             Message::AdapterRequest(_) => "want",
             Message::ModelRequest(_) => "missing",
             Message::AdapterPlacement(_) => "placed",
-            Message::Part(_) => "part",
+            Message::FanoutGroup(_) => "part",
             Message::Question(_) => "question",
             Message::Verdict(..) => "verdict",
             Message::Refund(_) => "refund",
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -154,7 +154,7 @@
             Message::ModelRequest(missing) => self.inbox.miss(missing),
             Message::Digest(digest) => self.digest(digest, now),
             Message::AdapterPlacement(placed) => self.placed(placed),
-            Message::Part(hosts) => *self.passes_to.lock() = (hosts, now),
+            Message::FanoutGroup(hosts) => *self.passes_to.lock() = (hosts, now),
             Message::Verdict(number, verdict) => self.answered(number, verdict),
             Message::Refund(refund) => self.take_back(&refund),
             Message::Heard(heard) => self.join_limits(&heard.limits, &heard.host),
@@ -308,7 +308,7 @@
         for part in parts {
             if part.relay != own && !part.others.is_empty() {
                 let others = part.others.into_iter().filter(|h| *h != own).collect();
-                self.send(&Message::Part(others), part.relay).await;
+                self.send(&Message::FanoutGroup(others), part.relay).await;
             }
         }
     }
