--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -50,7 +50,8 @@
     #[serde(rename = "Part")]
     FanoutGroup(Vec<SocketAddr>),
     /// A host asks the leader for units of a limit over all hosts.
-    Question(QuotaRequest),
+    #[serde(rename = "Question")]
+    QuotaRequest(QuotaRequest),
     /// The leader's answer to the question of that number.
     Verdict(u32, QuotaResponse),
     /// A host gives back what a request did not use.
@@ -92,7 +93,7 @@
             Message::ModelRequest(_) => "missing",
             Message::AdapterPlacement(_) => "placed",
             Message::FanoutGroup(_) => "part",
-            Message::Question(_) => "question",
+            Message::QuotaRequest(_) => "question",
             Message::Verdict(..) => "verdict",
             Message::Refund(_) => "refund",
             Message::Heard(_) => "heard",
--- a/crates/front/src/peers/quota.rs
+++ b/crates/front/src/peers/quota.rs
@@ -82,7 +82,7 @@
                 number,
                 ..question.clone()
             };
-            self.send(&Message::Question(question), leader).await;
+            self.send(&Message::QuotaRequest(question), leader).await;
         };
         self.quotas.open.ask(limit, send).await
     }
--- a/crates/front/tests/limits.rs
+++ b/crates/front/tests/limits.rs
@@ -396,7 +396,7 @@
         wait_ms: 9_000,
         left: -1.5,
     };
-    let asked = encode(&Message::Question(question)).len();
+    let asked = encode(&Message::QuotaRequest(question)).len();
     let answered = encode(&Message::Verdict(u32::MAX, verdict)).len();
     assert!(
         asked <= 140 && answered <= 50,
--- a/crates/front/tests/quota.rs
+++ b/crates/front/tests/quota.rs
@@ -164,7 +164,7 @@
         let to = daemon.state().settings.peers;
         let bytes = encode(&Message::Refund(refund));
         stranger.send_to(&bytes, to).await.unwrap();
-        let bytes = encode(&Message::Question(question));
+        let bytes = encode(&Message::QuotaRequest(question));
         stranger.send_to(&bytes, to).await.unwrap();
         let mut buffer = [0; 1_400];
         let received = timeout(Duration::from_secs(5), stranger.recv(&mut buffer));
