--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -53,7 +53,8 @@
     #[serde(rename = "Question")]
     QuotaRequest(QuotaRequest),
     /// The leader's answer to the question of that number.
-    Verdict(u32, QuotaResponse),
+    #[serde(rename = "Verdict")]
+    QuotaResponse(u32, QuotaResponse),
     /// A host gives back what a request did not use.
     Refund(Refund),
     /// Limits that replicas named to a host, to the leader.
@@ -94,7 +95,7 @@
             Message::AdapterPlacement(_) => "placed",
             Message::FanoutGroup(_) => "part",
             Message::QuotaRequest(_) => "question",
-            Message::Verdict(..) => "verdict",
+            Message::QuotaResponse(..) => "verdict",
             Message::Refund(_) => "refund",
             Message::Heard(_) => "heard",
             Message::Limits(_) => "limits",
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -155,7 +155,7 @@
             Message::Digest(digest) => self.digest(digest, now),
             Message::AdapterPlacement(placed) => self.placed(placed),
             Message::FanoutGroup(hosts) => *self.passes_to.lock() = (hosts, now),
-            Message::Verdict(number, verdict) => self.answered(number, verdict),
+            Message::QuotaResponse(number, verdict) => self.answered(number, verdict),
             Message::Refund(refund) => self.take_back(&refund),
             Message::Heard(heard) => self.join_limits(&heard.limits, &heard.host),
             Message::Limits(limits) if self.is_of_former_term(limits.term) => {}
--- a/crates/front/src/peers/quota.rs
+++ b/crates/front/src/peers/quota.rs
@@ -95,7 +95,7 @@
     /// Answers a question of another host.
     pub(super) async fn answer(&self, question: QuotaRequest, from: SocketAddr) {
         let verdict = self.judge(&question).unwrap_or(QuotaResponse::Elsewhere);
-        let answer = Message::Verdict(question.number, verdict);
+        let answer = Message::QuotaResponse(question.number, verdict);
         self.send(&answer, from).await;
     }
 
--- a/crates/front/tests/limits.rs
+++ b/crates/front/tests/limits.rs
@@ -397,7 +397,7 @@
         left: -1.5,
     };
     let asked = encode(&Message::QuotaRequest(question)).len();
-    let answered = encode(&Message::Verdict(u32::MAX, verdict)).len();
+    let answered = encode(&Message::QuotaResponse(u32::MAX, verdict)).len();
     assert!(
         asked <= 140 && answered <= 50,
         "{asked} and {answered} bytes"
