--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -58,7 +58,8 @@
     /// A host gives back what a request did not use.
     Refund(Refund),
     /// Limits that replicas named to a host, to the leader.
-    Heard(LimitReport),
+    #[serde(rename = "Heard")]
+    LimitReport(LimitReport),
     /// Limits that replicas name, from the leader.
     Limits(LimitDigest),
     /// Replicas that leave by their own word: to the leader, and from it to all; where hosts are few, to all.
@@ -97,7 +98,7 @@
             Message::QuotaRequest(_) => "question",
             Message::QuotaResponse(..) => "verdict",
             Message::Refund(_) => "refund",
-            Message::Heard(_) => "heard",
+            Message::LimitReport(_) => "heard",
             Message::Limits(_) => "limits",
             Message::Leaving(_) => "leaving",
             Message::Fallen(_) => "fallen",
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -157,7 +157,7 @@
             Message::FanoutGroup(hosts) => *self.passes_to.lock() = (hosts, now),
             Message::QuotaResponse(number, verdict) => self.answered(number, verdict),
             Message::Refund(refund) => self.take_back(&refund),
-            Message::Heard(heard) => self.join_limits(&heard.limits, &heard.host),
+            Message::LimitReport(heard) => self.join_limits(&heard.limits, &heard.host),
             Message::Limits(limits) if self.is_of_former_term(limits.term) => {}
             Message::Limits(limits) => self.join_limits(&limits.limits, &limits.host),
             Message::Leaving(told) => self.join_leaving(&told),
--- a/crates/front/src/peers/limits.rs
+++ b/crates/front/src/peers/limits.rs
@@ -61,7 +61,7 @@
                 host: self.state.settings.name.clone(),
                 limits: limits.to_vec(),
             };
-            self.send(&Message::Heard(heard), leader.peers).await;
+            self.send(&Message::LimitReport(heard), leader.peers).await;
         }
     }
 
