--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -61,7 +61,8 @@
     #[serde(rename = "Heard")]
     LimitReport(LimitReport),
     /// Limits that replicas name, from the leader.
-    Limits(LimitDigest),
+    #[serde(rename = "Limits")]
+    LimitDigest(LimitDigest),
     /// Replicas that leave by their own word: to the leader, and from it to all; where hosts are few, to all.
     Leaving(Leaving),
     /// A host saw a replica fall, to the leader; where hosts are few, to all.
@@ -99,7 +100,7 @@
             Message::QuotaResponse(..) => "verdict",
             Message::Refund(_) => "refund",
             Message::LimitReport(_) => "heard",
-            Message::Limits(_) => "limits",
+            Message::LimitDigest(_) => "limits",
             Message::Leaving(_) => "leaving",
             Message::Fallen(_) => "fallen",
             Message::Sound(_) => "sound",
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -158,8 +158,8 @@
             Message::QuotaResponse(number, verdict) => self.answered(number, verdict),
             Message::Refund(refund) => self.take_back(&refund),
             Message::LimitReport(heard) => self.join_limits(&heard.limits, &heard.host),
-            Message::Limits(limits) if self.is_of_former_term(limits.term) => {}
-            Message::Limits(limits) => self.join_limits(&limits.limits, &limits.host),
+            Message::LimitDigest(limits) if self.is_of_former_term(limits.term) => {}
+            Message::LimitDigest(limits) => self.join_limits(&limits.limits, &limits.host),
             Message::Leaving(told) => self.join_leaving(&told),
             Message::Fallen(fallen) => self.take_fall(&fallen),
             Message::Sound(print) => self.state.quarantine.sound(print),
--- a/crates/front/src/peers/limits.rs
+++ b/crates/front/src/peers/limits.rs
@@ -81,7 +81,7 @@
             return Vec::new();
         };
         let message = |limits: &[ReplicaLimit]| {
-            Message::Limits(LimitDigest {
+            Message::LimitDigest(LimitDigest {
                 term,
                 host: self.state.settings.name.clone(),
                 limits: limits.to_vec(),
--- a/crates/front/tests/limits.rs
+++ b/crates/front/tests/limits.rs
@@ -381,7 +381,7 @@
         host: host.clone(),
         limits: vec![row; limit::ROWS],
     };
-    let bytes = encode(&Message::Limits(limits)).len();
+    let bytes = encode(&Message::LimitDigest(limits)).len();
     assert!(bytes <= MAX_DATAGRAM, "{bytes} bytes");
     let question = QuotaRequest {
         number: u32::MAX,
