--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -64,7 +64,8 @@
     #[serde(rename = "Limits")]
     LimitDigest(LimitDigest),
     /// Replicas that leave by their own word: to the leader, and from it to all; where hosts are few, to all.
-    Leaving(Leaving),
+    #[serde(rename = "Leaving")]
+    Departures(Leaving),
     /// A host saw a replica fall, to the leader; where hosts are few, to all.
     Fallen(CrashReport),
     /// A run of a request that is listed has ended well, to the leader.
@@ -101,7 +102,7 @@
             Message::Refund(_) => "refund",
             Message::LimitReport(_) => "heard",
             Message::LimitDigest(_) => "limits",
-            Message::Leaving(_) => "leaving",
+            Message::Departures(_) => "leaving",
             Message::Fallen(_) => "fallen",
             Message::Sound(_) => "sound",
             Message::Tried(..) => "tried",
--- a/crates/front/src/peers/leaving.rs
+++ b/crates/front/src/peers/leaving.rs
@@ -66,7 +66,7 @@
     /// Words as this host tells them, in datagrams.
     fn leaving(&self, replicas: &[(Name, Incarnation)]) -> Vec<Message> {
         let message = |replicas: &[(Name, Incarnation)]| {
-            Message::Leaving(Leaving {
+            Message::Departures(Leaving {
                 host: self.state.settings.name.clone(),
                 replicas: replicas.to_vec(),
             })
--- a/crates/front/tests/leaving.rs
+++ b/crates/front/tests/leaving.rs
@@ -257,7 +257,7 @@
 #[test]
 fn what_is_told_of_departures_fits_a_datagram() {
     let row = ("i-0123456789abcdef0123456789abcdef".into(), Some(u64::MAX));
-    let message = Message::Leaving(Leaving {
+    let message = Message::Departures(Leaving {
         host: "a-host-with-a-name-of-some-sixty-signs-as-platforms-give-them".into(),
         replicas: vec![row; leaving::ROWS],
     });
