--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -67,7 +67,8 @@
     #[serde(rename = "Leaving")]
     Departures(Leaving),
     /// A host saw a replica fall, to the leader; where hosts are few, to all.
-    Fallen(CrashReport),
+    #[serde(rename = "Fallen")]
+    CrashReport(CrashReport),
     /// A run of a request that is listed has ended well, to the leader.
     Sound(Fingerprint),
     /// A trial of a request has ended, and not well, to the leader: whether it broke off.
@@ -103,7 +104,7 @@
             Message::LimitReport(_) => "heard",
             Message::LimitDigest(_) => "limits",
             Message::Departures(_) => "leaving",
-            Message::Fallen(_) => "fallen",
+            Message::CrashReport(_) => "fallen",
             Message::Sound(_) => "sound",
             Message::Tried(..) => "tried",
             Message::Trial(..) => "trial",
--- a/crates/front/src/peers/quarantine.rs
+++ b/crates/front/src/peers/quarantine.rs
@@ -126,7 +126,7 @@
 
 /// Fall as it is told.
 fn fallen(group: Incident) -> Message {
-    Message::Fallen(CrashReport {
+    Message::CrashReport(CrashReport {
         crash: group.crash.0,
         in_flight: group.in_flight,
     })
