--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -70,7 +70,8 @@
     #[serde(rename = "Fallen")]
     CrashReport(CrashReport),
     /// A run of a request that is listed has ended well, to the leader.
-    Sound(Fingerprint),
+    #[serde(rename = "Sound")]
+    Succeeded(Fingerprint),
     /// A trial of a request has ended, and not well, to the leader: whether it broke off.
     Tried(Fingerprint, bool),
     /// A host asks the leader for a trial: number of the question, request, and who asks.
@@ -105,7 +106,7 @@
             Message::LimitDigest(_) => "limits",
             Message::Departures(_) => "leaving",
             Message::CrashReport(_) => "fallen",
-            Message::Sound(_) => "sound",
+            Message::Succeeded(_) => "sound",
             Message::Tried(..) => "tried",
             Message::Trial(..) => "trial",
             Message::Permit(..) => "permit",
--- a/crates/front/src/peers/quarantine.rs
+++ b/crates/front/src/peers/quarantine.rs
@@ -20,7 +20,7 @@
                 Report::Fallen(group) => self.report_fall(group).await,
                 Report::Sound(print) => {
                     self.state.quarantine.sound(print);
-                    self.tell_leader_of(Message::Sound(print)).await;
+                    self.tell_leader_of(Message::Succeeded(print)).await;
                 }
                 Report::Tried(print, broke) => {
                     if !self.state.leads() {
