--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -73,7 +73,8 @@
     #[serde(rename = "Sound")]
     Succeeded(Fingerprint),
     /// A trial of a request has ended, and not well, to the leader: whether it broke off.
-    Tried(Fingerprint, bool),
+    #[serde(rename = "Tried")]
+    TrialFailed(Fingerprint, bool),
     /// A host asks the leader for a trial: number of the question, request, and who asks.
     Trial(u32, Fingerprint, u64),
     /// The leader's answer to the question of that number.
@@ -107,7 +108,7 @@
             Message::Departures(_) => "leaving",
             Message::CrashReport(_) => "fallen",
             Message::Succeeded(_) => "sound",
-            Message::Tried(..) => "tried",
+            Message::TrialFailed(..) => "tried",
             Message::Trial(..) => "trial",
             Message::Permit(..) => "permit",
             Message::Listing(_) => "listing",
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -163,7 +163,7 @@
             Message::Departures(told) => self.join_leaving(&told),
             Message::CrashReport(fallen) => self.take_fall(&fallen),
             Message::Succeeded(print) => self.state.quarantine.sound(print),
-            Message::Tried(print, broke) => self.state.quarantine.tried(print, broke, now),
+            Message::TrialFailed(print, broke) => self.state.quarantine.tried(print, broke, now),
             Message::Permit(number, permit) => self.trials.answered(number, permit),
             Message::Listing(listing) if self.is_of_former_term(listing.term) => {}
             Message::Listing(listing) => self.state.quarantine.told(listing, now),
--- a/crates/front/src/peers/quarantine.rs
+++ b/crates/front/src/peers/quarantine.rs
@@ -28,7 +28,8 @@
                         let now = self.state.now();
                         self.state.quarantine.tried(print, broke, now);
                     }
-                    self.tell_leader_of(Message::Tried(print, broke)).await
+                    self.tell_leader_of(Message::TrialFailed(print, broke))
+                        .await
                 }
             }
         }
