--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -76,7 +76,8 @@
     #[serde(rename = "Tried")]
     TrialFailed(Fingerprint, bool),
     /// A host asks the leader for a trial: number of the question, request, and who asks.
-    Trial(u32, Fingerprint, u64),
+    #[serde(rename = "Trial")]
+    TrialRequest(u32, Fingerprint, u64),
     /// The leader's answer to the question of that number.
     Permit(u32, TrialResponse),
     /// Requests that are suspected or kept out, from the leader.
@@ -109,7 +110,7 @@
             Message::CrashReport(_) => "fallen",
             Message::Succeeded(_) => "sound",
             Message::TrialFailed(..) => "tried",
-            Message::Trial(..) => "trial",
+            Message::TrialRequest(..) => "trial",
             Message::Permit(..) => "permit",
             Message::Listing(_) => "listing",
             Message::Pass(_) => "pass",
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -106,7 +106,7 @@
             match message::decode(&buffer[..length]) {
                 Ok(Message::Pass(bytes)) => self.pass(bytes, from).await,
                 Ok(Message::QuotaRequest(question)) => self.answer(question, from).await,
-                Ok(Message::Trial(number, print, ticket)) => {
+                Ok(Message::TrialRequest(number, print, ticket)) => {
                     self.answer_trial(number, print, ticket, from).await
                 }
                 Ok(message) => self.take(message, from),
@@ -167,7 +167,7 @@
             Message::Permit(number, permit) => self.trials.answered(number, permit),
             Message::Listing(listing) if self.is_of_former_term(listing.term) => {}
             Message::Listing(listing) => self.state.quarantine.told(listing, now),
-            Message::Pass(_) | Message::QuotaRequest(_) | Message::Trial(..) => self.state.log.notable(|| {
+            Message::Pass(_) | Message::QuotaRequest(_) | Message::TrialRequest(..) => self.state.log.notable(|| {
                 tracing::warn!(target: "peers", event = "malformed", from = %from, "a datagram to be passed on holds one that is not for all")
             }),
         }
--- a/crates/front/src/peers/quarantine.rs
+++ b/crates/front/src/peers/quarantine.rs
@@ -93,7 +93,7 @@
         }
         for limit in TRIES {
             let send = |number| async move {
-                self.send(&Message::Trial(number, print, ticket.0), leader)
+                self.send(&Message::TrialRequest(number, print, ticket.0), leader)
                     .await;
             };
             if let Some(permit) = self.trials.ask(limit, send).await {
