--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -79,7 +79,8 @@
     #[serde(rename = "Trial")]
     TrialRequest(u32, Fingerprint, u64),
     /// The leader's answer to the question of that number.
-    Permit(u32, TrialResponse),
+    #[serde(rename = "Permit")]
+    TrialResponse(u32, TrialResponse),
     /// Requests that are suspected or kept out, from the leader.
     Listing(QuarantineList),
     /// A datagram of the leader, to be taken in and passed on to the hosts of that part.
@@ -111,7 +112,7 @@
             Message::Succeeded(_) => "sound",
             Message::TrialFailed(..) => "tried",
             Message::TrialRequest(..) => "trial",
-            Message::Permit(..) => "permit",
+            Message::TrialResponse(..) => "permit",
             Message::Listing(_) => "listing",
             Message::Pass(_) => "pass",
         }
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -164,7 +164,7 @@
             Message::CrashReport(fallen) => self.take_fall(&fallen),
             Message::Succeeded(print) => self.state.quarantine.sound(print),
             Message::TrialFailed(print, broke) => self.state.quarantine.tried(print, broke, now),
-            Message::Permit(number, permit) => self.trials.answered(number, permit),
+            Message::TrialResponse(number, permit) => self.trials.answered(number, permit),
             Message::Listing(listing) if self.is_of_former_term(listing.term) => {}
             Message::Listing(listing) => self.state.quarantine.told(listing, now),
             Message::Pass(_) | Message::QuotaRequest(_) | Message::TrialRequest(..) => self.state.log.notable(|| {
--- a/crates/front/src/peers/quarantine.rs
+++ b/crates/front/src/peers/quarantine.rs
@@ -112,7 +112,8 @@
         from: SocketAddr,
     ) {
         let permit = self.decide(print, RequestId(ticket));
-        self.send(&Message::Permit(number, permit), from).await;
+        self.send(&Message::TrialResponse(number, permit), from)
+            .await;
     }
 
     /// What this host says to such a question.
