--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -82,7 +82,8 @@
     #[serde(rename = "Permit")]
     TrialResponse(u32, TrialResponse),
     /// Requests that are suspected or kept out, from the leader.
-    Listing(QuarantineList),
+    #[serde(rename = "Listing")]
+    QuarantineList(QuarantineList),
     /// A datagram of the leader, to be taken in and passed on to the hosts of that part.
     Pass(Bytes),
 }
@@ -113,7 +114,7 @@
             Message::TrialFailed(..) => "tried",
             Message::TrialRequest(..) => "trial",
             Message::TrialResponse(..) => "permit",
-            Message::Listing(_) => "listing",
+            Message::QuarantineList(_) => "listing",
             Message::Pass(_) => "pass",
         }
     }
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -165,8 +165,8 @@
             Message::Succeeded(print) => self.state.quarantine.sound(print),
             Message::TrialFailed(print, broke) => self.state.quarantine.tried(print, broke, now),
             Message::TrialResponse(number, permit) => self.trials.answered(number, permit),
-            Message::Listing(listing) if self.is_of_former_term(listing.term) => {}
-            Message::Listing(listing) => self.state.quarantine.told(listing, now),
+            Message::QuarantineList(listing) if self.is_of_former_term(listing.term) => {}
+            Message::QuarantineList(listing) => self.state.quarantine.told(listing, now),
             Message::Pass(_) | Message::QuotaRequest(_) | Message::TrialRequest(..) => self.state.log.notable(|| {
                 tracing::warn!(target: "peers", event = "malformed", from = %from, "a datagram to be passed on holds one that is not for all")
             }),
--- a/crates/front/src/planner/quarantine.rs
+++ b/crates/front/src/planner/quarantine.rs
@@ -15,7 +15,7 @@
         let now = self.state.now();
         let (listing, changed) = self.state.quarantine.listing(self.term.token, now);
         if changed || (again && !listing.entries.is_empty()) {
-            self.peers.send_all(&Message::Listing(listing)).await;
+            self.peers.send_all(&Message::QuarantineList(listing)).await;
         }
         self.begin_storing();
     }
