--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -85,7 +85,8 @@
     #[serde(rename = "Listing")]
     QuarantineList(QuarantineList),
     /// A datagram of the leader, to be taken in and passed on to the hosts of that part.
-    Pass(Bytes),
+    #[serde(rename = "Pass")]
+    Forward(Bytes),
 }
 
 impl Message {
@@ -115,7 +116,7 @@
             Message::TrialRequest(..) => "trial",
             Message::TrialResponse(..) => "permit",
             Message::QuarantineList(_) => "listing",
-            Message::Pass(_) => "pass",
+            Message::Forward(_) => "pass",
         }
     }
 }
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -104,7 +104,7 @@
                 continue;
             }
             match message::decode(&buffer[..length]) {
-                Ok(Message::Pass(bytes)) => self.pass(bytes, from).await,
+                Ok(Message::Forward(bytes)) => self.pass(bytes, from).await,
                 Ok(Message::QuotaRequest(question)) => self.answer(question, from).await,
                 Ok(Message::TrialRequest(number, print, ticket)) => {
                     self.answer_trial(number, print, ticket, from).await
@@ -167,7 +167,7 @@
             Message::TrialResponse(number, permit) => self.trials.answered(number, permit),
             Message::QuarantineList(listing) if self.is_of_former_term(listing.term) => {}
             Message::QuarantineList(listing) => self.state.quarantine.told(listing, now),
-            Message::Pass(_) | Message::QuotaRequest(_) | Message::TrialRequest(..) => self.state.log.notable(|| {
+            Message::Forward(_) | Message::QuotaRequest(_) | Message::TrialRequest(..) => self.state.log.notable(|| {
                 tracing::warn!(target: "peers", event = "malformed", from = %from, "a datagram to be passed on holds one that is not for all")
             }),
         }
@@ -274,7 +274,7 @@
             return self.send_each(&bytes, kind, others).await;
         }
         let parts = self.parts.lock().clone();
-        let pass = message::encode(&Message::Pass(bytes.clone().into()));
+        let pass = message::encode(&Message::Forward(bytes.clone().into()));
         for part in parts {
             if part.relay == own {
                 self.send_each(&bytes, kind, part.others.into_iter()).await;
