--- a/crates/front/src/grant.rs
+++ b/crates/front/src/grant.rs
@@ -100,7 +100,7 @@
             available: f64::from(left),
         })),
         QuotaResponse::Unlimited => Some(Answer::Unlimited),
-        QuotaResponse::Elsewhere => None,
+        QuotaResponse::NotLeader => None,
     }
 }
 
--- a/crates/front/src/message/quarantine.rs
+++ b/crates/front/src/message/quarantine.rs
@@ -24,7 +24,8 @@
     /// Not send it for so many seconds.
     KeptOut(u32),
     /// The host that was asked does not lead.
-    Elsewhere,
+    #[serde(rename = "Elsewhere")]
+    NotLeader,
 }
 
 impl From<route::quarantine::Permit> for TrialResponse {
@@ -50,7 +51,7 @@
             TrialResponse::KeptOut(secs) => {
                 Some(Decided::Quarantined(Span::from_secs(u64::from(secs))))
             }
-            TrialResponse::Elsewhere => None,
+            TrialResponse::NotLeader => None,
         }
     }
 }
--- a/crates/front/src/message/quota.rs
+++ b/crates/front/src/message/quota.rs
@@ -64,7 +64,8 @@
     /// The replica names no limit any more.
     Unlimited,
     /// The host that was asked does not give out.
-    Elsewhere,
+    #[serde(rename = "Elsewhere")]
+    NotLeader,
 }
 
 /// Units of a request that did not run.
--- a/crates/front/src/peers/quarantine.rs
+++ b/crates/front/src/peers/quarantine.rs
@@ -121,7 +121,7 @@
         let now = self.state.now();
         match self.state.leads() {
             true => self.state.quarantine.ask(print, ticket, now).into(),
-            false => TrialResponse::Elsewhere,
+            false => TrialResponse::NotLeader,
         }
     }
 }
--- a/crates/front/src/peers/quota.rs
+++ b/crates/front/src/peers/quota.rs
@@ -94,7 +94,7 @@
 
     /// Answers a question of another host.
     pub(super) async fn answer(&self, question: QuotaRequest, from: SocketAddr) {
-        let verdict = self.judge(&question).unwrap_or(QuotaResponse::Elsewhere);
+        let verdict = self.judge(&question).unwrap_or(QuotaResponse::NotLeader);
         let answer = Message::QuotaResponse(question.number, verdict);
         self.send(&answer, from).await;
     }
--- a/crates/front/tests/quota.rs
+++ b/crates/front/tests/quota.rs
@@ -172,7 +172,7 @@
         let answer = decode(&buffer[..length]).unwrap();
         assert!(matches!(
             answer,
-            Message::QuotaResponse(7, QuotaResponse::Elsewhere)
+            Message::QuotaResponse(7, QuotaResponse::NotLeader)
         ));
     }
     let (ran, _) = press(&daemon, "k-1", Duration::from_millis(300)).await;
