--- a/crates/front/src/message/quarantine.rs
+++ b/crates/front/src/message/quarantine.rs
@@ -22,7 +22,8 @@
     /// Not send it now.
     Wait,
     /// Not send it for so many seconds.
-    KeptOut(u32),
+    #[serde(rename = "KeptOut")]
+    Blocked(u32),
     /// The host that was asked does not lead.
     #[serde(rename = "Elsewhere")]
     NotLeader,
@@ -35,7 +36,7 @@
             Decided::Free => TrialResponse::Free,
             Decided::Trial => TrialResponse::Trial,
             Decided::Wait => TrialResponse::Wait,
-            Decided::Quarantined(left) => TrialResponse::KeptOut(left.secs().ceil() as u32),
+            Decided::Quarantined(left) => TrialResponse::Blocked(left.secs().ceil() as u32),
         }
     }
 }
@@ -48,7 +49,7 @@
             TrialResponse::Free => Some(Decided::Free),
             TrialResponse::Trial => Some(Decided::Trial),
             TrialResponse::Wait => Some(Decided::Wait),
-            TrialResponse::KeptOut(secs) => {
+            TrialResponse::Blocked(secs) => {
                 Some(Decided::Quarantined(Span::from_secs(u64::from(secs))))
             }
             TrialResponse::NotLeader => None,
