--- a/crates/front/src/peers/inbox.rs
+++ b/crates/front/src/peers/inbox.rs
@@ -81,7 +81,7 @@
     }
 
     /// Takes out the adapters that are wanted.
-    pub fn wants(&self) -> Vec<AdapterRequest> {
+    pub fn take_adapter_requests(&self) -> Vec<AdapterRequest> {
         std::mem::take(&mut *self.wants.lock())
     }
 
--- a/crates/front/src/planner/adapters.rs
+++ b/crates/front/src/planner/adapters.rs
@@ -37,7 +37,7 @@
     pub(super) fn place_adapters(self: &Arc<Self>) {
         let now = self.state.now();
         let loads = self.peers.inbox.loads(now);
-        for want in self.peers.inbox.wants() {
+        for want in self.peers.inbox.take_adapter_requests() {
             if let Some(id) = self.place_adapter(&want, &loads, now) {
                 self.drive(id);
             }
