--- a/crates/front/src/peers/inbox.rs
+++ b/crates/front/src/peers/inbox.rs
@@ -86,7 +86,7 @@
     }
 
     /// Takes out the models that are on no replica and were asked for.
-    pub fn missing(&self) -> Vec<ModelRequest> {
+    pub fn take_model_requests(&self) -> Vec<ModelRequest> {
         std::mem::take(&mut *self.missing.lock())
     }
 
--- a/crates/front/src/planner.rs
+++ b/crates/front/src/planner.rs
@@ -237,7 +237,7 @@
     /// Notes the models that hosts have requests for and that are on no replica; tells whether the plan
     /// has not known of one.
     fn note_missing(&self) -> bool {
-        let missing = self.peers.inbox.missing();
+        let missing = self.peers.inbox.take_model_requests();
         let mut book = self.book.lock();
         let mut news = false;
         for ModelRequest { service, model } in missing {
