--- a/crates/front/src/peers/inbox.rs
+++ b/crates/front/src/peers/inbox.rs
@@ -91,7 +91,7 @@
     }
 
     /// Takes out the adapters that were used.
-    pub fn uses(&self) -> Vec<AdapterUse> {
+    pub fn take_adapter_uses(&self) -> Vec<AdapterUse> {
         std::mem::take(&mut *self.uses.lock())
     }
 
--- a/crates/front/src/planner.rs
+++ b/crates/front/src/planner.rs
@@ -202,7 +202,7 @@
             known.note_absent(absent.contains(&replica_hash(&seen.entry.id)), now);
             known.sync(&seen.entry, now);
         }
-        book.note_uses(self.peers.inbox.uses(), now);
+        book.note_uses(self.peers.inbox.take_adapter_uses(), now);
     }
 
     /// Makes a plan beside this host's other work: on a thread of its own where there are so many replicas
