--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -132,7 +132,7 @@
         match message {
             Message::Report(sums) => {
                 self.heard(&sums.host, now);
-                if self.inbox.put(sums, from, now) {
+                if self.inbox.record_report(sums, from, now) {
                     self.newcomers.lock().push(from);
                     self.state.limited.notify_one();
                 }
--- a/crates/front/src/peers/inbox.rs
+++ b/crates/front/src/peers/inbox.rs
@@ -96,7 +96,7 @@
     }
 
     /// Takes in a part of what a host tells in one round; parts of the same round add up. Tells whether the host is new.
-    pub fn put(&self, mut sums: LoadReport, from: SocketAddr, now: Time) -> bool {
+    pub fn record_report(&self, mut sums: LoadReport, from: SocketAddr, now: Time) -> bool {
         self.uses.lock().append(&mut sums.adapter_uses);
         let mut hosts = self.hosts.lock();
         let known = hosts.get_mut(&sums.host);
--- a/crates/front/src/peers/load_reports.rs
+++ b/crates/front/src/peers/load_reports.rs
@@ -112,7 +112,7 @@
             ..self.sums(round, demand, loads)
         };
         if leader.peers == self.state.settings.peers {
-            self.inbox.put(sums, leader.peers, now);
+            self.inbox.record_report(sums, leader.peers, now);
             return;
         }
         for part in sums.split() {
--- a/crates/front/tests/fanout.rs
+++ b/crates/front/tests/fanout.rs
@@ -99,7 +99,7 @@
 #[test]
 fn parts_of_one_telling_add_up() {
     let inbox = Inbox::default();
-    inbox.put(sums(1, 0, 0), addr(1), at(0));
+    inbox.record_report(sums(1, 0, 0), addr(1), at(0));
     for part in sums(7, 100, 0).split() {
         inbox.put_loads(part, at(10));
     }
@@ -172,7 +172,7 @@
             resting,
             ..sums(1, 1, 0)
         };
-        inbox.put(sums, addr(host), at(0));
+        inbox.record_report(sums, addr(host), at(0));
     }
     assert_eq!(inbox.resting(at(10)), HashSet::from([replica_hash("i-1")]));
     assert!(inbox.resting(at(5_000)).is_empty(), "nobody tells any more");
