--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -139,7 +139,7 @@
             }
             Message::Loads(sums) => {
                 self.heard(&sums.host, now);
-                self.inbox.put_loads(sums, now);
+                self.inbox.record_loads(sums, now);
             }
             Message::PeerLoads(sums) => {
                 let mut table = self.state.table.lock();
--- a/crates/front/src/peers/inbox.rs
+++ b/crates/front/src/peers/inbox.rs
@@ -127,7 +127,7 @@
 
     /// Takes in a part of what a host has in flight between two rounds; parts of the same telling add
     /// up, and all else it told in its last round stays.
-    pub fn put_loads(&self, sums: LoadReport, now: Time) {
+    pub fn record_loads(&self, sums: LoadReport, now: Time) {
         if let Some(told) = self.hosts.lock().get_mut(&sums.host) {
             match told.telling == Some(sums.round) {
                 true => told.sums.loads.extend(sums.loads),
--- a/crates/front/src/peers/load_reports.rs
+++ b/crates/front/src/peers/load_reports.rs
@@ -81,7 +81,7 @@
         let telling = self.tellings.fetch_add(1, Ordering::Relaxed);
         let sums = self.sums(telling, Vec::new(), loads);
         if leader.peers == self.state.settings.peers {
-            self.inbox.put_loads(sums, now);
+            self.inbox.record_loads(sums, now);
             return;
         }
         for part in sums.split() {
--- a/crates/front/tests/fanout.rs
+++ b/crates/front/tests/fanout.rs
@@ -101,11 +101,11 @@
     let inbox = Inbox::default();
     inbox.record_report(sums(1, 0, 0), addr(1), at(0));
     for part in sums(7, 100, 0).split() {
-        inbox.put_loads(part, at(10));
+        inbox.record_loads(part, at(10));
     }
     assert_eq!(inbox.loads(at(20)).len(), 100);
     for part in sums(8, 40, 0).split() {
-        inbox.put_loads(part, at(30));
+        inbox.record_loads(part, at(30));
     }
     assert_eq!(
         inbox.loads(at(40)).len(),
