--- a/crates/front/src/peers/inbox.rs
+++ b/crates/front/src/peers/inbox.rs
@@ -51,7 +51,7 @@
 
 impl Inbox {
     /// Sums that still count.
-    pub fn sums(&self, now: Time) -> Vec<LoadReport> {
+    pub fn reports(&self, now: Time) -> Vec<LoadReport> {
         let mut hosts = self.hosts.lock();
         hosts.retain(|_, told| now.since(told.at) < SUMS_AGE);
         hosts.values().map(|told| told.sums.clone()).collect()
@@ -157,7 +157,7 @@
     pub fn absent(&self, now: Time) -> Vec<u32> {
         // By replica: hosts that could not reach it, and other hosts that have requests there.
         let mut votes: HashMap<u32, (usize, usize)> = HashMap::new();
-        for sums in self.sums(now) {
+        for sums in self.reports(now) {
             for replica in &sums.absent {
                 votes.entry(*replica).or_default().0 += 1;
             }
@@ -173,7 +173,7 @@
 
     /// Short names of replicas that want nothing from most hosts now.
     pub fn resting(&self, now: Time) -> HashSet<u32> {
-        let sums = self.sums(now);
+        let sums = self.reports(now);
         let mut votes: HashMap<u32, usize> = HashMap::new();
         for replica in sums.iter().flat_map(|sums| &sums.resting) {
             *votes.entry(*replica).or_default() += 1;
--- a/crates/front/src/planner/demand.rs
+++ b/crates/front/src/planner/demand.rs
@@ -134,7 +134,7 @@
         for demand in self
             .peers
             .inbox
-            .sums(now)
+            .reports(now)
             .into_iter()
             .flat_map(|h| h.demand)
         {
