--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -244,7 +244,7 @@
 
     /// Whether hosts are few enough to tell each other directly.
     pub fn is_direct(&self) -> bool {
-        self.inbox.count() <= MOST_DIRECT
+        self.inbox.host_count() <= MOST_DIRECT
     }
 
     /// Sends one datagram; a failure counts as a lost one.
--- a/crates/front/src/peers/inbox.rs
+++ b/crates/front/src/peers/inbox.rs
@@ -63,7 +63,7 @@
     }
 
     /// Hosts that have told anything and are not forgotten yet.
-    pub fn count(&self) -> usize {
+    pub fn host_count(&self) -> usize {
         self.hosts.lock().len()
     }
 
