--- a/crates/front/src/peers/inbox.rs
+++ b/crates/front/src/peers/inbox.rs
@@ -33,7 +33,7 @@
     /// Uses of adapters since they were taken out last.
     uses: Mutex<Vec<AdapterUse>>,
     /// Notified when an adapter or a model is wanted.
-    pub wanted: Notify,
+    pub request_received: Notify,
 }
 
 /// What one host has told.
@@ -142,13 +142,13 @@
     /// Takes in that a host needs an adapter.
     pub(super) fn want(&self, want: AdapterRequest) {
         self.wants.lock().push(want);
-        self.wanted.notify_one();
+        self.request_received.notify_one();
     }
 
     /// Takes in that a host has a request for a model that is on no replica.
     pub(super) fn miss(&self, missing: ModelRequest) {
         self.missing.lock().push(missing);
-        self.wanted.notify_one();
+        self.request_received.notify_one();
     }
 
     /// Short names of replicas that several hosts could not reach, and that fewer hosts have requests at.
--- a/crates/front/src/planner.rs
+++ b/crates/front/src/planner.rs
@@ -108,7 +108,7 @@
                 }
                 next_plan = now + TICK.max(begun.elapsed() * REST);
             }
-            _ = planner.peers.inbox.wanted.notified() => {
+            _ = planner.peers.inbox.request_received.notified() => {
                 if acts {
                     planner.sync();
                     planner.place_adapters();
