--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -314,7 +314,7 @@
     }
 
     /// Passes the adapters and models that requests here lack on to the leader.
-    pub async fn ask(self: Arc<Self>, mut wanted: Wanted) {
+    pub async fn forward_placement_requests(self: Arc<Self>, mut wanted: Wanted) {
         let mut asked: HashMap<Wish, Time> = HashMap::new();
         while let Some(wish) = wanted.recv().await {
             let now = self.state.now();
--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -180,7 +180,7 @@
     tasks.spawn(follow::run(state.clone()));
     tasks.spawn(peers.clone().receive());
     tasks.spawn(peers.clone().tell());
-    tasks.spawn(peers.clone().ask(wanted));
+    tasks.spawn(peers.clone().forward_placement_requests(wanted));
     tasks.spawn(peers.clone().report(reports));
     tasks.spawn(peers.clone().tell_limit_changes());
     tasks.spawn(peers.clone().tell_leaving());
