--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -298,7 +298,7 @@
     }
 
     /// Cuts a large fleet into parts anew, and tells the hosts that pass on to whom.
-    pub async fn name_parts(&self, hosts: Vec<Candidate>) {
+    pub async fn assign_fanout_groups(&self, hosts: Vec<Candidate>) {
         if self.is_direct() {
             return;
         }
--- a/crates/front/src/planner/digest.rs
+++ b/crates/front/src/planner/digest.rs
@@ -34,7 +34,7 @@
         let hosts = self.peers.inbox.candidates(now);
         let heartbeat = self.state.settings.bounds.heartbeat.into();
         let store = self.peers.inbox.store(heartbeat, now);
-        self.peers.name_parts(hosts.clone()).await;
+        self.peers.assign_fanout_groups(hosts.clone()).await;
         let readers = self.readers(hosts);
         let (plans, adapters) = {
             let book = self.book.lock();
