--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -264,7 +264,7 @@
     }
 
     /// Tells a message to all hosts; this one takes it in directly.
-    pub async fn send_all(&self, message: &Message) {
+    pub async fn broadcast(&self, message: &Message) {
         let own = self.state.settings.peers;
         self.take(message.clone(), own);
         let kind = message.kind();
--- a/crates/front/src/peers/leaving.rs
+++ b/crates/front/src/peers/leaving.rs
@@ -59,7 +59,7 @@
 
     async fn tell_all_leaving(&self, replicas: &[(Name, Incarnation)]) {
         for message in self.leaving(replicas) {
-            self.send_all(&message).await;
+            self.broadcast(&message).await;
         }
     }
 
--- a/crates/front/src/peers/limits.rs
+++ b/crates/front/src/peers/limits.rs
@@ -25,7 +25,7 @@
             let now = self.state.now();
             let changed = self.state.table.lock().changed_limits(now);
             for message in self.messages(&changed) {
-                self.send_all(&message).await;
+                self.broadcast(&message).await;
             }
             self.tell_newcomers().await;
         }
@@ -70,7 +70,7 @@
         let now = self.state.now();
         let limits = self.state.table.lock().limits(now);
         for message in self.messages(&limits) {
-            self.send_all(&message).await;
+            self.broadcast(&message).await;
         }
     }
 
--- a/crates/front/src/planner/adapters.rs
+++ b/crates/front/src/planner/adapters.rs
@@ -103,7 +103,7 @@
             tokio::time::sleep(after).await;
             planner
                 .peers
-                .send_all(&Message::AdapterPlacement(placed))
+                .broadcast(&Message::AdapterPlacement(placed))
                 .await;
         });
     }
--- a/crates/front/src/planner/digest.rs
+++ b/crates/front/src/planner/digest.rs
@@ -63,7 +63,7 @@
             parts.room(size).adapters.push((id, adapters));
         }
         for digest in parts.all {
-            self.peers.send_all(&Message::Digest(digest)).await;
+            self.peers.broadcast(&Message::Digest(digest)).await;
         }
     }
 
@@ -89,7 +89,7 @@
                 loads: rows.to_vec(),
                 ..Digest::default()
             };
-            self.peers.send_all(&Message::Digest(digest)).await;
+            self.peers.broadcast(&Message::Digest(digest)).await;
         }
     }
 
--- a/crates/front/src/planner/quarantine.rs
+++ b/crates/front/src/planner/quarantine.rs
@@ -15,7 +15,9 @@
         let now = self.state.now();
         let (listing, changed) = self.state.quarantine.listing(self.term.token, now);
         if changed || (again && !listing.entries.is_empty()) {
-            self.peers.send_all(&Message::QuarantineList(listing)).await;
+            self.peers
+                .broadcast(&Message::QuarantineList(listing))
+                .await;
         }
         self.begin_storing();
     }
