--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -234,7 +234,7 @@
     }
 
     /// Where all hosts take datagrams, while they are few enough to tell each other directly.
-    pub fn direct(&self) -> Vec<SocketAddr> {
+    pub fn direct_hosts(&self) -> Vec<SocketAddr> {
         let hosts = self.inbox.hosts();
         match hosts.len() <= MOST_DIRECT {
             true => hosts,
--- a/crates/front/src/planner/digest.rs
+++ b/crates/front/src/planner/digest.rs
@@ -41,7 +41,7 @@
             let plans = PlannerStatus {
                 absent,
                 readers,
-                peers: self.peers.direct(),
+                peers: self.peers.direct_hosts(),
                 store,
                 ..plans(&book, now)
             };
