--- a/crates/front/src/peers/quarantine.rs
+++ b/crates/front/src/peers/quarantine.rs
@@ -14,7 +14,7 @@
 
 impl Peers {
     /// Tells what this host has to report, until the daemon ends.
-    pub async fn report(self: Arc<Self>, mut reports: Reports) {
+    pub async fn forward_quarantine_reports(self: Arc<Self>, mut reports: Reports) {
         while let Some(report) = reports.recv().await {
             match report {
                 Report::Fallen(group) => self.report_fall(group).await,
--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -181,7 +181,7 @@
     tasks.spawn(peers.clone().receive());
     tasks.spawn(peers.clone().tell());
     tasks.spawn(peers.clone().forward_placement_requests(wanted));
-    tasks.spawn(peers.clone().report(reports));
+    tasks.spawn(peers.clone().forward_quarantine_reports(reports));
     tasks.spawn(peers.clone().tell_limit_changes());
     tasks.spawn(peers.clone().tell_leaving());
     tasks.spawn(upkeep(state.clone()));
