--- a/crates/front/src/peers/quarantine.rs
+++ b/crates/front/src/peers/quarantine.rs
@@ -82,7 +82,7 @@
     }
 
     /// Asks the leader what may be done with a request that is suspected; none when there was no answer.
-    pub async fn ask_for_trial(
+    pub async fn request_trial(
         &self,
         print: Fingerprint,
         ticket: RequestId,
--- a/crates/front/src/quarantine/admit.rs
+++ b/crates/front/src/quarantine/admit.rs
@@ -63,7 +63,7 @@
         let permit = match state.quarantine.standing(print, now) {
             Status::Clear => return Ok(()),
             Status::Quarantined => Permit::Quarantined(QUARANTINE_DURATION),
-            Status::Suspected => match peers.ask_for_trial(print, ticket).await {
+            Status::Suspected => match peers.request_trial(print, ticket).await {
                 Some(permit) => permit,
                 // Nobody can come to lead before the store is back: what is innocent would wait for as long.
                 None if state.table.lock().view.contact.is_away() => {
