--- a/crates/front/src/peers/leaving.rs
+++ b/crates/front/src/peers/leaving.rs
@@ -33,7 +33,7 @@
                     self.send(&message, *other).await;
                 }
                 if others.is_empty() {
-                    self.tell_leader_of(message).await;
+                    self.send_to_leader(message).await;
                 }
             }
         }
@@ -47,7 +47,7 @@
         let now = self.state.now();
         let lately = self.state.table.lock().view.heard_lately(TOLD_AGAIN, now);
         for message in self.leaving(&lately) {
-            self.tell_leader_of(message).await;
+            self.send_to_leader(message).await;
         }
     }
 
--- a/crates/front/src/peers/quarantine.rs
+++ b/crates/front/src/peers/quarantine.rs
@@ -20,7 +20,7 @@
                 Report::Fallen(group) => self.report_fall(group).await,
                 Report::Sound(print) => {
                     self.state.quarantine.sound(print);
-                    self.tell_leader_of(Message::Succeeded(print)).await;
+                    self.send_to_leader(Message::Succeeded(print)).await;
                 }
                 Report::Tried(print, broke) => {
                     if !self.state.leads() {
@@ -28,7 +28,7 @@
                         let now = self.state.now();
                         self.state.quarantine.tried(print, broke, now);
                     }
-                    self.tell_leader_of(Message::TrialFailed(print, broke))
+                    self.send_to_leader(Message::TrialFailed(print, broke))
                         .await
                 }
             }
@@ -48,7 +48,7 @@
         }
         let leader = self.state.leader.lock().as_ref().map(|l| l.peers);
         if leader.is_some_and(|leader| !others.contains(&leader)) {
-            self.tell_leader_of(message).await;
+            self.send_to_leader(message).await;
         }
     }
 
@@ -59,12 +59,12 @@
         };
         let now = self.state.now();
         for group in self.state.quarantine.to_tell(term, now) {
-            self.tell_leader_of(fallen(group)).await;
+            self.send_to_leader(fallen(group)).await;
         }
     }
 
     /// Tells the leader something; this host takes it in directly if it leads.
-    pub(super) async fn tell_leader_of(&self, message: Message) {
+    pub(super) async fn send_to_leader(&self, message: Message) {
         let Some(leader) = self.state.leader.lock().clone() else {
             return;
         };
