--- a/crates/front/src/peers/load_reports.rs
+++ b/crates/front/src/peers/load_reports.rs
@@ -28,7 +28,7 @@
 
 impl Peers {
     /// Tells this host's sums round by round until the daemon ends.
-    pub async fn tell(self: Arc<Self>) {
+    pub async fn send_reports(self: Arc<Self>) {
         let mut round = 0;
         loop {
             tokio::time::sleep(self.round()).await;
--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -179,7 +179,7 @@
     tasks.spawn(peers.clone().tell_directly());
     tasks.spawn(follow::run(state.clone()));
     tasks.spawn(peers.clone().receive());
-    tasks.spawn(peers.clone().tell());
+    tasks.spawn(peers.clone().send_reports());
     tasks.spawn(peers.clone().forward_placement_requests(wanted));
     tasks.spawn(peers.clone().forward_quarantine_reports(reports));
     tasks.spawn(peers.clone().tell_limit_changes());
