--- a/crates/front/src/peers/load_reports.rs
+++ b/crates/front/src/peers/load_reports.rs
@@ -51,7 +51,7 @@
 
     /// Tells what is in flight as soon as a request is counted in: all other hosts directly, or the
     /// leader, where they are too many.
-    pub async fn tell_directly(self: Arc<Self>) {
+    pub async fn send_loads(self: Arc<Self>) {
         loop {
             let entered = self.state.entered.notified();
             let _ = tokio::time::timeout(DIRECT_IDLE, entered).await;
--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -176,7 +176,7 @@
     let mut tasks = JoinSet::new();
     let state = &entry.state;
     tasks.spawn(waiting::run(state.clone(), entry.waiting.clone()));
-    tasks.spawn(peers.clone().tell_directly());
+    tasks.spawn(peers.clone().send_loads());
     tasks.spawn(follow::run(state.clone()));
     tasks.spawn(peers.clone().receive());
     tasks.spawn(peers.clone().send_reports());
