--- a/crates/front/src/peers/load_reports.rs
+++ b/crates/front/src/peers/load_reports.rs
@@ -31,7 +31,7 @@
     pub async fn send_reports(self: Arc<Self>) {
         let mut round = 0;
         loop {
-            tokio::time::sleep(self.round()).await;
+            tokio::time::sleep(self.report_interval()).await;
             round += 1;
             self.tell_round(round).await;
             self.tell_heard_limits().await;
@@ -41,7 +41,7 @@
     }
 
     /// Pause between two rounds.
-    pub fn round(&self) -> Duration {
+    pub fn report_interval(&self) -> Duration {
         let hosts = self.state.table.lock().hosts;
         match hosts <= MOST_DIRECT {
             true => ROUND,
--- a/crates/front/src/planner.rs
+++ b/crates/front/src/planner.rs
@@ -122,7 +122,7 @@
                 planner.digest_changes().await;
             }
             _ = tokio::time::sleep_until(next_digest) => {
-                next_digest = tokio::time::Instant::now() + planner.peers.round();
+                next_digest = tokio::time::Instant::now() + planner.peers.report_interval();
                 round += 1;
                 planner.digest(round).await;
                 let again = round.is_multiple_of(digest::WHOLE_ROUNDS);
