--- a/crates/front/src/peers/limits.rs
+++ b/crates/front/src/peers/limits.rs
@@ -14,7 +14,7 @@
 
 impl Peers {
     /// Tells each change at once, until the daemon ends.
-    pub async fn tell_limit_changes(self: Arc<Self>) {
+    pub async fn send_limit_changes(self: Arc<Self>) {
         loop {
             self.state.limited.notified().await;
             tokio::time::sleep(TOGETHER).await;
