--- a/crates/front/src/peers/limits.rs
+++ b/crates/front/src/peers/limits.rs
@@ -66,7 +66,7 @@
     }
 
     /// Tells all hosts, as the leader, which limits hold or are over since a while ago.
-    pub async fn tell_limits(&self) {
+    pub async fn broadcast_limits(&self) {
         let now = self.state.now();
         let limits = self.state.table.lock().limits(now);
         for message in self.messages(&limits) {
--- a/crates/front/src/planner.rs
+++ b/crates/front/src/planner.rs
@@ -128,7 +128,7 @@
                 let again = round.is_multiple_of(digest::WHOLE_ROUNDS);
                 planner.tell_listing(again).await;
                 if again {
-                    planner.peers.tell_limits().await;
+                    planner.peers.broadcast_limits().await;
                     planner.peers.tell_departures().await;
                 }
             }
