--- a/crates/front/src/peers/leaving.rs
+++ b/crates/front/src/peers/leaving.rs
@@ -18,7 +18,7 @@
 
 impl Peers {
     /// Tells each word at once, until the daemon ends.
-    pub async fn tell_leaving(self: Arc<Self>) {
+    pub async fn send_departures(self: Arc<Self>) {
         loop {
             self.state.leaving.notified().await;
             tokio::time::sleep(TOGETHER).await;
--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -183,7 +183,7 @@
     tasks.spawn(peers.clone().forward_placement_requests(wanted));
     tasks.spawn(peers.clone().forward_quarantine_reports(reports));
     tasks.spawn(peers.clone().send_limit_changes());
-    tasks.spawn(peers.clone().tell_leaving());
+    tasks.spawn(peers.clone().send_departures());
     tasks.spawn(upkeep(state.clone()));
     tasks.spawn(settle(state.clone()));
     let (state, peers) = (state.clone(), peers.clone());
