--- a/crates/front/src/peers/leaving.rs
+++ b/crates/front/src/peers/leaving.rs
@@ -52,7 +52,7 @@
     }
 
     /// Tells all hosts, as the leader, which replicas that are there leave by their word.
-    pub async fn tell_departures(&self) {
+    pub async fn broadcast_departures(&self) {
         let known = self.state.table.lock().view.departing();
         self.tell_all_leaving(&known).await;
     }
--- a/crates/front/src/planner.rs
+++ b/crates/front/src/planner.rs
@@ -129,7 +129,7 @@
                 planner.tell_listing(again).await;
                 if again {
                     planner.peers.broadcast_limits().await;
-                    planner.peers.tell_departures().await;
+                    planner.peers.broadcast_departures().await;
                 }
             }
             _ = planner.state.quarantine.changed.notified() => planner.tell_listing(false).await,
