--- a/crates/front/src/peers/quota.rs
+++ b/crates/front/src/peers/quota.rs
@@ -42,7 +42,7 @@
 
 impl Peers {
     /// Begins to give out, in a term in which this host leads.
-    pub fn give_out(&self, term: Term, tolerance: Tolerance) {
+    pub fn start_limiter(&self, term: Term, tolerance: Tolerance) {
         let now = self.state.now();
         let limiters = Limiters {
             accounts: Limiter::new(tolerance, now),
--- a/crates/front/src/planner.rs
+++ b/crates/front/src/planner.rs
@@ -78,7 +78,7 @@
 /// Works until another host leads. Orders are given while the term holds; sums are told also while the
 /// store is away and the term cannot be renewed, since hosts that hear none all choose alike.
 pub async fn run(state: Arc<State>, peers: Arc<Peers>, term: Term) {
-    peers.give_out(term.clone(), shares::tolerance(&state.settings.bounds));
+    peers.start_limiter(term.clone(), shares::tolerance(&state.settings.bounds));
     state.quarantine.take_over(state.now());
     let planner = Arc::new(open(state, peers, term));
     let quiet = planner.quiet_until();
