--- a/crates/front/src/peers/quota.rs
+++ b/crates/front/src/peers/quota.rs
@@ -173,7 +173,7 @@
     }
 
     /// Units given out of an account in the last window, if this host gives out.
-    pub fn given_out(&self, account: &Name) -> Option<f64> {
+    pub fn granted(&self, account: &Name) -> Option<f64> {
         let now = self.state.now();
         self.with_accounts(|limiter| limiter.granted(account, now))
     }
--- a/crates/front/src/run/gauges.rs
+++ b/crates/front/src/run/gauges.rs
@@ -30,7 +30,7 @@
         .gauge("coveford_keys_age_seconds", &[])
         .set(age.secs());
     for account in known.all().take(MOST_ACCOUNTS) {
-        let given = peers.given_out(&account.name);
+        let given = peers.granted(&account.name);
         if let (Some(given), Some(quota)) = (given, account.quota) {
             let labels = [("account", &*account.name)];
             metrics.gauge("coveford_account_given", &labels).set(given);
