--- a/crates/front/src/grant.rs
+++ b/crates/front/src/grant.rs
@@ -74,7 +74,7 @@
         queues: wanted.queues,
         alone: untold as f32,
     };
-    let answer = peers.ask_for(question, tries).await.and_then(answer);
+    let answer = peers.request_quota(question, tries).await.and_then(answer);
     let Some(answer) = answer else {
         state.shares.not_answered(state.now());
         return None;
--- a/crates/front/src/peers/quota.rs
+++ b/crates/front/src/peers/quota.rs
@@ -52,7 +52,7 @@
     }
 
     /// Asks for units, once for each time that a try may take; none when there was no answer.
-    pub async fn ask_for(
+    pub async fn request_quota(
         &self,
         question: QuotaRequest,
         tries: &[Duration],
