--- a/crates/front/src/grant.rs
+++ b/crates/front/src/grant.rs
@@ -135,6 +135,6 @@
         state.shares.with(&self.subject, |share| {
             share.refund(self.units, self.asked);
         });
-        self.peers.give_back(self.subject, self.units, age).await;
+        self.peers.refund(self.subject, self.units, age).await;
     }
 }
--- a/crates/front/src/peers/quota.rs
+++ b/crates/front/src/peers/quota.rs
@@ -123,7 +123,7 @@
     }
 
     /// Gives units back that were given `age` ago and not used.
-    pub async fn give_back(&self, subject: Subject, units: f64, age: Span) {
+    pub async fn refund(&self, subject: Subject, units: f64, age: Span) {
         let Some(leader) = self.state.leader.lock().clone() else {
             return;
         };
