--- a/crates/front/src/limits.rs
+++ b/crates/front/src/limits.rs
@@ -9,7 +9,7 @@
 use crate::heard;
 use crate::message::Subject;
 use crate::peers::Peers;
-use crate::peers::quota::QUICK;
+use crate::peers::quota::TIMEOUTS;
 use crate::state::State;
 use crate::table::{Change, Choice, Met, Want};
 use platform::answer::Reading;
@@ -19,7 +19,7 @@
 use unit::Name;
 
 /// Time for the one try of a question: another replica may take the request sooner than a second try would be answered.
-const TRY: &[Duration] = QUICK.split_at(1).0;
+const TRY: &[Duration] = TIMEOUTS.split_at(1).0;
 
 /// Takes in what an answer says of its replica's limit. One that the replica `ran` the request for and that names no
 /// limit says that none holds any more; a refusal without one says nothing.
--- a/crates/front/src/peers/quota.rs
+++ b/crates/front/src/peers/quota.rs
@@ -14,7 +14,7 @@
 
 /// Time for each try of a question: hosts are milliseconds apart, and a host whose processor is used up
 /// stands still for a tenth of a second at the most.
-pub const QUICK: &[Duration] = &[Duration::from_millis(40), Duration::from_millis(90)];
+pub const TIMEOUTS: &[Duration] = &[Duration::from_millis(40), Duration::from_millis(90)];
 
 /// Time for a last try of a request that would be refused without an answer: a leader of some thousands of
 /// replicas stands still for parts of a second while it plans.
--- a/crates/front/src/quota.rs
+++ b/crates/front/src/quota.rs
@@ -8,7 +8,7 @@
 use crate::grant::{self, Answer, Grant, Source, Wanted};
 use crate::message::Subject;
 use crate::peers::Peers;
-use crate::peers::quota::{PATIENT, QUICK};
+use crate::peers::quota::{PATIENT, TIMEOUTS};
 use crate::respond::Fault;
 use crate::shares;
 use crate::state::State;
@@ -60,7 +60,7 @@
         Answer::Over(told) => Err(over(account, quota, wanted.units, told.retry_after)),
     };
     if state.shares.may_ask(state.now())
-        && let Some(answer) = grant::ask(state, peers, wanted, QUICK).await
+        && let Some(answer) = grant::ask(state, peers, wanted, TIMEOUTS).await
     {
         return decided(answer);
     }
