--- a/crates/front/src/peers/quota.rs
+++ b/crates/front/src/peers/quota.rs
@@ -18,7 +18,7 @@
 
 /// Time for a last try of a request that would be refused without an answer: a leader of some thousands of
 /// replicas stands still for parts of a second while it plans.
-pub const PATIENT: &[Duration] = &[Duration::from_millis(400)];
+pub const LAST_TRY_TIMEOUTS: &[Duration] = &[Duration::from_millis(400)];
 
 /// Part of the limits of replicas that a leader gives out whose term it cannot renew while the store is away: another host may
 /// lead by now and give out the whole, and both together stay within the tolerance.
--- a/crates/front/src/quota.rs
+++ b/crates/front/src/quota.rs
@@ -8,7 +8,7 @@
 use crate::grant::{self, Answer, Grant, Source, Wanted};
 use crate::message::Subject;
 use crate::peers::Peers;
-use crate::peers::quota::{PATIENT, TIMEOUTS};
+use crate::peers::quota::{LAST_TRY_TIMEOUTS, TIMEOUTS};
 use crate::respond::Fault;
 use crate::shares;
 use crate::state::State;
@@ -67,7 +67,7 @@
     let Err(wait) = grant::use_alone(state, wanted) else {
         return Ok(Source::Share);
     };
-    match grant::ask(state, peers, wanted, PATIENT).await {
+    match grant::ask(state, peers, wanted, LAST_TRY_TIMEOUTS).await {
         Some(answer) => decided(answer),
         None => Err(without_share(account, wait)),
     }
