--- a/crates/front/src/accounts.rs
+++ b/crates/front/src/accounts.rs
@@ -273,7 +273,10 @@
 
 /// Tells why a request is not let in.
 fn tell(state: &State, refusal: &Refusal, fault: &Fault, refused: &Refused) {
-    state.log.metrics.ended(&refused.route.name, fault.reason);
+    state
+        .log
+        .metrics
+        .record_outcome(&refused.route.name, fault.reason);
     let key = match refusal {
         Refusal::Unknown { digest } => Some(digest.as_str()),
         _ => None,
--- a/crates/front/src/metrics.rs
+++ b/crates/front/src/metrics.rs
@@ -69,7 +69,7 @@
     }
 
     /// Counts the end of a request, by its route and by how it ended.
-    pub fn ended(&self, route: &Name, how: &'static str) {
+    pub fn record_outcome(&self, route: &Name, how: &'static str) {
         let mut ends = self.ends.lock();
         let route = match ends.len() < MOST_ROUTES || ends.contains_key(&(route.clone(), how)) {
             true => route.clone(),
--- a/crates/front/src/relay.rs
+++ b/crates/front/src/relay.rs
@@ -245,7 +245,7 @@
         self.state
             .log
             .metrics
-            .ended(&self.call.route.name, "complete");
+            .record_outcome(&self.call.route.name, "complete");
         let id = &self.call.id;
         let ms = self.state.now().since(self.call.arrived).ms();
         let route = &self.call.route;
@@ -324,7 +324,10 @@
     fn cut(&mut self, why: &Failed) -> io::Error {
         self.source = None;
         let call = &self.call;
-        self.state.log.metrics.ended(&call.route.name, "broken");
+        self.state
+            .log
+            .metrics
+            .record_outcome(&call.route.name, "broken");
         let age = self.state.now().since(call.arrived).ms();
         let tried = self.tried.replicas.join(",");
         let last = self.splitter.last();
@@ -340,7 +343,10 @@
         let Some(source) = &self.source else { return };
         let call = &self.call;
         let ms = self.state.now().since(call.arrived).ms();
-        self.state.log.metrics.ended(&call.route.name, "cancelled");
+        self.state
+            .log
+            .metrics
+            .record_outcome(&call.route.name, "cancelled");
         self.state.log.routine(&call.id, || {
             info!(target: "request", event = "cancelled", id = &*call.id, route = &*call.route.name, replica = &*source.place.replica, ms, "the client left; the replica's connection is closed")
         });
--- a/crates/front/src/serve/read.rs
+++ b/crates/front/src/serve/read.rs
@@ -46,7 +46,7 @@
         let message = "No route leads there by the last configuration that this host could read.";
         return Err(Fault::not_run("configuration_old", message, RETURN_LATER));
     }
-    state.log.metrics.ended(&"none".into(), "no_route");
+    state.log.metrics.record_outcome(&"none".into(), "no_route");
     state.log.notable(|| {
         info!(target: "request", event = "refused", reason = "no_route", host, path = request.uri().path(), version = routes.version, "no route")
     });
--- a/crates/front/src/serve/tell.rs
+++ b/crates/front/src/serve/tell.rs
@@ -36,7 +36,7 @@
         true => "complete",
         false => "failed_by_replica",
     };
-    state.log.metrics.ended(&call.route.name, outcome);
+    state.log.metrics.record_outcome(&call.route.name, outcome);
     state.log.routine(&call.id, || {
         info!(target: "request", event = "answered", id = &*call.id, route = &*call.route.name, status, ms = took.ms(), target_ms = Span::from(call.route.target).ms(), "the replica's answer was passed on")
     });
@@ -45,7 +45,10 @@
 /// Tells of a request that coveford answers itself.
 pub(super) fn failed(state: &State, call: &Call, fault: &Fault) {
     let ms = state.now().since(call.arrived).ms();
-    state.log.metrics.ended(&call.route.name, fault.reason);
+    state
+        .log
+        .metrics
+        .record_outcome(&call.route.name, fault.reason);
     let retry_after_ms = fault.retry_after.map(|s| s.ms());
     let account = call.caller.account.as_ref().map(|a| &*a.name);
     state.log.notable(|| {
