--- a/crates/front/src/metrics.rs
+++ b/crates/front/src/metrics.rs
@@ -83,7 +83,7 @@
     }
 
     /// Counts what was decided of a request by its account's limit.
-    pub fn account(&self, account: &Name, decision: &'static str) {
+    pub fn record_account_decision(&self, account: &Name, decision: &'static str) {
         let mut accounts = self.accounts.lock();
         let is_known = accounts.contains_key(&(account.clone(), decision));
         let account = match is_known || accounts.len() < MOST_ACCOUNTS {
--- a/crates/front/src/quota.rs
+++ b/crates/front/src/quota.rs
@@ -42,7 +42,10 @@
     let decision = decided
         .as_ref()
         .map_or_else(|fault| fault.reason, |_| "let_in");
-    state.log.metrics.account(&account.name, decision);
+    state
+        .log
+        .metrics
+        .record_account_decision(&account.name, decision);
     decided.map(|source| Some(wanted.granted(peers, asked, source)))
 }
 
