--- a/crates/front/src/metrics.rs
+++ b/crates/front/src/metrics.rs
@@ -100,7 +100,7 @@
     }
 
     /// Records the time to the first byte of an answer.
-    pub fn first_byte(&self, route: &Name, took: Span) {
+    pub fn record_first_byte(&self, route: &Name, took: Span) {
         let mut waits = self.waits.lock();
         let route = match waits.len() < MOST_ROUTES || waits.contains_key(route) {
             true => route.clone(),
--- a/crates/front/src/relay.rs
+++ b/crates/front/src/relay.rs
@@ -194,7 +194,7 @@
             let took = self.state.now().since(self.call.arrived);
             self.first_after = took;
             let metrics = &self.state.log.metrics;
-            metrics.first_byte(&self.call.route.name, took);
+            metrics.record_first_byte(&self.call.route.name, took);
         }
         Ok(())
     }
--- a/crates/front/src/serve/tell.rs
+++ b/crates/front/src/serve/tell.rs
@@ -31,7 +31,7 @@
     if is_events(call, response) {
         return;
     }
-    state.log.metrics.first_byte(&call.route.name, took);
+    state.log.metrics.record_first_byte(&call.route.name, took);
     let outcome = match response.status().is_success() {
         true => "complete",
         false => "failed_by_replica",
