--- a/crates/front/src/metrics.rs
+++ b/crates/front/src/metrics.rs
@@ -114,7 +114,7 @@
     }
 
     /// Counts a datagram that is sent to another host.
-    pub fn datagram(&self, kind: &'static str, bytes: usize) {
+    pub fn record_datagram(&self, kind: &'static str, bytes: usize) {
         let mut datagrams = self.datagrams.lock();
         let (count, sum) = datagrams.entry(kind).or_insert_with(|| {
             let labels = [("kind", kind)];
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -255,7 +255,7 @@
 
     /// Sends a datagram that is encoded already.
     async fn send_bytes(&self, bytes: &[u8], kind: &'static str, to: SocketAddr) {
-        self.state.log.metrics.datagram(kind, bytes.len());
+        self.state.log.metrics.record_datagram(kind, bytes.len());
         if let Err(why) = self.socket.send_to(bytes, to).await {
             self.state.log.notable(|| {
                 tracing::warn!(target: "peers", event = "not_sent", to = %to, why = %why, "a datagram could not be sent")
