--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -260,7 +260,7 @@
         tokio::time::sleep(UPKEEP).await;
         expire(&state);
         state.pool.tidy(state.now());
-        state.log.metrics.tidy();
+        state.log.metrics.run_upkeep();
         state.log.tell_left_out();
     }
 }
