--- a/crates/front/src/log.rs
+++ b/crates/front/src/log.rs
@@ -97,7 +97,7 @@
 
 impl Log {
     /// Tells a routine decision about a request, if the request is one of the sample.
-    pub fn routine(&self, id: &str, tell: impl FnOnce()) {
+    pub fn sampled(&self, id: &str, tell: impl FnOnce()) {
         if unit::rendezvous::hash(id.as_bytes()).is_multiple_of(self.sample) {
             tell();
         }
--- a/crates/front/src/relay.rs
+++ b/crates/front/src/relay.rs
@@ -254,7 +254,7 @@
         let gap_ms = route.gap.map(|gap| Span::from(gap).ms());
         let (first_ms, pause_ms) = (self.first_after.ms(), self.longest.took.ms());
         let (in_flight, unread_ms) = (self.longest.in_flight, self.longest.unread.ms());
-        self.state.log.routine(id, || {
+        self.state.log.sampled(id, || {
             info!(target: "request", event = "answered", id = &**id, route = &*route.name, model, ms, first_ms, target_ms, pause_ms, gap_ms, in_flight, unread_ms, "the stream is complete; pause_ms is its longest long pause, with what stood at the replica then")
         });
         None
@@ -347,7 +347,7 @@
             .log
             .metrics
             .record_outcome(&call.route.name, "cancelled");
-        self.state.log.routine(&call.id, || {
+        self.state.log.sampled(&call.id, || {
             info!(target: "request", event = "cancelled", id = &*call.id, route = &*call.route.name, replica = &*source.place.replica, ms, "the client left; the replica's connection is closed")
         });
     }
--- a/crates/front/src/serve/tell.rs
+++ b/crates/front/src/serve/tell.rs
@@ -18,7 +18,7 @@
             .counter("coveford_sent_to_missing_total", &[])
             .increment(1);
     }
-    state.log.routine(&call.id, || {
+    state.log.sampled(&call.id, || {
         let ms = state.now().since(call.arrived).ms();
         info!(target: "request", event = "sent", id = &*call.id, route = &*call.route.name, model = call.ask.model.as_deref(), adapter = call.ask.adapter.as_deref(), replica = &*choice.replica, candidates = choice.candidates, expected_ms = choice.first_token.ms(), paced = choice.paced, waited, ms, entry = choice.revision, missing_ms, "sent to the replica with the least expected time")
     });
@@ -37,7 +37,7 @@
         false => "failed_by_replica",
     };
     state.log.metrics.record_outcome(&call.route.name, outcome);
-    state.log.routine(&call.id, || {
+    state.log.sampled(&call.id, || {
         info!(target: "request", event = "answered", id = &*call.id, route = &*call.route.name, status, ms = took.ms(), target_ms = Span::from(call.route.target).ms(), "the replica's answer was passed on")
     });
 }
