--- a/crates/front/src/accounts.rs
+++ b/crates/front/src/accounts.rs
@@ -281,7 +281,7 @@
         Refusal::Unknown { digest } => Some(digest.as_str()),
         _ => None,
     };
-    state.log.notable(|| {
+    state.log.rate_limited(|| {
         let (id, route) = (refused.id.as_deref(), &*refused.route.name);
         let account = refused.account.map(|a| &*a.name);
         let age_ms = known_age(state).ms();
--- a/crates/front/src/follow.rs
+++ b/crates/front/src/follow.rs
@@ -138,7 +138,7 @@
             }
             Err(why) => {
                 state.readers.avoid_for(reader, &why, state.now());
-                state.log.notable(|| {
+                state.log.rate_limited(|| {
                     warn!(target: "store", event = "reader_failed", reader = %reader, after, why = %why, "a host that reads the store for this one cannot be rested on; it is not asked for a while")
                 });
             }
@@ -206,7 +206,7 @@
             Some(answer)
         }
         Err(error) if turned_away(state) => {
-            state.log.notable(|| {
+            state.log.rate_limited(|| {
                 info!(target: "store", event = "turned_away", why = %error, "the store does not answer this host; another one is asked")
             });
             None
--- a/crates/front/src/follow/apply.rs
+++ b/crates/front/src/follow/apply.rs
@@ -66,7 +66,7 @@
                 told(state, news, item.revision);
             }
             Err(why) => {
-                state.log.notable(|| {
+                state.log.rate_limited(|| {
                     error!(target: "view", event = "malformed", key = &*item.key, revision = item.revision, why = %why, "an entry cannot be read: it names no replica to use")
                 });
                 let id = replica::id(&item.key);
@@ -174,7 +174,7 @@
             News::Missing(_) => state.missed.notify_one(),
             _ => {}
         }
-        state.log.notable(
+        state.log.rate_limited(
             || info!(target: "view", event, replica = &**id, revision, store_back_ms, "news of a replica"),
         );
     }
--- a/crates/front/src/heard.rs
+++ b/crates/front/src/heard.rs
@@ -34,7 +34,7 @@
     match &said.rest {
         Reading::Value(rest) => rests(state, from, Span::from_secs_f64(rest.as_secs_f64())),
         Reading::Absent if said.is_turned_away() => rests(state, from, Span::ZERO),
-        Reading::Unreadable(value) => state.log.notable(|| {
+        Reading::Unreadable(value) => state.log.rate_limited(|| {
             warn!(target: "replica", event = "unreadable", replica = &*from.replica, id = &*from.subject, value, "what the replica asks for is no time; it counts as not asked")
         }),
         Reading::Absent => {}
@@ -83,7 +83,7 @@
 fn tell_leaving(state: &State, replica: &Name, id: Option<&str>, by: &Name) {
     state.leaving.notify_one();
     state.changed.notify_waiters();
-    state.log.notable(|| {
+    state.log.rate_limited(|| {
         info!(target: "replica", event = "leaving", replica = &**replica, id, by = &**by, "a replica says in an answer that it leaves")
     });
 }
@@ -102,7 +102,7 @@
             .counter("coveford_rests_total", &[])
             .increment(1);
         let (asked_ms, left_ms) = (rest.ms(), left.ms());
-        state.log.notable(|| {
+        state.log.rate_limited(|| {
             info!(target: "replica", event = "rests", replica = &*from.replica, id = &*from.subject, by = &*state.settings.name, asked_ms, left_ms, first, "a replica turned a request away and wants nothing from this host for a time")
         });
     }
@@ -120,7 +120,7 @@
             .counter("coveford_kept_back_total", &labels)
             .increment(1);
         let placed_ms = now.since(place.at).ms();
-        state.log.notable(|| {
+        state.log.rate_limited(|| {
             info!(target: "replica", event = "kept_back", id = &*call.id, replica = &*place.replica, why = word, placed_ms, "a request was not sent to a replica that wants none")
         });
     }
--- a/crates/front/src/leader.rs
+++ b/crates/front/src/leader.rs
@@ -316,7 +316,7 @@
             }
             Ok(None) => return false,
             Err(why) => {
-                state.log.notable(|| {
+                state.log.rate_limited(|| {
                     warn!(target: "leader", event = "not_renewed", why = %why, "the lease could not be renewed yet")
                 });
                 tokio::time::sleep(RETRY).await;
--- a/crates/front/src/limits.rs
+++ b/crates/front/src/limits.rs
@@ -30,7 +30,7 @@
         Reading::Absent if ran => None,
         Reading::Absent => return,
         Reading::Unreadable(value) => {
-            state.log.notable(|| {
+            state.log.rate_limited(|| {
                 warn!(target: "limit", event = "unreadable", replica = &*from.replica, value, "what the replica names is no number of requests a second; it counts as not named")
             });
             return;
@@ -51,7 +51,7 @@
 /// Tells of a change of what is known of a limit, and which host said so.
 pub fn tell(state: &State, replica: &Name, rate: f64, change: Change, by: &Name) {
     let (replica, by) = (&**replica, &**by);
-    state.log.notable(|| match change {
+    state.log.rate_limited(|| match change {
         Change::First => info!(target: "limit", event = "named", replica, rate, by, "a replica in need takes so many requests a second from all hosts together"),
         Change::Other(before) => info!(target: "limit", event = "changed", replica, rate, before, by, "a replica in need names another limit"),
         Change::Over => info!(target: "limit", event = "over", replica, by, "a replica names no limit any more"),
@@ -161,7 +161,7 @@
         .metrics
         .counter("coveford_limited_sendings_total", &[])
         .increment(1);
-    state.log.notable(|| {
+    state.log.rate_limited(|| {
         info!(target: "limit", event = "sent", id = &*call.id, replica = &**replica, rate, last_event, priority = call.priority, "a request goes to a replica in need")
     });
 }
--- a/crates/front/src/log.rs
+++ b/crates/front/src/log.rs
@@ -104,7 +104,7 @@
     }
 
     /// Tells something out of the ordinary, within the rate.
-    pub fn notable(&self, tell: impl FnOnce()) {
+    pub fn rate_limited(&self, tell: impl FnOnce()) {
         if self.has_room() {
             tell();
             return;
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -110,7 +110,7 @@
                     self.answer_trial(number, print, ticket, from).await
                 }
                 Ok(message) => self.take(message, from),
-                Err(why) => self.state.log.notable(|| {
+                Err(why) => self.state.log.rate_limited(|| {
                     tracing::warn!(target: "peers", event = "malformed", from = %from, why = %why, "a datagram cannot be read")
                 }),
             }
@@ -167,7 +167,7 @@
             Message::TrialResponse(number, permit) => self.trials.answered(number, permit),
             Message::QuarantineList(listing) if self.is_of_former_term(listing.term) => {}
             Message::QuarantineList(listing) => self.state.quarantine.told(listing, now),
-            Message::Forward(_) | Message::QuotaRequest(_) | Message::TrialRequest(..) => self.state.log.notable(|| {
+            Message::Forward(_) | Message::QuotaRequest(_) | Message::TrialRequest(..) => self.state.log.rate_limited(|| {
                 tracing::warn!(target: "peers", event = "malformed", from = %from, "a datagram to be passed on holds one that is not for all")
             }),
         }
@@ -176,7 +176,7 @@
     /// Takes a datagram of the leader in, and passes it on to the hosts of this one's part.
     async fn pass(&self, bytes: Bytes, from: SocketAddr) {
         let Ok(message) = message::decode(&bytes) else {
-            self.state.log.notable(|| {
+            self.state.log.rate_limited(|| {
                 tracing::warn!(target: "peers", event = "malformed", from = %from, "a datagram to be passed on cannot be read")
             });
             return;
@@ -257,7 +257,7 @@
     async fn send_bytes(&self, bytes: &[u8], kind: &'static str, to: SocketAddr) {
         self.state.log.metrics.record_datagram(kind, bytes.len());
         if let Err(why) = self.socket.send_to(bytes, to).await {
-            self.state.log.notable(|| {
+            self.state.log.rate_limited(|| {
                 tracing::warn!(target: "peers", event = "not_sent", to = %to, why = %why, "a datagram could not be sent")
             });
         }
--- a/crates/front/src/planner/give.rs
+++ b/crates/front/src/planner/give.rs
@@ -127,7 +127,7 @@
                 !report.busy
             }
             Err(why) => {
-                self.state.log.notable(|| {
+                self.state.log.rate_limited(|| {
                     warn!(target: "planner", event = "no_report", replica = &*entry.id, why = %why, "a replica gave no report")
                 });
                 false
--- a/crates/front/src/planner/quarantine.rs
+++ b/crates/front/src/planner/quarantine.rs
@@ -61,7 +61,7 @@
                     quarantine::found(&self.state, item);
                 }
             }
-            Err(why) => self.state.log.notable(|| {
+            Err(why) => self.state.log.rate_limited(|| {
                 warn!(target: "quarantine", event = "not_stored", why = %why, "the list of requests that are kept out could not be stored yet")
             }),
         }
--- a/crates/front/src/quarantine/look.rs
+++ b/crates/front/src/quarantine/look.rs
@@ -77,7 +77,7 @@
 
 fn tell(state: &State, replica: &str, group: Incident) {
     let in_flight = group.in_flight.len();
-    state.log.notable(|| {
+    state.log.rate_limited(|| {
         info!(target: "quarantine", event = "fell", replica, in_flight, "a replica fell with requests of this host in flight; the failed sendings tell which")
     });
     state.quarantine.report(Report::Fallen(group));
--- a/crates/front/src/relay.rs
+++ b/crates/front/src/relay.rs
@@ -331,7 +331,7 @@
         let age = self.state.now().since(call.arrived).ms();
         let tried = self.tried.replicas.join(",");
         let last = self.splitter.last();
-        self.state.log.notable(|| {
+        self.state.log.rate_limited(|| {
             tracing::warn!(target: "request", event = "broken", id = &*call.id, print = %call.fingerprint(), route = &*call.route.name, tried, last, ms = age, why = %why, "the stream is broken off")
         });
         io::Error::other(why.to_string())
--- a/crates/front/src/relay/resume.rs
+++ b/crates/front/src/relay/resume.rs
@@ -50,7 +50,7 @@
                 grant.give_back(&state).await;
             }
             self.tried.note(&choice.replica, &sent);
-            state.log.notable(|| {
+            state.log.rate_limited(|| {
                 let outcome = match &sent {
                     Ok(sent) => format!("status {}", sent.response.status()),
                     Err(failed) => failed.to_string(),
--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -286,7 +286,7 @@
         metrics
             .gauge("coveford_replica_rest_seconds", &labels)
             .set(0.0);
-        state.log.notable(|| {
+        state.log.rate_limited(|| {
             info!(target: "replica", event = "rested", replica = &*replica, "a replica's rest is over, and so is the return to it");
         });
     }
--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -238,7 +238,7 @@
 
 /// Tells of a failed sending, and corrects what the table believed.
 fn after_failure(state: &State, call: &Call, choice: &Choice, failed: &Failed) {
-    state.log.notable(|| {
+    state.log.rate_limited(|| {
         info!(target: "request", event = "failed", id = &*call.id, print = %call.fingerprint(), replica = &*choice.replica, addr = %choice.addr, entry = choice.revision, candidates = choice.candidates, why = %failed, "a sending brought no answer")
     });
     let misdirected = matches!(
--- a/crates/front/src/serve/read.rs
+++ b/crates/front/src/serve/read.rs
@@ -47,7 +47,7 @@
         return Err(Fault::not_run("configuration_old", message, RETURN_LATER));
     }
     state.log.metrics.record_outcome(&"none".into(), "no_route");
-    state.log.notable(|| {
+    state.log.rate_limited(|| {
         info!(target: "request", event = "refused", reason = "no_route", host, path = request.uri().path(), version = routes.version, "no route")
     });
     Err(Fault::refused(
--- a/crates/front/src/serve/tell.rs
+++ b/crates/front/src/serve/tell.rs
@@ -51,7 +51,7 @@
         .record_outcome(&call.route.name, fault.reason);
     let retry_after_ms = fault.retry_after.map(|s| s.ms());
     let account = call.caller.account.as_ref().map(|a| &*a.name);
-    state.log.notable(|| {
+    state.log.rate_limited(|| {
         warn!(target: "request", event = "refused", id = &*call.id, route = &*call.route.name, model = call.ask.model.as_deref(), adapter = call.ask.adapter.as_deref(), account, status = fault.status.as_u16(), reason = fault.reason, retry_after_ms, ms, why = fault.message, "the request is given up")
     });
 }
