--- a/crates/front/src/log.rs
+++ b/crates/front/src/log.rs
@@ -128,7 +128,7 @@
     }
 
     /// Tells how many lines were left out since the last call.
-    pub fn tell_left_out(&self) {
+    pub fn log_omitted(&self) {
         let lines = self.left_out.swap(0, Ordering::Relaxed);
         if lines > 0 {
             tracing::warn!(target: "log", event = "left_out", lines, "lines were left out to keep within the rate");
--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -261,7 +261,7 @@
         expire(&state);
         state.pool.tidy(state.now());
         state.log.metrics.run_upkeep();
-        state.log.tell_left_out();
+        state.log.log_omitted();
     }
 }
 
