--- a/crates/front/src/log.rs
+++ b/crates/front/src/log.rs
@@ -51,7 +51,7 @@
 }
 
 /// Starts writing lines in the name of a host; they are flushed when the guard is dropped.
-pub fn start(host: &str, level: &str) -> WorkerGuard {
+pub fn init(host: &str, level: &str) -> WorkerGuard {
     let (lines, guard) = NonBlockingBuilder::default()
         .buffered_lines_limit(BUFFERED_LINES)
         .lossy(true)
--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -76,7 +76,7 @@
 
 /// Runs a daemon by its settings until it is told to stop.
 pub fn run(path: &Path, settings: Settings) -> Result<(), Error> {
-    let guard = log::start(&settings.name, &settings.log.level);
+    let guard = log::init(&settings.name, &settings.log.level);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
