--- a/crates/front/src/clock.rs
+++ b/crates/front/src/clock.rs
@@ -55,7 +55,7 @@
     }
 
     /// Times that the process has stood still so far: what waited for it meanwhile is as old as that.
-    pub fn returns(&self) -> u64 {
+    pub fn resume_count(&self) -> u64 {
         *self.returns.borrow()
     }
 
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -89,7 +89,7 @@
     /// Receives until the daemon ends.
     pub async fn receive(self: Arc<Self>) {
         let mut buffer = vec![0; BUFFER];
-        let mut returns = self.state.clock.returns();
+        let mut returns = self.state.clock.resume_count();
         loop {
             let Ok((length, from)) = self.socket.recv_from(&mut buffer).await else {
                 // An earlier datagram met a closed port; the next one may arrive.
@@ -98,7 +98,7 @@
             };
             // The look at the clock finds a return before the first datagram that waited meanwhile is taken in.
             self.state.now();
-            let seen = std::mem::replace(&mut returns, self.state.clock.returns());
+            let seen = std::mem::replace(&mut returns, self.state.clock.resume_count());
             if seen != returns {
                 self.drop_waiting(&mut buffer);
                 continue;
