--- a/crates/front/src/clock.rs
+++ b/crates/front/src/clock.rs
@@ -87,7 +87,7 @@
     }
 
     /// Lets the host seem suspended for a time, in which its steady clock stood still.
-    pub fn suspend(&self, span: Span) {
+    pub fn simulate_suspend(&self, span: Span) {
         self.suspended.fetch_add(span.0, Ordering::Relaxed);
     }
 }
--- a/crates/front/tests/leaving.rs
+++ b/crates/front/tests/leaving.rs
@@ -150,7 +150,7 @@
     press(&hosts, ALL, Duration::from_millis(300)).await;
     way.set(proxy::Mode::MuteTarget);
     keep_alone(&hosts[0]);
-    hosts[0].state().clock.suspend(Span::from_secs(6));
+    hosts[0].state().clock.simulate_suspend(Span::from_secs(6));
     press(&hosts, ALL, BOUND + AFTER).await;
     assert_eq!(late_from_all(&engine, &hosts), 0, "streams");
     assert_eq!(late_from_all(&web, &hosts), 0, "plain requests");
--- a/crates/front/tests/limits.rs
+++ b/crates/front/tests/limits.rs
@@ -188,7 +188,7 @@
     press(&hosts, &["/stream/x"], BOUND).await;
     let from = Instant::now();
     for host in &hosts {
-        host.state().clock.suspend(AWAY);
+        host.state().clock.simulate_suspend(AWAY);
         press(&hosts, &["/stream/x"], Duration::from_millis(1_500)).await;
     }
     press(&hosts, &["/stream/x"], WINDOW).await;
--- a/crates/front/tests/rests.rs
+++ b/crates/front/tests/rests.rs
@@ -243,10 +243,10 @@
     let replica = web(&store, "w-1").await;
     let host = daemon(&store, "d1").await;
     ask_once(&replica, &host, "8").await;
-    host.state().clock.suspend(Span::from_secs(4));
+    host.state().clock.simulate_suspend(Span::from_secs(4));
     let (_, answer) = ask(&host, "/again/x", None).await;
     assert_eq!(answer.status(), 503, "half of it is left");
-    host.state().clock.suspend(Span::from_secs(4));
+    host.state().clock.simulate_suspend(Span::from_secs(4));
     assert_eq!(ask(&host, "/again/x", None).await.1.status(), 200);
 }
 
--- a/crates/front/tests/suspended.rs
+++ b/crates/front/tests/suspended.rs
@@ -23,7 +23,7 @@
 const NOTICED: Duration = Duration::from_millis(300);
 
 fn suspend(host: &Daemon) {
-    host.state().clock.suspend(AWAY);
+    host.state().clock.simulate_suspend(AWAY);
 }
 
 /// Another host may lead by now: it gives no order in the old term.
@@ -94,7 +94,7 @@
     way.set(Mode::DeafTarget);
     keep_alone(&host);
     let bound = host.state().settings.bounds.configuration;
-    host.state().clock.suspend(bound.into());
+    host.state().clock.simulate_suspend(bound.into());
     assert_eq!(ask(&host, "/nowhere/x", None).await.1.status(), 503);
 }
 
