--- a/crates/front/src/follow.rs
+++ b/crates/front/src/follow.rs
@@ -129,7 +129,7 @@
 async fn hear(state: &State, after: u64) -> Option<Next> {
     for _ in 0..ASKED {
         let reader = readers::source(state)?;
-        match readers::ask(state, reader, after, state.settings.bounds.following()).await {
+        match readers::ask(state, reader, after, state.settings.bounds.propagation()).await {
             Ok(news) => {
                 return Some(match news {
                     Heard::Changes(changes) => Next::Heard(changes),
@@ -157,7 +157,7 @@
         true => READER_PART,
         false => WAIT_PART,
     };
-    let wait = state.settings.bounds.following().mul_f64(part);
+    let wait = state.settings.bounds.propagation().mul_f64(part);
     match state.settings.bounds.withdrawal {
         Some(bound) => wait.min(bound.mul_f64(WAIT_PART_OF_WITHDRAWAL)),
         None => wait,
@@ -166,7 +166,7 @@
 
 /// Pauses after a watch that told changes, before the next one.
 async fn pause(state: &State) {
-    let bound = state.settings.bounds.following();
+    let bound = state.settings.bounds.propagation();
     let pause = match (state.leads(), readers::reads(state)) {
         (true, _) => LEADER_PAUSE,
         (false, true) => bound.mul_f64(READER_PART),
@@ -184,7 +184,7 @@
         tokio::time::sleep(PAUSE).await;
         return;
     }
-    let most = state.settings.bounds.following().mul_f64(SELDOM_PART);
+    let most = state.settings.bounds.propagation().mul_f64(SELDOM_PART);
     let until = state.readers.next_chance().unwrap_or_default();
     let chance = until.since(state.now()).std();
     tokio::time::sleep(chance.clamp(PAUSE, most.max(PAUSE))).await;
--- a/crates/front/src/readers/server.rs
+++ b/crates/front/src/readers/server.rs
@@ -60,7 +60,7 @@
 fn has_answer(state: &State, question: &Question) -> bool {
     let recent = state.readers.recent.lock();
     let age = recent.age(state.now());
-    recent.revision() > question.after || is_old(age, state.settings.bounds.following())
+    recent.revision() > question.after || is_old(age, state.settings.bounds.propagation())
 }
 
 /// What this host can say now of the changes after a revision, to a question that came at `begin`.
--- a/crates/front/src/settings.rs
+++ b/crates/front/src/settings.rs
@@ -75,7 +75,7 @@
 
 impl Bounds {
     /// The shortest time within which what stands in the store must be followed.
-    pub fn following(&self) -> Duration {
+    pub fn propagation(&self) -> Duration {
         self.leaving.min(self.configuration)
     }
 }
