--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -22,7 +22,7 @@
 
 use crate::message::{self, AdapterPlacement, Digest, Message, TrialResponse};
 use crate::readers::Candidate;
-use crate::state::{State, Wanted, Wish};
+use crate::state::{PlacementRequest, State, Wanted};
 use bytes::Bytes;
 use fanout::Part;
 use parking_lot::Mutex;
@@ -315,7 +315,7 @@
 
     /// Passes the adapters and models that requests here lack on to the leader.
     pub async fn forward_placement_requests(self: Arc<Self>, mut wanted: Wanted) {
-        let mut asked: HashMap<Wish, Time> = HashMap::new();
+        let mut asked: HashMap<PlacementRequest, Time> = HashMap::new();
         while let Some(wish) = wanted.recv().await {
             let now = self.state.now();
             asked.retain(|_, at| now.since(*at) < ASKED_ONCE);
@@ -327,8 +327,8 @@
             };
             asked.insert(wish.clone(), now);
             let message = match wish {
-                Wish::Adapter(want) => Message::AdapterRequest(want),
-                Wish::Model(missing) => Message::ModelRequest(missing),
+                PlacementRequest::Adapter(want) => Message::AdapterRequest(want),
+                PlacementRequest::Model(missing) => Message::ModelRequest(missing),
             };
             match leader.peers == self.state.settings.peers {
                 true => self.take(message, leader.peers),
--- a/crates/front/src/serve/lacking.rs
+++ b/crates/front/src/serve/lacking.rs
@@ -6,7 +6,7 @@
 use crate::limits::{self, Held};
 use crate::message::{AdapterRequest, ModelRequest};
 use crate::respond::Fault;
-use crate::state::{State, Wish};
+use crate::state::{PlacementRequest, State};
 use crate::table::{Full, Nowhere};
 use std::sync::Arc;
 use unit::{Span, Time};
@@ -137,7 +137,7 @@
 pub(super) fn want_adapter(state: &State, call: &Call, beside: bool) {
     if let (Some(model), Some(adapter)) = (&call.ask.model, &call.ask.adapter) {
         // The task that receives lives as long as the daemon.
-        let _ = state.wanted.send(Wish::Adapter(AdapterRequest {
+        let _ = state.wanted.send(PlacementRequest::Adapter(AdapterRequest {
             service: call.service.clone(),
             model: model.clone(),
             adapter: adapter.clone(),
@@ -150,7 +150,7 @@
 fn want_model(state: &State, call: &Call) {
     if let Some(model) = &call.ask.model {
         // The task that receives lives as long as the daemon.
-        let _ = state.wanted.send(Wish::Model(ModelRequest {
+        let _ = state.wanted.send(PlacementRequest::Model(ModelRequest {
             service: call.service.clone(),
             model: model.clone(),
         }));
--- a/crates/front/src/state.rs
+++ b/crates/front/src/state.rs
@@ -59,7 +59,7 @@
     /// Who leads, if that is known.
     pub leader: Mutex<Option<Leader>>,
     /// Adapters and models wanted here, to be told to the leader.
-    pub wanted: tokio::sync::mpsc::UnboundedSender<Wish>,
+    pub wanted: tokio::sync::mpsc::UnboundedSender<PlacementRequest>,
     draining: watch::Sender<bool>,
     in_flight: AtomicUsize,
     /// Time of this host.
@@ -79,7 +79,7 @@
 
 /// What requests here lack.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub enum Wish {
+pub enum PlacementRequest {
     /// An adapter.
     Adapter(AdapterRequest),
     /// A model.
@@ -87,7 +87,7 @@
 }
 
 /// Receiver of what is wanted at this host.
-pub type Wanted = tokio::sync::mpsc::UnboundedReceiver<Wish>;
+pub type Wanted = tokio::sync::mpsc::UnboundedReceiver<PlacementRequest>;
 
 /// Makes the shared state.
 pub fn open(
