--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -22,7 +22,7 @@
 
 use crate::message::{self, AdapterPlacement, Digest, Message, TrialResponse};
 use crate::readers::Candidate;
-use crate::state::{PlacementRequest, State, Wanted};
+use crate::state::{PlacementRequest, PlacementRequests, State};
 use bytes::Bytes;
 use fanout::Part;
 use parking_lot::Mutex;
@@ -314,7 +314,7 @@
     }
 
     /// Passes the adapters and models that requests here lack on to the leader.
-    pub async fn forward_placement_requests(self: Arc<Self>, mut wanted: Wanted) {
+    pub async fn forward_placement_requests(self: Arc<Self>, mut wanted: PlacementRequests) {
         let mut asked: HashMap<PlacementRequest, Time> = HashMap::new();
         while let Some(wish) = wanted.recv().await {
             let now = self.state.now();
--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -7,7 +7,7 @@
 use crate::peers::{self, Peers};
 use crate::quarantine::Reports;
 use crate::settings::{self, Settings};
-use crate::state::{self, State, Wanted};
+use crate::state::{self, PlacementRequests, State};
 use crate::{follow, leader, log, planner, readers, respond, serve, waiting};
 use conn::{Bounds, Server};
 use hyper::body::Incoming;
@@ -170,7 +170,7 @@
 fn tasks(
     entry: &serve::Entry,
     peers: &Arc<Peers>,
-    wanted: Wanted,
+    wanted: PlacementRequests,
     reports: Reports,
 ) -> JoinSet<()> {
     let mut tasks = JoinSet::new();
--- a/crates/front/src/state.rs
+++ b/crates/front/src/state.rs
@@ -87,14 +87,14 @@
 }
 
 /// Receiver of what is wanted at this host.
-pub type Wanted = tokio::sync::mpsc::UnboundedReceiver<PlacementRequest>;
+pub type PlacementRequests = tokio::sync::mpsc::UnboundedReceiver<PlacementRequest>;
 
 /// Makes the shared state.
 pub fn open(
     settings: Settings,
     log: Log,
     store_limit: std::time::Duration,
-) -> (Arc<State>, Wanted, Reports) {
+) -> (Arc<State>, PlacementRequests, Reports) {
     let seed = unit::rendezvous::hash(settings.name.as_bytes());
     let bodies = settings.limits.memory_mb * 1_024 / BODIES_PART;
     let (wanted, receiver) = tokio::sync::mpsc::unbounded_channel();
