--- a/crates/front/src/follow/apply.rs
+++ b/crates/front/src/follow/apply.rs
@@ -171,7 +171,7 @@
                 state.pool.forget(id);
                 quarantine::replaced(state, id);
             }
-            News::Missing(_) => state.missed.notify_one(),
+            News::Missing(_) => state.entry_missing.notify_one(),
             _ => {}
         }
         state.log.rate_limited(
--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -268,7 +268,7 @@
 /// Takes replicas as gone as soon as their entries, which vanished, can no longer come back.
 async fn settle(state: Arc<State>) {
     loop {
-        state.missed.notified().await;
+        state.entry_missing.notified().await;
         while state.table.lock().view.has_missing() {
             tokio::time::sleep(SETTLE).await;
             expire(&state);
--- a/crates/front/src/state.rs
+++ b/crates/front/src/state.rs
@@ -31,7 +31,7 @@
     /// Notified when a request was counted in, so that other hosts are told.
     pub entered: Notify,
     /// Notified when the entry of a replica has vanished, and the replica may be gone.
-    pub missed: Notify,
+    pub entry_missing: Notify,
     /// Notified when what is known of a replica's limit has changed, so that other hosts are told.
     pub limited: Notify,
     /// Notified when a replica has said that it leaves.
@@ -104,7 +104,7 @@
         table: Mutex::new(Table::new(settings.hall.clone(), seed, heartbeat)),
         changed: Notify::new(),
         entered: Notify::new(),
-        missed: Notify::new(),
+        entry_missing: Notify::new(),
         limited: Notify::new(),
         leaving: Notify::new(),
         eased: Notify::new(),
