--- a/crates/front/src/attempt/place.rs
+++ b/crates/front/src/attempt/place.rs
@@ -40,7 +40,7 @@
         let seen = table.view.get(&choice.replica);
         let incarnation = seen.and_then(|s| s.entry.incarnation);
         drop(table);
-        state.entered.notify_one();
+        state.load_added.notify_one();
         Place {
             state: state.clone(),
             replica: choice.replica.clone(),
--- a/crates/front/src/peers/load_reports.rs
+++ b/crates/front/src/peers/load_reports.rs
@@ -53,7 +53,7 @@
     /// leader, where they are too many.
     pub async fn send_loads(self: Arc<Self>) {
         loop {
-            let entered = self.state.entered.notified();
+            let entered = self.state.load_added.notified();
             let _ = tokio::time::timeout(DIRECT_IDLE, entered).await;
             tokio::time::sleep(DIRECT_PAUSE).await;
             let others = self.others.lock().clone();
--- a/crates/front/src/state.rs
+++ b/crates/front/src/state.rs
@@ -29,7 +29,7 @@
     /// Notified when the table changed such that a waiting request may go on.
     pub changed: Notify,
     /// Notified when a request was counted in, so that other hosts are told.
-    pub entered: Notify,
+    pub load_added: Notify,
     /// Notified when the entry of a replica has vanished, and the replica may be gone.
     pub entry_missing: Notify,
     /// Notified when what is known of a replica's limit has changed, so that other hosts are told.
@@ -103,7 +103,7 @@
     let state = State {
         table: Mutex::new(Table::new(settings.hall.clone(), seed, heartbeat)),
         changed: Notify::new(),
-        entered: Notify::new(),
+        load_added: Notify::new(),
         entry_missing: Notify::new(),
         limited: Notify::new(),
         leaving: Notify::new(),
