--- a/crates/front/src/attempt/place.rs
+++ b/crates/front/src/attempt/place.rs
@@ -66,7 +66,7 @@
         }
         drop(table);
         self.state.changed.notify_waiters();
-        self.state.eased.notify_one();
+        self.state.load_reduced.notify_one();
     }
 
     /// Notes that the whole answer has come.
@@ -114,6 +114,6 @@
     fn drop(&mut self) {
         self.state.table.lock().leave(&self.replica, &self.print);
         self.state.changed.notify_waiters();
-        self.state.eased.notify_one();
+        self.state.load_reduced.notify_one();
     }
 }
--- a/crates/front/src/peers/load_reports.rs
+++ b/crates/front/src/peers/load_reports.rs
@@ -59,7 +59,7 @@
             let others = self.others.lock().clone();
             if others.is_empty() {
                 self.tell_leader().await;
-                let _ = tokio::time::timeout(EASED_PAUSE, self.state.eased.notified()).await;
+                let _ = tokio::time::timeout(EASED_PAUSE, self.state.load_reduced.notified()).await;
                 self.tell_leader().await;
                 continue;
             }
--- a/crates/front/src/state.rs
+++ b/crates/front/src/state.rs
@@ -37,7 +37,7 @@
     /// Notified when a replica has said that it leaves.
     pub leaving: Notify,
     /// Notified when the prompt of a request was read or the request ended.
-    pub eased: Notify,
+    pub load_reduced: Notify,
     /// The platform's store.
     pub store: Store,
     /// Who reads the store, and what this host can pass on of it.
@@ -107,7 +107,7 @@
         entry_missing: Notify::new(),
         limited: Notify::new(),
         leaving: Notify::new(),
-        eased: Notify::new(),
+        load_reduced: Notify::new(),
         store: platform::store::open(settings.store, store_limit),
         readers: Readers::default(),
         shares: shares::open(&settings.bounds),
