--- a/crates/front/src/limits.rs
+++ b/crates/front/src/limits.rs
@@ -42,7 +42,7 @@
         .lock()
         .heard_limit(&from.replica, from.incarnation, rate, now);
     if let Some(change) = change {
-        state.limited.notify_one();
+        state.limits_changed.notify_one();
         let rate = rate.unwrap_or_default();
         tell(state, &from.replica, rate, change, &state.settings.name);
     }
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -134,7 +134,7 @@
                 self.heard(&sums.host, now);
                 if self.inbox.record_report(sums, from, now) {
                     self.newcomers.lock().push(from);
-                    self.state.limited.notify_one();
+                    self.state.limits_changed.notify_one();
                 }
             }
             Message::Loads(sums) => {
--- a/crates/front/src/peers/limits.rs
+++ b/crates/front/src/peers/limits.rs
@@ -16,7 +16,7 @@
     /// Tells each change at once, until the daemon ends.
     pub async fn send_limit_changes(self: Arc<Self>) {
         loop {
-            self.state.limited.notified().await;
+            self.state.limits_changed.notified().await;
             tokio::time::sleep(TOGETHER).await;
             if !self.state.leads() {
                 self.tell_heard_limits().await;
@@ -98,7 +98,7 @@
             return;
         }
         if self.state.leads() {
-            self.state.limited.notify_one();
+            self.state.limits_changed.notify_one();
         }
         for (replica, rate, change) in changes {
             limits::tell(&self.state, &replica, rate, change, by);
--- a/crates/front/src/state.rs
+++ b/crates/front/src/state.rs
@@ -33,7 +33,7 @@
     /// Notified when the entry of a replica has vanished, and the replica may be gone.
     pub entry_missing: Notify,
     /// Notified when what is known of a replica's limit has changed, so that other hosts are told.
-    pub limited: Notify,
+    pub limits_changed: Notify,
     /// Notified when a replica has said that it leaves.
     pub leaving: Notify,
     /// Notified when the prompt of a request was read or the request ended.
@@ -105,7 +105,7 @@
         changed: Notify::new(),
         load_added: Notify::new(),
         entry_missing: Notify::new(),
-        limited: Notify::new(),
+        limits_changed: Notify::new(),
         leaving: Notify::new(),
         load_reduced: Notify::new(),
         store: platform::store::open(settings.store, store_limit),
