--- a/crates/front/src/heard.rs
+++ b/crates/front/src/heard.rs
@@ -81,7 +81,7 @@
 }
 
 fn tell_leaving(state: &State, replica: &Name, id: Option<&str>, by: &Name) {
-    state.leaving.notify_one();
+    state.departure_heard.notify_one();
     state.changed.notify_waiters();
     state.log.rate_limited(|| {
         info!(target: "replica", event = "leaving", replica = &**replica, id, by = &**by, "a replica says in an answer that it leaves")
--- a/crates/front/src/peers/leaving.rs
+++ b/crates/front/src/peers/leaving.rs
@@ -20,7 +20,7 @@
     /// Tells each word at once, until the daemon ends.
     pub async fn send_departures(self: Arc<Self>) {
         loop {
-            self.state.leaving.notified().await;
+            self.state.departure_heard.notified().await;
             tokio::time::sleep(TOGETHER).await;
             let untold = self.state.table.lock().view.untold_departures();
             if self.state.leads() {
--- a/crates/front/src/state.rs
+++ b/crates/front/src/state.rs
@@ -35,7 +35,7 @@
     /// Notified when what is known of a replica's limit has changed, so that other hosts are told.
     pub limits_changed: Notify,
     /// Notified when a replica has said that it leaves.
-    pub leaving: Notify,
+    pub departure_heard: Notify,
     /// Notified when the prompt of a request was read or the request ended.
     pub load_reduced: Notify,
     /// The platform's store.
@@ -106,7 +106,7 @@
         load_added: Notify::new(),
         entry_missing: Notify::new(),
         limits_changed: Notify::new(),
-        leaving: Notify::new(),
+        departure_heard: Notify::new(),
         load_reduced: Notify::new(),
         store: platform::store::open(settings.store, store_limit),
         readers: Readers::default(),
