--- a/crates/front/src/follow/apply.rs
+++ b/crates/front/src/follow/apply.rs
@@ -133,7 +133,7 @@
         return;
     }
     if leader.is_some() {
-        state.has_led.store(true, Ordering::Relaxed);
+        state.leader_seen.store(true, Ordering::Relaxed);
     }
     match &leader {
         Some(leader) => {
--- a/crates/front/src/leader.rs
+++ b/crates/front/src/leader.rs
@@ -178,10 +178,10 @@
             return None;
         }
     };
-    let is_first = !state.has_led.load(Ordering::Relaxed);
+    let is_first = !state.leader_seen.load(Ordering::Relaxed);
     let created = create(state, &lease, is_first).await;
     // Whatever came of it: a host has led now, or may have.
-    state.has_led.store(true, Ordering::Relaxed);
+    state.leader_seen.store(true, Ordering::Relaxed);
     let (token, is_first) = match created {
         Created::Here(token) => (token, is_first),
         Created::ReadBack(token) => (token, false),
--- a/crates/front/src/state.rs
+++ b/crates/front/src/state.rs
@@ -53,7 +53,7 @@
     /// Whether all that stood in the store was heard once, the replicas' entries among it.
     pub knows_replicas: AtomicBool,
     /// Whether any host has ever led, as far as this one knows.
-    pub has_led: AtomicBool,
+    pub leader_seen: AtomicBool,
     /// Requests that end replicas.
     pub quarantine: Quarantine,
     /// Who leads, if that is known.
@@ -115,7 +115,7 @@
         log,
         bodies: Arc::new(Semaphore::new(bodies)),
         knows_replicas: AtomicBool::new(false),
-        has_led: AtomicBool::new(false),
+        leader_seen: AtomicBool::new(false),
         quarantine,
         leader: Mutex::default(),
         wanted,
