--- a/crates/front/src/serve/read.rs
+++ b/crates/front/src/serve/read.rs
@@ -135,7 +135,7 @@
 fn room(state: &State, body: &Incoming, most: usize) -> Result<OwnedSemaphorePermit, Fault> {
     let hint = body.size_hint().upper().unwrap_or(UNTOLD).min(most as u64);
     let kb = (hint / 1_024) as u32 + 1;
-    let room = state.bodies.clone().try_acquire_many_owned(kb);
+    let room = state.body_memory.clone().try_acquire_many_owned(kb);
     room.map_err(|_| {
         let message = "This host holds as many request bodies as it may.";
         Fault::not_run("bodies_full", message, RETURN_LATER)
--- a/crates/front/src/state.rs
+++ b/crates/front/src/state.rs
@@ -49,7 +49,7 @@
     /// Logs and metrics.
     pub log: Log,
     /// Memory for bodies, in KB.
-    pub bodies: Arc<Semaphore>,
+    pub body_memory: Arc<Semaphore>,
     /// Whether all that stood in the store was heard once, the replicas' entries among it.
     pub knows_replicas: AtomicBool,
     /// Whether any host has ever led, as far as this one knows.
@@ -113,7 +113,7 @@
         shares: shares::open(&settings.bounds),
         pool: Pool::default(),
         log,
-        bodies: Arc::new(Semaphore::new(bodies)),
+        body_memory: Arc::new(Semaphore::new(bodies)),
         knows_replicas: AtomicBool::new(false),
         leader_seen: AtomicBool::new(false),
         quarantine,
