--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -315,7 +315,7 @@
     pub async fn drain(self) {
         let state = &self.state;
         let grace = state.settings.bounds.grace;
-        state.set_draining();
+        state.start_drain();
         let in_flight = state.in_flight();
         info!(target: "daemon", event = "draining", in_flight, "readiness fails; connections are taken a while longer");
         let asked = state.now();
--- a/crates/front/src/state.rs
+++ b/crates/front/src/state.rs
@@ -139,7 +139,7 @@
     }
 
     /// Starts the drain.
-    pub fn set_draining(&self) {
+    pub fn start_drain(&self) {
         self.draining.send_replace(true);
     }
 
