--- a/crates/front/src/serve/admit.rs
+++ b/crates/front/src/serve/admit.rs
@@ -181,7 +181,7 @@
     let turn = entry.waiting.lock().push(call, until, now);
     tokio::select! {
         turn = state.clock.timeout_at(until, turn) => turn.ok().and_then(Result::ok),
-        _ = state.stopping() => None,
+        _ = state.drain_started() => None,
     }
 }
 
--- a/crates/front/src/state.rs
+++ b/crates/front/src/state.rs
@@ -144,7 +144,7 @@
     }
 
     /// Waits until this daemon is told to stop.
-    pub async fn stopping(&self) {
+    pub async fn drain_started(&self) {
         let mut draining = self.draining.subscribe();
         // The sender lives as long as this state.
         let _ = draining.wait_for(|stops| *stops).await;
