--- a/crates/front/src/attempt.rs
+++ b/crates/front/src/attempt.rs
@@ -1,18 +1,18 @@
 //! One sending of a request to one replica, up to the head of its answer.
 
 mod call;
-mod place;
-mod tried;
+mod history;
+mod reservation;
 
 pub use call::Call;
-pub use place::Place;
-pub use tried::Tried;
+pub use history::Tried;
+pub use reservation::Place;
 
 use crate::accounts::{self, Refusal};
 use crate::clock::Elapsed;
-use crate::heard;
-use crate::limits;
+use crate::feedback;
 use crate::quarantine;
+use crate::rate_limit;
 use crate::respond::Fault;
 use crate::state::State;
 use crate::table::{Choice, Closed, Permit};
@@ -123,14 +123,14 @@
     let account = accounts::confirm(state, call).map_err(Failed::Barred)?;
     quarantine::confirm(state, call).map_err(Failed::Held)?;
     let account = account.as_ref().map(|a| &*a.name);
-    let permit = heard::permit(state, call, &place).map_err(Failed::KeptBack)?;
+    let permit = feedback::permit(state, call, &place).map_err(Failed::KeptBack)?;
     let mut request = request(state, call, choice, permit, last_event, account);
-    heard::listen(state, &mut request, place.source(call));
+    feedback::listen(state, &mut request, place.source(call));
     let left = call.left(state.now());
     if left.is_zero() {
         return Err(Failed::Overdue);
     }
-    limits::note_sending(state, call, &choice.replica, last_event);
+    rate_limit::note_sending(state, call, &choice.replica, last_event);
     let answered = state
         .clock
         .timeout_at(call.deadline, line.send(request, left));
@@ -185,7 +185,7 @@
     response: Response<Incoming>,
 ) -> Result<Sent, Failed> {
     let said = answer::read(response.status(), response.headers());
-    heard::take_in(state, &place.source(call), &said);
+    feedback::take_in(state, &place.source(call), &said);
     if !said.answers(&call.id) {
         place.failed();
         return Err(Failed::Lost("an answer to another request came".into()));
--- a/crates/front/src/attempt/place.rs
+++ b/crates/front/src/attempt/reservation.rs
@@ -1,7 +1,7 @@
 //! Place of a request at a replica: what the table counts and learns of it.
 
 use super::{Call, Failed};
-use crate::heard::Source;
+use crate::feedback::Source;
 use crate::quarantine;
 use crate::state::State;
 use crate::table::{Choice, Footprint};
--- a/crates/front/src/heard.rs
+++ b/crates/front/src/feedback.rs
@@ -1,7 +1,7 @@
 //! Takes in what the head of an answer says of its replica, wherever one is read.
 
 use crate::attempt::{Call, Place};
-use crate::limits;
+use crate::rate_limit;
 use crate::state::State;
 use crate::table::{Asked, Closed, Permit};
 use crate::view::Origin;
@@ -41,7 +41,7 @@
     }
     let answers = said.answers(&from.subject);
     let ran = answers && said.signed && !said.not_run;
-    limits::heard(state, from, &said.limit, ran);
+    rate_limit::heard(state, from, &said.limit, ran);
     let now = state.now();
     if answers && said.misdirected {
         let mut table = state.table.lock();
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -1,20 +1,20 @@
 //! A daemon's work on a platform whose store lists the replicas: entry, view, planner.
 //!
 //! Dependencies between modules point one way: `state` holds what several parts share and names
-//! only what lies below it; `run` starts them all. Locks are taken in this order: [`waiting::Waiting`], then
+//! only what lies below it; `run` starts them all. Locks are taken in this order: [`queue::Waiting`], then
 //! [`table::Table`]; none is held across an await.
 
 pub mod accounts;
 pub mod attempt;
+pub mod changelog;
 pub mod clock;
 pub mod contact;
 pub mod error;
 pub mod events;
+pub mod feedback;
 pub mod follow;
 pub mod grant;
-pub mod heard;
 pub mod leader;
-pub mod limits;
 pub mod log;
 pub mod message;
 pub mod metrics;
@@ -23,9 +23,10 @@
 pub mod planner;
 pub mod pool;
 pub mod quarantine;
+pub mod queue;
 pub mod quota;
+pub mod rate_limit;
 pub mod readers;
-pub mod recent;
 pub mod relay;
 pub mod respond;
 pub mod routes;
@@ -36,7 +37,6 @@
 pub mod state;
 pub mod table;
 pub mod view;
-pub mod waiting;
 
 pub use error::Error;
 pub use run::{Daemon, run, spawn};
--- a/crates/front/src/peers/leaving.rs
+++ b/crates/front/src/peers/leaving.rs
@@ -2,7 +2,7 @@
 //! replica a request of their own to learn it.
 
 use super::Peers;
-use crate::heard;
+use crate::feedback;
 use crate::message::leaving::ROWS;
 use crate::message::{Leaving, Message};
 use platform::replica::Incarnation;
@@ -77,7 +77,7 @@
     /// Takes in what another host heard.
     pub(super) fn join_leaving(&self, told: &Leaving) {
         for (replica, incarnation) in &told.replicas {
-            heard::told_leaving(&self.state, replica, *incarnation, &told.host);
+            feedback::told_leaving(&self.state, replica, *incarnation, &told.host);
         }
     }
 }
--- a/crates/front/src/peers/limits.rs
+++ b/crates/front/src/peers/limits.rs
@@ -1,9 +1,9 @@
 //! Telling which replicas name limits: each host tells the leader what it heard itself, the leader tells all.
 
 use super::Peers;
-use crate::limits;
 use crate::message::limit::ROWS;
 use crate::message::{Heard, Limited, Limits, Message};
+use crate::rate_limit;
 use std::sync::Arc;
 use std::time::Duration;
 use unit::Name;
@@ -101,7 +101,7 @@
             self.state.limited.notify_one();
         }
         for (replica, rate, change) in changes {
-            limits::tell(&self.state, &replica, rate, change, by);
+            rate_limit::tell(&self.state, &replica, rate, change, by);
         }
         self.state.changed.notify_waiters();
     }
--- a/crates/front/src/planner/give.rs
+++ b/crates/front/src/planner/give.rs
@@ -1,7 +1,7 @@
 //! Giving replicas the orders that wait for them, and noting what came of each.
 
 use super::{Book, Planner};
-use crate::heard;
+use crate::feedback;
 use crate::orders::{Job, Known, Pending};
 use crate::table::Permit;
 use platform::answer::Said;
@@ -115,7 +115,7 @@
                     .incarnation
                     .is_none_or(|_| report.incarnation == entry.incarnation);
                 if report.leaving && is_of_entry {
-                    heard::leaves(&self.state, &from(entry, "report"));
+                    feedback::leaves(&self.state, &from(entry, "report"));
                     return false;
                 }
                 let mut book = self.book.lock();
@@ -138,7 +138,7 @@
     /// Takes in what an answer to a call says of its replica, if one came.
     fn hear(&self, entry: &Entry, call: &str, said: Option<&Said>) {
         if let Some(said) = said {
-            heard::take_in(&self.state, &from(entry, call), said);
+            feedback::take_in(&self.state, &from(entry, call), said);
         }
     }
 
@@ -270,8 +270,8 @@
 }
 
 /// Where an answer to a call comes from.
-fn from(entry: &Entry, call: &str) -> heard::Source {
-    heard::Source {
+fn from(entry: &Entry, call: &str) -> feedback::Source {
+    feedback::Source {
         replica: entry.id.clone(),
         incarnation: entry.incarnation,
         subject: call.into(),
--- a/crates/front/src/limits.rs
+++ b/crates/front/src/rate_limit.rs
@@ -5,8 +5,8 @@
 //! nothing there. A refusal keeps the replica out of this host's choice until there may be room again.
 
 use crate::attempt::Call;
+use crate::feedback;
 use crate::grant::{self, Answer, Grant, Source, Wanted};
-use crate::heard;
 use crate::message::Subject;
 use crate::peers::Peers;
 use crate::peers::quota::QUICK;
@@ -23,7 +23,7 @@
 
 /// Takes in what an answer says of its replica's limit. One that the replica `ran` the request for and that names no
 /// limit says that none holds any more; a refusal without one says nothing.
-pub fn heard(state: &State, from: &heard::Source, limit: &Reading<f64>, ran: bool) {
+pub fn heard(state: &State, from: &feedback::Source, limit: &Reading<f64>, ran: bool) {
     let rate = match limit {
         // Hosts tell each other rates in this precision, and compare them.
         Reading::Value(rate) => Some(f64::from((*rate as f32).min(f32::MAX))),
--- a/crates/front/src/readers.rs
+++ b/crates/front/src/readers.rs
@@ -18,7 +18,7 @@
 pub use choice::{Candidate, choose};
 pub use question::{Error, Heard, ask};
 
-use crate::recent::Recent;
+use crate::changelog::Recent;
 use crate::state::State;
 use conn::Pool;
 use parking_lot::Mutex;
--- a/crates/front/src/relay/resume.rs
+++ b/crates/front/src/relay/resume.rs
@@ -4,7 +4,7 @@
 use crate::attempt::{Failed, Place, send};
 use crate::grant::Grant;
 use crate::table::{Choice, Nowhere, Want};
-use crate::{limits, quarantine};
+use crate::{quarantine, rate_limit};
 use tracing::info;
 use unit::Span;
 
@@ -83,7 +83,7 @@
             let chosen = state.table.lock().choose(&want, now);
             match chosen {
                 Ok(choice) => {
-                    if let Ok(grant) = limits::admit(state, &self.peers, &want, &choice).await {
+                    if let Ok(grant) = rate_limit::admit(state, &self.peers, &want, &choice).await {
                         return Some((choice, grant));
                     }
                 }
--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -8,7 +8,7 @@
 use crate::quarantine::Reports;
 use crate::settings::{self, Settings};
 use crate::state::{self, State, Wanted};
-use crate::{follow, leader, log, planner, readers, respond, serve, waiting};
+use crate::{follow, leader, log, planner, queue, readers, respond, serve};
 use conn::{Bounds, Server};
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
@@ -175,7 +175,7 @@
 ) -> JoinSet<()> {
     let mut tasks = JoinSet::new();
     let state = &entry.state;
-    tasks.spawn(waiting::run(state.clone(), entry.waiting.clone()));
+    tasks.spawn(queue::run(state.clone(), entry.waiting.clone()));
     tasks.spawn(peers.clone().tell_directly());
     tasks.spawn(follow::run(state.clone()));
     tasks.spawn(peers.clone().receive());
--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -1,19 +1,19 @@
 //! One request of a client, from its head to its answer.
 
 mod admit;
-mod lacking;
 mod read;
-mod tell;
+mod report;
+mod unavailable;
 
 use crate::attempt::{Call, Failed, Sent, Tried, send};
 use crate::peers::Peers;
 use crate::quarantine;
+use crate::queue::Waiting;
 use crate::quota;
 use crate::relay;
 use crate::respond::{Body, Fault, close};
 use crate::state::State;
 use crate::table::Choice;
-use crate::waiting::Waiting;
 use hyper::body::Incoming;
 use hyper::{Request, Response};
 use parking_lot::Mutex;
@@ -76,8 +76,8 @@
     let call = Arc::new(read::call(state, &routes, route, request, arrived).await?);
     let answered = let_in(entry, &call).await;
     match &answered {
-        Ok(response) => tell::answered(state, &call, response),
-        Err(fault) => tell::failed(state, &call, fault),
+        Ok(response) => report::answered(state, &call, response),
+        Err(fault) => report::failed(state, &call, fault),
     }
     answered
 }
--- a/crates/front/src/serve/admit.rs
+++ b/crates/front/src/serve/admit.rs
@@ -1,13 +1,13 @@
 //! Admission: choosing a replica for a request, letting it wait for its turn, or refusing it.
 
-use super::lacking::{absent, full, want_adapter};
-use super::{Entry, RETURN_RANGE, tell};
+use super::unavailable::{absent, full, want_adapter};
+use super::{Entry, RETURN_RANGE, report};
 use crate::attempt::{Call, Place};
 use crate::grant::Grant;
-use crate::limits::{self, Held};
+use crate::queue::Turn;
+use crate::rate_limit::{self, Held};
 use crate::respond::Fault;
 use crate::table::{Choice, Nowhere};
-use crate::waiting::Turn;
 use route::batch;
 use std::sync::Arc;
 use std::time::Duration;
@@ -75,7 +75,7 @@
     loop {
         let found = find(entry, call, avoid, sending, &mut held).await?;
         let want = call.want(avoid);
-        let Ok(grant) = limits::admit(state, &entry.peers, &want, &found.choice).await else {
+        let Ok(grant) = rate_limit::admit(state, &entry.peers, &want, &found.choice).await else {
             // Not even this host's own word may keep others from their turn.
             tokio::task::yield_now().await;
             continue;
@@ -86,7 +86,7 @@
             waited,
         } = found;
         if sending == 0 {
-            tell::sent(state, call, &choice, waited);
+            report::sent(state, call, &choice, waited);
         }
         let place = place.unwrap_or_else(|| Place::take(state, call, &choice));
         return Ok(Placed {
--- a/crates/front/src/serve/lacking.rs
+++ b/crates/front/src/serve/unavailable.rs
@@ -3,8 +3,8 @@
 
 use super::{RETURN_LATER, RETURN_RANGE};
 use crate::attempt::Call;
-use crate::limits::{self, Held};
 use crate::message::{Missing, Want};
+use crate::rate_limit::{self, Held};
 use crate::respond::Fault;
 use crate::state::{State, Wish};
 use crate::table::{Full, Nowhere};
@@ -53,7 +53,7 @@
     }
     // Its adapter may be on no other replica.
     want_adapter(state, call, true);
-    held.get_or_insert_with(|| limits::hold(state, &at.replica));
+    held.get_or_insert_with(|| rate_limit::hold(state, &at.replica));
     (until, has_no_room(call, at))
 }
 
--- a/crates/front/src/table.rs
+++ b/crates/front/src/table.rs
@@ -5,42 +5,42 @@
 //! run, `demand` what is asked for here, `told` what the leader plans. `choose` places requests by
 //! all of them, and `sums` exchanges them with other hosts.
 
-mod absence;
 mod adapters;
+mod average;
+mod backoff;
 mod choose;
 mod demand;
-mod limits;
+mod loads;
 mod pace;
 mod permit;
+mod plans;
+mod rate_limit;
+mod reachability;
 mod replica;
-mod rests;
-mod share;
-mod sums;
-mod told;
 
+pub use backoff::Asked;
 pub use choose::{Choice, Full, Nowhere};
-pub use limits::{Change, Met};
 pub use permit::{Closed, Permit};
+pub use rate_limit::{Change, Met};
 pub use replica::Footprint;
-pub use rests::Asked;
 
 use crate::message::Use;
 use crate::routes::Routes;
 use crate::settings::Bounds;
 use crate::view::{News, View};
+use backoff::Rests;
 use demand::Demands;
 use pace::Paces;
+use plans::Told;
 use platform::config::Service;
 use platform::ingress::Ask;
 use platform::replica::Entry;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use replica::State;
-use rests::Rests;
 use route::window::Window;
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
-use told::Told;
 use unit::{Name, Span, Time};
 
 /// Age at which another host's own sums are no longer used.
--- a/crates/front/src/table/replica.rs
+++ b/crates/front/src/table/replica.rs
@@ -1,10 +1,10 @@
 //! What this daemon knows of one replica beyond its entry.
 
-use super::absence::Absence;
+use super::average::Share;
 use super::choose::{rank, tokens};
-use super::limits::Need;
 use super::pace::Pace;
-use super::share::Share;
+use super::rate_limit::Need;
+use super::reachability::Absence;
 use super::{DIRECT_AGE, SUMS_AGE, Want};
 use crate::message::Load;
 use platform::ingress::Ask;
--- a/crates/front/tests/readers.rs
+++ b/crates/front/tests/readers.rs
@@ -3,8 +3,8 @@
 mod site;
 
 use front::Daemon;
+use front::changelog::Recent;
 use front::readers::{self, Candidate, Reader};
-use front::recent::Recent;
 use front::state::State;
 use platform::store::{Change, Item};
 use platform_standin::store::{Mode, Store};
