--- a/crates/front/src/accounts.rs
+++ b/crates/front/src/accounts.rs
@@ -7,7 +7,7 @@
 
 use crate::attempt::Call;
 use crate::readers;
-use crate::respond::Fault;
+use crate::respond::Rejection;
 use crate::routes::Routes;
 use crate::settings::Bounds;
 use crate::state::State;
@@ -110,7 +110,7 @@
     routes: &Routes,
     route: &Route,
     headers: &mut HeaderMap,
-) -> Result<Caller, Fault> {
+) -> Result<Caller, Rejection> {
     let Some(accounts) = &routes.accounts else {
         return Ok(Caller::default());
     };
@@ -238,13 +238,13 @@
     }
 
     /// Answer that tells the client.
-    pub fn fault(&self) -> Fault {
+    pub fn fault(&self) -> Rejection {
         let message = self.to_string();
         match self {
             Refusal::Unconfirmed { .. } => {
-                Fault::not_run(self.reason(), message, RETURN_UNCONFIRMED)
+                Rejection::not_run(self.reason(), message, RETURN_UNCONFIRMED)
             }
-            _ => Fault::refused(StatusCode::UNAUTHORIZED, self.reason(), message),
+            _ => Rejection::client_error(StatusCode::UNAUTHORIZED, self.reason(), message),
         }
     }
 }
@@ -272,7 +272,7 @@
 }
 
 /// Tells why a request is not let in.
-fn tell(state: &State, refusal: &Refusal, fault: &Fault, refused: &Refused) {
+fn tell(state: &State, refusal: &Refusal, fault: &Rejection, refused: &Refused) {
     state.log.metrics.ended(&refused.route.name, fault.reason);
     let key = match refusal {
         Refusal::Unknown { digest } => Some(digest.as_str()),
--- a/crates/front/src/attempt.rs
+++ b/crates/front/src/attempt.rs
@@ -13,7 +13,7 @@
 use crate::feedback;
 use crate::quarantine;
 use crate::rate_limit;
-use crate::respond::Fault;
+use crate::respond::Rejection;
 use crate::state::State;
 use crate::table::{Choice, Closed, Permit};
 use conn::{Body, Error, Line};
@@ -62,7 +62,7 @@
     /// Its key does not let it go on; nothing was handed to a connection.
     Barred(Refusal),
     /// It may end what runs it, and gets this answer; nothing was handed to a connection.
-    Held(Fault),
+    Held(Rejection),
 }
 
 impl Failed {
@@ -125,12 +125,12 @@
     let account = account.as_ref().map(|a| &*a.name);
     let permit = feedback::permit(state, call, &place).map_err(Failed::KeptBack)?;
     let mut request = request(state, call, choice, permit, last_event, account);
-    feedback::listen(state, &mut request, place.source(call));
+    feedback::observe_informational(state, &mut request, place.source(call));
     let left = call.left(state.now());
     if left.is_zero() {
         return Err(Failed::Overdue);
     }
-    rate_limit::note_sending(state, call, &choice.replica, last_event);
+    rate_limit::record_send(state, call, &choice.replica, last_event);
     let answered = state
         .clock
         .timeout_at(call.deadline, line.send(request, left));
@@ -185,7 +185,7 @@
     response: Response<Incoming>,
 ) -> Result<Sent, Failed> {
     let said = answer::read(response.status(), response.headers());
-    feedback::take_in(state, &place.source(call), &said);
+    feedback::apply(state, &place.source(call), &said);
     if !said.answers(&call.id) {
         place.failed();
         return Err(Failed::Lost("an answer to another request came".into()));
--- a/crates/front/src/changelog.rs
+++ b/crates/front/src/changelog.rs
@@ -11,7 +11,7 @@
 
 /// The store's items by key with the newest change of each, as far as this host has heard.
 #[derive(Debug, Default)]
-pub struct Recent {
+pub struct Changelog {
     /// Newest change of each key, and when the store was known to stand past it.
     changes: HashMap<Name, (Change, Time)>,
     /// Revision from which on nothing is missing.
@@ -22,9 +22,9 @@
     confirmed: Time,
 }
 
-impl Recent {
+impl Changelog {
     /// Takes in the whole store, as read at a revision. What went before it is not known.
-    pub fn restart(&mut self, items: &[Item], revision: u64, now: Time) {
+    pub fn reset(&mut self, items: &[Item], revision: u64, now: Time) {
         self.changes.clear();
         self.floor = revision;
         let written = items.iter().cloned().map(Change::Written);
@@ -76,7 +76,7 @@
     }
 
     /// The newest writing of all that stands in the store, as far as this host has heard.
-    pub fn whole(&self) -> Vec<Change> {
+    pub fn snapshot(&self) -> Vec<Change> {
         let changes = self.changes.values().map(|(change, _)| change);
         let stands = changes.filter(|change| matches!(change, Change::Written(_)));
         stands.cloned().collect()
--- a/crates/front/src/feedback.rs
+++ b/crates/front/src/feedback.rs
@@ -27,9 +27,9 @@
 }
 
 /// Takes in all that an answer says of its replica.
-pub fn take_in(state: &State, from: &Source, said: &Said) {
+pub fn apply(state: &State, from: &Source, said: &Said) {
     if said.leaves {
-        leaves(state, from);
+        record_departure(state, from);
     }
     match &said.rest {
         Reading::Value(rest) => rests(state, from, Span::from_secs_f64(rest.as_secs_f64())),
@@ -41,7 +41,7 @@
     }
     let answers = said.answers(&from.subject);
     let ran = answers && said.signed && !said.not_run;
-    rate_limit::heard(state, from, &said.limit, ran);
+    rate_limit::apply(state, from, &said.limit, ran);
     let now = state.now();
     if answers && said.misdirected {
         let mut table = state.table.lock();
@@ -52,11 +52,11 @@
 }
 
 /// Takes in that a replica leaves, and has it told to other hosts.
-pub fn leaves(state: &State, from: &Source) {
+pub fn record_departure(state: &State, from: &Source) {
     let now = state.now();
     let is_news = {
         let view = &mut state.table.lock().view;
-        view.heard_leaving(&from.replica, from.incarnation, Origin::Answer, now)
+        view.record_departure(&from.replica, from.incarnation, Origin::Answer, now)
     };
     if is_news {
         let by = &state.settings.name;
@@ -65,7 +65,12 @@
 }
 
 /// Takes in that a replica has told another host that it leaves.
-pub fn told_leaving(state: &State, replica: &Name, incarnation: Incarnation, by: &Name) {
+pub fn record_reported_departure(
+    state: &State,
+    replica: &Name,
+    incarnation: Incarnation,
+    by: &Name,
+) {
     let now = state.now();
     let origin = match state.leads() {
         true => Origin::Host,
@@ -73,7 +78,7 @@
     };
     let is_news = {
         let view = &mut state.table.lock().view;
-        view.heard_leaving(replica, incarnation, origin, now)
+        view.record_departure(replica, incarnation, origin, now)
     };
     if is_news {
         tell_leaving(state, replica, None, by);
@@ -128,10 +133,10 @@
 }
 
 /// Takes in the answers that come to a request before the one with the result.
-pub fn listen(state: &Arc<State>, request: &mut Request<Body>, from: Source) {
+pub fn observe_informational(state: &Arc<State>, request: &mut Request<Body>, from: Source) {
     let state = state.clone();
     hyper::ext::on_informational(request, move |response| {
         let said = answer::read(response.status(), response.headers());
-        take_in(&state, &from, &said);
+        apply(&state, &from, &said);
     });
 }
--- a/crates/front/src/follow/take.rs
+++ b/crates/front/src/follow/take.rs
@@ -1,7 +1,7 @@
 //! Taking in what the store tells: configurations, replicas, the leader, and requests that are kept out.
 
 use crate::state::{self, State};
-use crate::view::News;
+use crate::view::Update;
 use crate::{leader, quarantine, routes};
 use platform::names;
 use platform::store::{Change, Item, Listing};
@@ -26,7 +26,7 @@
     }
     let news = {
         let mut table = state.table.lock();
-        let news = table.view.compare(&present, listing.revision, now);
+        let news = table.view.reconcile(&present, listing.revision, now);
         table.apply(&news);
         news
     };
@@ -60,7 +60,7 @@
         match replica::decode(&item.key, &item.value) {
             Ok(entry) => {
                 let mut table = state.table.lock();
-                let news: Vec<News> = table.view.put(entry, item.revision).into_iter().collect();
+                let news: Vec<Update> = table.view.put(entry, item.revision).into_iter().collect();
                 table.apply(&news);
                 drop(table);
                 told(state, news, item.revision);
@@ -70,7 +70,7 @@
                     error!(target: "view", event = "malformed", key = &*item.key, revision = item.revision, why = %why, "an entry cannot be read: it names no replica to use")
                 });
                 let id = replica::id(&item.key);
-                let news = state.table.lock().view.overwritten(id, item.revision);
+                let news = state.table.lock().view.mark_overwritten(id, item.revision);
                 told(state, news.into_iter().collect(), item.revision);
             }
         }
@@ -91,7 +91,7 @@
     if key.starts_with(names::REPLICAS) {
         let now = state.now();
         let mut table = state.table.lock();
-        let news: Vec<News> = table
+        let news: Vec<Update> = table
             .view
             .remove(replica::id(key), revision, now)
             .into_iter()
@@ -148,8 +148,8 @@
 
 /// Tells what the news did to the view, and closes connections to replicas that are gone or have
 /// started again.
-pub fn told(state: &State, mut news: Vec<News>, revision: u64) {
-    news.retain(|one| !matches!(one, News::Changed(_)));
+pub fn told(state: &State, mut news: Vec<Update>, revision: u64) {
+    news.retain(|one| !matches!(one, Update::Changed(_)));
     if news.is_empty() {
         return;
     }
@@ -158,20 +158,20 @@
     let store_back_ms = settling.map(Span::ms);
     for one in news {
         let (event, id) = match &one {
-            News::Changed(_) => continue,
-            News::New(id) => ("seen", id),
-            News::Restarted(id) => ("restarted", id),
-            News::Leaving(id) => ("leaving", id),
-            News::Overwritten(id) => ("overwritten", id),
-            News::Missing(id) => ("missing", id),
-            News::Gone(id) => ("gone", id),
+            Update::Changed(_) => continue,
+            Update::Added(id) => ("seen", id),
+            Update::Restarted(id) => ("restarted", id),
+            Update::Leaving(id) => ("leaving", id),
+            Update::Overwritten(id) => ("overwritten", id),
+            Update::Missing(id) => ("missing", id),
+            Update::Removed(id) => ("gone", id),
         };
         match &one {
-            News::Gone(_) | News::Restarted(_) => {
-                state.pool.forget(id);
+            Update::Removed(_) | Update::Restarted(_) => {
+                state.pool.close_all(id);
                 quarantine::replaced(state, id);
             }
-            News::Missing(_) => state.missed.notify_one(),
+            Update::Missing(_) => state.missed.notify_one(),
             _ => {}
         }
         state.log.notable(
--- a/crates/front/src/peers/leaving.rs
+++ b/crates/front/src/peers/leaving.rs
@@ -22,7 +22,7 @@
         loop {
             self.state.leaving.notified().await;
             tokio::time::sleep(TOGETHER).await;
-            let untold = self.state.table.lock().view.untold_departures();
+            let untold = self.state.table.lock().view.take_unannounced_departures();
             if self.state.leads() {
                 self.tell_all_leaving(&untold).await;
                 continue;
@@ -45,7 +45,12 @@
             return;
         }
         let now = self.state.now();
-        let lately = self.state.table.lock().view.heard_lately(TOLD_AGAIN, now);
+        let lately = self
+            .state
+            .table
+            .lock()
+            .view
+            .recent_departures(TOLD_AGAIN, now);
         for message in self.leaving(&lately) {
             self.tell_leader_of(message).await;
         }
@@ -53,7 +58,7 @@
 
     /// Tells all hosts, as the leader, which replicas that are there leave by their word.
     pub async fn tell_departures(&self) {
-        let known = self.state.table.lock().view.departing();
+        let known = self.state.table.lock().view.departures();
         self.tell_all_leaving(&known).await;
     }
 
@@ -77,7 +82,7 @@
     /// Takes in what another host heard.
     pub(super) fn join_leaving(&self, told: &Leaving) {
         for (replica, incarnation) in &told.replicas {
-            feedback::told_leaving(&self.state, replica, *incarnation, &told.host);
+            feedback::record_reported_departure(&self.state, replica, *incarnation, &told.host);
         }
     }
 }
--- a/crates/front/src/peers/limits.rs
+++ b/crates/front/src/peers/limits.rs
@@ -101,7 +101,7 @@
             self.state.limited.notify_one();
         }
         for (replica, rate, change) in changes {
-            rate_limit::tell(&self.state, &replica, rate, change, by);
+            rate_limit::log_change(&self.state, &replica, rate, change, by);
         }
         self.state.changed.notify_waiters();
     }
--- a/crates/front/src/planner/give.rs
+++ b/crates/front/src/planner/give.rs
@@ -115,7 +115,7 @@
                     .incarnation
                     .is_none_or(|_| report.incarnation == entry.incarnation);
                 if report.leaving && is_of_entry {
-                    feedback::leaves(&self.state, &from(entry, "report"));
+                    feedback::record_departure(&self.state, &from(entry, "report"));
                     return false;
                 }
                 let mut book = self.book.lock();
@@ -138,7 +138,7 @@
     /// Takes in what an answer to a call says of its replica, if one came.
     fn hear(&self, entry: &Entry, call: &str, said: Option<&Said>) {
         if let Some(said) = said {
-            feedback::take_in(&self.state, &from(entry, call), said);
+            feedback::apply(&self.state, &from(entry, call), said);
         }
     }
 
--- a/crates/front/src/pool.rs
+++ b/crates/front/src/pool.rs
@@ -78,12 +78,12 @@
     }
 
     /// Closes the connections to a replica that is gone or has failed.
-    pub fn forget(&self, replica: &str) {
+    pub fn close_all(&self, replica: &str) {
         self.idle.lock().remove(replica);
     }
 
     /// Closes connections that are too old to be used.
-    pub fn tidy(&self, now: Time) {
+    pub fn close_expired(&self, now: Time) {
         let mut idle = self.idle.lock();
         for lines in idle.values_mut() {
             lines.retain(|kept| kept.until > now && kept.line.is_idle());
--- a/crates/front/src/quarantine/admit.rs
+++ b/crates/front/src/quarantine/admit.rs
@@ -3,7 +3,7 @@
 use super::Report;
 use crate::attempt::Call;
 use crate::peers::Peers;
-use crate::respond::Fault;
+use crate::respond::Rejection;
 use crate::state::State;
 use route::quarantine::{KEPT_OUT_FOR, Permit, Standing, Ticket};
 use std::sync::Arc;
@@ -51,7 +51,7 @@
 }
 
 /// Lets a request in if nothing is held of it, or its trial begins now.
-pub async fn admit(state: &Arc<State>, peers: &Peers, call: &Call) -> Result<(), Fault> {
+pub async fn admit(state: &Arc<State>, peers: &Peers, call: &Call) -> Result<(), Rejection> {
     if state.quarantine.is_idle(state.now()) {
         return Ok(());
     }
@@ -103,7 +103,7 @@
 
 /// Confirms at the last moment before a sending that the request may still go: it may have waited here while others
 /// found out what it does.
-pub fn confirm(state: &State, call: &Call) -> Result<(), Fault> {
+pub fn confirm(state: &State, call: &Call) -> Result<(), Rejection> {
     let now = state.now();
     if call.trial.get().is_some() || state.quarantine.is_idle(now) {
         return Ok(());
@@ -121,15 +121,15 @@
 }
 
 /// Answer to a request that ends each replica that runs it.
-fn kept_out(left: Span) -> Fault {
+fn kept_out(left: Span) -> Rejection {
     let message =
         "The request has ended each replica that began to run it; it is not sent any more.";
-    Fault::not_run("kept_out", message, left)
+    Rejection::not_run("kept_out", message, left)
 }
 
 /// Answer to a request that may be one of these, while another trial is under way.
-fn suspected() -> Fault {
+fn suspected() -> Rejection {
     let message =
         "The request was in flight where several replicas fell; it is tried alone, one at a time.";
-    Fault::not_run("suspected", message, RETURN_SUSPECTED)
+    Rejection::not_run("suspected", message, RETURN_SUSPECTED)
 }
--- a/crates/front/src/queue.rs
+++ b/crates/front/src/queue.rs
@@ -25,18 +25,18 @@
 type Key = (Name, Option<Name>, Option<Name>);
 
 /// Request's turn: its replica, and its place there.
-pub type Turn = (Choice, Place);
+pub type Placement = (Choice, Place);
 
 /// Requests that wait, by what they need.
 #[derive(Default)]
-pub struct Waiting {
+pub struct Queues {
     queues: HashMap<Key, Queue<Waiter>>,
 }
 
 /// Request that waits.
 pub struct Waiter {
     call: Arc<Call>,
-    turn: oneshot::Sender<Turn>,
+    turn: oneshot::Sender<Placement>,
 }
 
 fn key(call: &Call) -> Key {
@@ -44,7 +44,7 @@
     (call.service.clone(), ask.model.clone(), ask.adapter.clone())
 }
 
-impl Waiting {
+impl Queues {
     /// Whether requests like this one wait already.
     pub fn is_waited_for(&self, call: &Call) -> bool {
         let queue = self.queues.get(&key(call));
@@ -53,7 +53,12 @@
 
     /// Lets a request wait until `until`; its turn comes over the channel, which closes when it was
     /// shed.
-    pub fn push(&mut self, call: &Arc<Call>, until: Time, now: Time) -> oneshot::Receiver<Turn> {
+    pub fn push(
+        &mut self,
+        call: &Arc<Call>,
+        until: Time,
+        now: Time,
+    ) -> oneshot::Receiver<Placement> {
         let (turn, receiver) = oneshot::channel();
         let queue = self
             .queues
@@ -103,7 +108,7 @@
 }
 
 /// Gives turns whenever something changed, until the daemon ends.
-pub async fn run(state: Arc<State>, waiting: Arc<Mutex<Waiting>>) {
+pub async fn run(state: Arc<State>, waiting: Arc<Mutex<Queues>>) {
     loop {
         let idle = waiting.lock().is_empty();
         match idle {
--- a/crates/front/src/quota.rs
+++ b/crates/front/src/quota.rs
@@ -9,7 +9,7 @@
 use crate::message::Subject;
 use crate::peers::Peers;
 use crate::peers::quota::{PATIENT, QUICK};
-use crate::respond::Fault;
+use crate::respond::Rejection;
 use crate::shares;
 use crate::state::State;
 use hyper::StatusCode;
@@ -25,7 +25,11 @@
 const LEAST_WAIT: Span = Span::from_ms(100);
 
 /// Lets a request in if its account may have it run; none where the account has no limit.
-pub async fn admit(state: &State, peers: &Arc<Peers>, call: &Call) -> Result<Option<Grant>, Fault> {
+pub async fn admit(
+    state: &State,
+    peers: &Arc<Peers>,
+    call: &Call,
+) -> Result<Option<Grant>, Rejection> {
     let account = call.caller.account.as_deref();
     let Some((account, quota)) = account.and_then(|a| Some((a, a.quota?))) else {
         return Ok(None);
@@ -54,7 +58,7 @@
     account: &Account,
     quota: &Quota,
     wanted: &Wanted,
-) -> Result<Source, Fault> {
+) -> Result<Source, Rejection> {
     let decided = |answer| match answer {
         Answer::Given(_) | Answer::Unlimited => Ok(Source::Limiter),
         Answer::Over(told) => Err(over(account, quota, wanted.units, told.wait)),
@@ -74,23 +78,23 @@
 }
 
 /// Answer to a request whose account's share here is used up while nobody answers that gives out.
-fn without_share(account: &Account, wait: Option<Span>) -> Fault {
+fn without_share(account: &Account, wait: Option<Span>) -> Rejection {
     let message = format!(
         "What account {} may use is not confirmed at the moment, and its share here is used up.",
         account.name
     );
     let wait = wait.unwrap_or(RETURN_WITHOUT_SHARE);
-    Fault::not_run("quota_unconfirmed", message, wait.max(LEAST_WAIT))
+    Rejection::not_run("quota_unconfirmed", message, wait.max(LEAST_WAIT))
 }
 
 /// Answer to a request whose account is over its limit.
-fn over(account: &Account, quota: &Quota, units: f64, wait: Span) -> Fault {
+fn over(account: &Account, quota: &Quota, units: f64, wait: Span) -> Rejection {
     let (name, rate, burst) = (&account.name, quota.rate, quota.burst);
     let message = format!(
         "Account {name} is over its limit of {rate} a second and {burst} at once; this request uses {units}."
     );
-    Fault {
+    Rejection {
         retry_after: Some(wait.max(LEAST_WAIT)),
-        ..Fault::refused(StatusCode::TOO_MANY_REQUESTS, "over_quota", message)
+        ..Rejection::client_error(StatusCode::TOO_MANY_REQUESTS, "over_quota", message)
     }
 }
--- a/crates/front/src/rate_limit.rs
+++ b/crates/front/src/rate_limit.rs
@@ -23,7 +23,7 @@
 
 /// Takes in what an answer says of its replica's limit. One that the replica `ran` the request for and that names no
 /// limit says that none holds any more; a refusal without one says nothing.
-pub fn heard(state: &State, from: &feedback::Source, limit: &Reading<f64>, ran: bool) {
+pub fn apply(state: &State, from: &feedback::Source, limit: &Reading<f64>, ran: bool) {
     let rate = match limit {
         // Hosts tell each other rates in this precision, and compare them.
         Reading::Value(rate) => Some(f64::from((*rate as f32).min(f32::MAX))),
@@ -44,12 +44,12 @@
     if let Some(change) = change {
         state.limited.notify_one();
         let rate = rate.unwrap_or_default();
-        tell(state, &from.replica, rate, change, &state.settings.name);
+        log_change(state, &from.replica, rate, change, &state.settings.name);
     }
 }
 
 /// Tells of a change of what is known of a limit, and which host said so.
-pub fn tell(state: &State, replica: &Name, rate: f64, change: Change, by: &Name) {
+pub fn log_change(state: &State, replica: &Name, rate: f64, change: Change, by: &Name) {
     let (replica, by) = (&**replica, &**by);
     state.log.notable(|| match change {
         Change::First => info!(target: "limit", event = "named", replica, rate, by, "a replica in need takes so many requests a second from all hosts together"),
@@ -131,28 +131,28 @@
 }
 
 /// Request that waits for room at a replica in need; dropping it counts it out.
-pub struct Held {
+pub struct Waiter {
     state: Arc<State>,
     replica: Name,
 }
 
 /// Counts a request in that waits for room at a replica.
-pub fn hold(state: &Arc<State>, replica: &Name) -> Held {
+pub fn wait(state: &Arc<State>, replica: &Name) -> Waiter {
     state.table.lock().hold(replica, true);
-    Held {
+    Waiter {
         state: state.clone(),
         replica: replica.clone(),
     }
 }
 
-impl Drop for Held {
+impl Drop for Waiter {
     fn drop(&mut self) {
         self.state.table.lock().hold(&self.replica, false);
     }
 }
 
 /// Counts and tells a sending to a replica that has named a limit.
-pub fn note_sending(state: &State, call: &Call, replica: &Name, last_event: Option<u64>) {
+pub fn record_send(state: &State, call: &Call, replica: &Name, last_event: Option<u64>) {
     let Some(rate) = state.table.lock().limit_of(replica, state.now()) else {
         return;
     };
--- a/crates/front/src/readers.rs
+++ b/crates/front/src/readers.rs
@@ -18,7 +18,7 @@
 pub use choice::{Candidate, choose};
 pub use question::{Error, Heard, ask};
 
-use crate::changelog::Recent;
+use crate::changelog::Changelog;
 use crate::state::State;
 use conn::Pool;
 use parking_lot::Mutex;
@@ -44,7 +44,7 @@
 #[derive(Default)]
 pub struct Readers {
     /// What this host can pass on.
-    pub recent: Mutex<Recent>,
+    pub recent: Mutex<Changelog>,
     /// Notified when there is something new to pass on.
     pub news: Notify,
     /// Notified when this host is named as one that reads the store for others.
@@ -197,7 +197,7 @@
 /// Keeps the whole store as a reader told it, to pass it on.
 pub fn note_whole(state: &State, items: &[Item], revision: u64, confirmed: Time) {
     let mut recent = state.readers.recent.lock();
-    recent.restart(items, revision, confirmed);
+    recent.reset(items, revision, confirmed);
     drop(recent);
     state.readers.news.notify_waiters();
 }
--- a/crates/front/src/relay.rs
+++ b/crates/front/src/relay.rs
@@ -9,7 +9,7 @@
 use crate::events::Splitter;
 use crate::peers::Peers;
 use crate::quarantine;
-use crate::respond::{Body, whole};
+use crate::respond::{Body, full};
 use crate::state::{InFlight, State};
 use bytes::Bytes;
 use conn::Line;
@@ -74,7 +74,7 @@
         quarantine::ended_well(state, call);
     }
     keep(state, &place, line, &said);
-    let mut response = Response::new(whole(body));
+    let mut response = Response::new(full(body));
     *response.status_mut() = head.status;
     *response.headers_mut() = returned(&head.headers);
     Ok(response)
--- a/crates/front/src/relay/resume.rs
+++ b/crates/front/src/relay/resume.rs
@@ -19,7 +19,7 @@
     pub(super) async fn resume(&mut self, why: &Failed) -> bool {
         if let Some(source) = self.source.take() {
             source.place.ended(&self.call, why);
-            self.state.pool.forget(&source.place.replica);
+            self.state.pool.close_all(&source.place.replica);
         }
         let (state, call) = (self.state.clone(), self.call.clone());
         let repeatable = call.route.kind.is_repeatable();
--- a/crates/front/src/respond.rs
+++ b/crates/front/src/respond.rs
@@ -16,7 +16,7 @@
 
 /// A request that coveford answers itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Fault {
+pub struct Rejection {
     /// Status of the answer.
     pub status: StatusCode,
     /// One word for logs and metrics.
@@ -27,10 +27,14 @@
     pub retry_after: Option<Span>,
 }
 
-impl Fault {
+impl Rejection {
     /// The request has not run and will not; the client may come back.
-    pub fn not_run(reason: &'static str, message: impl Into<String>, retry_after: Span) -> Fault {
-        Fault {
+    pub fn not_run(
+        reason: &'static str,
+        message: impl Into<String>,
+        retry_after: Span,
+    ) -> Rejection {
+        Rejection {
             status: StatusCode::SERVICE_UNAVAILABLE,
             reason,
             message: message.into(),
@@ -39,8 +43,8 @@
     }
 
     /// The request may have run, and its answer is lost.
-    pub fn lost(reason: &'static str, message: impl Into<String>) -> Fault {
-        Fault {
+    pub fn lost(reason: &'static str, message: impl Into<String>) -> Rejection {
+        Rejection {
             status: StatusCode::BAD_GATEWAY,
             reason,
             message: message.into(),
@@ -49,8 +53,8 @@
     }
 
     /// Its time ran out at a replica.
-    pub fn late(message: impl Into<String>) -> Fault {
-        Fault {
+    pub fn timed_out(message: impl Into<String>) -> Rejection {
+        Rejection {
             status: StatusCode::GATEWAY_TIMEOUT,
             reason: "late",
             message: message.into(),
@@ -59,8 +63,12 @@
     }
 
     /// The request itself is at fault.
-    pub fn refused(status: StatusCode, reason: &'static str, message: impl Into<String>) -> Fault {
-        Fault {
+    pub fn client_error(
+        status: StatusCode,
+        reason: &'static str,
+        message: impl Into<String>,
+    ) -> Rejection {
+        Rejection {
             status,
             reason,
             message: message.into(),
@@ -71,7 +79,7 @@
     /// The answer that tells the client.
     pub fn response(&self) -> Response<Body> {
         let text = serde_json::json!({"error": self.reason, "message": self.message});
-        let mut response = Response::new(whole(text.to_string().into()));
+        let mut response = Response::new(full(text.to_string().into()));
         *response.status_mut() = self.status;
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
@@ -87,7 +95,7 @@
 }
 
 /// Body that is there whole.
-pub fn whole(bytes: Bytes) -> Body {
+pub fn full(bytes: Bytes) -> Body {
     Full::new(bytes)
         .map_err(|never| match never {})
         .boxed_unsync()
--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -149,7 +149,7 @@
     let log = log::open(settings.log.sample);
     let (state, wanted, reports) = state::open(settings, log, STORE_LIMIT);
     let peers = peers::open(state.clone(), socket);
-    let entry = serve::Entry {
+    let entry = serve::Context {
         state: state.clone(),
         peers: peers.clone(),
         waiting: Arc::default(),
@@ -168,7 +168,7 @@
 }
 
 fn tasks(
-    entry: &serve::Entry,
+    entry: &serve::Context,
     peers: &Arc<Peers>,
     wanted: Wanted,
     reports: Reports,
@@ -198,7 +198,7 @@
     TcpListener::bind(addr).await.context(ListenSnafu { addr })
 }
 
-fn serve_callers(entry: &serve::Entry, listener: TcpListener) -> Result<Server, Error> {
+fn serve_callers(entry: &serve::Context, listener: TcpListener) -> Result<Server, Error> {
     let limits = entry.state.settings.limits;
     let bounds = Bounds {
         // Half of the descriptors: a request needs a connection to a replica as well.
@@ -223,7 +223,7 @@
             (names::READY, false) => StatusCode::SERVICE_UNAVAILABLE,
             _ => StatusCode::NOT_FOUND,
         };
-        let mut response = Response::new(respond::whole(bytes::Bytes::new()));
+        let mut response = Response::new(respond::full(bytes::Bytes::new()));
         *response.status_mut() = status;
         async move { Ok(response) }
     };
@@ -239,7 +239,7 @@
     let answer = move |_: Request<Incoming>| {
         gauges::update(&state, &peers);
         let text = state.log.metrics.render();
-        async move { Ok(Response::new(respond::whole(text.into()))) }
+        async move { Ok(Response::new(respond::full(text.into()))) }
     };
     conn::serve(listener, OTHER_CONNECTIONS, answer).context(RuntimeSnafu)
 }
@@ -259,7 +259,7 @@
     loop {
         tokio::time::sleep(UPKEEP).await;
         expire(&state);
-        state.pool.tidy(state.now());
+        state.pool.close_expired(state.now());
         state.log.metrics.tidy();
         state.log.tell_left_out();
     }
--- a/crates/front/src/run/gauges.rs
+++ b/crates/front/src/run/gauges.rs
@@ -99,7 +99,7 @@
 fn word_gauges(state: &State) {
     let (leaving, resting) = {
         let table = state.table.lock();
-        (table.view.departing().len(), table.rest_times(state.now()))
+        (table.view.departures().len(), table.rest_times(state.now()))
     };
     let metrics = &state.log.metrics;
     let count = |name, count: usize| metrics.gauge(name, &[]).set(count as f64);
--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -8,10 +8,10 @@
 use crate::attempt::{Call, Failed, Sent, Tried, send};
 use crate::peers::Peers;
 use crate::quarantine;
-use crate::queue::Waiting;
+use crate::queue::Queues;
 use crate::quota;
 use crate::relay;
-use crate::respond::{Body, Fault, close};
+use crate::respond::{Body, Rejection, close};
 use crate::state::State;
 use crate::table::Choice;
 use hyper::body::Incoming;
@@ -36,17 +36,17 @@
 
 /// Where requests come in.
 #[derive(Clone)]
-pub struct Entry {
+pub struct Context {
     /// What the parts of the daemon share.
     pub state: Arc<State>,
     /// Other hosts.
     pub peers: Arc<Peers>,
     /// Requests that wait for a replica.
-    pub waiting: Arc<Mutex<Waiting>>,
+    pub waiting: Arc<Mutex<Queues>>,
 }
 
 /// Answers a request; the answer is given at once when the request is given up.
-pub async fn handle(entry: Entry, request: Request<Incoming>) -> Response<Body> {
+pub async fn handle(entry: Context, request: Request<Incoming>) -> Response<Body> {
     let state = &entry.state;
     let _in_flight = state.enter();
     let arrived = state.now();
@@ -62,15 +62,15 @@
 
 /// Reads a request, sends it, and tells how it ended.
 async fn answer(
-    entry: &Entry,
+    entry: &Context,
     request: Request<Incoming>,
     arrived: Time,
-) -> Result<Response<Body>, Fault> {
+) -> Result<Response<Body>, Rejection> {
     let state = &entry.state;
     let routes = state.table.lock().routes.clone();
     let routes = routes.ok_or_else(|| {
         let message = "This host has no configuration yet.";
-        Fault::not_run("no_configuration", message, RETURN_LATER)
+        Rejection::not_run("no_configuration", message, RETURN_LATER)
     })?;
     let route = read::route(state, &routes, &request)?;
     let call = Arc::new(read::call(state, &routes, route, request, arrived).await?);
@@ -83,7 +83,7 @@
 }
 
 /// Sends a request, if its account may have it run.
-async fn let_in(entry: &Entry, call: &Arc<Call>) -> Result<Response<Body>, Fault> {
+async fn let_in(entry: &Context, call: &Arc<Call>) -> Result<Response<Body>, Rejection> {
     let state = &entry.state;
     quarantine::admit(state, &entry.peers, call).await?;
     let grant = quota::admit(state, &entry.peers, call).await?;
@@ -112,13 +112,13 @@
     /// Whether another replica could have taken it when the last one was chosen.
     others: bool,
     /// What it was told when no replica was found for a further sending.
-    refusal: Option<Fault>,
+    refusal: Option<Rejection>,
     /// A replica's answer that tells of its own failure; it is passed on if no better one comes.
     answer: Option<Response<Body>>,
 }
 
 /// Sends a request until it is answered, or nothing more may be done for it.
-async fn attempts(entry: &Entry, call: &Arc<Call>) -> Result<Response<Body>, Fault> {
+async fn attempts(entry: &Context, call: &Arc<Call>) -> Result<Response<Body>, Rejection> {
     let state = &entry.state;
     let mut progress = Progress {
         tried: Tried::default(),
@@ -176,12 +176,12 @@
 /// Finds a replica for the next sending of a request: another one, if there are `others`, or else, after a pause, one that
 /// turned it away unrun.
 async fn place(
-    entry: &Entry,
+    entry: &Context,
     call: &Arc<Call>,
     tried: &Tried,
     others: bool,
     sending: usize,
-) -> Result<admit::Placed, Fault> {
+) -> Result<admit::Placed, Rejection> {
     if others {
         let placed = admit::place(entry, call, &tried.replicas, sending).await;
         if placed.is_ok() || sending == 0 {
@@ -202,7 +202,7 @@
 
 /// Passes an answer on whose head has come: event by event, or whole.
 async fn pass_on(
-    entry: &Entry,
+    entry: &Context,
     call: &Arc<Call>,
     sent: Sent,
     tried: &Tried,
@@ -257,12 +257,12 @@
         Failed::NotRun { .. } | Failed::Failing(_) | Failed::KeptBack(_)
     );
     if !sound {
-        state.pool.forget(&choice.replica);
+        state.pool.close_all(&choice.replica);
     }
 }
 
 /// Answer to a request that is given up.
-fn give_up(state: &State, call: &Call, progress: Progress) -> Fault {
+fn give_up(state: &State, call: &Call, progress: Progress) -> Rejection {
     let may_have_run = !progress.tried.may_have_run.is_empty();
     let last = &progress.last;
     match last {
@@ -272,11 +272,11 @@
     }
     if !may_have_run {
         let message = format!("No replica took the request ({last}).");
-        let refused = Fault::not_run("refused_by_replicas", message, RETURN_RANGE.0);
+        let refused = Rejection::not_run("refused_by_replicas", message, RETURN_RANGE.0);
         return progress.refusal.unwrap_or(refused);
     }
     match state.now() >= call.deadline || *last == Failed::Late {
-        true => Fault::late("The replica did not answer in time."),
-        false => Fault::lost("lost", format!("The answer could not be had ({last}).")),
+        true => Rejection::timed_out("The replica did not answer in time."),
+        false => Rejection::lost("lost", format!("The answer could not be had ({last}).")),
     }
 }
--- a/crates/front/src/serve/admit.rs
+++ b/crates/front/src/serve/admit.rs
@@ -1,12 +1,12 @@
 //! Admission: choosing a replica for a request, letting it wait for its turn, or refusing it.
 
 use super::unavailable::{absent, full, want_adapter};
-use super::{Entry, RETURN_RANGE, report};
+use super::{Context, RETURN_RANGE, report};
 use crate::attempt::{Call, Place};
 use crate::grant::Grant;
-use crate::queue::Turn;
-use crate::rate_limit::{self, Held};
-use crate::respond::Fault;
+use crate::queue::Placement;
+use crate::rate_limit::{self, Waiter};
+use crate::respond::Rejection;
 use crate::table::{Choice, Nowhere};
 use route::batch;
 use std::sync::Arc;
@@ -65,11 +65,11 @@
 /// Chooses a replica, and gets a part of its limit where it has named one; a replica that has no room for the request
 /// is not chosen again until it may have.
 pub(super) async fn place(
-    entry: &Entry,
+    entry: &Context,
     call: &Arc<Call>,
     avoid: &[Name],
     sending: usize,
-) -> Result<Placed, Fault> {
+) -> Result<Placed, Rejection> {
     let state = &entry.state;
     let mut held = None;
     loop {
@@ -99,12 +99,12 @@
 
 /// Finds a replica; waits shortly for a model or an adapter that is on its way, or for room at replicas in need.
 async fn find(
-    entry: &Entry,
+    entry: &Context,
     call: &Arc<Call>,
     avoid: &[Name],
     sending: usize,
-    held: &mut Option<Held>,
-) -> Result<Found, Fault> {
+    held: &mut Option<Waiter>,
+) -> Result<Found, Rejection> {
     let state = &entry.state;
     let held_until = call.arrived + Span::from(call.route.target) * HELD_PART;
     loop {
@@ -133,7 +133,7 @@
 
 /// Admits a request where it can meet its target: at once, or when its turn comes. Refuses it at
 /// once where it cannot.
-async fn admit(entry: &Entry, call: &Arc<Call>, choice: Choice) -> Result<Found, Fault> {
+async fn admit(entry: &Context, call: &Arc<Call>, choice: Choice) -> Result<Found, Rejection> {
     let state = &entry.state;
     let now = state.now();
     let target = Span::from(call.route.target);
@@ -173,7 +173,7 @@
 }
 
 /// Waits for the turn of a request; none when it did not come by `until`.
-async fn turn(entry: &Entry, call: &Arc<Call>, until: Time, now: Time) -> Option<Turn> {
+async fn turn(entry: &Context, call: &Arc<Call>, until: Time, now: Time) -> Option<Placement> {
     if until <= now {
         return None;
     }
@@ -186,9 +186,9 @@
 }
 
 /// Answer to a request that would wait too long for its first token.
-fn overloaded(expected: Span, target: Span, coming: Option<Span>) -> Fault {
+fn overloaded(expected: Span, target: Span, coming: Option<Span>) -> Rejection {
     let wait = batch::return_after(expected, target, coming);
     let wait = wait.max(RETURN_RANGE.0).min(RETURN_RANGE.1);
     let message = format!("The request would wait {expected} for its first token.");
-    Fault::not_run("overloaded", message, wait)
+    Rejection::not_run("overloaded", message, wait)
 }
--- a/crates/front/src/serve/read.rs
+++ b/crates/front/src/serve/read.rs
@@ -3,7 +3,7 @@
 use super::RETURN_LATER;
 use crate::accounts;
 use crate::attempt::Call;
-use crate::respond::Fault;
+use crate::respond::Rejection;
 use crate::routes::Routes;
 use crate::state::State;
 use bytes::Bytes;
@@ -35,7 +35,7 @@
     state: &State,
     routes: &Routes,
     request: &Request<Incoming>,
-) -> Result<Arc<Route>, Fault> {
+) -> Result<Arc<Route>, Rejection> {
     let host = host(request.uri(), request.headers());
     if let Some(route) = routes.find(&host, request.uri().path()) {
         return Ok(route.clone());
@@ -44,13 +44,17 @@
     if state.table.lock().view.contact.is_away() || accounts::known_age(state) > most {
         // The route may stand in a newer configuration that this host cannot read.
         let message = "No route leads there by the last configuration that this host could read.";
-        return Err(Fault::not_run("configuration_old", message, RETURN_LATER));
+        return Err(Rejection::not_run(
+            "configuration_old",
+            message,
+            RETURN_LATER,
+        ));
     }
     state.log.metrics.ended(&"none".into(), "no_route");
     state.log.notable(|| {
         info!(target: "request", event = "refused", reason = "no_route", host, path = request.uri().path(), version = routes.version, "no route")
     });
-    Err(Fault::refused(
+    Err(Rejection::client_error(
         StatusCode::NOT_FOUND,
         "no_route",
         format!("No route of configuration {} leads there.", routes.version),
@@ -64,7 +68,7 @@
     route: Arc<Route>,
     request: Request<Incoming>,
     arrived: Time,
-) -> Result<Call, Fault> {
+) -> Result<Call, Rejection> {
     let (mut head, body) = request.into_parts();
     let host = host(&head.uri, &head.headers);
     let caller = accounts::identify(state, routes, &route, &mut head.headers)?;
@@ -76,7 +80,7 @@
     let hash = rendezvous::hash(id.as_bytes());
     let service = route::routing::split(&route.services, hash);
     let service = service.cloned().ok_or_else(|| {
-        Fault::not_run("no_service", "The route leads to no service.", RETURN_LATER)
+        Rejection::not_run("no_service", "The route leads to no service.", RETURN_LATER)
     })?;
     Ok(Call {
         id,
@@ -110,7 +114,7 @@
     routes: &Routes,
     body: Incoming,
     deadline: Time,
-) -> Result<(Bytes, Option<OwnedSemaphorePermit>), Fault> {
+) -> Result<(Bytes, Option<OwnedSemaphorePermit>), Rejection> {
     if body.is_end_stream() {
         return Ok((Bytes::new(), None));
     }
@@ -120,7 +124,7 @@
     match state.clock.timeout_at(deadline, read).await {
         Ok(Ok(body)) => Ok((body.to_bytes(), Some(room))),
         Ok(Err(why)) => Err(broken(&*why, most)),
-        Err(_) => Err(Fault::refused(
+        Err(_) => Err(Rejection::client_error(
             StatusCode::REQUEST_TIMEOUT,
             "body_late",
             "The body did not come in time.",
@@ -132,26 +136,26 @@
 const UNTOLD: u64 = 64 * 1_024;
 
 /// Takes the memory that a body needs, by its length.
-fn room(state: &State, body: &Incoming, most: usize) -> Result<OwnedSemaphorePermit, Fault> {
+fn room(state: &State, body: &Incoming, most: usize) -> Result<OwnedSemaphorePermit, Rejection> {
     let hint = body.size_hint().upper().unwrap_or(UNTOLD).min(most as u64);
     let kb = (hint / 1_024) as u32 + 1;
     let room = state.bodies.clone().try_acquire_many_owned(kb);
     room.map_err(|_| {
         let message = "This host holds as many request bodies as it may.";
-        Fault::not_run("bodies_full", message, RETURN_LATER)
+        Rejection::not_run("bodies_full", message, RETURN_LATER)
     })
 }
 
 /// Answer to a request whose body could not be read whole.
-fn broken(why: &(dyn Error + Send + Sync + 'static), most: usize) -> Fault {
+fn broken(why: &(dyn Error + Send + Sync + 'static), most: usize) -> Rejection {
     if why.is::<LengthLimitError>() {
-        return Fault::refused(
+        return Rejection::client_error(
             StatusCode::PAYLOAD_TOO_LARGE,
             "body_too_large",
             format!("The body is longer than {most} bytes."),
         );
     }
-    Fault::refused(
+    Rejection::client_error(
         StatusCode::BAD_REQUEST,
         "body_broken",
         format!("The body broke off: {why}."),
--- a/crates/front/src/serve/report.rs
+++ b/crates/front/src/serve/report.rs
@@ -2,7 +2,7 @@
 
 use super::is_events;
 use crate::attempt::Call;
-use crate::respond::{Body, Fault};
+use crate::respond::{Body, Rejection};
 use crate::state::State;
 use crate::table::Choice;
 use hyper::Response;
@@ -43,7 +43,7 @@
 }
 
 /// Tells of a request that coveford answers itself.
-pub(super) fn failed(state: &State, call: &Call, fault: &Fault) {
+pub(super) fn failed(state: &State, call: &Call, fault: &Rejection) {
     let ms = state.now().since(call.arrived).ms();
     state.log.metrics.ended(&call.route.name, fault.reason);
     let retry_after_ms = fault.retry_after.map(|s| s.ms());
--- a/crates/front/src/serve/unavailable.rs
+++ b/crates/front/src/serve/unavailable.rs
@@ -4,8 +4,8 @@
 use super::{RETURN_LATER, RETURN_RANGE};
 use crate::attempt::Call;
 use crate::message::{Missing, Want};
-use crate::rate_limit::{self, Held};
-use crate::respond::Fault;
+use crate::rate_limit::{self, Waiter};
+use crate::respond::Rejection;
 use crate::state::{State, Wish};
 use crate::table::{Full, Nowhere};
 use std::sync::Arc;
@@ -44,32 +44,32 @@
     state: &Arc<State>,
     call: &Call,
     at: &Full,
-    held: &mut Option<Held>,
+    held: &mut Option<Waiter>,
     now: Time,
-) -> (Time, Fault) {
+) -> (Time, Rejection) {
     let until = call.arrived + Span::from(call.route.target) * FULL_PART;
     if held.is_none() && now + at.turn > until {
         return (now, has_no_room(call, at));
     }
     // Its adapter may be on no other replica.
     want_adapter(state, call, true);
-    held.get_or_insert_with(|| rate_limit::hold(state, &at.replica));
+    held.get_or_insert_with(|| rate_limit::wait(state, &at.replica));
     (until, has_no_room(call, at))
 }
 
 /// Answer to a request whose replicas have no room by their own word.
-fn has_no_room(call: &Call, at: &Full) -> Fault {
+fn has_no_room(call: &Call, at: &Full) -> Rejection {
     let wait = at.turn.max(RETURN_RANGE.0);
     let spread = (wait * SPREAD_PART).max(LEAST_SPREAD);
     let wait = wait + spread * fraction(&call.id);
     match at.rests {
         true => {
             let message = "The replicas that could take the request take none from this host now.";
-            Fault::not_run("resting", message, wait)
+            Rejection::not_run("resting", message, wait)
         }
         false => {
             let message = "The replicas that could take the request are in need, and take no more of them now.";
-            Fault::not_run("limited", message, wait)
+            Rejection::not_run("limited", message, wait)
         }
     }
 }
@@ -86,7 +86,7 @@
     nowhere: Nowhere,
     held_until: Time,
     now: Time,
-) -> (Time, Fault) {
+) -> (Time, Rejection) {
     let target = Span::from(call.route.target);
     match nowhere {
         Nowhere::NoModel(Some(coming))
@@ -94,7 +94,7 @@
         {
             let until = call.arrived + target * COMING_PART;
             let message = "The model is being loaded.";
-            (until, Fault::not_run("model_loading", message, coming))
+            (until, Rejection::not_run("model_loading", message, coming))
         }
         Nowhere::NoModel(coming) => {
             let until = match coming {
@@ -107,27 +107,27 @@
             let wait = coming.map_or(RETURN_LATER, |c| c + TOLD_WITHIN);
             let message = "No replica holds the model at the moment.";
             let wait = wait.max(RETURN_RANGE.0);
-            (until, Fault::not_run("no_model", message, wait))
+            (until, Rejection::not_run("no_model", message, wait))
         }
         Nowhere::NoAdapter => {
             want_adapter(state, call, false);
             let message = "The adapter is on no replica yet.";
-            let fault = Fault::not_run("no_adapter", message, RETURN_FOR_ADAPTER);
+            let fault = Rejection::not_run("no_adapter", message, RETURN_FOR_ADAPTER);
             (held_until, fault)
         }
         Nowhere::Unreachable => {
             let message = "The replicas that could take the request cannot be reached.";
-            let fault = Fault::not_run("unreachable", message, RETURN_UNREACHABLE);
+            let fault = Rejection::not_run("unreachable", message, RETURN_UNREACHABLE);
             (held_until, fault)
         }
         Nowhere::Full(at) => (now, has_no_room(call, &at)),
         Nowhere::Leaving => {
             let message = "All replicas of the service leave, or cannot be used.";
-            (now, Fault::not_run("leaving", message, RETURN_LATER))
+            (now, Rejection::not_run("leaving", message, RETURN_LATER))
         }
         Nowhere::NoReplica => {
             let message = "No replica of the service is there.";
-            (now, Fault::not_run("no_replica", message, RETURN_LATER))
+            (now, Rejection::not_run("no_replica", message, RETURN_LATER))
         }
     }
 }
--- a/crates/front/src/table.rs
+++ b/crates/front/src/table.rs
@@ -27,7 +27,7 @@
 use crate::message::Use;
 use crate::routes::Routes;
 use crate::settings::Bounds;
-use crate::view::{News, View};
+use crate::view::{Update, View};
 use backoff::Rests;
 use demand::Demands;
 use pace::Paces;
@@ -131,12 +131,12 @@
     }
 
     /// Forgets the state of replicas that are gone, and what those knew and held that have started again.
-    pub fn apply(&mut self, news: &[News]) {
+    pub fn apply(&mut self, news: &[Update]) {
         for one in news {
             match one {
                 // What it asked this host for holds on: its entry may come back.
-                News::Gone(id) => drop(self.replicas.remove(id)),
-                News::Restarted(id) => self.restarted(id),
+                Update::Removed(id) => drop(self.replicas.remove(id)),
+                Update::Restarted(id) => self.restarted(id),
                 _ => {}
             }
         }
--- a/crates/front/src/table/backoff.rs
+++ b/crates/front/src/table/backoff.rs
@@ -29,7 +29,7 @@
         time: Span,
         now: Time,
     ) -> Option<Asked> {
-        if self.view.knows_other(id, incarnation) {
+        if self.view.has_other_incarnation(id, incarnation) {
             return None;
         }
         let known = self.rests.get_mut(id);
@@ -70,7 +70,7 @@
 
     /// Replicas that rest, or rested a moment ago, with the time that is left; the longest first.
     pub fn rest_times(&self, now: Time) -> Vec<(Name, Span)> {
-        let holds = |id: &Name, of: &Incarnation| !self.view.knows_other(id, *of);
+        let holds = |id: &Name, of: &Incarnation| !self.view.has_other_incarnation(id, *of);
         let rests = self.rests.iter().filter(|(id, (of, _))| holds(id, of));
         let left = rests.map(|(id, (_, rest))| (id.clone(), rest.left(now)));
         let mut left: Vec<(Name, Span)> = left.collect();
@@ -82,7 +82,7 @@
     pub fn end_rests(&mut self, now: Time) -> Vec<Name> {
         let view = &self.view;
         let is_over = |id: &Name, of: &Incarnation, rest: &Rest| {
-            rest.is_over(now) || view.knows_other(id, *of)
+            rest.is_over(now) || view.has_other_incarnation(id, *of)
         };
         let over = self
             .rests
--- a/crates/front/src/table/choose.rs
+++ b/crates/front/src/table/choose.rs
@@ -5,7 +5,7 @@
 use super::replica::State;
 use super::{STEP, Table, Want};
 use crate::message::RANKS;
-use crate::view::Seen;
+use crate::view::Replica;
 use platform::config::Engine;
 use platform::ingress::Ask;
 use platform::replica::Entry;
@@ -149,7 +149,7 @@
             Some(at) => (at, candidates[at].first_token(&ask)),
             None => batch::choose(&ask, &candidates, &mut self.rng).ok_or(Nowhere::NoReplica)?,
         };
-        let takes = |seen: &&Seen| self.candidate(&seen.entry, &terms).takes(&ask);
+        let takes = |seen: &&Replica| self.candidate(&seen.entry, &terms).takes(&ask);
         let crowded = !candidates[at].takes(&ask) && beside.iter().any(takes);
         Ok(Choice {
             replica: found[at].entry.id.clone(),
--- a/crates/front/src/view.rs
+++ b/crates/front/src/view.rs
@@ -18,7 +18,7 @@
 /// Replicas by identity.
 #[derive(Debug)]
 pub struct View {
-    seen: BTreeMap<Name, Seen>,
+    seen: BTreeMap<Name, Replica>,
     removed: BTreeMap<Name, (u64, Time)>,
     /// Replicas that said in answers that they leave. Entries come and go meanwhile.
     departures: BTreeMap<Name, Departure>,
@@ -51,7 +51,7 @@
 
 /// Replica with the news of it.
 #[derive(Debug, Clone)]
-pub struct Seen {
+pub struct Replica {
     /// Its newest entry.
     pub entry: Entry,
     /// Revision of that entry.
@@ -81,9 +81,9 @@
 
 /// What news did to the view.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum News {
+pub enum Update {
     /// A replica that was not known.
-    New(Name),
+    Added(Name),
     /// A replica has started again under its identity.
     Restarted(Name),
     /// A replica has announced that it leaves.
@@ -95,13 +95,13 @@
     /// An entry is missing, and may come back.
     Missing(Name),
     /// A replica is gone.
-    Gone(Name),
+    Removed(Name),
 }
 
-impl Seen {
+impl Replica {
     /// A replica that was not known.
-    fn new(entry: Entry, revision: u64, has_left: bool) -> Seen {
-        Seen {
+    fn new(entry: Entry, revision: u64, has_left: bool) -> Replica {
+        Replica {
             has_left,
             entry: Entry {
                 leaving: has_left,
@@ -166,36 +166,36 @@
     }
 
     /// Replicas, the missing ones included.
-    pub fn all(&self) -> impl Iterator<Item = &Seen> {
+    pub fn all(&self) -> impl Iterator<Item = &Replica> {
         self.seen.values()
     }
 
     /// Replica of an identity.
-    pub fn get(&self, id: &str) -> Option<&Seen> {
+    pub fn get(&self, id: &str) -> Option<&Replica> {
         self.seen.get(id)
     }
 
     /// Whether another incarnation of a replica is known than this one.
-    pub fn knows_other(&self, id: &str, incarnation: Incarnation) -> bool {
+    pub fn has_other_incarnation(&self, id: &str, incarnation: Incarnation) -> bool {
         let seen = self.seen.get(id);
         seen.is_some_and(|seen| seen.entry.incarnation != incarnation)
     }
 
     /// Whether an incarnation has said in an answer that it leaves.
-    pub fn leaves_by_word(&self, id: &str, incarnation: Incarnation) -> bool {
+    pub fn has_departure(&self, id: &str, incarnation: Incarnation) -> bool {
         let said = self.departures.get(id);
         said.is_some_and(|said| said.incarnation == incarnation)
     }
 
     /// Takes in that an incarnation says in an answer that it leaves, which is not taken back; tells whether that was not known.
-    pub fn heard_leaving(
+    pub fn record_departure(
         &mut self,
         id: &Name,
         incarnation: Incarnation,
         origin: Origin,
         now: Time,
     ) -> bool {
-        if self.knows_other(id, incarnation) || self.leaves_by_word(id, incarnation) {
+        if self.has_other_incarnation(id, incarnation) || self.has_departure(id, incarnation) {
             return false;
         }
         let departure = Departure {
@@ -213,7 +213,7 @@
     }
 
     /// Departures that this host has to tell; they count as told.
-    pub fn untold_departures(&mut self) -> Vec<(Name, Incarnation)> {
+    pub fn take_unannounced_departures(&mut self) -> Vec<(Name, Incarnation)> {
         let untold = self.departures.iter_mut().filter(|(_, d)| !d.told);
         let told = untold.map(|(id, departure)| {
             departure.told = true;
@@ -223,37 +223,37 @@
     }
 
     /// Departures that this host has heard itself within the last `time`.
-    pub fn heard_lately(&self, time: Span, now: Time) -> Vec<(Name, Incarnation)> {
+    pub fn recent_departures(&self, time: Span, now: Time) -> Vec<(Name, Incarnation)> {
         let is_own = |d: &Departure| d.origin == Origin::Answer && now.since(d.at) < time;
         let own = self.departures.iter().filter(|(_, d)| is_own(d));
         own.map(|(id, d)| (id.clone(), d.incarnation)).collect()
     }
 
     /// Departures of replicas that are there.
-    pub fn departing(&self) -> Vec<(Name, Incarnation)> {
-        let leaves = |seen: &&Seen| self.leaves_by_word(&seen.entry.id, seen.entry.incarnation);
+    pub fn departures(&self) -> Vec<(Name, Incarnation)> {
+        let leaves = |seen: &&Replica| self.has_departure(&seen.entry.id, seen.entry.incarnation);
         let entries = self.all().filter(leaves).map(|seen| &seen.entry);
         entries.map(|e| (e.id.clone(), e.incarnation)).collect()
     }
 
     /// Takes in an entry at its revision; older news changes nothing.
-    pub fn put(&mut self, entry: Entry, revision: u64) -> Option<News> {
+    pub fn put(&mut self, entry: Entry, revision: u64) -> Option<Update> {
         let id = entry.id.clone();
         if self.removed.get(&id).is_some_and(|(at, _)| *at >= revision) {
             return None;
         }
-        let has_left = entry.leaving || self.leaves_by_word(&id, entry.incarnation);
+        let has_left = entry.leaving || self.has_departure(&id, entry.incarnation);
         let Some(seen) = self.seen.get_mut(&id) else {
-            let seen = Seen::new(entry, revision, has_left);
+            let seen = Replica::new(entry, revision, has_left);
             self.seen.insert(id.clone(), seen);
-            return Some(News::New(id));
+            return Some(Update::Added(id));
         };
         if seen.revision >= revision {
             return None;
         }
         if seen.entry.incarnation.is_some() && entry.incarnation.is_none() {
             // Each writing of the replica tells its start: this one is another writer's.
-            return self.overwritten(&id, revision);
+            return self.mark_overwritten(&id, revision);
         }
         seen.revision = revision;
         seen.missing = None;
@@ -261,30 +261,30 @@
             // It shows that the replica is there, and nothing else.
             Writing::Old => None,
             Writing::Next => Some(match seen.follow(entry) {
-                true => News::Leaving(id),
-                false => News::Changed(id),
+                true => Update::Leaving(id),
+                false => Update::Changed(id),
             }),
             Writing::Restarted => {
                 seen.restart(entry, has_left);
-                Some(News::Restarted(id))
+                Some(Update::Restarted(id))
             }
         }
     }
 
     /// Takes in that what stands in the place of a replica's entry cannot be read, or is not its own: it names no
     /// replica to use. What runs there goes on, and an entry that can be read makes it good.
-    pub fn overwritten(&mut self, id: &str, revision: u64) -> Option<News> {
+    pub fn mark_overwritten(&mut self, id: &str, revision: u64) -> Option<Update> {
         let seen = self.seen.get_mut(id)?;
         if seen.revision >= revision {
             return None;
         }
         seen.revision = revision;
         seen.entry.leaving = true;
-        Some(News::Overwritten(seen.entry.id.clone()))
+        Some(Update::Overwritten(seen.entry.id.clone()))
     }
 
     /// Takes in a removal at its revision.
-    pub fn remove(&mut self, id: &str, revision: u64, now: Time) -> Option<News> {
+    pub fn remove(&mut self, id: &str, revision: u64, now: Time) -> Option<Update> {
         let may_return = self.contact.may_return(now);
         let seen = self.seen.get_mut(id)?;
         if seen.revision >= revision {
@@ -294,7 +294,7 @@
         if !may_return {
             self.seen.remove(&id);
             self.removed.insert(id.clone(), (revision, now));
-            return Some(News::Gone(id));
+            return Some(Update::Removed(id));
         }
         seen.revision = revision;
         match seen.missing.replace(now) {
@@ -302,12 +302,12 @@
                 seen.missing = Some(since);
                 None
             }
-            None => Some(News::Missing(id)),
+            None => Some(Update::Missing(id)),
         }
     }
 
     /// Compares with a whole range read at `revision`: what is not in it has been removed.
-    pub fn compare(&mut self, present: &[Name], revision: u64, now: Time) -> Vec<News> {
+    pub fn reconcile(&mut self, present: &[Name], revision: u64, now: Time) -> Vec<Update> {
         let absent: Vec<Name> = self
             .seen
             .values()
@@ -326,7 +326,7 @@
     }
 
     /// Takes as gone what is still missing after the store's return, and forgets old removals.
-    pub fn expire(&mut self, now: Time) -> Vec<News> {
+    pub fn expire(&mut self, now: Time) -> Vec<Update> {
         self.removed
             .retain(|_, (_, at)| now.since(*at) < REMEMBERED);
         let seen = &self.seen;
@@ -347,6 +347,6 @@
                 self.removed.insert(id.clone(), (seen.revision, now));
             }
         }
-        gone.into_iter().map(News::Gone).collect()
+        gone.into_iter().map(Update::Removed).collect()
     }
 }
--- a/crates/front/tests/readers.rs
+++ b/crates/front/tests/readers.rs
@@ -3,7 +3,7 @@
 mod site;
 
 use front::Daemon;
-use front::changelog::Recent;
+use front::changelog::Changelog;
 use front::readers::{self, Candidate, Reader};
 use front::state::State;
 use platform::store::{Change, Item};
@@ -180,8 +180,8 @@
 
 #[test]
 fn what_is_passed_on_misses_no_removal() {
-    let mut recent = Recent::default();
-    recent.restart(&[item("a", 3), item("b", 5)], 6, at(0));
+    let mut recent = Changelog::default();
+    recent.reset(&[item("a", 3), item("b", 5)], 6, at(0));
     assert_eq!(recent.since(4), None, "removals before 6 are not known");
     recent.extend([removed("a", 8), Change::Written(item("c", 7))], 9, at(1));
     recent.extend([Change::Written(item("a", 2))], 9, at(1));
@@ -200,8 +200,8 @@
 /// What a reader that is behind confirms is an older state than this host has heard of.
 #[test]
 fn word_of_an_older_revision_does_not_make_news_younger() {
-    let mut recent = Recent::default();
-    recent.restart(&[item("a", 3)], 9, at(0));
+    let mut recent = Changelog::default();
+    recent.reset(&[item("a", 3)], 9, at(0));
     recent.extend([], 7, at(5));
     assert_eq!(
         (recent.revision(), recent.age(at(6))),
--- a/crates/front/tests/view.rs
+++ b/crates/front/tests/view.rs
@@ -2,7 +2,7 @@
 
 mod site;
 
-use front::view::{News, Origin, View};
+use front::view::{Origin, Update, View};
 use platform::replica::Entry;
 use proptest::prelude::*;
 use rstest::rstest;
@@ -20,7 +20,10 @@
 #[test]
 fn older_news_change_nothing() {
     let mut view = View::new(HEARTBEAT);
-    assert_eq!(view.put(entry(5, false), 10), Some(News::New("i-1".into())));
+    assert_eq!(
+        view.put(entry(5, false), 10),
+        Some(Update::Added("i-1".into()))
+    );
     assert_eq!(view.put(entry(6, true), 9), None, "an older revision");
     assert_eq!(
         view.put(entry(4, true), 11),
@@ -36,7 +39,7 @@
     view.put(entry(1, false), 10);
     assert_eq!(
         view.put(entry(2, true), 11),
-        Some(News::Leaving("i-1".into()))
+        Some(Update::Leaving("i-1".into()))
     );
     view.put(entry(3, false), 12);
     assert!(view.get("i-1").unwrap().entry.leaving);
@@ -53,10 +56,10 @@
 fn a_replica_that_starts_again_counts_anew() {
     let mut view = View::new(HEARTBEAT);
     view.put(incarnation(1_000, 50, true), 10);
-    let restarted = Some(News::Restarted("i-1".into()));
+    let restarted = Some(Update::Restarted("i-1".into()));
     assert_eq!(view.put(incarnation(2_000, 1, false), 11), restarted);
     assert!(!view.get("i-1").unwrap().entry.leaving);
-    let leaves = Some(News::Leaving("i-1".into()));
+    let leaves = Some(Update::Leaving("i-1".into()));
     assert_eq!(view.put(incarnation(2_000, 2, true), 12), leaves);
 }
 
@@ -75,7 +78,7 @@
 fn a_start_that_seems_earlier_and_was_never_seen_is_a_new_one() {
     let mut view = View::new(HEARTBEAT);
     view.put(incarnation(5_000, 50, false), 10);
-    let restarted = Some(News::Restarted("i-1".into()));
+    let restarted = Some(Update::Restarted("i-1".into()));
     assert_eq!(view.put(incarnation(3_000, 1, true), 11), restarted);
     assert!(view.get("i-1").unwrap().entry.leaving);
 }
@@ -86,7 +89,7 @@
     view.put(entry(1, false), 10);
     assert_eq!(
         view.remove("i-1", 11, at(0)),
-        Some(News::Gone("i-1".into()))
+        Some(Update::Removed("i-1".into()))
     );
     assert_eq!(
         view.put(entry(1, false), 10),
@@ -105,11 +108,11 @@
     view.contact.answered(at(5_000), at(5_000));
     assert_eq!(
         view.remove("i-1", 11, at(5_100)),
-        Some(News::Missing("i-1".into()))
+        Some(Update::Missing("i-1".into()))
     );
     assert!(view.expire(at(6_900)).is_empty());
     assert!(view.get("i-1").is_some());
-    assert_eq!(view.expire(at(7_100)), [News::Gone("i-1".into())]);
+    assert_eq!(view.expire(at(7_100)), [Update::Removed("i-1".into())]);
 }
 
 #[test]
@@ -132,7 +135,7 @@
     let mut view = View::new(HEARTBEAT);
     view.put(entry(1, false), 10);
     let present: Vec<_> = present.iter().map(|p| (*p).into()).collect();
-    let news = view.compare(&present, 20, at(0));
+    let news = view.reconcile(&present, 20, at(0));
     assert_eq!(!news.is_empty(), gone);
 }
 
@@ -140,7 +143,7 @@
 fn a_range_read_before_an_entry_was_written_does_not_remove_it() {
     let mut view = View::new(HEARTBEAT);
     view.put(entry(1, false), 21);
-    assert!(view.compare(&[], 20, at(0)).is_empty());
+    assert!(view.reconcile(&[], 20, at(0)).is_empty());
 }
 
 /// Guards against a leaving replica that is used again because its entry changes: the entry lapses and returns, is
@@ -150,16 +153,16 @@
     let mut view = View::new(HEARTBEAT);
     let id = "i-1".into();
     view.put(incarnation(7, 1, false), 10);
-    assert!(view.heard_leaving(&id, Some(7), Origin::Answer, at(0)));
+    assert!(view.record_departure(&id, Some(7), Origin::Answer, at(0)));
     assert!(
-        !view.heard_leaving(&id, Some(7), Origin::Answer, at(1)),
+        !view.record_departure(&id, Some(7), Origin::Answer, at(1)),
         "it is no news"
     );
     let leaves = |view: &View| view.get("i-1").unwrap().entry.leaving;
     assert!(leaves(&view));
     view.put(incarnation(7, 2, false), 11);
     assert!(leaves(&view), "its entry says that it stays");
-    view.overwritten("i-1", 12);
+    view.mark_overwritten("i-1", 12);
     view.put(incarnation(7, 3, false), 13);
     assert!(leaves(&view), "its entry was another writer's for a while");
     view.remove("i-1", 14, at(2));
@@ -170,7 +173,7 @@
     view.put(incarnation(8, 1, false), 16);
     assert!(!leaves(&view), "another incarnation is there");
     assert!(
-        !view.heard_leaving(&id, Some(7), Origin::Answer, at(3)),
+        !view.record_departure(&id, Some(7), Origin::Answer, at(3)),
         "a late answer"
     );
     assert!(!leaves(&view));
@@ -213,7 +216,7 @@
             match event {
                 Event::Answer(of) => {
                     let current = view.get("i-1").map(|s| s.entry.incarnation);
-                    let heard = view.heard_leaving(&id, Some(of), Origin::Answer, at(now));
+                    let heard = view.record_departure(&id, Some(of), Origin::Answer, at(now));
                     let is_late = current.is_some_and(|known| known != Some(of));
                     prop_assert!(!(heard && is_late), "a late answer is news");
                     if !is_late {
@@ -232,7 +235,7 @@
                     }
                 }
                 Event::Overwritten => {
-                    view.overwritten("i-1", revision);
+                    view.mark_overwritten("i-1", revision);
                     readable = false;
                 }
                 Event::Removed => {
