--- a/crates/front/src/attempt.rs
+++ b/crates/front/src/attempt.rs
@@ -5,8 +5,8 @@
 mod reservation;
 
 pub use call::Call;
-pub use history::Tried;
-pub use reservation::Place;
+pub use history::History;
+pub use reservation::Reservation;
 
 use crate::accounts::{self, Refusal};
 use crate::clock::Elapsed;
@@ -15,7 +15,7 @@
 use crate::rate_limit;
 use crate::respond::Rejection;
 use crate::state::State;
-use crate::table::{Choice, Closed, Permit};
+use crate::table::{Choice, Permit, Unavailable};
 use conn::{Body, Error, Line};
 use hyper::body::Incoming;
 use hyper::{Request, Response};
@@ -26,9 +26,9 @@
 use unit::{Name, Span};
 
 /// Answer of a replica whose head has come.
-pub struct Sent {
+pub struct Exchange {
     /// Place of the request there.
-    pub place: Place,
+    pub place: Reservation,
     /// Connection that carries the answer.
     pub line: Line,
     /// Head, and the body yet to be read.
@@ -39,7 +39,7 @@
 
 /// Why a sending brought no answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Failed {
+pub enum Failure {
     /// Nothing was handed to a connection.
     Unsent(String),
     /// The replica states that it did not run the request.
@@ -52,54 +52,56 @@
     /// It was sent, and no good answer came; it may have run.
     Lost(String),
     /// The replica ran it, and answered with that status, which tells of its own failure.
-    Failing(u16),
+    ServerError(u16),
     /// Its time ran out; it may have run.
-    Late,
+    TimedOut,
     /// Its time had run out before it was handed to a connection.
-    Overdue,
+    DeadlinePassed,
     /// The replica wants none by its own word; nothing was handed to a connection.
-    KeptBack(Closed),
+    Unavailable(Unavailable),
     /// Its key does not let it go on; nothing was handed to a connection.
-    Barred(Refusal),
+    Unauthorized(Refusal),
     /// It may end what runs it, and gets this answer; nothing was handed to a connection.
-    Held(Rejection),
+    Quarantined(Rejection),
 }
 
-impl Failed {
+impl Failure {
     /// Whether it is proven that nothing of the request reached the replica.
     pub fn proves_unsent(&self) -> bool {
-        self.proves_not_run() && !matches!(self, Failed::NotRun { .. })
+        self.proves_not_run() && !matches!(self, Failure::NotRun { .. })
     }
 
     /// Whether it is proven that the request did not run there and will not.
     pub fn proves_not_run(&self) -> bool {
         matches!(
             self,
-            Failed::Unsent(_)
-                | Failed::NotRun { .. }
-                | Failed::Overdue
-                | Failed::KeptBack(_)
-                | Failed::Barred(_)
-                | Failed::Held(_)
+            Failure::Unsent(_)
+                | Failure::NotRun { .. }
+                | Failure::DeadlinePassed
+                | Failure::Unavailable(_)
+                | Failure::Unauthorized(_)
+                | Failure::Quarantined(_)
         )
     }
 }
 
-impl std::fmt::Display for Failed {
+impl std::fmt::Display for Failure {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Failed::Unsent(why) => write!(f, "not sent: {why}"),
-            Failed::NotRun { status, .. } => write!(f, "refused unrun with status {status}"),
-            Failed::Lost(why) => write!(f, "lost: {why}"),
-            Failed::Failing(status) => write!(f, "the replica failed it with status {status}"),
-            Failed::Late => f.write_str("its time ran out"),
-            Failed::Overdue => f.write_str("not sent: its time had run out"),
-            Failed::KeptBack(Closed::Leaves) => f.write_str("not sent: the replica leaves"),
-            Failed::KeptBack(Closed::Rests(left)) => {
+            Failure::Unsent(why) => write!(f, "not sent: {why}"),
+            Failure::NotRun { status, .. } => write!(f, "refused unrun with status {status}"),
+            Failure::Lost(why) => write!(f, "lost: {why}"),
+            Failure::ServerError(status) => write!(f, "the replica failed it with status {status}"),
+            Failure::TimedOut => f.write_str("its time ran out"),
+            Failure::DeadlinePassed => f.write_str("not sent: its time had run out"),
+            Failure::Unavailable(Unavailable::Leaving) => {
+                f.write_str("not sent: the replica leaves")
+            }
+            Failure::Unavailable(Unavailable::BackingOff(left)) => {
                 write!(f, "not sent: the replica wants nothing for {left}")
             }
-            Failed::Barred(why) => write!(f, "not let on: {why}"),
-            Failed::Held(fault) => write!(f, "not let on: {}", fault.message),
+            Failure::Unauthorized(why) => write!(f, "not let on: {why}"),
+            Failure::Quarantined(fault) => write!(f, "not let on: {}", fault.message),
         }
     }
 }
@@ -109,9 +111,9 @@
     state: &Arc<State>,
     call: &Call,
     choice: &Choice,
-    place: Place,
+    place: Reservation,
     last_event: Option<u64>,
-) -> Result<Sent, Failed> {
+) -> Result<Exchange, Failure> {
     let repeatable = call.route.kind.is_repeatable();
     let kept = state.pool.take(&choice.replica, repeatable, state.now());
     let is_kept = kept.is_some();
@@ -120,15 +122,15 @@
         None => open(state, call, choice, &place).await?,
     };
     // At the last moment before each sending: the key may have gone since the one before.
-    let account = accounts::confirm(state, call).map_err(Failed::Barred)?;
-    quarantine::confirm(state, call).map_err(Failed::Held)?;
+    let account = accounts::confirm(state, call).map_err(Failure::Unauthorized)?;
+    quarantine::confirm(state, call).map_err(Failure::Quarantined)?;
     let account = account.as_ref().map(|a| &*a.name);
-    let permit = feedback::permit(state, call, &place).map_err(Failed::KeptBack)?;
+    let permit = feedback::permit(state, call, &place).map_err(Failure::Unavailable)?;
     let mut request = request(state, call, choice, permit, last_event, account);
     feedback::observe_informational(state, &mut request, place.source(call));
-    let left = call.left(state.now());
+    let left = call.remaining(state.now());
     if left.is_zero() {
-        return Err(Failed::Overdue);
+        return Err(Failure::DeadlinePassed);
     }
     rate_limit::record_send(state, call, &choice.replica, last_event);
     let answered = state
@@ -138,17 +140,17 @@
         Ok(Ok(response)) => response,
         Err(Elapsed) | Ok(Err(Error::Timeout { .. })) => {
             place.failed();
-            return Err(Failed::Late);
+            return Err(Failure::TimedOut);
         }
         Ok(Err(e)) if e.proves_unsent() => {
             // A kept connection that was closed meanwhile says nothing of the replica.
             if !is_kept {
                 place.unreachable();
             }
-            return Err(Failed::Unsent(e.to_string()));
+            return Err(Failure::Unsent(e.to_string()));
         }
         Ok(Err(e)) => {
-            let failed = Failed::Lost(e.to_string());
+            let failed = Failure::Lost(e.to_string());
             place.ended(call, &failed);
             return Err(failed);
         }
@@ -161,9 +163,12 @@
     state: &Arc<State>,
     call: &Call,
     choice: &Choice,
-    place: &Place,
-) -> Result<Line, Failed> {
-    let opened = state.pool.open(choice.addr, call.left(state.now())).await;
+    place: &Reservation,
+) -> Result<Line, Failure> {
+    let opened = state
+        .pool
+        .open(choice.addr, call.remaining(state.now()))
+        .await;
     state
         .log
         .metrics
@@ -172,7 +177,7 @@
     opened.map_err(|e| {
         place.failed();
         place.unreachable();
-        Failed::Unsent(e.to_string())
+        Failure::Unsent(e.to_string())
     })
 }
 
@@ -180,32 +185,32 @@
 async fn judge(
     state: &Arc<State>,
     call: &Call,
-    place: Place,
+    place: Reservation,
     line: Line,
     response: Response<Incoming>,
-) -> Result<Sent, Failed> {
+) -> Result<Exchange, Failure> {
     let said = answer::read(response.status(), response.headers());
     feedback::apply(state, &place.source(call), &said);
     if !said.answers(&call.id) {
         place.failed();
-        return Err(Failed::Lost("an answer to another request came".into()));
+        return Err(Failure::Lost("an answer to another request came".into()));
     }
     if said.not_run {
         place.failed();
         give_back(state, &place.replica, line, &said, response).await;
-        return Err(Failed::NotRun {
+        return Err(Failure::NotRun {
             status: said.status,
             misdirected: said.misdirected,
         });
     }
     if !said.signed {
         place.failed();
-        return Err(Failed::Lost(format!(
+        return Err(Failure::Lost(format!(
             "an answer with status {} without signature came",
             said.status
         )));
     }
-    Ok(Sent {
+    Ok(Exchange {
         place,
         line,
         response,
@@ -249,7 +254,7 @@
     last_event: Option<u64>,
     account: Option<&str>,
 ) -> Request<Body> {
-    let left = Span::from(call.left(state.now())).saturating_sub(WAY_BACK);
+    let left = Span::from(call.remaining(state.now())).saturating_sub(WAY_BACK);
     let mut request = Request::new(Body::new(call.body.clone()));
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.uri.clone();
--- a/crates/front/src/attempt/call.rs
+++ b/crates/front/src/attempt/call.rs
@@ -2,7 +2,7 @@
 
 use crate::accounts::Caller;
 use crate::quarantine::Trial;
-use crate::table::Want;
+use crate::table::Criteria;
 use bytes::Bytes;
 use hyper::header::HeaderMap;
 use hyper::{Method, Uri};
@@ -45,7 +45,7 @@
     /// When nobody needs its answer any more.
     pub deadline: Time,
     /// Its fingerprint, once that was needed: the body is read for it, which few requests are worth.
-    pub print: OnceLock<Fingerprint>,
+    pub fingerprint: OnceLock<Fingerprint>,
     /// Its trial, if it is suspected of ending replicas and was let in.
     pub trial: OnceLock<Trial>,
 }
@@ -53,7 +53,7 @@
 impl Call {
     /// What it has in common with its repetitions, which carry other identities.
     pub fn fingerprint(&self) -> Fingerprint {
-        *self.print.get_or_init(|| {
+        *self.fingerprint.get_or_init(|| {
             let account = self.caller.account.as_ref().map(|a| &*a.name);
             let path = self.uri.path_and_query().map_or("", |p| p.as_str());
             Fingerprint::of(&self.host, path, account, &self.body)
@@ -61,13 +61,13 @@
     }
 
     /// Time left to it.
-    pub fn left(&self, now: Time) -> Duration {
+    pub fn remaining(&self, now: Time) -> Duration {
         self.deadline.since(now).std()
     }
 
     /// What it asks of a replica.
-    pub fn want<'a>(&'a self, avoid: &'a [Name]) -> Want<'a> {
-        Want {
+    pub fn criteria<'a>(&'a self, avoid: &'a [Name]) -> Criteria<'a> {
+        Criteria {
             service: &self.service,
             ask: &self.ask,
             priority: self.priority,
--- a/crates/front/src/attempt/history.rs
+++ b/crates/front/src/attempt/history.rs
@@ -1,27 +1,27 @@
 //! Replicas that a request was sent to.
 
-use super::{Call, Failed};
+use super::{Call, Failure};
 use unit::Name;
 
 /// Replicas that a request was sent to. A route's attempts are counted by those at which it may have run: one that turned it
 /// away has done no work, and all sendings but the first are paid for by the retry budget.
 #[derive(Debug, Clone, Default)]
-pub struct Tried {
+pub struct History {
     /// All of them.
     pub replicas: Vec<Name>,
     /// Those at which it may have run.
     pub may_have_run: Vec<Name>,
 }
 
-impl Tried {
+impl History {
     /// Notes what came of a sending.
-    pub fn note<T>(&mut self, replica: &Name, sent: &Result<T, Failed>) {
+    pub fn note<T>(&mut self, replica: &Name, sent: &Result<T, Failure>) {
         let failed = sent.as_ref().err();
-        if failed.is_some_and(Failed::proves_unsent) {
+        if failed.is_some_and(Failure::proves_unsent) {
             return;
         }
         add(&mut self.replicas, replica);
-        if !failed.is_some_and(Failed::proves_not_run) {
+        if !failed.is_some_and(Failure::proves_not_run) {
             add(&mut self.may_have_run, replica);
         }
     }
--- a/crates/front/src/attempt/reservation.rs
+++ b/crates/front/src/attempt/reservation.rs
@@ -1,6 +1,6 @@
 //! Place of a request at a replica: what the table counts and learns of it.
 
-use super::{Call, Failed};
+use super::{Call, Failure};
 use crate::feedback::Source;
 use crate::quarantine;
 use crate::state::State;
@@ -10,7 +10,7 @@
 use unit::{Name, Time};
 
 /// Place of a request at a replica; dropping it counts the request out.
-pub struct Place {
+pub struct Reservation {
     state: Arc<State>,
     /// The replica.
     pub replica: Name,
@@ -30,18 +30,18 @@
     started: Option<Time>,
 }
 
-impl Place {
+impl Reservation {
     /// Counts a request in.
-    pub fn take(state: &Arc<State>, call: &Call, choice: &Choice) -> Place {
+    pub fn take(state: &Arc<State>, call: &Call, choice: &Choice) -> Reservation {
         let now = state.now();
         let mut table = state.table.lock();
-        let alone = table.alone(&choice.replica, &call.ask, now);
-        let print = table.enter(&choice.replica, &call.want(&[]), now);
+        let alone = table.unqueued_tokens(&choice.replica, &call.ask, now);
+        let print = table.begin(&choice.replica, &call.criteria(&[]), now);
         let seen = table.view.get(&choice.replica);
         let incarnation = seen.and_then(|s| s.entry.incarnation);
         drop(table);
         state.entered.notify_one();
-        Place {
+        Reservation {
             state: state.clone(),
             replica: choice.replica.clone(),
             incarnation,
@@ -60,9 +60,9 @@
         let now = self.state.now();
         self.started = Some(now);
         let mut table = self.state.table.lock();
-        table.started(&self.replica, &mut self.print);
+        table.record_first_token(&self.replica, &mut self.print);
         if let (Some(model), Some(tokens)) = (&self.model, self.alone) {
-            table.learn_speed(&self.service, model, tokens, now.since(self.at));
+            table.record_speed(&self.service, model, tokens, now.since(self.at));
         }
         drop(table);
         self.state.changed.notify_waiters();
@@ -73,16 +73,19 @@
     pub fn answered(&mut self, failed: bool) {
         let now = self.state.now();
         let mut table = self.state.table.lock();
-        table.judge(&self.replica, failed, now);
+        table.record_outcome(&self.replica, failed, now);
         if let (Some(model), Some(started)) = (&self.model, self.started) {
-            table.learn_run(&self.service, model, now.since(started));
+            table.record_run(&self.service, model, now.since(started));
         }
     }
 
     /// Notes that the replica took no connection.
     pub(super) fn unreachable(&self) {
         let now = self.state.now();
-        self.state.table.lock().unreachable(&self.replica, now);
+        self.state
+            .table
+            .lock()
+            .record_unreachable(&self.replica, now);
     }
 
     /// Where an answer to the request comes from.
@@ -96,9 +99,9 @@
     }
 
     /// Notes that the replica gave no whole answer, and why: one that broke off may have been its fall.
-    pub fn ended(&self, call: &Call, why: &Failed) {
+    pub fn ended(&self, call: &Call, why: &Failure) {
         self.failed();
-        if let Failed::Lost(_) = why {
+        if let Failure::Lost(_) = why {
             quarantine::broke(&self.state, call, self);
         }
     }
@@ -106,13 +109,16 @@
     /// Notes that the replica gave no good answer.
     pub fn failed(&self) {
         let now = self.state.now();
-        self.state.table.lock().judge(&self.replica, true, now);
+        self.state
+            .table
+            .lock()
+            .record_outcome(&self.replica, true, now);
     }
 }
 
-impl Drop for Place {
+impl Drop for Reservation {
     fn drop(&mut self) {
-        self.state.table.lock().leave(&self.replica, &self.print);
+        self.state.table.lock().finish(&self.replica, &self.print);
         self.state.changed.notify_waiters();
         self.state.eased.notify_one();
     }
--- a/crates/front/src/feedback.rs
+++ b/crates/front/src/feedback.rs
@@ -1,9 +1,9 @@
 //! Takes in what the head of an answer says of its replica, wherever one is read.
 
-use crate::attempt::{Call, Place};
+use crate::attempt::{Call, Reservation};
 use crate::rate_limit;
 use crate::state::State;
-use crate::table::{Asked, Closed, Permit};
+use crate::table::{Permit, Recorded, Unavailable};
 use crate::view::Origin;
 use conn::Body;
 use hyper::Request;
@@ -45,9 +45,9 @@
     let now = state.now();
     if answers && said.misdirected {
         let mut table = state.table.lock();
-        table.misdirected(&from.replica, from.whole, now);
+        table.record_misdirected(&from.replica, from.whole, now);
     } else if answers && (said.signed || said.not_run) {
-        state.table.lock().reached(&from.replica, now);
+        state.table.lock().record_reached(&from.replica, now);
     }
 }
 
@@ -99,8 +99,8 @@
     let asked = state
         .table
         .lock()
-        .heard_rest(&from.replica, from.incarnation, rest, now);
-    if let Some(Asked { first, left }) = asked {
+        .record_backoff(&from.replica, from.incarnation, rest, now);
+    if let Some(Recorded { first, left }) = asked {
         state
             .log
             .metrics
@@ -114,11 +114,11 @@
 }
 
 /// Lets a request be sent to the replica of its place, unless that takes none now by its own word.
-pub fn permit(state: &State, call: &Call, place: &Place) -> Result<Permit, Closed> {
+pub fn permit(state: &State, call: &Call, place: &Reservation) -> Result<Permit, Unavailable> {
     let now = state.now();
     let permit = state.table.lock().permit(&place.replica, now);
     if let Err(closed) = &permit {
-        let word = closed.word();
+        let word = closed.label();
         let labels = [("why", word)];
         let metrics = &state.log.metrics;
         metrics
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -143,7 +143,7 @@
             }
             Message::Direct(sums) => {
                 let mut table = self.state.table.lock();
-                table.told_by(&sums.host, &sums.loads, now);
+                table.set_host_loads(&sums.host, &sums.loads, now);
                 if let Some(word) = sums.store {
                     table.view.contact.told(word, now);
                 }
@@ -205,7 +205,7 @@
         let mut table = self.state.table.lock();
         table.hosts = (digest.hosts as usize).max(1);
         table.knows_hosts = true;
-        table.told(&digest.loads, now);
+        table.set_fleet_loads(&digest.loads, now);
         for (replica, adapters) in digest.adapters {
             table.set_adapters(&replica, adapters, now);
         }
@@ -217,10 +217,10 @@
             if let Some(word) = plans.store {
                 table.view.contact.told(word, now);
             }
-            table.set_absent(plans.absent, now);
-            table.set_coming(&plans.coming, now);
+            table.set_unreachable(plans.absent, now);
+            table.set_model_etas(&plans.coming, now);
             table.set_loaded(plans.loaded, now);
-            table.set_closing(plans.closing, now);
+            table.set_unloading(plans.closing, now);
         }
     }
 
--- a/crates/front/src/peers/limits.rs
+++ b/crates/front/src/peers/limits.rs
@@ -23,7 +23,7 @@
                 continue;
             }
             let now = self.state.now();
-            let changed = self.state.table.lock().changed_limits(now);
+            let changed = self.state.table.lock().take_changed_limits(now);
             for message in self.messages(&changed) {
                 self.send_all(&message).await;
             }
@@ -55,7 +55,7 @@
             return;
         }
         let now = self.state.now();
-        let limits = self.state.table.lock().heard_limits(now);
+        let limits = self.state.table.lock().own_limits(now);
         for limits in limits.chunks(ROWS) {
             let heard = Heard {
                 host: self.state.settings.name.clone(),
@@ -93,7 +93,7 @@
     /// Takes in what another host heard, and has it told on if it is news.
     pub(super) fn join_limits(&self, told: &[Limited], by: &Name) {
         let now = self.state.now();
-        let changes = self.state.table.lock().join_limits(told, now);
+        let changes = self.state.table.lock().merge_limits(told, now);
         if changes.is_empty() {
             return;
         }
--- a/crates/front/src/peers/sums.rs
+++ b/crates/front/src/peers/sums.rs
@@ -63,7 +63,7 @@
                 self.tell_leader().await;
                 continue;
             }
-            let loads = self.state.table.lock().in_flight();
+            let loads = self.state.table.lock().own_loads();
             let message = Message::Direct(self.sums(0, Vec::new(), loads));
             for other in others {
                 self.send(&message, other).await;
@@ -77,7 +77,7 @@
             return;
         };
         let now = self.state.now();
-        let loads = self.state.table.lock().tell(now);
+        let loads = self.state.table.lock().report_own_loads(now);
         let telling = self.tellings.fetch_add(1, Ordering::Relaxed);
         let sums = self.sums(telling, Vec::new(), loads);
         if leader.peers == self.state.settings.peers {
@@ -97,9 +97,15 @@
         let now = self.state.now();
         let (demand, loads, used, absent, resting) = {
             let mut table = self.state.table.lock();
-            let (demand, loads) = (table.demand(now), table.tell(now));
-            let resting = table.resting(now).iter().map(|id| short(id)).collect();
-            (demand, loads, table.take_used(), table.absent(now), resting)
+            let (demand, loads) = (table.demand(now), table.report_own_loads(now));
+            let resting = table.backing_off(now).iter().map(|id| short(id)).collect();
+            (
+                demand,
+                loads,
+                table.take_adapter_uses(),
+                table.unreachable_replicas(now),
+                resting,
+            )
         };
         let sums = Sums {
             used,
--- a/crates/front/src/planner/demand.rs
+++ b/crates/front/src/planner/demand.rs
@@ -116,7 +116,7 @@
             for model in &engine.models {
                 let key = (service.clone(), model.name.clone());
                 let arrivals = arrivals.get(&key).copied().unwrap_or_default();
-                let (speed, run) = table.pace_of(service, &model.name);
+                let (speed, run) = table.pace(service, &model.name);
                 let reading = arrivals.tokens / (speed * 1_000.0);
                 let places = arrivals.rate * run.secs() / f64::from(engine.slots);
                 let need = reading.max(places) / FULL;
--- a/crates/front/src/planner/service.rs
+++ b/crates/front/src/planner/service.rs
@@ -344,7 +344,7 @@
         let runs = entry
             .held
             .iter()
-            .map(|held| table.pace_of(service, &held.model).1);
+            .map(|held| table.pace(service, &held.model).1);
         let run = runs.max()?;
         let busy = rate * run.secs() / f64::from(entry.slots.max(1));
         Some((entry.id.clone(), busy.min(1.0)))
--- a/crates/front/src/queue.rs
+++ b/crates/front/src/queue.rs
@@ -1,7 +1,7 @@
 //! Requests that wait at this host until a replica can read their prompts without a long pause for
 //! the streams that run there.
 
-use crate::attempt::{Call, Place};
+use crate::attempt::{Call, Reservation};
 use crate::state::State;
 use crate::table::Choice;
 use parking_lot::Mutex;
@@ -25,7 +25,7 @@
 type Key = (Name, Option<Name>, Option<Name>);
 
 /// Request's turn: its replica, and its place there.
-pub type Placement = (Choice, Place);
+pub type Placement = (Choice, Reservation);
 
 /// Requests that wait, by what they need.
 #[derive(Default)]
@@ -93,12 +93,12 @@
             drop(queue.expire(now, |waiter| waiter.turn.is_closed()));
             while let Some(ticket) = queue.peek(now) {
                 let call = ticket.payload.call.clone();
-                let chosen = state.table.lock().choose(&call.want(&[]), now);
+                let chosen = state.table.lock().choose(&call.criteria(&[]), now);
                 let Some(choice) = chosen.ok().filter(|c| c.paced) else {
                     break;
                 };
                 let Some(ticket) = queue.pop(now) else { break };
-                let place = Place::take(state, &call, &choice);
+                let place = Reservation::take(state, &call, &choice);
                 // A client that has left meanwhile gives its place back by dropping it.
                 drop(ticket.payload.turn.send((choice, place)));
             }
--- a/crates/front/src/rate_limit.rs
+++ b/crates/front/src/rate_limit.rs
@@ -11,7 +11,7 @@
 use crate::peers::Peers;
 use crate::peers::quota::QUICK;
 use crate::state::State;
-use crate::table::{Change, Choice, Met, Want};
+use crate::table::{Applicable, Change, Choice, Criteria};
 use platform::answer::Reading;
 use std::sync::Arc;
 use std::time::Duration;
@@ -40,7 +40,7 @@
     let change = state
         .table
         .lock()
-        .heard_limit(&from.replica, from.incarnation, rate, now);
+        .record_limit(&from.replica, from.incarnation, rate, now);
     if let Some(change) = change {
         state.limited.notify_one();
         let rate = rate.unwrap_or_default();
@@ -66,17 +66,17 @@
 pub async fn admit(
     state: &State,
     peers: &Arc<Peers>,
-    want: &Want<'_>,
+    want: &Criteria<'_>,
     choice: &Choice,
 ) -> Result<Option<Grant>, Full> {
     let asked = state.now();
     let replica = &choice.replica;
     let met = {
         let mut table = state.table.lock();
-        let Some(met) = table.meet(replica, want, asked) else {
+        let Some(met) = table.limit_for(replica, want, asked) else {
             return Ok(None);
         };
-        table.asks(replica, asked);
+        table.record_claim(replica, asked);
         met
     };
     let wanted = wanted(&met, choice);
@@ -89,19 +89,19 @@
         let mut table = state.table.lock();
         match answer {
             Some(Answer::Given(given)) => {
-                table.told_of_room(replica, Some(Ok(given.left)), now);
+                table.record_limiter_answer(replica, Some(Ok(given.left)), now);
                 Some(Source::Limiter)
             }
             Some(Answer::Over(over)) => {
-                table.told_of_room(replica, Some(Err(over)), now);
+                table.record_limiter_answer(replica, Some(Err(over)), now);
                 None
             }
             Some(Answer::Unlimited) => {
-                table.unlimited(replica);
+                table.clear_limit(replica);
                 return Ok(None);
             }
             None => {
-                table.told_of_room(replica, None, now);
+                table.record_limiter_answer(replica, None, now);
                 let used = grant::use_alone(state, &wanted);
                 used.is_ok().then_some(Source::Share)
             }
@@ -120,7 +120,7 @@
     }
 }
 
-fn wanted(met: &Met, choice: &Choice) -> Wanted {
+fn wanted(met: &Applicable, choice: &Choice) -> Wanted {
     Wanted {
         subject: Subject::Replica(met.limited),
         limit: met.notice.limit(1.0),
@@ -138,7 +138,7 @@
 
 /// Counts a request in that waits for room at a replica.
 pub fn wait(state: &Arc<State>, replica: &Name) -> Waiter {
-    state.table.lock().hold(replica, true);
+    state.table.lock().count_waiter(replica, true);
     Waiter {
         state: state.clone(),
         replica: replica.clone(),
@@ -147,7 +147,7 @@
 
 impl Drop for Waiter {
     fn drop(&mut self) {
-        self.state.table.lock().hold(&self.replica, false);
+        self.state.table.lock().count_waiter(&self.replica, false);
     }
 }
 
--- a/crates/front/src/relay.rs
+++ b/crates/front/src/relay.rs
@@ -5,7 +5,7 @@
 
 mod resume;
 
-use crate::attempt::{Call, Failed, Place, Sent, Tried};
+use crate::attempt::{Call, Exchange, Failure, History, Reservation};
 use crate::events::Splitter;
 use crate::peers::Peers;
 use crate::quarantine;
@@ -35,7 +35,7 @@
 const LONG_PART: f64 = 0.7;
 
 /// Whether the replica of a place is in the view, has not started again, and its entry is not missing.
-fn is_there(state: &State, place: &Place) -> bool {
+fn is_there(state: &State, place: &Reservation) -> bool {
     let table = state.table.lock();
     let seen = table.view.get(&place.replica);
     seen.is_some_and(|s| s.missing.is_none() && s.entry.incarnation == place.incarnation)
@@ -45,9 +45,9 @@
 pub async fn read_whole(
     state: &Arc<State>,
     call: &Call,
-    sent: Sent,
-) -> Result<Response<Body>, Failed> {
-    let Sent {
+    sent: Exchange,
+) -> Result<Response<Body>, Failure> {
+    let Exchange {
         mut place,
         line,
         response,
@@ -59,13 +59,13 @@
     let body = match read {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(e)) => {
-            let failed = Failed::Lost(format!("its answer broke off: {e}"));
+            let failed = Failure::Lost(format!("its answer broke off: {e}"));
             place.ended(call, &failed);
             return Err(failed);
         }
         Err(_) => {
             place.failed();
-            return Err(Failed::Late);
+            return Err(Failure::TimedOut);
         }
     };
     let failed = head.status.is_server_error();
@@ -81,7 +81,7 @@
 }
 
 /// Gives a connection back once its answer was read whole, if the replica keeps it.
-fn keep(state: &State, place: &Place, line: Line, said: &Said) {
+fn keep(state: &State, place: &Reservation, line: Line, said: &Said) {
     if said.keeps_connection {
         state
             .pool
@@ -97,7 +97,7 @@
     source: Option<Source>,
     splitter: Splitter,
     first: Option<Bytes>,
-    tried: Tried,
+    tried: History,
     last_event: Time,
     /// Time to the first event.
     first_after: Span,
@@ -118,7 +118,7 @@
 
 /// Where the events come from now.
 struct Source {
-    place: Place,
+    place: Reservation,
     line: Line,
     said: Said,
     body: Incoming,
@@ -129,9 +129,9 @@
     state: &Arc<State>,
     peers: &Arc<Peers>,
     call: &Arc<Call>,
-    sent: Sent,
-    tried: Tried,
-) -> Result<Response<Body>, Failed> {
+    sent: Exchange,
+    tried: History,
+) -> Result<Response<Body>, Failure> {
     let mut answer = Response::new(());
     *answer.status_mut() = sent.response.status();
     *answer.headers_mut() = returned(sent.response.headers());
@@ -166,7 +166,7 @@
 
 impl Source {
     /// The events of an answer whose head has come.
-    fn from(sent: Sent) -> Source {
+    fn from(sent: Exchange) -> Source {
         Source {
             place: sent.place,
             line: sent.line,
@@ -178,7 +178,7 @@
 
 impl Relay {
     /// Waits for the first whole event; a failure before it may be made good elsewhere.
-    async fn start(&mut self) -> Result<(), Failed> {
+    async fn start(&mut self) -> Result<(), Failure> {
         self.first = match self.read().await {
             Ok(first) => first,
             Err(why) => {
@@ -228,9 +228,9 @@
         let long = gap.is_some_and(|gap| pause > gap * LONG_PART);
         if let Some(source) = self.source.as_ref().filter(|_| long) {
             let mut table = self.state.table.lock();
-            table.lag(&source.place.replica, now);
+            table.record_slow_event(&source.place.replica, now);
             if pause > self.longest.took {
-                let (in_flight, unread) = table.load_of(&source.place.replica, now);
+                let (in_flight, unread) = table.load(&source.place.replica, now);
                 self.longest = Pause {
                     took: pause,
                     in_flight,
@@ -261,7 +261,7 @@
     }
 
     /// Reads whole events, or none when the answer has ended well.
-    async fn read(&mut self) -> Result<Option<Bytes>, Failed> {
+    async fn read(&mut self) -> Result<Option<Bytes>, Failure> {
         while self.source.is_some() {
             let Some(frame) = self.frame().await? else {
                 return self.ended().map(|()| None);
@@ -270,7 +270,7 @@
                 continue;
             };
             let events = self.splitter.push(data);
-            let events = events.map_err(|_| Failed::Lost("an event was too long".into()))?;
+            let events = events.map_err(|_| Failure::Lost("an event was too long".into()))?;
             if events.is_some() {
                 return Ok(events);
             }
@@ -279,7 +279,7 @@
     }
 
     /// Reads one frame of the answer, or none at its end.
-    async fn frame(&mut self) -> Result<Option<Frame<Bytes>>, Failed> {
+    async fn frame(&mut self) -> Result<Option<Frame<Bytes>>, Failure> {
         let deadline = self.call.deadline;
         let clock = &self.state.clock;
         let resumable = self.call.route.kind.is_repeatable();
@@ -294,23 +294,23 @@
             };
             match clock.timeout_at(until, source.body.frame()).await {
                 Ok(frame) => {
-                    let broken = |e| Failed::Lost(format!("its stream broke off: {e}"));
+                    let broken = |e| Failure::Lost(format!("its stream broke off: {e}"));
                     return frame.transpose().map_err(broken);
                 }
-                Err(_) if until == deadline => return Err(Failed::Late),
+                Err(_) if until == deadline => return Err(Failure::TimedOut),
                 // Silence alone is no reason to give a replica up: it may just be slow.
                 Err(_) if is_there(&self.state, &source.place) => {}
                 Err(_) => {
-                    return Err(Failed::Lost("the replica was silent, and is gone".into()));
+                    return Err(Failure::Lost("the replica was silent, and is gone".into()));
                 }
             }
         }
     }
 
     /// Notes that the answer has ended, unless it ended inside an event.
-    fn ended(&mut self) -> Result<(), Failed> {
+    fn ended(&mut self) -> Result<(), Failure> {
         if self.splitter.is_partial() {
-            return Err(Failed::Lost("its stream ended inside an event".into()));
+            return Err(Failure::Lost("its stream ended inside an event".into()));
         }
         if let Some(mut source) = self.source.take() {
             source.place.answered(false);
@@ -321,7 +321,7 @@
     }
 
     /// Breaks the answer off, so that it does not look whole.
-    fn cut(&mut self, why: &Failed) -> io::Error {
+    fn cut(&mut self, why: &Failure) -> io::Error {
         self.source = None;
         let call = &self.call;
         self.state.log.metrics.ended(&call.route.name, "broken");
--- a/crates/front/src/relay/resume.rs
+++ b/crates/front/src/relay/resume.rs
@@ -1,9 +1,9 @@
 //! Taking a broken stream up at another replica.
 
 use super::{Relay, Source};
-use crate::attempt::{Failed, Place, send};
+use crate::attempt::{Failure, Reservation, send};
 use crate::grant::Grant;
-use crate::table::{Choice, Nowhere, Want};
+use crate::table::{Choice, Criteria, Unplaceable};
 use crate::{quarantine, rate_limit};
 use tracing::info;
 use unit::Span;
@@ -16,14 +16,14 @@
 
 impl Relay {
     /// Takes the stream up at another replica; tells whether that was possible.
-    pub(super) async fn resume(&mut self, why: &Failed) -> bool {
+    pub(super) async fn resume(&mut self, why: &Failure) -> bool {
         if let Some(source) = self.source.take() {
             source.place.ended(&self.call, why);
             self.state.pool.close_all(&source.place.replica);
         }
         let (state, call) = (self.state.clone(), self.call.clone());
         let repeatable = call.route.kind.is_repeatable();
-        if *why == Failed::Late || !repeatable || !quarantine::may_repeat(&state, &call) {
+        if *why == Failure::TimedOut || !repeatable || !quarantine::may_repeat(&state, &call) {
             return false;
         }
         self.splitter.rest();
@@ -36,13 +36,13 @@
                 return false;
             };
             let now = state.now();
-            if !state.table.lock().spend(&call.service, now) {
+            if !state.table.lock().spend_retry(&call.service, now) {
                 if let Some(grant) = grant {
                     grant.give_back(&state).await;
                 }
                 return false;
             }
-            let place = Place::take(&state, &call, &choice);
+            let place = Reservation::take(&state, &call, &choice);
             let sent = send(&state, &call, &choice, place, last).await;
             if let (Some(grant), Err(failed)) = (grant, &sent)
                 && failed.proves_unsent()
@@ -62,7 +62,7 @@
                     self.source = Some(Source::from(sent));
                     return true;
                 }
-                Err(Failed::Barred(_) | Failed::Held(_)) => return false,
+                Err(Failure::Unauthorized(_) | Failure::Quarantined(_)) => return false,
                 _ => {}
             }
         }
@@ -76,9 +76,9 @@
         let give_up = state.now() + RESUMES_WITHIN;
         loop {
             let now = state.now();
-            let want = Want {
+            let want = Criteria {
                 resumes: true,
-                ..call.want(&self.tried.replicas)
+                ..call.criteria(&self.tried.replicas)
             };
             let chosen = state.table.lock().choose(&want, now);
             match chosen {
@@ -87,7 +87,9 @@
                         return Some((choice, grant));
                     }
                 }
-                Err(Nowhere::Full(full)) if now + full.turn < give_up.min(call.deadline) => {
+                Err(Unplaceable::Saturated(full))
+                    if now + full.turn < give_up.min(call.deadline) =>
+                {
                     let _ = tokio::time::timeout(full.turn.std(), state.changed.notified()).await;
                 }
                 Err(_) => return None,
--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -279,7 +279,7 @@
 /// Takes as gone what is missing for too long.
 fn expire(state: &State) {
     let now = state.now();
-    let rested = state.table.lock().end_rests(now);
+    let rested = state.table.lock().expire_backoffs(now);
     for replica in rested {
         let labels = [("replica", &*replica)];
         let metrics = &state.log.metrics;
--- a/crates/front/src/run/gauges.rs
+++ b/crates/front/src/run/gauges.rs
@@ -81,7 +81,7 @@
 
 /// Tells which replicas have named limits; one that is over is told as endless, since a gauge cannot be taken back.
 fn limit_gauges(state: &State) {
-    let mut limited = state.table.lock().limited(state.now());
+    let mut limited = state.table.lock().limits_by_replica(state.now());
     let metrics = &state.log.metrics;
     let in_need = limited.iter().filter(|(_, rate)| rate.is_some()).count();
     metrics
@@ -99,7 +99,7 @@
 fn word_gauges(state: &State) {
     let (leaving, resting) = {
         let table = state.table.lock();
-        (table.view.departures().len(), table.rest_times(state.now()))
+        (table.view.departures().len(), table.backoffs(state.now()))
     };
     let metrics = &state.log.metrics;
     let count = |name, count: usize| metrics.gauge(name, &[]).set(count as f64);
--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -5,7 +5,7 @@
 mod report;
 mod unavailable;
 
-use crate::attempt::{Call, Failed, Sent, Tried, send};
+use crate::attempt::{Call, Exchange, Failure, History, send};
 use crate::peers::Peers;
 use crate::quarantine;
 use crate::queue::Queues;
@@ -100,15 +100,15 @@
 fn note_arrival(state: &State, call: &Call) {
     let bounds = &state.settings.bounds;
     let mut table = state.table.lock();
-    table.arrived(&call.service, &call.ask, bounds, call.arrived);
+    table.record_arrival(&call.service, &call.ask, bounds, call.arrived);
 }
 
 /// What was done for a request so far.
 struct Progress {
     /// Replicas that it was sent to.
-    tried: Tried,
+    tried: History,
     /// Why the last sending brought no answer.
-    last: Failed,
+    last: Failure,
     /// Whether another replica could have taken it when the last one was chosen.
     others: bool,
     /// What it was told when no replica was found for a further sending.
@@ -121,8 +121,8 @@
 async fn attempts(entry: &Context, call: &Arc<Call>) -> Result<Response<Body>, Rejection> {
     let state = &entry.state;
     let mut progress = Progress {
-        tried: Tried::default(),
-        last: Failed::Unsent("no replica was tried".into()),
+        tried: History::default(),
+        last: Failure::Unsent("no replica was tried".into()),
         others: true,
         refusal: None,
         answer: None,
@@ -158,7 +158,7 @@
         let failed = match passed {
             Ok(response) if !progress.may_better(call, &response) => return Ok(response),
             Ok(response) => {
-                let failed = Failed::Failing(response.status().as_u16());
+                let failed = Failure::ServerError(response.status().as_u16());
                 progress.answer = Some(response);
                 failed
             }
@@ -178,7 +178,7 @@
 async fn place(
     entry: &Context,
     call: &Arc<Call>,
-    tried: &Tried,
+    tried: &History,
     others: bool,
     sending: usize,
 ) -> Result<admit::Placed, Rejection> {
@@ -204,9 +204,9 @@
 async fn pass_on(
     entry: &Context,
     call: &Arc<Call>,
-    sent: Sent,
-    tried: &Tried,
-) -> Result<Response<Body>, Failed> {
+    sent: Exchange,
+    tried: &History,
+) -> Result<Response<Body>, Failure> {
     let state = &entry.state;
     match is_events(call, &sent.response) {
         true => relay::open_stream(state, &entry.peers, call, sent, tried.clone()).await,
@@ -224,37 +224,40 @@
     let now = state.now();
     let last = &progress.last;
     let allowed = match last {
-        Failed::Late | Failed::Overdue | Failed::Barred(_) | Failed::Held(_) => false,
-        Failed::Lost(_) | Failed::Failing(_) => {
+        Failure::TimedOut
+        | Failure::DeadlinePassed
+        | Failure::Unauthorized(_)
+        | Failure::Quarantined(_) => false,
+        Failure::Lost(_) | Failure::ServerError(_) => {
             call.route.kind.is_repeatable()
                 && progress.tried.may_run(call)
                 && quarantine::may_repeat(state, call)
         }
-        Failed::NotRun { .. } | Failed::Unsent(_) | Failed::KeptBack(_) => true,
+        Failure::NotRun { .. } | Failure::Unsent(_) | Failure::Unavailable(_) => true,
     };
-    let free = matches!(last, Failed::Unsent(_) | Failed::KeptBack(_));
-    allowed && now < call.deadline && (free || state.table.lock().spend(&call.service, now))
+    let free = matches!(last, Failure::Unsent(_) | Failure::Unavailable(_));
+    allowed && now < call.deadline && (free || state.table.lock().spend_retry(&call.service, now))
 }
 
 /// Tells of a failed sending, and corrects what the table believed.
-fn after_failure(state: &State, call: &Call, choice: &Choice, failed: &Failed) {
+fn after_failure(state: &State, call: &Call, choice: &Choice, failed: &Failure) {
     state.log.notable(|| {
         info!(target: "request", event = "failed", id = &*call.id, print = %call.fingerprint(), replica = &*choice.replica, addr = %choice.addr, entry = choice.revision, candidates = choice.candidates, why = %failed, "a sending brought no answer")
     });
     let misdirected = matches!(
         failed,
-        Failed::NotRun {
+        Failure::NotRun {
             misdirected: true,
             ..
         }
     );
     if let (true, Some(model), Some(adapter)) = (misdirected, &call.ask.model, &call.ask.adapter) {
         let mut table = state.table.lock();
-        table.drop_adapter(&choice.replica, model, adapter);
+        table.remove_adapter(&choice.replica, model, adapter);
     }
     let sound = matches!(
         failed,
-        Failed::NotRun { .. } | Failed::Failing(_) | Failed::KeptBack(_)
+        Failure::NotRun { .. } | Failure::ServerError(_) | Failure::Unavailable(_)
     );
     if !sound {
         state.pool.close_all(&choice.replica);
@@ -266,8 +269,8 @@
     let may_have_run = !progress.tried.may_have_run.is_empty();
     let last = &progress.last;
     match last {
-        Failed::Barred(refusal) if !may_have_run => return refusal.fault(),
-        Failed::Held(fault) if !may_have_run => return fault.clone(),
+        Failure::Unauthorized(refusal) if !may_have_run => return refusal.fault(),
+        Failure::Quarantined(fault) if !may_have_run => return fault.clone(),
         _ => {}
     }
     if !may_have_run {
@@ -275,7 +278,7 @@
         let refused = Rejection::not_run("refused_by_replicas", message, RETURN_RANGE.0);
         return progress.refusal.unwrap_or(refused);
     }
-    match state.now() >= call.deadline || *last == Failed::Late {
+    match state.now() >= call.deadline || *last == Failure::TimedOut {
         true => Rejection::timed_out("The replica did not answer in time."),
         false => Rejection::lost("lost", format!("The answer could not be had ({last}).")),
     }
--- a/crates/front/src/serve/admit.rs
+++ b/crates/front/src/serve/admit.rs
@@ -2,12 +2,12 @@
 
 use super::unavailable::{absent, full, want_adapter};
 use super::{Context, RETURN_RANGE, report};
-use crate::attempt::{Call, Place};
+use crate::attempt::{Call, Reservation};
 use crate::grant::Grant;
 use crate::queue::Placement;
 use crate::rate_limit::{self, Waiter};
 use crate::respond::Rejection;
-use crate::table::{Choice, Nowhere};
+use crate::table::{Choice, Unplaceable};
 use route::batch;
 use std::sync::Arc;
 use std::time::Duration;
@@ -38,7 +38,7 @@
 /// Where a request goes.
 pub(super) struct Placed {
     pub(super) choice: Choice,
-    pub(super) place: Place,
+    pub(super) place: Reservation,
     /// Its part of the replica's limit, if that has named one.
     pub(super) grant: Option<Grant>,
 }
@@ -47,7 +47,7 @@
 struct Found {
     choice: Choice,
     /// The request's place there, where it got that with its turn.
-    place: Option<Place>,
+    place: Option<Reservation>,
     /// Whether it waited for its turn.
     waited: bool,
 }
@@ -74,7 +74,7 @@
     let mut held = None;
     loop {
         let found = find(entry, call, avoid, sending, &mut held).await?;
-        let want = call.want(avoid);
+        let want = call.criteria(avoid);
         let Ok(grant) = rate_limit::admit(state, &entry.peers, &want, &found.choice).await else {
             // Not even this host's own word may keep others from their turn.
             tokio::task::yield_now().await;
@@ -88,7 +88,7 @@
         if sending == 0 {
             report::sent(state, call, &choice, waited);
         }
-        let place = place.unwrap_or_else(|| Place::take(state, call, &choice));
+        let place = place.unwrap_or_else(|| Reservation::take(state, call, &choice));
         return Ok(Placed {
             choice,
             place,
@@ -109,7 +109,7 @@
     let held_until = call.arrived + Span::from(call.route.target) * HELD_PART;
     loop {
         let now = state.now();
-        let want = call.want(avoid);
+        let want = call.criteria(avoid);
         let chosen = state.table.lock().choose(&want, now);
         let (until, fault) = match chosen {
             Ok(choice) if sending > 0 => return Ok(Found::at_once(choice)),
@@ -119,7 +119,7 @@
                 }
                 return admit(entry, call, choice).await;
             }
-            Err(Nowhere::Full(at)) => full(state, call, &at, held, now),
+            Err(Unplaceable::Saturated(at)) => full(state, call, &at, held, now),
             Err(nowhere) => absent(state, call, nowhere, held_until, now),
         };
         // A host that stops has no time for requests that only wait.
@@ -145,8 +145,8 @@
     let (taken, coming) = {
         let table = state.table.lock();
         let model = call.ask.model.as_ref();
-        let coming = model.and_then(|m| table.coming(m, now));
-        (table.taken(&call.want(&[]), now), coming)
+        let coming = model.and_then(|m| table.model_eta(m, now));
+        (table.utilization(&call.criteria(&[]), now), coming)
     };
     if expected > target * REFUSED_BEYOND && (taken >= PLACES_FREE || !choice.free) {
         return Err(overloaded(expected, target, coming));
@@ -161,7 +161,7 @@
     }
     // Much may have changed in the wait: the first choice may have left.
     let now = state.now();
-    let again = state.table.lock().choose(&call.want(&[]), now);
+    let again = state.table.lock().choose(&call.criteria(&[]), now);
     match again {
         Ok(choice) if choice.held_up && call.priority >= GIVES_WAY => {
             let expected = now.since(call.arrived) + choice.first_token;
--- a/crates/front/src/serve/read.rs
+++ b/crates/front/src/serve/read.rs
@@ -97,7 +97,7 @@
         ask,
         arrived,
         deadline,
-        print: OnceLock::new(),
+        fingerprint: OnceLock::new(),
         trial: OnceLock::new(),
     })
 }
--- a/crates/front/src/serve/unavailable.rs
+++ b/crates/front/src/serve/unavailable.rs
@@ -7,7 +7,7 @@
 use crate::rate_limit::{self, Waiter};
 use crate::respond::Rejection;
 use crate::state::{State, Wish};
-use crate::table::{Full, Nowhere};
+use crate::table::{Saturated, Unplaceable};
 use std::sync::Arc;
 use unit::{Span, Time};
 
@@ -43,7 +43,7 @@
 pub(super) fn full(
     state: &Arc<State>,
     call: &Call,
-    at: &Full,
+    at: &Saturated,
     held: &mut Option<Waiter>,
     now: Time,
 ) -> (Time, Rejection) {
@@ -58,7 +58,7 @@
 }
 
 /// Answer to a request whose replicas have no room by their own word.
-fn has_no_room(call: &Call, at: &Full) -> Rejection {
+fn has_no_room(call: &Call, at: &Saturated) -> Rejection {
     let wait = at.turn.max(RETURN_RANGE.0);
     let spread = (wait * SPREAD_PART).max(LEAST_SPREAD);
     let wait = wait + spread * fraction(&call.id);
@@ -83,20 +83,20 @@
 pub(super) fn absent(
     state: &State,
     call: &Call,
-    nowhere: Nowhere,
+    nowhere: Unplaceable,
     held_until: Time,
     now: Time,
 ) -> (Time, Rejection) {
     let target = Span::from(call.route.target);
     match nowhere {
-        Nowhere::NoModel(Some(coming))
+        Unplaceable::NoModel(Some(coming))
             if now.since(call.arrived) + coming < target * COMING_PART =>
         {
             let until = call.arrived + target * COMING_PART;
             let message = "The model is being loaded.";
             (until, Rejection::not_run("model_loading", message, coming))
         }
-        Nowhere::NoModel(coming) => {
+        Unplaceable::NoModel(coming) => {
             let until = match coming {
                 Some(_) => now,
                 None => {
@@ -109,23 +109,23 @@
             let wait = wait.max(RETURN_RANGE.0);
             (until, Rejection::not_run("no_model", message, wait))
         }
-        Nowhere::NoAdapter => {
+        Unplaceable::NoAdapter => {
             want_adapter(state, call, false);
             let message = "The adapter is on no replica yet.";
             let fault = Rejection::not_run("no_adapter", message, RETURN_FOR_ADAPTER);
             (held_until, fault)
         }
-        Nowhere::Unreachable => {
+        Unplaceable::Unreachable => {
             let message = "The replicas that could take the request cannot be reached.";
             let fault = Rejection::not_run("unreachable", message, RETURN_UNREACHABLE);
             (held_until, fault)
         }
-        Nowhere::Full(at) => (now, has_no_room(call, &at)),
-        Nowhere::Leaving => {
+        Unplaceable::Saturated(at) => (now, has_no_room(call, &at)),
+        Unplaceable::Leaving => {
             let message = "All replicas of the service leave, or cannot be used.";
             (now, Rejection::not_run("leaving", message, RETURN_LATER))
         }
-        Nowhere::NoReplica => {
+        Unplaceable::NoReplica => {
             let message = "No replica of the service is there.";
             (now, Rejection::not_run("no_replica", message, RETURN_LATER))
         }
--- a/crates/front/src/table.rs
+++ b/crates/front/src/table.rs
@@ -18,10 +18,10 @@
 mod reachability;
 mod replica;
 
-pub use backoff::Asked;
-pub use choose::{Choice, Full, Nowhere};
-pub use permit::{Closed, Permit};
-pub use rate_limit::{Change, Met};
+pub use backoff::Recorded;
+pub use choose::{Choice, Saturated, Unplaceable};
+pub use permit::{Permit, Unavailable};
+pub use rate_limit::{Applicable, Change};
 pub use replica::Footprint;
 
 use crate::message::Use;
@@ -82,7 +82,7 @@
 
 /// Request to be placed.
 #[derive(Debug, Clone)]
-pub struct Want<'a> {
+pub struct Criteria<'a> {
     /// Service it goes to.
     pub service: &'a Name,
     /// What it says of itself.
@@ -173,13 +173,13 @@
     }
 
     /// Pace of a model: prompt tokens read in a millisecond, and the time of a run.
-    pub fn pace_of(&self, service: &Name, model: &Name) -> (f64, Span) {
+    pub fn pace(&self, service: &Name, model: &Name) -> (f64, Span) {
         let pace = self.paces.of(service, Some(model));
         (pace.speed, pace.run)
     }
 
     /// Share of the places of a service's replicas for a model that are taken.
-    pub fn taken(&self, want: &Want, now: Time) -> f64 {
+    pub fn utilization(&self, want: &Criteria, now: Time) -> f64 {
         let model = want.ask.model.as_ref();
         let direct = self.is_direct(now);
         let (mut taken, mut places) = (0.0, 0.0);
@@ -190,7 +190,7 @@
                 let state = self.replicas.get(&entry.id);
                 // The places of a replica in need, or at rest, are not there for the asking.
                 let in_need = state.is_some_and(|s| s.limit(now).is_some());
-                if in_need || self.closed(&entry.id, now).is_some() {
+                if in_need || self.unavailable(&entry.id, now).is_some() {
                     continue;
                 }
                 let load = state.map(|s| s.load(now, direct));
@@ -202,7 +202,7 @@
     }
 
     /// Requests in flight at a replica, and the time to read the prompts not read there.
-    pub fn load_of(&self, replica: &str, now: Time) -> (f64, Span) {
+    pub fn load(&self, replica: &str, now: Time) -> (f64, Span) {
         let state = self.replicas.get(replica);
         let load = state
             .map(|s| s.load(now, self.is_direct(now)))
@@ -215,12 +215,12 @@
     }
 
     /// Time until one more copy of a model is expected, if one is on its way.
-    pub fn coming(&self, model: &Name, now: Time) -> Option<Span> {
+    pub fn model_eta(&self, model: &Name, now: Time) -> Option<Span> {
         self.told.coming(model, now)
     }
 
     /// Counts a request in at a replica.
-    pub fn enter(&mut self, replica: &Name, want: &Want, now: Time) -> Footprint {
+    pub fn begin(&mut self, replica: &Name, want: &Criteria, now: Time) -> Footprint {
         let pace = self.paces.of(want.service, want.ask.model.as_ref());
         self.note_use(replica, want);
         let state = self.replica(replica);
@@ -229,7 +229,7 @@
     }
 
     /// Notes that the first token of a request has come.
-    pub fn started(&mut self, replica: &str, print: &mut Footprint) {
+    pub fn record_first_token(&mut self, replica: &str, print: &mut Footprint) {
         if let Some(state) = self.replicas.get_mut(replica) {
             state.started(print);
         }
@@ -237,51 +237,51 @@
     }
 
     /// Counts a request out.
-    pub fn leave(&mut self, replica: &str, print: &Footprint) {
+    pub fn finish(&mut self, replica: &str, print: &Footprint) {
         if let Some(state) = self.replicas.get_mut(replica) {
             state.leave(print);
         }
     }
 
     /// Learns from an answer or a failure of a replica.
-    pub fn judge(&mut self, replica: &Name, failed: bool, now: Time) {
+    pub fn record_outcome(&mut self, replica: &Name, failed: bool, now: Time) {
         let sample = f64::from(u8::from(failed));
         self.replica(replica).failing.learn(sample, now);
     }
 
     /// Learns that a replica took no connection.
-    pub fn unreachable(&mut self, replica: &Name, now: Time) {
+    pub fn record_unreachable(&mut self, replica: &Name, now: Time) {
         self.replica(replica).absence.strike(now);
     }
 
     /// Learns that a replica refused a request as meant for another replica, model or adapter;
     /// `whole` if the request named no adapter.
-    pub fn misdirected(&mut self, replica: &Name, whole: bool, now: Time) {
+    pub fn record_misdirected(&mut self, replica: &Name, whole: bool, now: Time) {
         self.replica(replica).absence.misdirected(whole, now);
     }
 
     /// Learns that a replica answered under its identity.
-    pub fn reached(&mut self, replica: &Name, now: Time) {
+    pub fn record_reached(&mut self, replica: &Name, now: Time) {
         self.replica(replica).absence.reached(now);
     }
 
     /// Learns that a stream of a replica paused for almost longer than it may.
-    pub fn lag(&mut self, replica: &Name, now: Time) {
+    pub fn record_slow_event(&mut self, replica: &Name, now: Time) {
         self.replica(replica).lagging.learn(1.0, now);
     }
 
     /// Learns how fast prompts are read, from one that none stood before: it took that time.
-    pub fn learn_speed(&mut self, service: &Name, model: &Name, tokens: f64, took: Span) {
+    pub fn record_speed(&mut self, service: &Name, model: &Name, tokens: f64, took: Span) {
         self.paces.learn_speed(service, model, tokens, took);
     }
 
     /// Learns how long a run takes after its first token.
-    pub fn learn_run(&mut self, service: &Name, model: &Name, run: Span) {
+    pub fn record_run(&mut self, service: &Name, model: &Name, run: Span) {
         self.paces.learn_run(service, model, run);
     }
 
     /// Prompt tokens to be read for a request at a replica, if none stands before it there.
-    pub fn alone(&self, replica: &str, ask: &Ask, now: Time) -> Option<f64> {
+    pub fn unqueued_tokens(&self, replica: &str, ask: &Ask, now: Time) -> Option<f64> {
         let model = ask.model.as_ref()?;
         let state = self.replicas.get(replica);
         let load = state.map(|s| s.load(now, self.is_direct(now)));
@@ -291,7 +291,7 @@
     }
 
     /// Notes the arrival of a request, for the demand and for the retry budget.
-    pub fn arrived(&mut self, service: &Name, ask: &Ask, bounds: &Bounds, now: Time) {
+    pub fn record_arrival(&mut self, service: &Name, ask: &Ask, bounds: &Bounds, now: Time) {
         let length = bounds.retry_window.into();
         let new = || Window::new(bounds.retry_share, bounds.retry_slack, length);
         let window = self.windows.entry(service.clone()).or_insert_with(new);
@@ -302,7 +302,7 @@
     }
 
     /// Spends a retry of a service's budget if there is one.
-    pub fn spend(&mut self, service: &str, now: Time) -> bool {
+    pub fn spend_retry(&mut self, service: &str, now: Time) -> bool {
         let hosts = self.knows_hosts.then_some(self.hosts);
         let window = self.windows.get_mut(service);
         window.is_some_and(|w| w.spend(now, hosts))
--- a/crates/front/src/table/adapters.rs
+++ b/crates/front/src/table/adapters.rs
@@ -1,7 +1,7 @@
 //! Adapters: which replica holds which, by the leader's word or its entry, and which are used here.
 
 use super::replica::State;
-use super::{SUMS_AGE, Table, Want};
+use super::{Criteria, SUMS_AGE, Table};
 use crate::message::{Use, short};
 use platform::replica::Entry;
 use unit::{Name, Time};
@@ -11,7 +11,7 @@
 
 impl Table {
     /// Notes that a request uses an adapter, to tell the leader.
-    pub(super) fn note_use(&mut self, replica: &Name, want: &Want) {
+    pub(super) fn note_use(&mut self, replica: &Name, want: &Criteria) {
         let (Some(model), Some(adapter)) = (&want.ask.model, &want.ask.adapter) else {
             return;
         };
@@ -25,7 +25,7 @@
     }
 
     /// Adapters that requests of this host used since the last call.
-    pub fn take_used(&mut self) -> Vec<Use> {
+    pub fn take_adapter_uses(&mut self) -> Vec<Use> {
         self.used.drain().collect()
     }
 
@@ -50,7 +50,7 @@
     }
 
     /// Notes that a replica turned a request for an adapter away: it is not there.
-    pub fn drop_adapter(&mut self, replica: &str, model: &Name, adapter: &Name) {
+    pub fn remove_adapter(&mut self, replica: &str, model: &Name, adapter: &Name) {
         if let Some(state) = self.replicas.get_mut(replica) {
             state.adapters.retain(|(m, a)| m != model || a != adapter);
         }
--- a/crates/front/src/table/backoff.rs
+++ b/crates/front/src/table/backoff.rs
@@ -12,7 +12,7 @@
 
 /// What changed when a replica asked for rest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Asked {
+pub struct Recorded {
     /// Whether it had asked for none that holds.
     pub first: bool,
     /// Time that it rests now.
@@ -22,13 +22,13 @@
 impl Table {
     /// Takes in that a replica turned a request away and wants nothing from this host for a time, of no length where it
     /// asked for none: then only a return that is under way begins anew. Nothing where another incarnation is known by now.
-    pub fn heard_rest(
+    pub fn record_backoff(
         &mut self,
         id: &Name,
         incarnation: Incarnation,
         time: Span,
         now: Time,
-    ) -> Option<Asked> {
+    ) -> Option<Recorded> {
         if self.view.has_other_incarnation(id, incarnation) {
             return None;
         }
@@ -49,7 +49,7 @@
                 rest
             }
         };
-        Some(Asked {
+        Some(Recorded {
             first,
             left: rest.left(now),
         })
@@ -62,14 +62,14 @@
     }
 
     /// Replicas that want nothing from this host now.
-    pub fn resting(&self, now: Time) -> Vec<Name> {
-        let times = self.rest_times(now).into_iter();
+    pub fn backing_off(&self, now: Time) -> Vec<Name> {
+        let times = self.backoffs(now).into_iter();
         let resting = times.filter(|(_, left)| *left > Span::ZERO);
         resting.map(|(id, _)| id).collect()
     }
 
     /// Replicas that rest, or rested a moment ago, with the time that is left; the longest first.
-    pub fn rest_times(&self, now: Time) -> Vec<(Name, Span)> {
+    pub fn backoffs(&self, now: Time) -> Vec<(Name, Span)> {
         let holds = |id: &Name, of: &Incarnation| !self.view.has_other_incarnation(id, *of);
         let rests = self.rests.iter().filter(|(id, (of, _))| holds(id, of));
         let left = rests.map(|(id, (_, rest))| (id.clone(), rest.left(now)));
@@ -79,7 +79,7 @@
     }
 
     /// Takes out the replicas whose rest and the return from it are over, or that have started again.
-    pub fn end_rests(&mut self, now: Time) -> Vec<Name> {
+    pub fn expire_backoffs(&mut self, now: Time) -> Vec<Name> {
         let view = &self.view;
         let is_over = |id: &Name, of: &Incarnation, rest: &Rest| {
             rest.is_over(now) || view.has_other_incarnation(id, *of)
--- a/crates/front/src/table/choose.rs
+++ b/crates/front/src/table/choose.rs
@@ -3,7 +3,7 @@
 use super::adapters::holds_adapter;
 use super::pace::Pace;
 use super::replica::State;
-use super::{STEP, Table, Want};
+use super::{Criteria, STEP, Table};
 use crate::message::RANKS;
 use crate::view::Replica;
 use platform::config::Engine;
@@ -50,7 +50,7 @@
 
 /// Why no replica was chosen.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Nowhere {
+pub enum Unplaceable {
     /// No replica of the service is there.
     NoReplica,
     /// All replicas of the service that it may go to leave.
@@ -62,12 +62,12 @@
     /// The replicas that could take it cannot be reached at the moment.
     Unreachable,
     /// The replicas that could take it have no room now by their own word: the one where its turn comes first.
-    Full(Full),
+    Saturated(Saturated),
 }
 
 /// Replica that takes nothing now by its own word.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Full {
+pub struct Saturated {
     /// Time until a request has its turn there.
     pub turn: Span,
     /// The replica.
@@ -97,7 +97,7 @@
 
 /// What is the same for all candidates of a request.
 struct Terms<'a> {
-    want: &'a Want<'a>,
+    want: &'a Criteria<'a>,
     /// Model that the request needs, where the service runs models.
     model: Option<&'a Name>,
     pace: Pace,
@@ -110,13 +110,13 @@
 
 impl Table {
     /// Chooses a replica for a request.
-    pub fn choose(&mut self, want: &Want, now: Time) -> Result<Choice, Nowhere> {
+    pub fn choose(&mut self, want: &Criteria, now: Time) -> Result<Choice, Unplaceable> {
         let service = self.service(want.service);
         let engine = service.as_ref().and_then(|s| s.engine.as_ref());
         let model = want.ask.model.as_ref().filter(|_| engine.is_some());
         let (mut found, mut beside) = (Vec::new(), Vec::new());
         let mut nearest = Fit::Out;
-        let mut first_turn: Option<Full> = None;
+        let mut first_turn: Option<Saturated> = None;
         for seen in self.view.all() {
             let fit = self.fit(&seen.entry, want, model, now);
             nearest = nearest.max(fit);
@@ -132,7 +132,7 @@
         }
         if found.is_empty() {
             return Err(match first_turn {
-                Some(full) if nearest == Fit::Full => Nowhere::Full(full),
+                Some(full) if nearest == Fit::Full => Unplaceable::Saturated(full),
                 _ => self.nowhere(nearest, model, now),
             });
         }
@@ -147,7 +147,9 @@
         let unheard = (0..found.len()).find(is_unheard);
         let (at, first_token) = match unheard {
             Some(at) => (at, candidates[at].first_token(&ask)),
-            None => batch::choose(&ask, &candidates, &mut self.rng).ok_or(Nowhere::NoReplica)?,
+            None => {
+                batch::choose(&ask, &candidates, &mut self.rng).ok_or(Unplaceable::NoReplica)?
+            }
         };
         let takes = |seen: &&Replica| self.candidate(&seen.entry, &terms).takes(&ask);
         let crowded = !candidates[at].takes(&ask) && beside.iter().any(takes);
@@ -168,7 +170,7 @@
     /// What is the same for all candidates of a request.
     fn terms<'a>(
         &self,
-        want: &'a Want<'a>,
+        want: &'a Criteria<'a>,
         model: Option<&'a Name>,
         engine: Option<&Engine>,
         now: Time,
@@ -192,7 +194,7 @@
     }
 
     /// How far a replica fits a request.
-    fn fit(&self, entry: &Entry, want: &Want, model: Option<&Name>, now: Time) -> Fit {
+    fn fit(&self, entry: &Entry, want: &Criteria, model: Option<&Name>, now: Time) -> Fit {
         if entry.service != *want.service || want.avoid.contains(&entry.id) {
             return Fit::Out;
         }
@@ -222,8 +224,8 @@
     }
 
     /// Why a replica has no room now by its own word, if it has none: its rest, or else its limit.
-    fn full(&self, entry: &Entry, want: &Want, now: Time) -> Option<Full> {
-        let full = |turn, rests| Full {
+    fn full(&self, entry: &Entry, want: &Criteria, now: Time) -> Option<Saturated> {
+        let full = |turn, rests| Saturated {
             turn,
             replica: entry.id.clone(),
             rests,
@@ -237,13 +239,13 @@
     }
 
     /// Why no replica can take a request, by the one that fits it best.
-    fn nowhere(&self, nearest: Fit, model: Option<&Name>, now: Time) -> Nowhere {
+    fn nowhere(&self, nearest: Fit, model: Option<&Name>, now: Time) -> Unplaceable {
         match nearest {
-            Fit::Out => Nowhere::NoReplica,
-            Fit::Leaving => Nowhere::Leaving,
-            Fit::NoModel => Nowhere::NoModel(model.and_then(|m| self.told.coming(m, now))),
-            Fit::NoAdapter => Nowhere::NoAdapter,
-            Fit::Absent | Fit::Full | Fit::Whole => Nowhere::Unreachable,
+            Fit::Out => Unplaceable::NoReplica,
+            Fit::Leaving => Unplaceable::Leaving,
+            Fit::NoModel => Unplaceable::NoModel(model.and_then(|m| self.told.coming(m, now))),
+            Fit::NoAdapter => Unplaceable::NoAdapter,
+            Fit::Absent | Fit::Full | Fit::Whole => Unplaceable::Unreachable,
         }
     }
 
@@ -272,7 +274,7 @@
 }
 
 /// What a request asks of a batch.
-fn batch_ask(want: &Want, engine: Option<&Engine>, blur: Span) -> batch::Ask {
+fn batch_ask(want: &Criteria, engine: Option<&Engine>, blur: Span) -> batch::Ask {
     let stride = engine.map_or(1, |e| e.stride);
     batch::Ask {
         tokens: tokens(want.ask) as f64,
--- a/crates/front/src/table/loads.rs
+++ b/crates/front/src/table/loads.rs
@@ -16,13 +16,13 @@
     }
 
     /// What this host has in flight.
-    pub fn in_flight(&self) -> Vec<Row> {
+    pub fn own_loads(&self) -> Vec<Row> {
         let busy = self.replicas.iter().filter(|(_, s)| s.mine.requests > 0.0);
         busy.map(|(id, s)| Row::new(id, &s.mine)).collect()
     }
 
     /// Short names of replicas that this host found unreachable lately.
-    pub fn absent(&self, now: Time) -> Vec<u32> {
+    pub fn unreachable_replicas(&self, now: Time) -> Vec<u32> {
         let absent = self
             .replicas
             .iter()
@@ -31,7 +31,7 @@
     }
 
     /// What this host has in flight, remembered as told.
-    pub fn tell(&mut self, now: Time) -> Vec<Row> {
+    pub fn report_own_loads(&mut self, now: Time) -> Vec<Row> {
         let set_aside = now.since(self.told_before_at) >= UNDER_WAY;
         if set_aside {
             self.told_before_at = now;
@@ -42,11 +42,11 @@
             }
             state.told = state.mine;
         }
-        self.in_flight()
+        self.own_loads()
     }
 
     /// Takes in the sums of all hosts.
-    pub fn told(&mut self, rows: &[Row], now: Time) {
+    pub fn set_fleet_loads(&mut self, rows: &[Row], now: Time) {
         for (id, load) in self.named(rows) {
             let state = self.replicas.entry(id).or_default();
             // Whether the sums hold what was told last is not known; to count some of this host's own
@@ -58,7 +58,7 @@
     }
 
     /// Takes in what another host has in flight, as it tells itself.
-    pub fn told_by(&mut self, host: &Name, rows: &[Row], now: Time) {
+    pub fn set_host_loads(&mut self, host: &Name, rows: &[Row], now: Time) {
         self.direct_at = now;
         for state in self.replicas.values_mut() {
             state.hosts.remove(host);
--- a/crates/front/src/table/permit.rs
+++ b/crates/front/src/table/permit.rs
@@ -9,27 +9,27 @@
 
 /// Why a replica gets nothing from this host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Closed {
+pub enum Unavailable {
     /// It leaves, or is gone.
-    Leaves,
+    Leaving,
     /// It wants nothing for a time, or only little after it; the time until the next request.
-    Rests(Span),
+    BackingOff(Span),
 }
 
-impl Closed {
+impl Unavailable {
     /// Word for it in logs and metrics.
-    pub fn word(&self) -> &'static str {
+    pub fn label(&self) -> &'static str {
         match self {
-            Closed::Leaves => "leaves",
-            Closed::Rests(_) => "rests",
+            Unavailable::Leaving => "leaves",
+            Unavailable::BackingOff(_) => "rests",
         }
     }
 }
 
 impl Table {
     /// Lets a request or a call be sent to a replica, unless that takes none now.
-    pub fn permit(&mut self, id: &str, now: Time) -> Result<Permit, Closed> {
-        if let Some(closed) = self.closed(id, now) {
+    pub fn permit(&mut self, id: &str, now: Time) -> Result<Permit, Unavailable> {
+        if let Some(closed) = self.unavailable(id, now) {
             return Err(closed);
         }
         if let Some((_, rest)) = self.rests.get_mut(id) {
@@ -39,12 +39,12 @@
     }
 
     /// Why a replica takes nothing from this host now.
-    pub fn closed(&self, id: &str, now: Time) -> Option<Closed> {
+    pub fn unavailable(&self, id: &str, now: Time) -> Option<Unavailable> {
         let seen = self.view.get(id).filter(|seen| !seen.entry.leaving);
         let Some(seen) = seen else {
-            return Some(Closed::Leaves);
+            return Some(Unavailable::Leaving);
         };
         let rest = self.rest(id, seen.entry.incarnation, now)?;
-        rest.turn(now).map(Closed::Rests)
+        rest.turn(now).map(Unavailable::BackingOff)
     }
 }
--- a/crates/front/src/table/plans.rs
+++ b/crates/front/src/table/plans.rs
@@ -76,7 +76,7 @@
 
 impl Table {
     /// Time since the leader last told its plans.
-    pub fn told_plans_age(&self, now: Time) -> Span {
+    pub fn plans_age(&self, now: Time) -> Span {
         now.since(self.told.loaded.at)
     }
 
@@ -86,17 +86,17 @@
     }
 
     /// Notes which replicas are about to give up which models.
-    pub fn set_closing(&mut self, closing: Vec<(Name, Name)>, now: Time) {
+    pub fn set_unloading(&mut self, closing: Vec<(Name, Name)>, now: Time) {
         self.told.closing.set(closing, now);
     }
 
     /// Notes which replicas, by their short names, several hosts could not reach.
-    pub fn set_absent(&mut self, absent: Vec<u32>, now: Time) {
+    pub fn set_unreachable(&mut self, absent: Vec<u32>, now: Time) {
         self.told.set_absent(absent, now);
     }
 
     /// Notes when models are expected somewhere, in milliseconds from now.
-    pub fn set_coming(&mut self, coming: &[(Name, u32)], now: Time) {
+    pub fn set_model_etas(&mut self, coming: &[(Name, u32)], now: Time) {
         self.told.set_coming(coming, now);
     }
 }
--- a/crates/front/src/table/rate_limit.rs
+++ b/crates/front/src/table/rate_limit.rs
@@ -2,7 +2,7 @@
 
 use super::choose::rank;
 use super::replica::State;
-use super::{Table, Want};
+use super::{Criteria, Table};
 use crate::message::Limited;
 use platform::replica::{Entry, Incarnation};
 use route::quota::{INTAKE, Notice, Outlook, Over};
@@ -51,7 +51,7 @@
 
 /// Limit of a replica, as a request meets it.
 #[derive(Debug, Clone, Copy)]
-pub struct Met {
+pub struct Applicable {
     /// What is told of it to whoever gives out.
     pub limited: Limited,
     /// What the replica last said.
@@ -105,7 +105,7 @@
     }
 
     /// Time until a request would have its turn there; none where there may be room for it now.
-    pub(super) fn turn(&self, want: &Want, now: Time) -> Option<Span> {
+    pub(super) fn turn(&self, want: &Criteria, now: Time) -> Option<Span> {
         let need = self.limit(now)?;
         let kept = kept(want);
         (need.wait(kept, now) > Span::ZERO).then(|| need.turn(kept, now))
@@ -113,7 +113,7 @@
 }
 
 /// Requests that a request leaves to those that are more urgent: a stream that is taken up again leaves none.
-fn kept(want: &Want) -> f64 {
+fn kept(want: &Criteria) -> f64 {
     match want.resumes {
         true => 0.0,
         false => KEPT_A_RANK * (rank(want.priority) + 1) as f64,
@@ -128,7 +128,7 @@
 
     /// Takes in what an answer says: the rate that it names, if it does. Tells what that changes; nothing where another
     /// incarnation of the replica is known by now.
-    pub fn heard_limit(
+    pub fn record_limit(
         &mut self,
         id: &Name,
         incarnation: Incarnation,
@@ -158,7 +158,7 @@
     }
 
     /// Takes in what other hosts heard; tells replicas, what they name, and what that changes.
-    pub fn join_limits(&mut self, told: &[Limited], now: Time) -> Vec<(Name, f64, Change)> {
+    pub fn merge_limits(&mut self, told: &[Limited], now: Time) -> Vec<(Name, f64, Change)> {
         let told = told
             .iter()
             .filter_map(|t| Some((t.replica, t.notice(now)?)));
@@ -189,7 +189,7 @@
     }
 
     /// Replicas that have named a limit, with that, or none where it is over.
-    pub fn limited(&self, now: Time) -> Vec<(Name, Option<f64>)> {
+    pub fn limits_by_replica(&self, now: Time) -> Vec<(Name, Option<f64>)> {
         let named = self.replicas.iter().filter(|(_, s)| s.need.is_some());
         let named = named.map(|(id, s)| (id.clone(), s.limit(now).map(|l| l.notice.rate)));
         named.collect()
@@ -203,7 +203,7 @@
     }
 
     /// Limits that this host has heard itself lately, to be told.
-    pub fn heard_limits(&self, now: Time) -> Vec<Limited> {
+    pub fn own_limits(&self, now: Time) -> Vec<Limited> {
         let is_own = |need: &Need| need.heard.is_some_and(|at| now.since(at) < TOLD_AGAIN);
         self.rows(is_own, now)
     }
@@ -214,7 +214,7 @@
     }
 
     /// Those of them that say something else than was told last, which they now are.
-    pub fn changed_limits(&mut self, now: Time) -> Vec<Limited> {
+    pub fn take_changed_limits(&mut self, now: Time) -> Vec<Limited> {
         let is_news = |need: &Need| need.is_told(now) && need.told != Some(need.says());
         let changed = self.rows(is_news, now);
         let needs = self.replicas.values_mut().filter_map(|s| s.need.as_mut());
@@ -236,10 +236,10 @@
     }
 
     /// Limit that a request meets at a replica, if that has named one.
-    pub fn meet(&self, id: &str, want: &Want, now: Time) -> Option<Met> {
+    pub fn limit_for(&self, id: &str, want: &Criteria, now: Time) -> Option<Applicable> {
         let notice = self.replicas.get(id)?.limit(now)?.notice;
         let entry = &self.view.get(id)?.entry;
-        Some(Met {
+        Some(Applicable {
             limited: Limited::new(entry, &notice, now),
             notice,
             kept: kept(want),
@@ -247,7 +247,7 @@
     }
 
     /// Notes that a request is being asked for, so that others here do not ask for the same one.
-    pub fn asks(&mut self, id: &str, now: Time) {
+    pub fn record_claim(&mut self, id: &str, now: Time) {
         let Some(need) = self.need(id) else { return };
         let limit = need.notice.limit(1.0);
         if let Some(outlook) = &mut need.outlook {
@@ -256,7 +256,7 @@
     }
 
     /// Notes how many requests there were when one was asked for: given, refused, or without an answer.
-    pub fn told_of_room(&mut self, id: &str, told: Option<Result<f64, Over>>, now: Time) {
+    pub fn record_limiter_answer(&mut self, id: &str, told: Option<Result<f64, Over>>, now: Time) {
         if let Some(need) = self.need(id) {
             need.outlook = Some(match told {
                 Some(Ok(left)) => Outlook::new(left, now),
@@ -267,14 +267,14 @@
     }
 
     /// Notes that the leader knows of no limit of a replica.
-    pub fn unlimited(&mut self, id: &str) {
+    pub fn clear_limit(&mut self, id: &str) {
         if let Some(state) = self.replicas.get_mut(id) {
             state.need = None;
         }
     }
 
     /// Counts a request of this host in that waits for room at a replica, or out.
-    pub fn hold(&mut self, id: &str, waits: bool) {
+    pub fn count_waiter(&mut self, id: &str, waits: bool) {
         if let Some((_, rest)) = self.rests.get_mut(id) {
             rest.hold(waits);
         }
--- a/crates/front/src/table/replica.rs
+++ b/crates/front/src/table/replica.rs
@@ -5,7 +5,7 @@
 use super::pace::Pace;
 use super::rate_limit::Need;
 use super::reachability::Absence;
-use super::{DIRECT_AGE, SUMS_AGE, Want};
+use super::{Criteria, DIRECT_AGE, SUMS_AGE};
 use crate::message::Load;
 use platform::ingress::Ask;
 use std::collections::{BTreeMap, VecDeque};
@@ -87,7 +87,7 @@
     }
 
     /// Counts a request in.
-    pub(super) fn enter(&mut self, want: &Want, pace: &Pace) -> Footprint {
+    pub(super) fn enter(&mut self, want: &Criteria, pace: &Pace) -> Footprint {
         let model = want.ask.model.as_ref();
         let kept = model.map_or(0, |m| self.kept(m, want.ask));
         let print = Footprint {
--- a/crates/front/tests/backoff.rs
+++ b/crates/front/tests/backoff.rs
@@ -194,7 +194,7 @@
     ask_once(&replica, &host, value).await;
     let resting = || {
         let state = host.state();
-        state.table.lock().resting(state.now()).len()
+        state.table.lock().backing_off(state.now()).len()
     };
     assert_eq!(resting(), 1);
     let (_, answer) = ask(&host, "/again/x", None).await;
@@ -216,7 +216,7 @@
         let state = host.state();
         let mut table = state.table.lock();
         let incarnation = table.view.get("w-1").unwrap().entry.incarnation;
-        table.heard_rest(&"w-1".into(), incarnation, Span::from_ms(100), state.now());
+        table.record_backoff(&"w-1".into(), incarnation, Span::from_ms(100), state.now());
     }
     while at.elapsed() < Duration::from_millis(1_900) {
         ask(&host, "/again/x", None).await;
--- a/crates/front/tests/changes.rs
+++ b/crates/front/tests/changes.rs
@@ -167,7 +167,7 @@
     let daemon = daemon(&store, "d1").await;
     let now = daemon.state().now();
     let coming = [("m9".into(), 500)];
-    daemon.state().table.lock().set_coming(&coming, now);
+    daemon.state().table.lock().set_model_etas(&coming, now);
     let addr = daemon.callers();
     let asked = tokio::spawn(async move {
         let (_, request) = site::request("/stream/x", Some("m9"));
@@ -207,7 +207,7 @@
         };
         loop {
             let (row, now) = (Row::new("i-1", &load), state.now());
-            state.table.lock().told_by(&"d2".into(), &[row], now);
+            state.table.lock().set_host_loads(&"d2".into(), &[row], now);
             sleep(Duration::from_millis(50)).await;
         }
     });
@@ -310,7 +310,7 @@
     }
     let sums_at = |daemon: &front::Daemon| {
         let state = daemon.state();
-        state.table.lock().told_plans_age(state.now())
+        state.table.lock().plans_age(state.now())
     };
     let age = sums_at(&second);
     assert!(age < Span::from_secs(1), "sums are told on: {age}");
@@ -350,7 +350,7 @@
     let m2 = "m2".into();
     let awaited = || {
         let state = daemon.state();
-        let coming = state.table.lock().coming(&m2, state.now());
+        let coming = state.table.lock().model_eta(&m2, state.now());
         coming.is_some() || replicas.iter().any(|r| r.models().contains_key("m2"))
     };
     until(awaited).await;
--- a/crates/front/tests/parts.rs
+++ b/crates/front/tests/parts.rs
@@ -149,12 +149,12 @@
     bounds.retry_slack = 400.0;
     let mut table = Table::new("a".into(), 1, HEARTBEAT);
     for _ in 0..3 {
-        table.arrived(&service, &ask, &bounds, at(0));
+        table.record_arrival(&service, &ask, &bounds, at(0));
     }
-    assert!(!table.spend(&service, at(1)));
+    assert!(!table.spend_retry(&service, at(1)));
     table.hosts = 100;
     table.knows_hosts = true;
-    assert!(table.spend(&service, at(2)));
+    assert!(table.spend_retry(&service, at(2)));
 }
 
 /// A replica that wants nothing from most hosts counts in plans as what it serves; one that rests for a few does not.
--- a/crates/front/tests/rate_limit.rs
+++ b/crates/front/tests/rate_limit.rs
@@ -271,7 +271,7 @@
             host.state()
                 .table
                 .lock()
-                .limited(host.state().now())
+                .limits_by_replica(host.state().now())
                 .is_empty()
         );
     }
@@ -282,7 +282,11 @@
         site::ask(&host, "/stream/x", Some("m1")).await;
     }
     sleep(Duration::from_millis(1_500)).await;
-    let limited = host.state().table.lock().limited(host.state().now());
+    let limited = host
+        .state()
+        .table
+        .lock()
+        .limits_by_replica(host.state().now());
     assert_eq!(limited, [("i-1".into(), Some(2.5))]);
 }
 
--- a/crates/front/tests/sums.rs
+++ b/crates/front/tests/sums.rs
@@ -3,7 +3,7 @@
 mod site;
 
 use front::message::{Load, Row};
-use front::table::{Table, Want};
+use front::table::{Criteria, Table};
 use hyper::HeaderMap;
 use platform::ingress;
 use site::{HEARTBEAT, at, entry};
@@ -14,7 +14,7 @@
     let mut table = Table::new("a".into(), 1, HEARTBEAT);
     table.view.put(entry(id), 1);
     let (service, ask) = ("web".into(), ingress::ask(&HeaderMap::new()));
-    let want = Want {
+    let want = Criteria {
         service: &service,
         ask: &ask,
         priority: 0,
@@ -23,7 +23,7 @@
         resumes: false,
     };
     for _ in 0..2 {
-        table.enter(id, &want, at(0));
+        table.begin(id, &want, at(0));
     }
     table
 }
@@ -41,9 +41,9 @@
 fn own_requests_are_not_missed_while_they_are_on_their_way_to_the_leader() {
     let id: Name = "i-1".into();
     let mut table = busy(&id);
-    table.tell(at(10));
-    table.told(&[row(&id, 3.0)], at(20));
-    assert_eq!(table.load_of(&id, at(20)).0, 5.0, "three of other hosts");
+    table.report_own_loads(at(10));
+    table.set_fleet_loads(&[row(&id, 3.0)], at(20));
+    assert_eq!(table.load(&id, at(20)).0, 5.0, "three of other hosts");
 }
 
 #[test]
@@ -51,10 +51,10 @@
     let id: Name = "i-1".into();
     let mut table = busy(&id);
     for ms in [10, 40, 80, 120, 160] {
-        table.tell(at(ms));
+        table.report_own_loads(at(ms));
     }
-    table.told(&[row(&id, 5.0)], at(170));
-    assert_eq!(table.load_of(&id, at(170)).0, 5.0, "three of other hosts");
+    table.set_fleet_loads(&[row(&id, 5.0)], at(170));
+    assert_eq!(table.load(&id, at(170)).0, 5.0, "three of other hosts");
 }
 
 #[test]
@@ -63,10 +63,10 @@
     let mut table = busy(&id);
     table.view.put(entry("i-2"), 2);
     for ms in [10, 80, 150] {
-        table.tell(at(ms));
+        table.report_own_loads(at(ms));
     }
-    table.told(&[row(&id, 4.0), row("i-2", 3.0)], at(160));
-    table.told(&[row("i-2", 1.0)], at(190));
-    assert_eq!(table.load_of(&id, at(190)).0, 4.0);
-    assert_eq!(table.load_of("i-2", at(190)).0, 1.0);
+    table.set_fleet_loads(&[row(&id, 4.0), row("i-2", 3.0)], at(160));
+    table.set_fleet_loads(&[row("i-2", 1.0)], at(190));
+    assert_eq!(table.load(&id, at(190)).0, 4.0);
+    assert_eq!(table.load("i-2", at(190)).0, 1.0);
 }
--- a/crates/standin/src/experiment/platform.rs
+++ b/crates/standin/src/experiment/platform.rs
@@ -4,7 +4,7 @@
 use super::measure::allocated;
 use cli::render::{json, out, table};
 use front::message::{Digest, Load, Message, Row, encode};
-use front::table::{Table, Want};
+use front::table::{Criteria, Table};
 use place::copies::{self, Model, Replica};
 use platform::ingress::{Ask, Part};
 use platform::replica::{Entry, Held};
@@ -92,7 +92,7 @@
         ..Ask::default()
     };
     let service: Name = "llm".into();
-    let want = Want {
+    let want = Criteria {
         service: &service,
         ask: &ask,
         priority: 1,
