--- a/crates/front/src/attempt/call.rs
+++ b/crates/front/src/attempt/call.rs
@@ -66,14 +66,14 @@
     }
 
     /// What it asks of a replica.
-    pub fn criteria<'a>(&'a self, avoid: &'a [Name]) -> Criteria<'a> {
+    pub fn criteria<'a>(&'a self, excluded: &'a [Name]) -> Criteria<'a> {
         Criteria {
             service: &self.service,
             ask: &self.ask,
             priority: self.priority,
-            gap: self.route.gap.map(Span::from),
-            avoid,
-            resumes: false,
+            max_gap: self.route.gap.map(Span::from),
+            excluded,
+            is_resumption: false,
         }
     }
 }
--- a/crates/front/src/attempt/reservation.rs
+++ b/crates/front/src/attempt/reservation.rs
@@ -23,7 +23,7 @@
     /// Whether the request names no adapter.
     whole: bool,
     /// When the request was counted in.
-    pub at: Time,
+    pub reserved_at: Time,
     /// Prompt tokens to be read for it, if no other prompt stood before it then.
     alone: Option<f64>,
     /// When the first token came.
@@ -49,7 +49,7 @@
             service: call.service.clone(),
             model: call.ask.model.clone(),
             whole: call.ask.adapter.is_none(),
-            at: now,
+            reserved_at: now,
             alone,
             started: None,
         }
@@ -62,7 +62,7 @@
         let mut table = self.state.table.lock();
         table.record_first_token(&self.replica, &mut self.print);
         if let (Some(model), Some(tokens)) = (&self.model, self.alone) {
-            table.record_speed(&self.service, model, tokens, now.since(self.at));
+            table.record_speed(&self.service, model, tokens, now.since(self.reserved_at));
         }
         drop(table);
         self.state.changed.notify_waiters();
--- a/crates/front/src/feedback.rs
+++ b/crates/front/src/feedback.rs
@@ -3,7 +3,7 @@
 use crate::attempt::{Call, Reservation};
 use crate::rate_limit;
 use crate::state::State;
-use crate::table::{Permit, Recorded, Unavailable};
+use crate::table::{BackoffUpdate, Permit, Unavailable};
 use crate::view::Origin;
 use conn::Body;
 use hyper::Request;
@@ -100,7 +100,7 @@
         .table
         .lock()
         .record_backoff(&from.replica, from.incarnation, rest, now);
-    if let Some(Recorded { first, left }) = asked {
+    if let Some(BackoffUpdate { first, left }) = asked {
         state
             .log
             .metrics
@@ -124,7 +124,7 @@
         metrics
             .counter("coveford_kept_back_total", &labels)
             .increment(1);
-        let placed_ms = now.since(place.at).ms();
+        let placed_ms = now.since(place.reserved_at).ms();
         state.log.notable(|| {
             info!(target: "replica", event = "kept_back", id = &*call.id, replica = &*place.replica, why = word, placed_ms, "a request was not sent to a replica that wants none")
         });
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -203,8 +203,8 @@
             return;
         }
         let mut table = self.state.table.lock();
-        table.hosts = (digest.hosts as usize).max(1);
-        table.knows_hosts = true;
+        table.host_count = (digest.hosts as usize).max(1);
+        table.knows_host_count = true;
         table.set_fleet_loads(&digest.loads, now);
         for (replica, adapters) in digest.adapters {
             table.set_adapters(&replica, adapters, now);
--- a/crates/front/src/peers/sums.rs
+++ b/crates/front/src/peers/sums.rs
@@ -42,7 +42,7 @@
 
     /// Pause between two rounds.
     pub fn round(&self) -> Duration {
-        let hosts = self.state.table.lock().hosts;
+        let hosts = self.state.table.lock().host_count;
         match hosts <= MOST_DIRECT {
             true => ROUND,
             false => STAR_ROUND.max(ROUND_PER_HOST * hosts as u32),
--- a/crates/front/src/rate_limit.rs
+++ b/crates/front/src/rate_limit.rs
@@ -11,7 +11,7 @@
 use crate::peers::Peers;
 use crate::peers::quota::QUICK;
 use crate::state::State;
-use crate::table::{Applicable, Change, Choice, Criteria};
+use crate::table::{Change, Choice, Criteria, LimitTerms};
 use platform::answer::Reading;
 use std::sync::Arc;
 use std::time::Duration;
@@ -120,7 +120,7 @@
     }
 }
 
-fn wanted(met: &Applicable, choice: &Choice) -> Wanted {
+fn wanted(met: &LimitTerms, choice: &Choice) -> Wanted {
     Wanted {
         subject: Subject::Replica(met.limited),
         limit: met.notice.limit(1.0),
@@ -137,7 +137,7 @@
 }
 
 /// Counts a request in that waits for room at a replica.
-pub fn wait(state: &Arc<State>, replica: &Name) -> Waiter {
+pub fn register_waiter(state: &Arc<State>, replica: &Name) -> Waiter {
     state.table.lock().count_waiter(replica, true);
     Waiter {
         state: state.clone(),
--- a/crates/front/src/readers.rs
+++ b/crates/front/src/readers.rs
@@ -144,7 +144,7 @@
 
 /// Whether so few hosts are there that each reads the store itself.
 pub fn is_direct(state: &State) -> bool {
-    state.table.lock().hosts <= MOST_DIRECT
+    state.table.lock().host_count <= MOST_DIRECT
 }
 
 /// Whether the store failed this host a moment ago.
--- a/crates/front/src/readers/answer.rs
+++ b/crates/front/src/readers/answer.rs
@@ -2,7 +2,7 @@
 
 use super::message::{Answer, MOST_QUESTION, News, PATH, Question, Row};
 use super::question::is_old;
-use crate::respond::{Body, full};
+use crate::respond::{Body, full_body};
 use crate::state::State;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
@@ -18,7 +18,7 @@
 
 /// Answers another host's question, at the latest when its time to wait is over.
 pub async fn answer(state: Arc<State>, request: Request<Incoming>) -> Response<Body> {
-    let mut response = Response::new(full(Bytes::new()));
+    let mut response = Response::new(full_body(Bytes::new()));
     if request.uri().path() != PATH {
         *response.status_mut() = StatusCode::NOT_FOUND;
         return response;
@@ -31,7 +31,7 @@
     wait_for_news(&state, &question).await;
     let answer = rmp_serde::to_vec(&current(&state, question.after, begin));
     let answer = answer.expect("an answer is plain data");
-    *response.body_mut() = full(answer.into());
+    *response.body_mut() = full_body(answer.into());
     response
 }
 
--- a/crates/front/src/relay.rs
+++ b/crates/front/src/relay.rs
@@ -9,7 +9,7 @@
 use crate::events::Splitter;
 use crate::peers::Peers;
 use crate::quarantine;
-use crate::respond::{Body, full};
+use crate::respond::{Body, full_body};
 use crate::state::{InFlight, State};
 use bytes::Bytes;
 use conn::Line;
@@ -74,7 +74,7 @@
         quarantine::ended_well(state, call);
     }
     keep(state, &place, line, &said);
-    let mut response = Response::new(full(body));
+    let mut response = Response::new(full_body(body));
     *response.status_mut() = head.status;
     *response.headers_mut() = returned(&head.headers);
     Ok(response)
--- a/crates/front/src/relay/resume.rs
+++ b/crates/front/src/relay/resume.rs
@@ -77,7 +77,7 @@
         loop {
             let now = state.now();
             let want = Criteria {
-                resumes: true,
+                is_resumption: true,
                 ..call.criteria(&self.tried.replicas)
             };
             let chosen = state.table.lock().choose(&want, now);
--- a/crates/front/src/respond.rs
+++ b/crates/front/src/respond.rs
@@ -79,7 +79,7 @@
     /// The answer that tells the client.
     pub fn response(&self) -> Response<Body> {
         let text = serde_json::json!({"error": self.reason, "message": self.message});
-        let mut response = Response::new(full(text.to_string().into()));
+        let mut response = Response::new(full_body(text.to_string().into()));
         *response.status_mut() = self.status;
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
@@ -95,7 +95,7 @@
 }
 
 /// Body that is there whole.
-pub fn full(bytes: Bytes) -> Body {
+pub fn full_body(bytes: Bytes) -> Body {
     Full::new(bytes)
         .map_err(|never| match never {})
         .boxed_unsync()
--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -152,7 +152,7 @@
     let entry = serve::Context {
         state: state.clone(),
         peers: peers.clone(),
-        waiting: Arc::default(),
+        queues: Arc::default(),
     };
     let daemon = Daemon {
         callers: serve_callers(&entry, callers)?,
@@ -175,7 +175,7 @@
 ) -> JoinSet<()> {
     let mut tasks = JoinSet::new();
     let state = &entry.state;
-    tasks.spawn(queue::run(state.clone(), entry.waiting.clone()));
+    tasks.spawn(queue::run(state.clone(), entry.queues.clone()));
     tasks.spawn(peers.clone().tell_directly());
     tasks.spawn(follow::run(state.clone()));
     tasks.spawn(peers.clone().receive());
@@ -223,7 +223,7 @@
             (names::READY, false) => StatusCode::SERVICE_UNAVAILABLE,
             _ => StatusCode::NOT_FOUND,
         };
-        let mut response = Response::new(respond::full(bytes::Bytes::new()));
+        let mut response = Response::new(respond::full_body(bytes::Bytes::new()));
         *response.status_mut() = status;
         async move { Ok(response) }
     };
@@ -239,7 +239,7 @@
     let answer = move |_: Request<Incoming>| {
         gauges::update(&state, &peers);
         let text = state.log.metrics.render();
-        async move { Ok(Response::new(respond::full(text.into()))) }
+        async move { Ok(Response::new(respond::full_body(text.into()))) }
     };
     conn::serve(listener, OTHER_CONNECTIONS, answer).context(RuntimeSnafu)
 }
--- a/crates/front/src/run/gauges.rs
+++ b/crates/front/src/run/gauges.rs
@@ -71,7 +71,7 @@
     let version = table.routes.as_ref().map_or(0, |r| r.version);
     set("coveford_configuration_version", &[], version as f64);
     set("coveford_replicas", &[], table.view.all().count() as f64);
-    set("coveford_hosts", &[], table.hosts as f64);
+    set("coveford_hosts", &[], table.host_count as f64);
     let away = f64::from(u8::from(table.view.contact.is_away()));
     set("coveford_store_away", &[], away);
 }
--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -42,7 +42,7 @@
     /// Other hosts.
     pub peers: Arc<Peers>,
     /// Requests that wait for a replica.
-    pub waiting: Arc<Mutex<Queues>>,
+    pub queues: Arc<Mutex<Queues>>,
 }
 
 /// Answers a request; the answer is given at once when the request is given up.
--- a/crates/front/src/serve/admit.rs
+++ b/crates/front/src/serve/admit.rs
@@ -138,7 +138,7 @@
     let now = state.now();
     let target = Span::from(call.route.target);
     let expected = now.since(call.arrived) + choice.first_token;
-    let others_wait = entry.waiting.lock().is_waited_for(call);
+    let others_wait = entry.queues.lock().is_waited_for(call);
     if choice.paced && !others_wait {
         return Ok(Found::at_once(choice));
     }
@@ -178,7 +178,7 @@
         return None;
     }
     let state = &entry.state;
-    let turn = entry.waiting.lock().push(call, until, now);
+    let turn = entry.queues.lock().push(call, until, now);
     tokio::select! {
         turn = state.clock.timeout_at(until, turn) => turn.ok().and_then(Result::ok),
         _ = state.stopping() => None,
--- a/crates/front/src/serve/unavailable.rs
+++ b/crates/front/src/serve/unavailable.rs
@@ -53,7 +53,7 @@
     }
     // Its adapter may be on no other replica.
     want_adapter(state, call, true);
-    held.get_or_insert_with(|| rate_limit::wait(state, &at.replica));
+    held.get_or_insert_with(|| rate_limit::register_waiter(state, &at.replica));
     (until, has_no_room(call, at))
 }
 
--- a/crates/front/src/table.rs
+++ b/crates/front/src/table.rs
@@ -18,10 +18,10 @@
 mod reachability;
 mod replica;
 
-pub use backoff::Recorded;
+pub use backoff::BackoffUpdate;
 pub use choose::{Choice, Saturated, Unplaceable};
 pub use permit::{Permit, Unavailable};
-pub use rate_limit::{Applicable, Change};
+pub use rate_limit::{Change, LimitTerms};
 pub use replica::Footprint;
 
 use crate::message::Use;
@@ -60,9 +60,9 @@
     /// Configuration in force.
     pub routes: Option<Arc<Routes>>,
     /// Hosts that the leader knows of, this one included; 1 until one has told.
-    pub hosts: usize,
+    pub host_count: usize,
     /// Whether a leader has told how many hosts there are.
-    pub knows_hosts: bool,
+    pub knows_host_count: bool,
     hall: Name,
     replicas: HashMap<Name, State>,
     rests: Rests,
@@ -90,11 +90,11 @@
     /// Rank of urgency, 0 first.
     pub priority: u8,
     /// Longest pause between events of a stream, if it has a bound.
-    pub gap: Option<Span>,
+    pub max_gap: Option<Span>,
     /// Replicas it must not go to.
-    pub avoid: &'a [Name],
+    pub excluded: &'a [Name],
     /// Whether it takes up a stream that has broken, which goes before what has not begun.
-    pub resumes: bool,
+    pub is_resumption: bool,
 }
 
 impl Table {
@@ -104,8 +104,8 @@
         Table {
             view: View::new(heartbeat),
             routes: None,
-            hosts: 1,
-            knows_hosts: false,
+            host_count: 1,
+            knows_host_count: false,
             hall,
             replicas: HashMap::new(),
             rests: Rests::new(),
@@ -303,7 +303,7 @@
 
     /// Spends a retry of a service's budget if there is one.
     pub fn spend_retry(&mut self, service: &str, now: Time) -> bool {
-        let hosts = self.knows_hosts.then_some(self.hosts);
+        let hosts = self.knows_host_count.then_some(self.host_count);
         let window = self.windows.get_mut(service);
         window.is_some_and(|w| w.spend(now, hosts))
     }
--- a/crates/front/src/table/backoff.rs
+++ b/crates/front/src/table/backoff.rs
@@ -12,7 +12,7 @@
 
 /// What changed when a replica asked for rest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Recorded {
+pub struct BackoffUpdate {
     /// Whether it had asked for none that holds.
     pub first: bool,
     /// Time that it rests now.
@@ -28,7 +28,7 @@
         incarnation: Incarnation,
         time: Span,
         now: Time,
-    ) -> Option<Recorded> {
+    ) -> Option<BackoffUpdate> {
         if self.view.has_other_incarnation(id, incarnation) {
             return None;
         }
@@ -49,7 +49,7 @@
                 rest
             }
         };
-        Some(Recorded {
+        Some(BackoffUpdate {
             first,
             left: rest.left(now),
         })
--- a/crates/front/src/table/choose.rs
+++ b/crates/front/src/table/choose.rs
@@ -187,7 +187,7 @@
 
     /// Width of the random part of a choice, by the age of what other hosts told.
     fn blur(&self, now: Time) -> Span {
-        match self.is_direct(now) || self.hosts == 1 {
+        match self.is_direct(now) || self.host_count == 1 {
             true => DIRECT_BLUR,
             false => TOLD_BLUR,
         }
@@ -195,7 +195,7 @@
 
     /// How far a replica fits a request.
     fn fit(&self, entry: &Entry, want: &Criteria, model: Option<&Name>, now: Time) -> Fit {
-        if entry.service != *want.service || want.avoid.contains(&entry.id) {
+        if entry.service != *want.service || want.excluded.contains(&entry.id) {
             return Fit::Out;
         }
         if entry.leaving {
@@ -278,7 +278,7 @@
     let stride = engine.map_or(1, |e| e.stride);
     batch::Ask {
         tokens: tokens(want.ask) as f64,
-        pace: want.gap.map(|gap| step_pace(gap, stride)),
+        pace: want.max_gap.map(|gap| step_pace(gap, stride)),
         blur,
     }
 }
--- a/crates/front/src/table/rate_limit.rs
+++ b/crates/front/src/table/rate_limit.rs
@@ -51,7 +51,7 @@
 
 /// Limit of a replica, as a request meets it.
 #[derive(Debug, Clone, Copy)]
-pub struct Applicable {
+pub struct LimitTerms {
     /// What is told of it to whoever gives out.
     pub limited: Limited,
     /// What the replica last said.
@@ -114,7 +114,7 @@
 
 /// Requests that a request leaves to those that are more urgent: a stream that is taken up again leaves none.
 fn kept(want: &Criteria) -> f64 {
-    match want.resumes {
+    match want.is_resumption {
         true => 0.0,
         false => KEPT_A_RANK * (rank(want.priority) + 1) as f64,
     }
@@ -236,10 +236,10 @@
     }
 
     /// Limit that a request meets at a replica, if that has named one.
-    pub fn limit_for(&self, id: &str, want: &Criteria, now: Time) -> Option<Applicable> {
+    pub fn limit_for(&self, id: &str, want: &Criteria, now: Time) -> Option<LimitTerms> {
         let notice = self.replicas.get(id)?.limit(now)?.notice;
         let entry = &self.view.get(id)?.entry;
-        Some(Applicable {
+        Some(LimitTerms {
             limited: Limited::new(entry, &notice, now),
             notice,
             kept: kept(want),
--- a/crates/front/tests/parts.rs
+++ b/crates/front/tests/parts.rs
@@ -67,7 +67,7 @@
         hosts.push(daemon(&store, &format!("d{i}")).await);
     }
     let all_know = |hosts: &[Daemon], count: usize| {
-        let knows = |d: &Daemon| d.state().table.lock().hosts == count;
+        let knows = |d: &Daemon| d.state().table.lock().host_count == count;
         hosts.iter().all(knows)
     };
     until(|| all_know(&hosts, 20)).await;
@@ -152,8 +152,8 @@
         table.record_arrival(&service, &ask, &bounds, at(0));
     }
     assert!(!table.spend_retry(&service, at(1)));
-    table.hosts = 100;
-    table.knows_hosts = true;
+    table.host_count = 100;
+    table.knows_host_count = true;
     assert!(table.spend_retry(&service, at(2)));
 }
 
--- a/crates/front/tests/quarantine.rs
+++ b/crates/front/tests/quarantine.rs
@@ -307,7 +307,7 @@
     until(|| {
         hosts
             .iter()
-            .all(|host| host.state().table.lock().hosts == 18)
+            .all(|host| host.state().table.lock().host_count == 18)
     })
     .await;
     for number in 0..14 {
--- a/crates/front/tests/readers.rs
+++ b/crates/front/tests/readers.rs
@@ -36,7 +36,7 @@
         loop {
             ignore_leader(&state);
             state.readers.set(known.clone(), state.settings.peers);
-            state.table.lock().hosts = LARGE;
+            state.table.lock().host_count = LARGE;
             sleep(Duration::from_millis(1)).await;
         }
     })
@@ -225,7 +225,7 @@
             for state in &daemons {
                 ignore_leader(state);
                 state.readers.set(known.clone(), state.settings.peers);
-                state.table.lock().hosts = LARGE;
+                state.table.lock().host_count = LARGE;
             }
             sleep(Duration::from_millis(1)).await;
         }
@@ -278,7 +278,7 @@
     for i in 1..18 {
         hosts.push(daemon(&store, &format!("d{i}")).await);
     }
-    until(|| first.state().table.lock().hosts == 18).await;
+    until(|| first.state().table.lock().host_count == 18).await;
     let begin = Instant::now();
     let last = daemon(&store, "d18").await;
     assert!(
--- a/crates/front/tests/site/mod.rs
+++ b/crates/front/tests/site/mod.rs
@@ -189,7 +189,7 @@
 /// that it has no part of the slack of retries.
 pub async fn daemon(store: &Store, name: &str) -> Daemon {
     let daemon = front::spawn(settings(store, name)).await.unwrap();
-    until(|| daemon.state().is_ready() && daemon.state().table.lock().knows_hosts).await;
+    until(|| daemon.state().is_ready() && daemon.state().table.lock().knows_host_count).await;
     daemon
 }
 
@@ -201,7 +201,7 @@
         ..settings(store, name)
     };
     let host = front::spawn(settings).await.unwrap();
-    until(|| host.state().is_ready() && host.state().table.lock().knows_hosts).await;
+    until(|| host.state().is_ready() && host.state().table.lock().knows_host_count).await;
     (host, way)
 }
 
@@ -294,7 +294,7 @@
     for n in 1..=count {
         hosts.push(daemon(store, &format!("d{n}")).await);
     }
-    let all = |d: &Daemon| d.state().table.lock().hosts == count;
+    let all = |d: &Daemon| d.state().table.lock().host_count == count;
     until(|| hosts.iter().all(all)).await;
     hosts
 }
--- a/crates/front/tests/sums.rs
+++ b/crates/front/tests/sums.rs
@@ -18,9 +18,9 @@
         service: &service,
         ask: &ask,
         priority: 0,
-        gap: None,
-        avoid: &[],
-        resumes: false,
+        max_gap: None,
+        excluded: &[],
+        is_resumption: false,
     };
     for _ in 0..2 {
         table.begin(id, &want, at(0));
--- a/crates/front/tests/suspended.rs
+++ b/crates/front/tests/suspended.rs
@@ -226,9 +226,9 @@
         ..Default::default()
     };
     let bytes = front::message::encode(&front::message::Message::Sums(sums));
-    let hosts = host.state().table.lock().hosts;
+    let hosts = host.state().table.lock().host_count;
     suspend(&host);
     other.send_to(&bytes, host.state().settings.peers).unwrap();
     sleep(NOTICED).await;
-    assert_eq!(host.state().table.lock().hosts, hosts);
+    assert_eq!(host.state().table.lock().host_count, hosts);
 }
--- a/crates/standin/src/experiment/platform.rs
+++ b/crates/standin/src/experiment/platform.rs
@@ -96,9 +96,9 @@
         service: &service,
         ask: &ask,
         priority: 1,
-        gap: Some(Span::from_ms(300)),
-        avoid: &[],
-        resumes: false,
+        max_gap: Some(Span::from_ms(300)),
+        excluded: &[],
+        is_resumption: false,
     };
     let took = each(|| {
         black_box(table.choose(&want, Time(1)).ok());
