--- a/crates/front/src/message/quota.rs
+++ b/crates/front/src/message/quota.rs
@@ -1,6 +1,6 @@
 //! What hosts and the one that gives out tell each other of limits over all hosts.
 
-use super::Limited;
+use super::ReplicaLimit;
 use serde::{Deserialize, Serialize};
 use unit::Name;
 
@@ -10,12 +10,12 @@
     /// A client account, which uses units of its own.
     Account(Name),
     /// A replica that takes so many requests a second, with what the host knows of its limit.
-    Replica(Limited),
+    Replica(ReplicaLimit),
 }
 
 /// Question of a host: may one more request run, or go to a replica?
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Question {
+pub struct QuotaRequest {
     /// Number under which it is answered.
     pub number: u32,
     /// The host.
@@ -32,7 +32,7 @@
     pub alone: f32,
 }
 
-impl Question {
+impl QuotaRequest {
     /// Whether its numbers can be counted.
     pub fn is_sound(&self) -> bool {
         is_sound(self.units) && is_sound(self.kept) && is_sound(self.alone)
@@ -46,7 +46,7 @@
 
 /// Answer to a question.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub enum Verdict {
+pub enum QuotaResponse {
     /// It may run.
     Given {
         /// Units that all hosts were given in the last window.
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -5,28 +5,28 @@
 //! sooner. A lost datagram only makes a sum older; sums past their
 //! age are not used.
 //!
-//! Its parts: `inbox` is what hosts told the leader, `quota` what is asked for and given of limits over all hosts, `limits` which of these replicas name, `leaving` which replicas leave, `sums` when this host tells what it has in
-//! flight, `parts` which hosts pass on what the leader tells all, `quarantine` which requests end replicas, `questions`
+//! Its parts: `inbox` is what hosts told the leader, `quota` what is asked for and given of limits over all hosts, `limits` which of these replicas name, `leaving` which replicas leave, `load_reports` when this host tells what it has in
+//! flight, `fanout` which hosts pass on what the leader tells all, `quarantine` which requests end replicas, `pending`
 //! what waits for an answer. The datagrams themselves are in [`message`].
 
+pub mod fanout;
 mod inbox;
 mod leaving;
 mod limits;
-pub mod parts;
+mod load_reports;
+mod pending;
 mod quarantine;
-mod questions;
 pub mod quota;
-mod sums;
 
 pub use inbox::Inbox;
 
-use crate::message::{self, Digest, Message, Permit, Placed};
+use crate::message::{self, AdapterPlacement, Digest, Message, TrialResponse};
 use crate::readers::Candidate;
 use crate::state::{State, Wanted, Wish};
 use bytes::Bytes;
+use fanout::Part;
 use parking_lot::Mutex;
-use parts::Part;
-use questions::Questions;
+use pending::Questions;
 use quota::Quotas;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -64,7 +64,7 @@
     /// Hosts that have just begun, and are to be told of limits.
     newcomers: Mutex<Vec<SocketAddr>>,
     /// Questions for trials that wait for an answer.
-    trials: Questions<Permit>,
+    trials: Questions<TrialResponse>,
     /// Hosts that this one passes on to, and when the leader named them.
     passes_to: Mutex<(Vec<SocketAddr>, Time)>,
 }
@@ -209,7 +209,7 @@
         for (replica, adapters) in digest.adapters {
             table.set_adapters(&replica, adapters, now);
         }
-        if let Some(plans) = digest.plans {
+        if let Some(plans) = digest.planner {
             let own = self.state.settings.peers;
             let others = plans.peers.into_iter().filter(|p| *p != own);
             *self.others.lock() = others.collect();
@@ -218,14 +218,14 @@
                 table.view.contact.told(word, now);
             }
             table.set_unreachable(plans.absent, now);
-            table.set_model_etas(&plans.coming, now);
+            table.set_model_etas(&plans.loading, now);
             table.set_loaded(plans.loaded, now);
-            table.set_unloading(plans.closing, now);
+            table.set_unloading(plans.unloading, now);
         }
     }
 
     /// Takes in where an adapter is.
-    fn placed(&self, placed: Placed) {
+    fn placed(&self, placed: AdapterPlacement) {
         if let Some(replica) = &placed.replica {
             let mut table = self.state.table.lock();
             table.add_adapter(replica, &placed.model, &placed.adapter);
@@ -302,7 +302,7 @@
         if self.is_direct() {
             return;
         }
-        let parts = parts::cut(hosts);
+        let parts = fanout::cut(hosts);
         *self.parts.lock() = parts.clone();
         let own = self.state.settings.peers;
         for part in parts {
--- a/crates/front/src/peers/sums.rs
+++ b/crates/front/src/peers/load_reports.rs
@@ -2,7 +2,7 @@
 //! soon as a request is counted in or a prompt is read.
 
 use super::{MOST_DIRECT, Peers};
-use crate::message::{Demand, Message, Row, Sums, short};
+use crate::message::{Demand, LoadReport, Message, PackedLoad, replica_hash};
 use crate::readers;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -84,7 +84,7 @@
             self.inbox.put_loads(sums, now);
             return;
         }
-        for part in sums.parts() {
+        for part in sums.split() {
             self.send(&Message::Loads(part), leader.peers).await;
         }
     }
@@ -98,7 +98,11 @@
         let (demand, loads, used, absent, resting) = {
             let mut table = self.state.table.lock();
             let (demand, loads) = (table.demand(now), table.report_own_loads(now));
-            let resting = table.backing_off(now).iter().map(|id| short(id)).collect();
+            let resting = table
+                .backing_off(now)
+                .iter()
+                .map(|id| replica_hash(id))
+                .collect();
             (
                 demand,
                 loads,
@@ -107,8 +111,8 @@
                 resting,
             )
         };
-        let sums = Sums {
-            used,
+        let sums = LoadReport {
+            adapter_uses: used,
             absent,
             resting,
             ..self.sums(round, demand, loads)
@@ -117,27 +121,27 @@
             self.inbox.put(sums, leader.peers, now);
             return;
         }
-        for part in sums.parts() {
+        for part in sums.split() {
             self.send(&Message::Sums(part), leader.peers).await;
         }
     }
 
     /// This host's sums. The table must not be locked.
-    fn sums(&self, round: u32, demand: Vec<Demand>, loads: Vec<Row>) -> Sums {
+    fn sums(&self, round: u32, demand: Vec<Demand>, loads: Vec<PackedLoad>) -> LoadReport {
         let settings = &self.state.settings;
         let now = self.state.now();
         let store = self.state.table.lock().view.contact.word(now);
-        Sums {
+        LoadReport {
             host: settings.name.clone(),
             hall: settings.hall.clone(),
             cores: settings.limits.cores as f32,
             round,
             demand,
             loads,
-            used: Vec::new(),
+            adapter_uses: Vec::new(),
             absent: Vec::new(),
             resting: Vec::new(),
-            cut: readers::is_cut(&self.state),
+            store_failed: readers::is_cut(&self.state),
             store,
         }
     }
--- a/crates/front/src/peers/quarantine.rs
+++ b/crates/front/src/peers/quarantine.rs
@@ -1,7 +1,7 @@
 //! Telling the leader of falls and of how runs ended, asking it for trials, and answering as the one that leads.
 
 use super::Peers;
-use crate::message::{Fallen, Message, Permit};
+use crate::message::{CrashReport, Message, TrialResponse};
 use crate::quarantine::{Report, Reports};
 use route::quarantine::{Crash, Incident, RequestId};
 use std::net::SocketAddr;
@@ -74,10 +74,10 @@
     }
 
     /// Takes in a fall that another host saw.
-    pub(super) fn take_fall(&self, fallen: &Fallen) {
+    pub(super) fn take_fall(&self, fallen: &CrashReport) {
         let now = self.state.now();
-        let fall = Crash(fallen.fall);
-        self.state.quarantine.fell(fall, &fallen.aboard, now);
+        let fall = Crash(fallen.crash);
+        self.state.quarantine.fell(fall, &fallen.in_flight, now);
     }
 
     /// Asks the leader what may be done with a request that is suspected; none when there was no answer.
@@ -115,19 +115,19 @@
     }
 
     /// What this host says to such a question.
-    fn decide(&self, print: Fingerprint, ticket: RequestId) -> Permit {
+    fn decide(&self, print: Fingerprint, ticket: RequestId) -> TrialResponse {
         let now = self.state.now();
         match self.state.leads() {
             true => self.state.quarantine.ask(print, ticket, now).into(),
-            false => Permit::Elsewhere,
+            false => TrialResponse::Elsewhere,
         }
     }
 }
 
 /// Fall as it is told.
 fn fallen(group: Incident) -> Message {
-    Message::Fallen(Fallen {
-        fall: group.crash.0,
-        aboard: group.in_flight,
+    Message::Fallen(CrashReport {
+        crash: group.crash.0,
+        in_flight: group.in_flight,
     })
 }
--- a/crates/front/src/peers/quota.rs
+++ b/crates/front/src/peers/quota.rs
@@ -1,9 +1,9 @@
 //! Asking the host that leads for units of limits over all hosts, and answering as the one that leads.
 
 use super::Peers;
-use super::questions::Questions;
+use super::pending::Questions;
 use crate::leader::Term;
-use crate::message::{Limited, Message, Question, Refund, Subject, Verdict};
+use crate::message::{Message, QuotaRequest, QuotaResponse, Refund, ReplicaLimit, Subject};
 use crate::shares;
 use parking_lot::Mutex;
 use route::quota::{Advertisement, Limit, Limiter, REPLICA_TOLERANCE, Tolerance, Units};
@@ -30,7 +30,7 @@
     /// What is given out in the term in which this host leads.
     limiters: Mutex<Option<(Term, Limiters)>>,
     /// Questions that wait for an answer.
-    open: Questions<Verdict>,
+    open: Questions<QuotaResponse>,
 }
 
 /// What one host gives out.
@@ -52,7 +52,11 @@
     }
 
     /// Asks for units, once for each time that a try may take; none when there was no answer.
-    pub async fn ask_for(&self, question: Question, tries: &[Duration]) -> Option<Verdict> {
+    pub async fn ask_for(
+        &self,
+        question: QuotaRequest,
+        tries: &[Duration],
+    ) -> Option<QuotaResponse> {
         let leader = self.state.leader.lock().clone()?.peers;
         if leader == self.state.settings.peers {
             return self.judge(&question);
@@ -69,12 +73,12 @@
     /// Asks once and waits for the answer.
     async fn ask_once(
         &self,
-        question: &Question,
+        question: &QuotaRequest,
         leader: SocketAddr,
         limit: Duration,
-    ) -> Option<Verdict> {
+    ) -> Option<QuotaResponse> {
         let send = |number| async move {
-            let question = Question {
+            let question = QuotaRequest {
                 number,
                 ..question.clone()
             };
@@ -84,19 +88,19 @@
     }
 
     /// Gives an answer to the question that waits for it.
-    pub(super) fn answered(&self, number: u32, verdict: Verdict) {
+    pub(super) fn answered(&self, number: u32, verdict: QuotaResponse) {
         self.quotas.open.answered(number, verdict);
     }
 
     /// Answers a question of another host.
-    pub(super) async fn answer(&self, question: Question, from: SocketAddr) {
-        let verdict = self.judge(&question).unwrap_or(Verdict::Elsewhere);
+    pub(super) async fn answer(&self, question: QuotaRequest, from: SocketAddr) {
+        let verdict = self.judge(&question).unwrap_or(QuotaResponse::Elsewhere);
         let answer = Message::Verdict(question.number, verdict);
         self.send(&answer, from).await;
     }
 
     /// What this host says to a question; none when it does not give out.
-    fn judge(&self, question: &Question) -> Option<Verdict> {
+    fn judge(&self, question: &QuotaRequest) -> Option<QuotaResponse> {
         if !question.is_sound() {
             return None;
         }
@@ -108,7 +112,7 @@
             }
             Subject::Replica(limited) => {
                 let Some(notice) = self.notice_of(limited, &question.host, now)? else {
-                    return Some(Verdict::Unlimited);
+                    return Some(QuotaResponse::Unlimited);
                 };
                 let replica = &limited.replica;
                 self.with_replicas(|limiter, part| {
@@ -205,7 +209,7 @@
     /// cannot be counted.
     fn notice_of(
         &self,
-        limited: &Limited,
+        limited: &ReplicaLimit,
         host: &Name,
         now: Time,
     ) -> Option<Option<Advertisement>> {
@@ -222,9 +226,9 @@
     limiter: &mut Limiter<K>,
     subject: &K,
     limit: Limit,
-    question: &Question,
+    question: &QuotaRequest,
     now: Time,
-) -> Verdict {
+) -> QuotaResponse {
     let units = |count: f32| Units {
         subject,
         limit,
@@ -235,11 +239,11 @@
     };
     limiter.record_local_use(units(question.alone), now);
     match limiter.acquire(units(question.units), now) {
-        Ok(given) => Verdict::Given {
+        Ok(given) => QuotaResponse::Given {
             all: given.granted as f32,
             left: given.available as f32,
         },
-        Err(over) => Verdict::Refused {
+        Err(over) => QuotaResponse::Refused {
             wait_ms: over.retry_after.ms().ceil() as u32,
             left: over.available as f32,
         },
--- a/crates/front/src/table/adapters.rs
+++ b/crates/front/src/table/adapters.rs
@@ -2,7 +2,7 @@
 
 use super::replica::State;
 use super::{Criteria, SUMS_AGE, Table};
-use crate::message::{Use, short};
+use crate::message::{AdapterUse, replica_hash};
 use platform::replica::Entry;
 use unit::{Name, Time};
 
@@ -16,8 +16,8 @@
             return;
         };
         if self.used.len() < MOST_USES {
-            self.used.insert(Use {
-                replica: short(replica),
+            self.used.insert(AdapterUse {
+                replica: replica_hash(replica),
                 model: model.clone(),
                 adapter: adapter.clone(),
             });
@@ -25,7 +25,7 @@
     }
 
     /// Adapters that requests of this host used since the last call.
-    pub fn take_adapter_uses(&mut self) -> Vec<Use> {
+    pub fn take_adapter_uses(&mut self) -> Vec<AdapterUse> {
         self.used.drain().collect()
     }
 
--- a/crates/front/src/table/replica.rs
+++ b/crates/front/src/table/replica.rs
@@ -99,21 +99,21 @@
             self.keep(model, want.ask);
         }
         self.mine.requests += 1.0;
-        self.mine.reserved += print.reserved;
-        self.mine.unread[print.rank] += print.reading_ms;
+        self.mine.reserved_tokens += print.reserved;
+        self.mine.prefill_ms[print.rank] += print.reading_ms;
         print
     }
 
     /// Notes that the prompt of a request is read.
     pub(super) fn started(&mut self, print: &Footprint) {
-        let unread = &mut self.mine.unread[print.rank];
+        let unread = &mut self.mine.prefill_ms[print.rank];
         *unread = (*unread - print.reading_ms).max(0.0);
     }
 
     /// Counts a request out.
     pub(super) fn leave(&mut self, print: &Footprint) {
         self.mine.requests = (self.mine.requests - 1.0).max(0.0);
-        self.mine.reserved = (self.mine.reserved - print.reserved).max(0.0);
+        self.mine.reserved_tokens = (self.mine.reserved_tokens - print.reserved).max(0.0);
         self.started(print);
     }
 
--- a/crates/front/tests/changes.rs
+++ b/crates/front/tests/changes.rs
@@ -2,7 +2,7 @@
 
 mod site;
 
-use front::message::{Load, Row};
+use front::message::{Load, PackedLoad};
 use platform_standin::replica::Fault;
 use platform_standin::store::Mode;
 use rstest::rstest;
@@ -202,11 +202,11 @@
         // Another host has prompts there that are less urgent, so that this one waits its turn.
         let load = Load {
             requests: 1.0,
-            reserved: 100.0,
-            unread: [0.0, 0.0, 0.0, 5_000.0],
+            reserved_tokens: 100.0,
+            prefill_ms: [0.0, 0.0, 0.0, 5_000.0],
         };
         loop {
-            let (row, now) = (Row::new("i-1", &load), state.now());
+            let (row, now) = (PackedLoad::new("i-1", &load), state.now());
             state.table.lock().set_host_loads(&"d2".into(), &[row], now);
             sleep(Duration::from_millis(50)).await;
         }
--- a/crates/front/tests/rate_limit.rs
+++ b/crates/front/tests/rate_limit.rs
@@ -8,7 +8,8 @@
 
 use front::Daemon;
 use front::message::{
-    Limited, Limits, MOST_DATAGRAM, Message, Question, Subject, Verdict, encode, limit,
+    LimitDigest, MAX_DATAGRAM, Message, QuotaRequest, QuotaResponse, ReplicaLimit, Subject, encode,
+    limit,
 };
 use platform_standin::replica::{Fault, Replica};
 use platform_standin::store::{Mode, Store};
@@ -372,21 +373,21 @@
 /// What is told of limits fits the usual packet, however large its numbers; a question and its answer are small.
 #[test]
 fn what_is_told_fits_a_datagram() {
-    let row = Limited {
+    let row = ReplicaLimit {
         replica: u32::MAX,
         rate: 1.0e-30,
         named_ms: u32::MAX,
         unnamed_ms: Some(u32::MAX),
     };
     let host: unit::Name = "a-host-with-a-rather-long-name-12".into();
-    let limits = Limits {
+    let limits = LimitDigest {
         term: u64::MAX,
         host: host.clone(),
         limits: vec![row; limit::ROWS],
     };
     let bytes = encode(&Message::Limits(limits)).len();
-    assert!(bytes <= MOST_DATAGRAM, "{bytes} bytes");
-    let question = Question {
+    assert!(bytes <= MAX_DATAGRAM, "{bytes} bytes");
+    let question = QuotaRequest {
         number: u32::MAX,
         host,
         subject: Subject::Replica(row),
@@ -395,7 +396,7 @@
         queues: true,
         alone: 0.5,
     };
-    let verdict = Verdict::Refused {
+    let verdict = QuotaResponse::Refused {
         wait_ms: 9_000,
         left: -1.5,
     };
