--- a/crates/front/src/orders.rs
+++ b/crates/front/src/fleet.rs
@@ -5,19 +5,19 @@
 //! it. So a late order never meets a memory other than the one it was meant for. The count begins anew when the
 //! replica starts again: what may land there then keeps its room.
 //!
-//! Its parts: `late` is orders that were not answered, `adapters` which adapters are where, `room` what else finds
+//! Its parts: `unanswered` is orders that were not answered, `adapters` which adapters are where, `capacity` what else finds
 //! room, `bucket` the rate of loads.
 
 mod adapters;
 mod bucket;
-mod late;
-mod room;
+mod capacity;
+mod unanswered;
 
 pub use bucket::Bucket;
 
-use late::Late;
 use platform::replica::{Entry, Held, Incarnation, Operation, Report};
 use std::collections::{HashMap, VecDeque};
+use unanswered::Late;
 use unit::{Name, Span, Time};
 
 /// Time for which an unanswered load may begin yet: replicas carry out orders up to 12 s late.
--- a/crates/front/src/planner.rs
+++ b/crates/front/src/planner.rs
@@ -14,9 +14,9 @@
 mod quarantine;
 mod service;
 
+use crate::fleet::{Bucket, Known};
 use crate::leader::Term;
 use crate::message::{Load, Missing, Row, Use, short};
-use crate::orders::{Bucket, Known};
 use crate::peers::Peers;
 use crate::shares;
 use crate::state::State;
--- a/crates/front/src/planner/adapters.rs
+++ b/crates/front/src/planner/adapters.rs
@@ -1,8 +1,8 @@
 //! Places for the adapters that hosts want.
 
 use super::{Book, Planner, entries, taken};
+use crate::fleet::{Job, Known};
 use crate::message::{Load, Message, Placed, Want};
-use crate::orders::{Job, Known};
 use platform::config::Engine;
 use platform::replica::{Entry, Operation};
 use std::collections::HashMap;
--- a/crates/front/src/planner/ahead.rs
+++ b/crates/front/src/planner/ahead.rs
@@ -2,7 +2,7 @@
 
 use super::adapters::job;
 use super::{Book, Planner};
-use crate::orders::Known;
+use crate::fleet::Known;
 use place::adapters::{self, Replica};
 use platform::config::Engine;
 use platform::replica::Operation;
--- a/crates/front/src/planner/digest.rs
+++ b/crates/front/src/planner/digest.rs
@@ -1,8 +1,8 @@
 //! Telling all hosts the sums, and what is planned.
 
 use super::{Book, Planner};
+use crate::fleet::Known;
 use crate::message::{Digest, Load, MOST_DATAGRAM, Message, Plans, Row, short};
-use crate::orders::Known;
 use crate::readers::{self, Candidate, Reader};
 use std::collections::HashMap;
 use unit::{Name, Span, Time};
--- a/crates/front/src/planner/give.rs
+++ b/crates/front/src/planner/give.rs
@@ -1,8 +1,8 @@
 //! Giving replicas the orders that wait for them, and noting what came of each.
 
 use super::{Book, Planner};
+use crate::fleet::{Job, Known, Pending};
 use crate::heard;
-use crate::orders::{Job, Known, Pending};
 use crate::table::Permit;
 use platform::answer::Said;
 use platform::config::Engine;
--- a/crates/front/src/planner/service.rs
+++ b/crates/front/src/planner/service.rs
@@ -1,8 +1,8 @@
 //! Planning of one service: which replicas load and unload which models.
 
 use super::{Book, Demand, Planner, demand, entries, taken};
+use crate::fleet::{Bucket, Job, Known};
 use crate::message::{Load, short};
-use crate::orders::{Bucket, Job, Known};
 use crate::table::Table;
 use place::copies::{self, Step};
 use platform::config::{self, Engine};
--- a/crates/front/tests/orders.rs
+++ b/crates/front/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 mod site;
 
-use front::orders::{Bucket, Job, Known, Pending};
+use front::fleet::{Bucket, Job, Known, Pending};
 use platform::config::{Engine, Model};
 use platform::replica::{Entry, Held, Operation, Report};
 use site::at;
