--- a/crates/front/src/planner.rs
+++ b/crates/front/src/planner.rs
@@ -1,16 +1,16 @@
 //! The leader's work: sums of demand in, orders to replicas out.
 //!
 //! This module holds what the leader believes and calls the parts in turn: `demand` measures,
-//! `service` plans copies of models, `adapters` finds places for adapters that are wanted, `ahead`
-//! fetches others before, `give` gives the orders, `digest` tells hosts, and `quarantine` tells and stores which
+//! `service` plans copies of models, `adapters` finds places for adapters that are wanted, `prefetch`
+//! fetches others before, `dispatch` gives the orders, `digest` tells hosts, and `quarantine` tells and stores which
 //! requests are kept out. The table is locked
 //! before the `Book`, never after.
 
 mod adapters;
-mod ahead;
 mod demand;
 mod digest;
-mod give;
+mod dispatch;
+mod prefetch;
 mod quarantine;
 mod service;
 
--- a/crates/front/src/quarantine.rs
+++ b/crates/front/src/quarantine.rs
@@ -5,23 +5,23 @@
 //! datagram, and in the store, by which a host that begins or comes back knows it before it serves, and which
 //! outlasts all hosts. Where hosts are few they tell each other of falls as well, so that the next leader knows.
 //!
-//! Its parts: `admit` is the way of a request through it, `look` tells a fall from a broken connection, `board` is what
+//! Its parts: `admit` is the way of a request through it, `probe` tells a fall from a broken connection, `registry` is what
 //! this host knows, `stored` is the form of the list in the store. [`route::quarantine`] decides.
 
 mod admit;
-mod board;
-mod look;
+mod probe;
+mod registry;
 mod stored;
 
 pub use admit::{Trial, admit, confirm, may_repeat};
-pub use look::{broke, replaced};
+pub use probe::{broke, replaced};
 pub use stored::KEY;
 
 use crate::message::Listing;
 use crate::state::State;
-use board::Board;
 use parking_lot::Mutex;
 use platform::store::Item;
+use registry::Board;
 use route::quarantine::{Ended, Fall, Group, Permit, Standing, Ticket};
 use std::collections::BTreeMap;
 use tokio::sync::Notify;
