--- a/crates/front/src/contact.rs
+++ b/crates/front/src/contact.rs
@@ -161,7 +161,7 @@
     ///
     /// A run of other hosts that reaches into this host's own goes before it. Without it, a host that was cut off
     /// alone sends requests to a replica that has left for 2 s after its return, and every second one where two
-    /// replicas can take it, by `cut_host` of the tests.
+    /// replicas can take it, by `partitioned_host` of the tests.
     pub fn settling(&self, now: Time) -> Option<Span> {
         let own = self.own.filter(|_| self.is_back)?;
         let silence = silence_between_hosts(self.heartbeat);
