--- a/crates/front/src/contact.rs
+++ b/crates/front/src/contact.rs
@@ -28,7 +28,7 @@
 
 /// Run as one host tells it to another, whose clock differs: by ages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Word {
+pub struct Ages {
     /// Time since the run began, in milliseconds.
     since_ms: u32,
     /// Time since the store was heard from last, in milliseconds.
@@ -37,9 +37,9 @@
 
 impl Run {
     /// The run as it is told.
-    pub fn word(&self, now: Time) -> Word {
+    pub fn word(&self, now: Time) -> Ages {
         let age = |at| u32::try_from(now.since(at).0 / 1_000).unwrap_or(u32::MAX);
-        Word {
+        Ages {
             since_ms: age(self.since),
             until_ms: age(self.until),
         }
@@ -66,7 +66,7 @@
     }
 }
 
-impl Word {
+impl Ages {
     /// The run that was told at a time.
     pub fn run(&self, told: Time) -> Run {
         let before = |ms: u32| told - Span::from_ms(u64::from(ms));
@@ -145,12 +145,12 @@
 
     /// This host's run, to be told to others. What these told is not in it, so that no word is told again
     /// as if it were new.
-    pub fn word(&self, now: Time) -> Option<Word> {
+    pub fn word(&self, now: Time) -> Option<Ages> {
         self.own.map(|run| run.word(now))
     }
 
     /// Takes in another host's run.
-    pub fn told(&mut self, word: Word, now: Time) {
+    pub fn told(&mut self, word: Ages, now: Time) {
         let run = word.run(now);
         let silence = silence_between_hosts(self.heartbeat);
         let joined = self.others.map(|known| known.join(run, silence));
--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -10,7 +10,7 @@
 pub use quarantine::{Fallen, Listed, Listing, Permit};
 pub use quota::{Question, Refund, Subject, Verdict};
 
-use crate::contact::Word;
+use crate::contact::Ages;
 use crate::readers::Reader;
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -125,7 +125,7 @@
     /// Whether the store failed this host a moment ago.
     pub cut: bool,
     /// Time through which this host heard from the store, if it ever did.
-    pub store: Option<Word>,
+    pub store: Option<Ages>,
 }
 
 /// Rows of sums that fit one datagram: each takes at most 40 bytes.
@@ -301,7 +301,7 @@
     /// Where all hosts take datagrams, while they are few enough to tell each other directly.
     pub peers: Vec<SocketAddr>,
     /// Time through which hosts heard from the store.
-    pub store: Option<Word>,
+    pub store: Option<Ages>,
 }
 
 /// Request for an adapter.
--- a/crates/front/src/peers/inbox.rs
+++ b/crates/front/src/peers/inbox.rs
@@ -1,6 +1,6 @@
 //! What other hosts have told the leader, while this host leads.
 
-use crate::contact::{self, Word};
+use crate::contact::{self, Ages};
 use crate::message::{Load, Missing, Row, Sums, Use, Want};
 use crate::readers::Candidate;
 use parking_lot::Mutex;
@@ -185,7 +185,7 @@
     }
 
     /// Time through which hosts heard from the store, where replicas write each `heartbeat`.
-    pub fn store(&self, heartbeat: Span, now: Time) -> Option<Word> {
+    pub fn store(&self, heartbeat: Span, now: Time) -> Option<Ages> {
         let silence = contact::silence_between_hosts(heartbeat);
         let hosts = self.hosts.lock();
         let run = |told: &Told| Some(told.sums.store?.run(told.at));
--- a/crates/front/src/readers/message.rs
+++ b/crates/front/src/readers/message.rs
@@ -1,6 +1,6 @@
 //! What stands in the questions and answers between a host and its reader, as MessagePack over HTTP.
 
-use crate::contact::Word;
+use crate::contact::Ages;
 use bytes::Bytes;
 use platform::store::{Change, Item};
 use serde::{Deserialize, Serialize};
@@ -34,7 +34,7 @@
     /// Time for which the reader held the question, in milliseconds.
     pub(super) held_ms: u32,
     /// Time through which the reader heard from the store, if it ever did.
-    pub(super) store: Option<Word>,
+    pub(super) store: Option<Ages>,
     /// What the host does not know yet.
     pub(super) news: News,
 }
--- a/crates/front/tests/contact.rs
+++ b/crates/front/tests/contact.rs
@@ -2,7 +2,7 @@
 
 mod site;
 
-use front::contact::{Contact, Word};
+use front::contact::{Ages, Contact};
 use proptest::prelude::*;
 use rstest::rstest;
 use site::{HEARTBEAT, at};
@@ -134,7 +134,7 @@
             })
             .collect();
         let mut contacts: Vec<Contact> = hosts.iter().map(|_| Contact::new(HEARTBEAT)).collect();
-        let mut words: Vec<(Time, Option<Word>)> = Vec::new();
+        let mut words: Vec<(Time, Option<Ages>)> = Vec::new();
         for ms in (0..end + 4_000).step_by(100) {
             let now = at(ms);
             for (contact, heard) in contacts.iter_mut().zip(&hosts) {
