--- a/crates/front/src/contact.rs
+++ b/crates/front/src/contact.rs
@@ -21,7 +21,7 @@
 
 /// Time through which the store was heard from, without a silence in which entries can lapse.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Run {
+pub struct Uptime {
     since: Time,
     until: Time,
 }
@@ -35,7 +35,7 @@
     until_ms: u32,
 }
 
-impl Run {
+impl Uptime {
     /// The run as it is told.
     pub fn word(&self, now: Time) -> Ages {
         let age = |at| u32::try_from(now.since(at).0 / 1_000).unwrap_or(u32::MAX);
@@ -46,7 +46,7 @@
     }
 
     /// Whether no silence longer than `silence` lies between it and another run.
-    fn meets(&self, other: &Run, silence: Span) -> bool {
+    fn meets(&self, other: &Uptime, silence: Span) -> bool {
         let gap = self
             .since
             .max(other.since)
@@ -55,11 +55,11 @@
     }
 
     /// Both runs as one where they meet, else the later one.
-    pub fn join(self, other: Run, silence: Span) -> Run {
+    pub fn join(self, other: Uptime, silence: Span) -> Uptime {
         if !self.meets(&other, silence) {
             return std::cmp::max_by_key(self, other, |run| run.until);
         }
-        Run {
+        Uptime {
             since: self.since.min(other.since),
             until: self.until.max(other.until),
         }
@@ -68,9 +68,9 @@
 
 impl Ages {
     /// The run that was told at a time.
-    pub fn run(&self, told: Time) -> Run {
+    pub fn run(&self, told: Time) -> Uptime {
         let before = |ms: u32| told - Span::from_ms(u64::from(ms));
-        Run {
+        Uptime {
             since: before(self.since_ms),
             until: before(self.until_ms),
         }
@@ -89,13 +89,13 @@
     /// Time between two writings of a replica's entry.
     heartbeat: Span,
     /// The last run of this host, or of what it heard of the store through others.
-    own: Option<Run>,
+    own: Option<Uptime>,
     /// Whether a longer silence went before that.
     is_back: bool,
     /// Whether no call is answered, here or by way of another host.
     away: bool,
     /// The last run of the hosts that told theirs.
-    others: Option<Run>,
+    others: Option<Uptime>,
 }
 
 impl Contact {
@@ -120,7 +120,7 @@
             }
             run => {
                 self.is_back = run.is_some();
-                *run = Some(Run {
+                *run = Some(Uptime {
                     since: now,
                     until: now,
                 });
