--- a/crates/front/src/contact.rs
+++ b/crates/front/src/contact.rs
@@ -37,7 +37,7 @@
 
 impl Uptime {
     /// The run as it is told.
-    pub fn word(&self, now: Time) -> Ages {
+    pub fn ages(&self, now: Time) -> Ages {
         let age = |at| u32::try_from(now.since(at).0 / 1_000).unwrap_or(u32::MAX);
         Ages {
             since_ms: age(self.since),
