--- a/crates/front/src/contact.rs
+++ b/crates/front/src/contact.rs
@@ -145,8 +145,8 @@
 
     /// This host's run, to be told to others. What these told is not in it, so that no word is told again
     /// as if it were new.
-    pub fn word(&self, now: Time) -> Option<Ages> {
-        self.own.map(|run| run.word(now))
+    pub fn ages(&self, now: Time) -> Option<Ages> {
+        self.own.map(|run| run.ages(now))
     }
 
     /// Takes in another host's run.
--- a/crates/front/src/peers/inbox.rs
+++ b/crates/front/src/peers/inbox.rs
@@ -190,7 +190,7 @@
         let hosts = self.hosts.lock();
         let run = |told: &Told| Some(told.sums.store?.run(told.at));
         let runs = hosts.values().filter_map(run);
-        runs.reduce(|a, b| a.join(b, silence)).map(|r| r.word(now))
+        runs.reduce(|a, b| a.join(b, silence)).map(|r| r.ages(now))
     }
 
     /// Sums of all hosts by replica's short name.
--- a/crates/front/src/peers/sums.rs
+++ b/crates/front/src/peers/sums.rs
@@ -120,7 +120,7 @@
     fn sums(&self, round: u32, demand: Vec<Demand>, loads: Vec<Row>) -> Sums {
         let settings = &self.state.settings;
         let now = self.state.now();
-        let store = self.state.table.lock().view.contact.word(now);
+        let store = self.state.table.lock().view.contact.ages(now);
         Sums {
             host: settings.name.clone(),
             hall: settings.hall.clone(),
--- a/crates/front/src/readers/answer.rs
+++ b/crates/front/src/readers/answer.rs
@@ -66,7 +66,7 @@
 /// What this host can say now of the changes after a revision, to a question that came at `begin`.
 fn current(state: &State, after: u64, begin: Time) -> Answer {
     let now = state.now();
-    let store = state.table.lock().view.contact.word(now);
+    let store = state.table.lock().view.contact.ages(now);
     let recent = state.readers.recent.lock();
     let news = match recent.since(after) {
         Some(changes) => News::Changes(changes.into_iter().map(Row::from).collect()),
--- a/crates/front/tests/contact.rs
+++ b/crates/front/tests/contact.rs
@@ -41,7 +41,7 @@
 
 /// Takes in at a time what another host tells then.
 fn tell(contact: &mut Contact, other: &Contact, ms: u64) {
-    if let Some(word) = other.word(at(ms)) {
+    if let Some(word) = other.ages(at(ms)) {
         contact.told(word, at(ms));
     }
 }
@@ -154,7 +154,7 @@
             words.retain(|(due, _)| *due > now);
             for (at_host, contact) in contacts.iter().enumerate() {
                 let delay = Span::from_ms(delays[(ms as usize / 100 + at_host) % delays.len()]);
-                words.push((now + delay, contact.word(now)));
+                words.push((now + delay, contact.ages(now)));
             }
         }
     }
