--- a/crates/front/src/contact.rs
+++ b/crates/front/src/contact.rs
@@ -68,7 +68,7 @@
 
 impl Ages {
     /// The run that was told at a time.
-    pub fn run(&self, told: Time) -> Uptime {
+    pub fn uptime(&self, told: Time) -> Uptime {
         let before = |ms: u32| told - Span::from_ms(u64::from(ms));
         Uptime {
             since: before(self.since_ms),
@@ -151,7 +151,7 @@
 
     /// Takes in another host's run.
     pub fn told(&mut self, word: Ages, now: Time) {
-        let run = word.run(now);
+        let run = word.uptime(now);
         let silence = silence_between_hosts(self.heartbeat);
         let joined = self.others.map(|known| known.join(run, silence));
         self.others = joined.or(Some(run));
--- a/crates/front/src/peers/inbox.rs
+++ b/crates/front/src/peers/inbox.rs
@@ -188,7 +188,7 @@
     pub fn store(&self, heartbeat: Span, now: Time) -> Option<Ages> {
         let silence = contact::silence_between_hosts(heartbeat);
         let hosts = self.hosts.lock();
-        let run = |told: &Told| Some(told.sums.store?.run(told.at));
+        let run = |told: &Told| Some(told.sums.store?.uptime(told.at));
         let runs = hosts.values().filter_map(run);
         runs.reduce(|a, b| a.join(b, silence)).map(|r| r.ages(now))
     }
