--- a/crates/front/src/contact.rs
+++ b/crates/front/src/contact.rs
@@ -79,7 +79,7 @@
 
 /// Silence between the runs of two hosts in which no entry can have lapsed, where replicas write each
 /// `heartbeat`.
-pub fn silence_between_hosts(heartbeat: Span) -> Span {
+pub fn max_gap_between_hosts(heartbeat: Span) -> Span {
     (heartbeat * LAPSES_AFTER).saturating_sub(TRANSIT)
 }
 
@@ -152,7 +152,7 @@
     /// Takes in another host's run.
     pub fn told(&mut self, word: Ages, now: Time) {
         let run = word.uptime(now);
-        let silence = silence_between_hosts(self.heartbeat);
+        let silence = max_gap_between_hosts(self.heartbeat);
         let joined = self.others.map(|known| known.join(run, silence));
         self.others = joined.or(Some(run));
     }
@@ -164,7 +164,7 @@
     /// replicas can take it, by `partitioned_host` of the tests.
     pub fn settling(&self, now: Time) -> Option<Span> {
         let own = self.own.filter(|_| self.is_back)?;
-        let silence = silence_between_hosts(self.heartbeat);
+        let silence = max_gap_between_hosts(self.heartbeat);
         let others = self.others.filter(|run| run.meets(&own, silence));
         let since = others.map_or(own.since, |run| run.since.min(own.since));
         let back = now.since(since);
--- a/crates/front/src/peers/inbox.rs
+++ b/crates/front/src/peers/inbox.rs
@@ -186,7 +186,7 @@
 
     /// Time through which hosts heard from the store, where replicas write each `heartbeat`.
     pub fn store(&self, heartbeat: Span, now: Time) -> Option<Ages> {
-        let silence = contact::silence_between_hosts(heartbeat);
+        let silence = contact::max_gap_between_hosts(heartbeat);
         let hosts = self.hosts.lock();
         let run = |told: &Told| Some(told.sums.store?.uptime(told.at));
         let runs = hosts.values().filter_map(run);
