--- a/crates/front/src/contact.rs
+++ b/crates/front/src/contact.rs
@@ -134,7 +134,7 @@
     }
 
     /// Whether no call is answered, here or by way of another host.
-    pub fn is_away(&self) -> bool {
+    pub fn is_unreachable(&self) -> bool {
         self.away
     }
 
--- a/crates/front/src/leader.rs
+++ b/crates/front/src/leader.rs
@@ -153,7 +153,7 @@
 /// Whether this host may try to lead: it sees the store, stays, and knows of no other leader.
 fn may_try(state: &State) -> bool {
     let table = state.table.lock();
-    let sees = table.routes.is_some() && !table.view.contact.is_away();
+    let sees = table.routes.is_some() && !table.view.contact.is_unreachable();
     drop(table);
     sees && !state.is_draining() && !state.is_led_by_another()
 }
--- a/crates/front/src/run/gauges.rs
+++ b/crates/front/src/run/gauges.rs
@@ -72,7 +72,7 @@
     set("coveford_configuration_version", &[], version as f64);
     set("coveford_replicas", &[], table.view.all().count() as f64);
     set("coveford_hosts", &[], table.hosts as f64);
-    let away = f64::from(u8::from(table.view.contact.is_away()));
+    let away = f64::from(u8::from(table.view.contact.is_unreachable()));
     set("coveford_store_away", &[], away);
 }
 
--- a/crates/front/tests/changes.rs
+++ b/crates/front/tests/changes.rs
@@ -69,7 +69,7 @@
     let replica = web(&store, "i-1").await;
     let daemon = daemon(&store, "d1").await;
     store.set_mode(mode);
-    until(|| daemon.state().table.lock().view.contact.is_away()).await;
+    until(|| daemon.state().table.lock().view.contact.is_unreachable()).await;
     // No entry lapses before three heartbeats are missed.
     sleep((HEARTBEAT * 2.0).std()).await;
     replica.vanish();
--- a/crates/front/tests/partitioned_host.rs
+++ b/crates/front/tests/partitioned_host.rs
@@ -54,7 +54,7 @@
     until(|| host.state().table.lock().view.all().count() == 2).await;
     let leader = keep_alone(&host);
     way.set(Mode::DeafTarget);
-    until(|| host.state().table.lock().view.contact.is_away()).await;
+    until(|| host.state().table.lock().view.contact.is_unreachable()).await;
     Cut {
         store,
         leaving,
@@ -72,7 +72,7 @@
     async fn heal(&self) {
         *self.host.state().leader.lock() = self.leader.clone();
         self.way.set(Mode::Pass);
-        until(|| !self.host.state().table.lock().view.contact.is_away()).await;
+        until(|| !self.host.state().table.lock().view.contact.is_unreachable()).await;
         sleep(KNOWN_AFTER).await;
     }
 
--- a/crates/front/tests/quarantine.rs
+++ b/crates/front/tests/quarantine.rs
@@ -220,7 +220,7 @@
     let (host, way) = behind_a_proxy(&store, "cut").await;
     let leader = keep_alone(&host);
     way.set(Mode::DeafTarget);
-    until(|| host.state().table.lock().view.contact.is_away()).await;
+    until(|| host.state().table.lock().view.contact.is_unreachable()).await;
     keep_out(&others).await;
     way.set(Mode::Pass);
     *host.state().leader.lock() = leader;
@@ -349,7 +349,7 @@
     drop(hosts.remove(leads));
     store.set_mode(platform_standin::store::Mode::Silent);
     let state = hosts[0].state();
-    until(|| state.table.lock().view.contact.is_away()).await;
+    until(|| state.table.lock().view.contact.is_unreachable()).await;
     for fall in 0..2 {
         state.quarantine.fell(Fall(fall), &[print], state.now());
     }
--- a/crates/front/tests/readers.rs
+++ b/crates/front/tests/readers.rs
@@ -146,7 +146,7 @@
     // store's return, and entries that vanished as ones that may come back; it passed that on.
     let end = Instant::now() + Duration::from_millis(4_500);
     while Instant::now() < end {
-        let is_away = follower.state().table.lock().view.contact.is_away();
+        let is_away = follower.state().table.lock().view.contact.is_unreachable();
         assert!(!is_away, "the store is there, for other hosts");
         sleep(Duration::from_millis(10)).await;
     }
