--- a/crates/front/src/contact.rs
+++ b/crates/front/src/contact.rs
@@ -162,7 +162,7 @@
     /// A run of other hosts that reaches into this host's own goes before it. Without it, a host that was cut off
     /// alone sends requests to a replica that has left for 2 s after its return, and every second one where two
     /// replicas can take it, by `partitioned_host` of the tests.
-    pub fn settling(&self, now: Time) -> Option<Span> {
+    pub fn since_recovery(&self, now: Time) -> Option<Span> {
         let own = self.own.filter(|_| self.is_back)?;
         let silence = max_gap_between_hosts(self.heartbeat);
         let others = self.others.filter(|run| run.meets(&own, silence));
@@ -173,6 +173,6 @@
 
     /// Whether an entry that vanishes now may come back.
     pub fn may_return(&self, now: Time) -> bool {
-        self.away || self.settling(now).is_some()
+        self.away || self.since_recovery(now).is_some()
     }
 }
--- a/crates/front/src/follow.rs
+++ b/crates/front/src/follow.rs
@@ -230,7 +230,7 @@
         let contact = &mut state.table.lock().view.contact;
         let before = (contact.is_unreachable(), contact.silent(now));
         note(contact);
-        (before.0, before.1, contact.settling(now))
+        (before.0, before.1, contact.since_recovery(now))
     };
     if was_away {
         let (silent_ms, store_back_ms) = (silent.map(Span::ms), settling.map(Span::ms));
--- a/crates/front/src/follow/take.rs
+++ b/crates/front/src/follow/take.rs
@@ -153,7 +153,7 @@
     if news.is_empty() {
         return;
     }
-    let settling = state.table.lock().view.contact.settling(state.now());
+    let settling = state.table.lock().view.contact.since_recovery(state.now());
     // Why an entry that vanished is missing and not gone: the store came back so long ago.
     let store_back_ms = settling.map(Span::ms);
     for one in news {
--- a/crates/front/tests/contact.rs
+++ b/crates/front/tests/contact.rs
@@ -61,7 +61,7 @@
     let mut contact = cut_off();
     tell(&mut contact, &Contact::new(HEARTBEAT), 14_100);
     tell(&mut contact, &in_touch(13_600, 14_400), 14_400);
-    assert_eq!(contact.settling(at(14_500)), Some(Span::from_ms(900)));
+    assert_eq!(contact.since_recovery(at(14_500)), Some(Span::from_ms(900)));
 }
 
 #[test]
@@ -104,7 +104,7 @@
     contact.answered(at(20), at(3_020));
     contact.answered(at(3_030), at(6_030));
     assert!(!contact.may_return(at(6_031)));
-    assert_eq!(contact.settling(at(6_031)), None);
+    assert_eq!(contact.since_recovery(at(6_031)), None);
 }
 
 #[test]
