--- a/crates/front/src/contact.rs
+++ b/crates/front/src/contact.rs
@@ -172,7 +172,7 @@
     }
 
     /// Whether an entry that vanishes now may come back.
-    pub fn may_return(&self, now: Time) -> bool {
+    pub fn may_reappear(&self, now: Time) -> bool {
         self.away || self.since_recovery(now).is_some()
     }
 }
--- a/crates/front/src/view.rs
+++ b/crates/front/src/view.rs
@@ -285,7 +285,7 @@
 
     /// Takes in a removal at its revision.
     pub fn remove(&mut self, id: &str, revision: u64, now: Time) -> Option<News> {
-        let may_return = self.contact.may_return(now);
+        let may_return = self.contact.may_reappear(now);
         let seen = self.seen.get_mut(id)?;
         if seen.revision >= revision {
             return None;
@@ -333,7 +333,7 @@
         self.departures.retain(|id, departure| {
             seen.contains_key(id) || now.since(departure.at) < LEAVING_REMEMBERED
         });
-        if self.contact.may_return(now) {
+        if self.contact.may_reappear(now) {
             return Vec::new();
         }
         let gone: Vec<Name> = self
--- a/crates/front/tests/contact.rs
+++ b/crates/front/tests/contact.rs
@@ -27,9 +27,9 @@
 #[test]
 fn a_host_without_others_takes_a_long_silence_for_an_outage() {
     let contact = cut_off();
-    assert!(contact.may_return(at(14_100)));
-    assert!(contact.may_return(at(15_900)));
-    assert!(!contact.may_return(at(16_100)));
+    assert!(contact.may_reappear(at(14_100)));
+    assert!(contact.may_reappear(at(15_900)));
+    assert!(!contact.may_reappear(at(16_100)));
 }
 
 /// A host that heard from the store from one time to another, in milliseconds.
@@ -53,7 +53,7 @@
 fn what_vanished_while_this_host_alone_was_cut_off_does_not_return(#[case] told: u64) {
     let mut contact = cut_off();
     tell(&mut contact, &in_touch(0, told), told);
-    assert!(!contact.may_return(at(told.max(14_000) + 100)));
+    assert!(!contact.may_reappear(at(told.max(14_000) + 100)));
 }
 
 #[test]
@@ -69,7 +69,7 @@
     let mut contact = cut_off();
     tell(&mut contact, &in_touch(0, 11_600), 14_100);
     assert!(
-        contact.may_return(at(14_200)),
+        contact.may_reappear(at(14_200)),
         "it hears nothing since 11.6 s"
     );
 }
@@ -78,9 +78,9 @@
 fn runs_of_two_hosts_that_meet_are_one() {
     let mut contact = cut_off();
     tell(&mut contact, &in_touch(0, 8_000), 14_100);
-    assert!(contact.may_return(at(14_200)));
+    assert!(contact.may_reappear(at(14_200)));
     tell(&mut contact, &in_touch(7_000, 14_200), 14_200);
-    assert!(!contact.may_return(at(14_300)));
+    assert!(!contact.may_reappear(at(14_300)));
 }
 
 /// An entry goes after three heartbeats that are missed, so that a shorter silence lapses none: a watch that
@@ -93,7 +93,7 @@
     hears(&mut contact, 0, 2_000);
     contact.failed();
     contact.answered(at(back), at(back));
-    assert_eq!(contact.may_return(at(back + 10)), outage);
+    assert_eq!(contact.may_reappear(at(back + 10)), outage);
 }
 
 /// The store held the question all the time: it was there.
@@ -103,7 +103,7 @@
     contact.answered(at(0), at(10));
     contact.answered(at(20), at(3_020));
     contact.answered(at(3_030), at(6_030));
-    assert!(!contact.may_return(at(6_031)));
+    assert!(!contact.may_reappear(at(6_031)));
     assert_eq!(contact.since_recovery(at(6_031)), None);
 }
 
@@ -112,7 +112,7 @@
     let mut contact = Contact::new(HEARTBEAT);
     contact.failed();
     contact.answered(at(9_000), at(9_000));
-    assert!(!contact.may_return(at(9_001)));
+    assert!(!contact.may_reappear(at(9_001)));
 }
 
 proptest! {
@@ -148,7 +148,7 @@
                 }
                 let answered = heard.iter().any(|t| *t >= at(end) && *t <= now);
                 if answered && ms < end + 1_500 {
-                    prop_assert!(contact.may_return(now), "at {ms}, the store was back at {end}");
+                    prop_assert!(contact.may_reappear(now), "at {ms}, the store was back at {end}");
                 }
             }
             words.retain(|(due, _)| *due > now);
