--- a/crates/front/src/contact.rs
+++ b/crates/front/src/contact.rs
@@ -150,7 +150,7 @@
     }
 
     /// Takes in another host's run.
-    pub fn told(&mut self, word: Ages, now: Time) {
+    pub fn merge(&mut self, word: Ages, now: Time) {
         let run = word.uptime(now);
         let silence = max_gap_between_hosts(self.heartbeat);
         let joined = self.others.map(|known| known.join(run, silence));
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -145,7 +145,7 @@
                 let mut table = self.state.table.lock();
                 table.told_by(&sums.host, &sums.loads, now);
                 if let Some(word) = sums.store {
-                    table.view.contact.told(word, now);
+                    table.view.contact.merge(word, now);
                 }
                 drop(table);
                 self.state.changed.notify_waiters();
@@ -215,7 +215,7 @@
             *self.others.lock() = others.collect();
             self.state.readers.set(plans.readers, own);
             if let Some(word) = plans.store {
-                table.view.contact.told(word, now);
+                table.view.contact.merge(word, now);
             }
             table.set_absent(plans.absent, now);
             table.set_coming(&plans.coming, now);
--- a/crates/front/src/readers/question.rs
+++ b/crates/front/src/readers/question.rs
@@ -111,7 +111,7 @@
     follow::regained(state, state.now(), |contact| {
         contact.answered(confirmed, confirmed);
         if let Some(word) = answer.store {
-            contact.told(word, answered);
+            contact.merge(word, answered);
         }
     });
     take(state, answer, after, confirmed)
--- a/crates/front/tests/contact.rs
+++ b/crates/front/tests/contact.rs
@@ -42,7 +42,7 @@
 /// Takes in at a time what another host tells then.
 fn tell(contact: &mut Contact, other: &Contact, ms: u64) {
     if let Some(word) = other.ages(at(ms)) {
-        contact.told(word, at(ms));
+        contact.merge(word, at(ms));
     }
 }
 
@@ -143,7 +143,7 @@
                 }
                 for (_, word) in words.iter().filter(|(due, _)| *due <= now) {
                     if let Some(word) = word {
-                        contact.told(*word, now);
+                        contact.merge(*word, now);
                     }
                 }
                 let answered = heard.iter().any(|t| *t >= at(end) && *t <= now);
