--- a/crates/front/src/contact.rs
+++ b/crates/front/src/contact.rs
@@ -139,7 +139,7 @@
     }
 
     /// Time since the store was last known to answer.
-    pub fn silent(&self, now: Time) -> Option<Span> {
+    pub fn silence(&self, now: Time) -> Option<Span> {
         self.own.map(|run| now.since(run.until))
     }
 
--- a/crates/front/src/follow.rs
+++ b/crates/front/src/follow.rs
@@ -228,7 +228,7 @@
 pub fn regained(state: &State, now: Time, note: impl FnOnce(&mut Contact)) {
     let (was_away, silent, settling) = {
         let contact = &mut state.table.lock().view.contact;
-        let before = (contact.is_unreachable(), contact.silent(now));
+        let before = (contact.is_unreachable(), contact.silence(now));
         note(contact);
         (before.0, before.1, contact.since_recovery(now))
     };
