--- a/crates/front/src/accounts.rs
+++ b/crates/front/src/accounts.rs
@@ -121,7 +121,7 @@
         return Ok(Caller::default());
     }
     let refusal = match (&key, account) {
-        (Ok(_), Some(_)) => may_rest_on(state).err(),
+        (Ok(_), Some(_)) => check_freshness(state).err(),
         (Ok(key), None) => Some(unknown(state, key)),
         (Err(why), _) => Some(Refusal::Unreadable(*why)),
     };
@@ -164,12 +164,12 @@
         None if call.route.public => Ok(None),
         None => Err(Refusal::Withdrawn),
         Some(account) if call.route.public => Ok(Some(account.clone())),
-        Some(account) => may_rest_on(state).map(|()| Some(account.clone())),
+        Some(account) => check_freshness(state).map(|()| Some(account.clone())),
     }
 }
 
 /// Whether this host may rest on what it knows of keys.
-pub fn may_rest_on(state: &State) -> Result<(), Refusal> {
+pub fn check_freshness(state: &State) -> Result<(), Refusal> {
     let age = known_age(state);
     match rested_on_for(&state.settings.bounds) {
         Some(most) if age > most => Err(Refusal::Unconfirmed { age }),
@@ -182,7 +182,7 @@
 pub fn may_serve(state: &State) -> bool {
     let routes = state.table.lock().routes.clone();
     let has_accounts = routes.is_some_and(|r| r.accounts.is_some());
-    !has_accounts || may_rest_on(state).is_ok()
+    !has_accounts || check_freshness(state).is_ok()
 }
 
 /// Age up to which a host rests on what it knows of keys; none where nothing bounds it.
