--- a/crates/front/src/accounts.rs
+++ b/crates/front/src/accounts.rs
@@ -179,7 +179,7 @@
 
 /// Whether this host can serve requests that need a key: a host that cannot tells the balancer so, which
 /// leads new connections to others.
-pub fn may_serve(state: &State) -> bool {
+pub fn can_authenticate(state: &State) -> bool {
     let routes = state.table.lock().routes.clone();
     let has_accounts = routes.is_some_and(|r| r.accounts.is_some());
     !has_accounts || check_freshness(state).is_ok()
--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -217,7 +217,7 @@
 fn serve_readiness(state: &Arc<State>, listener: TcpListener) -> Result<Server, Error> {
     let state = state.clone();
     let answer = move |request: Request<Incoming>| {
-        let is_ready = state.is_ready() && accounts::may_serve(&state);
+        let is_ready = state.is_ready() && accounts::can_authenticate(&state);
         let status = match (request.uri().path(), is_ready) {
             (names::READY, true) => StatusCode::OK,
             (names::READY, false) => StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/front/tests/accounts.rs
+++ b/crates/front/tests/accounts.rs
@@ -252,7 +252,7 @@
         ask_with(&daemon, "k-1", "/again/x", None).await.1.status(),
         200
     );
-    until(|| !front::accounts::may_serve(daemon.state())).await;
+    until(|| !front::accounts::can_authenticate(daemon.state())).await;
     assert!(away.elapsed() < bound, "{:?}", away.elapsed());
     let before = replica.arrivals();
     let (_, answer) = ask_with(&daemon, "k-1", "/again/x", None).await;
@@ -264,7 +264,7 @@
     assert_eq!(replica.arrivals(), before);
     assert_eq!(ask(&daemon, "/open/x", None).await.1.status(), 200);
     store.set_mode(Mode::Up);
-    until(|| front::accounts::may_serve(daemon.state())).await;
+    until(|| front::accounts::can_authenticate(daemon.state())).await;
     assert_eq!(
         ask_with(&daemon, "k-1", "/again/x", None).await.1.status(),
         200
