--- a/crates/front/src/accounts.rs
+++ b/crates/front/src/accounts.rs
@@ -171,7 +171,7 @@
 /// Whether this host may rest on what it knows of keys.
 pub fn check_freshness(state: &State) -> Result<(), Refusal> {
     let age = known_age(state);
-    match rested_on_for(&state.settings.bounds) {
+    match max_age(&state.settings.bounds) {
         Some(most) if age > most => Err(Refusal::Unconfirmed { age }),
         _ => Ok(()),
     }
@@ -186,7 +186,7 @@
 }
 
 /// Age up to which a host rests on what it knows of keys; none where nothing bounds it.
-pub fn rested_on_for(bounds: &Bounds) -> Option<Span> {
+pub fn max_age(bounds: &Bounds) -> Option<Span> {
     let bound = bounds.withdrawal?;
     Some(Span::from(bound) * RESTED_ON_PART)
 }
--- a/crates/front/tests/accounts.rs
+++ b/crates/front/tests/accounts.rs
@@ -283,7 +283,7 @@
         oldest = oldest.max(front::accounts::known_age(daemon.state()));
         sleep(Duration::from_millis(5)).await;
     }
-    let most = front::accounts::rested_on_for(&bounds()).unwrap();
+    let most = front::accounts::max_age(&bounds()).unwrap();
     assert!(oldest > unit::Span::from_ms(500), "{oldest}");
     assert!(oldest < most, "{oldest}");
 }
