--- a/crates/front/src/accounts.rs
+++ b/crates/front/src/accounts.rs
@@ -170,7 +170,7 @@
 
 /// Whether this host may rest on what it knows of keys.
 pub fn check_freshness(state: &State) -> Result<(), Refusal> {
-    let age = known_age(state);
+    let age = data_age(state);
     match max_age(&state.settings.bounds) {
         Some(most) if age > most => Err(Refusal::Unconfirmed { age }),
         _ => Ok(()),
@@ -192,13 +192,13 @@
 }
 
 /// Age of what this host knows of the store.
-pub fn known_age(state: &State) -> Span {
+pub fn data_age(state: &State) -> Span {
     state.readers.recent.lock().age(state.now())
 }
 
 /// Refusal of a key that is not known: by a host that knows the newest configuration it is final.
 fn unknown(state: &State, key: &Key) -> Refusal {
-    let age = known_age(state);
+    let age = data_age(state);
     match age > Span::from(state.settings.bounds.configuration) {
         true => Refusal::Unconfirmed { age },
         false => Refusal::Unknown {
@@ -281,7 +281,7 @@
     state.log.notable(|| {
         let (id, route) = (refused.id.as_deref(), &*refused.route.name);
         let account = refused.account.map(|a| &*a.name);
-        let age_ms = known_age(state).ms();
+        let age_ms = data_age(state).ms();
         let store = if readers::is_cut(state) { "failing" } else { "answering" };
         let retry_after_ms = fault.retry_after.map(|s| s.ms());
         info!(target: "request", event = "refused", id, route, account, key, status = fault.status.as_u16(), reason = fault.reason, version = refused.version, age_ms, store, retry_after_ms, ms = 0.0, why = %refusal, "a request is not let in by its key")
--- a/crates/front/src/run/gauges.rs
+++ b/crates/front/src/run/gauges.rs
@@ -25,7 +25,7 @@
     metrics
         .gauge("coveford_accounts", &[])
         .set(known.all().count() as f64);
-    let age = accounts::known_age(state);
+    let age = accounts::data_age(state);
     metrics
         .gauge("coveford_keys_age_seconds", &[])
         .set(age.secs());
--- a/crates/front/src/serve/read.rs
+++ b/crates/front/src/serve/read.rs
@@ -41,7 +41,7 @@
         return Ok(route.clone());
     }
     let most = Span::from(state.settings.bounds.configuration) * OLD_CONFIGURATION;
-    if state.table.lock().view.contact.is_unreachable() || accounts::known_age(state) > most {
+    if state.table.lock().view.contact.is_unreachable() || accounts::data_age(state) > most {
         // The route may stand in a newer configuration that this host cannot read.
         let message = "No route leads there by the last configuration that this host could read.";
         return Err(Fault::not_run("configuration_old", message, RETURN_LATER));
--- a/crates/front/tests/accounts.rs
+++ b/crates/front/tests/accounts.rs
@@ -280,7 +280,7 @@
     let mut oldest = unit::Span::ZERO;
     let end = Instant::now() + Duration::from_secs(3);
     while Instant::now() < end {
-        oldest = oldest.max(front::accounts::known_age(daemon.state()));
+        oldest = oldest.max(front::accounts::data_age(daemon.state()));
         sleep(Duration::from_millis(5)).await;
     }
     let most = front::accounts::max_age(&bounds()).unwrap();
--- a/crates/front/tests/readers.rs
+++ b/crates/front/tests/readers.rs
@@ -313,7 +313,7 @@
     until(|| host.state().is_ready()).await;
     // What it read then is as old as its first question; the next answer of the store makes it new.
     let most = Span::from_ms(1_000);
-    until(|| front::accounts::known_age(host.state()) < most).await;
+    until(|| front::accounts::data_age(host.state()) < most).await;
     assert_eq!(ask(&host, "/nowhere/x", None).await.1.status(), 404);
 }
 
