--- a/crates/front/src/accounts.rs
+++ b/crates/front/src/accounts.rs
@@ -149,7 +149,7 @@
 }
 
 /// Account whose request a call is by the newest configuration, now that it is to be sent to a replica.
-pub fn confirm(state: &State, call: &Call) -> Result<Option<Arc<Account>>, Refusal> {
+pub fn reauthenticate(state: &State, call: &Call) -> Result<Option<Arc<Account>>, Refusal> {
     let routes = state.table.lock().routes.clone();
     let Some(accounts) = routes.as_ref().and_then(|r| r.accounts.as_ref()) else {
         return Ok(None);
