--- a/crates/front/src/accounts.rs
+++ b/crates/front/src/accounts.rs
@@ -105,7 +105,7 @@
 
 /// Finds whose request one is by the key in its header fields, and takes the key out of them. On a
 /// public route no key is needed, and one that is not known counts as none.
-pub fn identify(
+pub fn authenticate(
     state: &State,
     routes: &Routes,
     route: &Route,
--- a/crates/front/src/serve/read.rs
+++ b/crates/front/src/serve/read.rs
@@ -67,7 +67,7 @@
 ) -> Result<Call, Fault> {
     let (mut head, body) = request.into_parts();
     let host = host(&head.uri, &head.headers);
-    let caller = accounts::identify(state, routes, &route, &mut head.headers)?;
+    let caller = accounts::authenticate(state, routes, &route, &mut head.headers)?;
     let ask = ingress::ask(&head.headers);
     let patience = ask.patience.unwrap_or(route.timeout).min(route.timeout);
     let deadline = arrived + Span::from(patience);
