--- a/crates/front/src/accounts.rs
+++ b/crates/front/src/accounts.rs
@@ -68,7 +68,7 @@
 
 impl Accounts {
     /// Account that a key stands for.
-    pub fn of(&self, key: &Key) -> Option<&Arc<Account>> {
+    pub fn find(&self, key: &Key) -> Option<&Arc<Account>> {
         self.by_key.get(key)
     }
 
@@ -116,7 +116,7 @@
     };
     let id = ingress::ask(headers).id;
     let key = account::take_key(headers);
-    let account = key.as_ref().ok().and_then(|key| accounts.of(key));
+    let account = key.as_ref().ok().and_then(|key| accounts.find(key));
     if account.is_none() && route.public {
         return Ok(Caller::default());
     }
@@ -160,7 +160,7 @@
             false => Err(Refusal::Unreadable(account::Unreadable::Missing)),
         };
     };
-    match accounts.of(key) {
+    match accounts.find(key) {
         None if call.route.public => Ok(None),
         None => Err(Refusal::Withdrawn),
         Some(account) if call.route.public => Ok(Some(account.clone())),
