--- a/crates/front/src/accounts.rs
+++ b/crates/front/src/accounts.rs
@@ -73,7 +73,7 @@
     }
 
     /// Account of a name.
-    pub fn named(&self, name: &str) -> Option<&Arc<Account>> {
+    pub fn get(&self, name: &str) -> Option<&Arc<Account>> {
         self.by_name.get(name)
     }
 
--- a/crates/front/src/peers/quota.rs
+++ b/crates/front/src/peers/quota.rs
@@ -197,7 +197,7 @@
     /// Limit of an account by the newest configuration here.
     fn limit_of(&self, account: &str) -> Option<Limit> {
         let routes = self.state.table.lock().routes.clone()?;
-        let account = routes.accounts.as_ref()?.named(account)?;
+        let account = routes.accounts.as_ref()?.get(account)?;
         account.quota.as_ref().map(shares::limit)
     }
 
