--- a/crates/front/src/accounts.rs
+++ b/crates/front/src/accounts.rs
@@ -162,7 +162,7 @@
     };
     match accounts.find(key) {
         None if call.route.public => Ok(None),
-        None => Err(Refusal::Withdrawn),
+        None => Err(Refusal::Revoked),
         Some(account) if call.route.public => Ok(Some(account.clone())),
         Some(account) => check_freshness(state).map(|()| Some(account.clone())),
     }
@@ -218,7 +218,7 @@
         digest: String,
     },
     /// The key was taken away while the request waited.
-    Withdrawn,
+    Revoked,
     /// What this host knows of keys is too old.
     Unconfirmed {
         /// Its age.
@@ -232,7 +232,7 @@
         match self {
             Refusal::Unreadable(_) => "no_key",
             Refusal::Unknown { .. } => "key_unknown",
-            Refusal::Withdrawn => "key_withdrawn",
+            Refusal::Revoked => "key_withdrawn",
             Refusal::Unconfirmed { .. } => "key_unconfirmed",
         }
     }
@@ -254,7 +254,7 @@
         match self {
             Refusal::Unreadable(why) => write!(f, "{why}"),
             Refusal::Unknown { .. } => f.write_str("No account holds this key."),
-            Refusal::Withdrawn => f.write_str("The key was taken away."),
+            Refusal::Revoked => f.write_str("The key was taken away."),
             Refusal::Unconfirmed { age } => {
                 write!(f, "This host last heard of the accounts' keys {age} ago.")
             }
