--- a/crates/front/src/accounts.rs
+++ b/crates/front/src/accounts.rs
@@ -172,7 +172,7 @@
 pub fn check_freshness(state: &State) -> Result<(), Refusal> {
     let age = data_age(state);
     match max_age(&state.settings.bounds) {
-        Some(most) if age > most => Err(Refusal::Unconfirmed { age }),
+        Some(most) if age > most => Err(Refusal::Stale { age }),
         _ => Ok(()),
     }
 }
@@ -200,7 +200,7 @@
 fn unknown(state: &State, key: &Key) -> Refusal {
     let age = data_age(state);
     match age > Span::from(state.settings.bounds.configuration) {
-        true => Refusal::Unconfirmed { age },
+        true => Refusal::Stale { age },
         false => Refusal::Unknown {
             digest: key.digest(),
         },
@@ -220,7 +220,7 @@
     /// The key was taken away while the request waited.
     Revoked,
     /// What this host knows of keys is too old.
-    Unconfirmed {
+    Stale {
         /// Its age.
         age: Span,
     },
@@ -233,7 +233,7 @@
             Refusal::Unreadable(_) => "no_key",
             Refusal::Unknown { .. } => "key_unknown",
             Refusal::Revoked => "key_withdrawn",
-            Refusal::Unconfirmed { .. } => "key_unconfirmed",
+            Refusal::Stale { .. } => "key_unconfirmed",
         }
     }
 
@@ -241,9 +241,7 @@
     pub fn fault(&self) -> Fault {
         let message = self.to_string();
         match self {
-            Refusal::Unconfirmed { .. } => {
-                Fault::not_run(self.reason(), message, RETURN_UNCONFIRMED)
-            }
+            Refusal::Stale { .. } => Fault::not_run(self.reason(), message, RETURN_UNCONFIRMED),
             _ => Fault::refused(StatusCode::UNAUTHORIZED, self.reason(), message),
         }
     }
@@ -255,7 +253,7 @@
             Refusal::Unreadable(why) => write!(f, "{why}"),
             Refusal::Unknown { .. } => f.write_str("No account holds this key."),
             Refusal::Revoked => f.write_str("The key was taken away."),
-            Refusal::Unconfirmed { age } => {
+            Refusal::Stale { age } => {
                 write!(f, "This host last heard of the accounts' keys {age} ago.")
             }
         }
