--- a/crates/front/src/grant.rs
+++ b/crates/front/src/grant.rs
@@ -11,7 +11,7 @@
 use unit::{Span, Time};
 
 /// Units that are wanted for one request.
-pub struct Wanted {
+pub struct Claim {
     /// Whose limit it is.
     pub subject: Subject,
     /// The limit, as this host knows it.
@@ -58,7 +58,7 @@
 pub async fn ask(
     state: &State,
     peers: &Peers,
-    wanted: &Wanted,
+    wanted: &Claim,
     tries: &[Duration],
 ) -> Option<Answer> {
     let asked = state.now();
@@ -103,14 +103,14 @@
 }
 
 /// Uses units of this host's own share; otherwise the time after which there will be enough, if ever.
-pub fn use_alone(state: &State, wanted: &Wanted) -> Result<(), Option<Span>> {
+pub fn use_alone(state: &State, wanted: &Claim) -> Result<(), Option<Span>> {
     let now = state.now();
     state.shares.with(&wanted.subject, |share| {
         share.use_alone(wanted.limit, wanted.units, now)
     })
 }
 
-impl Wanted {
+impl Claim {
     /// Units that were given for a question of `asked`.
     pub fn granted(self, peers: &Arc<Peers>, asked: Time, source: Source) -> Grant {
         Grant {
--- a/crates/front/src/limits.rs
+++ b/crates/front/src/limits.rs
@@ -5,7 +5,7 @@
 //! nothing there. A refusal keeps the replica out of this host's choice until there may be room again.
 
 use crate::attempt::Call;
-use crate::grant::{self, Answer, Grant, Source, Wanted};
+use crate::grant::{self, Answer, Claim, Grant, Source};
 use crate::heard;
 use crate::message::Subject;
 use crate::peers::Peers;
@@ -120,8 +120,8 @@
     }
 }
 
-fn wanted(met: &Met, choice: &Choice) -> Wanted {
-    Wanted {
+fn wanted(met: &Met, choice: &Choice) -> Claim {
+    Claim {
         subject: Subject::Replica(met.limited),
         limit: met.notice.limit(1.0),
         units: 1.0,
--- a/crates/front/src/quota.rs
+++ b/crates/front/src/quota.rs
@@ -5,7 +5,7 @@
 //! that host does not answer, this one goes on by its share of what was given out lately.
 
 use crate::attempt::Call;
-use crate::grant::{self, Answer, Grant, Source, Wanted};
+use crate::grant::{self, Answer, Claim, Grant, Source};
 use crate::message::Subject;
 use crate::peers::Peers;
 use crate::peers::quota::{PATIENT, QUICK};
@@ -30,7 +30,7 @@
     let Some((account, quota)) = account.and_then(|a| Some((a, a.quota?))) else {
         return Ok(None);
     };
-    let wanted = Wanted {
+    let wanted = Claim {
         subject: Subject::Account(account.name.clone()),
         limit: shares::limit(&quota),
         units: quota.cost(call.ask.tokens()),
@@ -53,7 +53,7 @@
     peers: &Arc<Peers>,
     account: &Account,
     quota: &Quota,
-    wanted: &Wanted,
+    wanted: &Claim,
 ) -> Result<Source, Fault> {
     let decided = |answer| match answer {
         Answer::Given(_) | Answer::Unlimited => Ok(Source::Limiter),
