--- a/crates/front/src/grant.rs
+++ b/crates/front/src/grant.rs
@@ -45,7 +45,7 @@
 
 /// What the host that gives out says.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Answer {
+pub enum Decision {
     /// They are given.
     Given(Given),
     /// There are not enough.
@@ -60,7 +60,7 @@
     peers: &Peers,
     wanted: &Claim,
     tries: &[Duration],
-) -> Option<Answer> {
+) -> Option<Decision> {
     let asked = state.now();
     let untold = state.shares.with(&wanted.subject, |share| share.untold());
     let question = Question {
@@ -79,7 +79,7 @@
     };
     state.shares.with(&wanted.subject, |share| {
         share.answered(asked, untold);
-        if let Answer::Given(told) = answer {
+        if let Decision::Given(told) = answer {
             share.given(wanted.units, told, asked);
         }
     });
@@ -87,17 +87,17 @@
 }
 
 /// What a verdict says; none where the host that was asked does not give out.
-fn answer(verdict: Verdict) -> Option<Answer> {
+fn answer(verdict: Verdict) -> Option<Decision> {
     match verdict {
-        Verdict::Given { all, left } => Some(Answer::Given(Given {
+        Verdict::Given { all, left } => Some(Decision::Given(Given {
             all: f64::from(all),
             left: f64::from(left),
         })),
-        Verdict::Refused { wait_ms, left } => Some(Answer::Over(Over {
+        Verdict::Refused { wait_ms, left } => Some(Decision::Over(Over {
             wait: Span::from_ms(u64::from(wait_ms)),
             left: f64::from(left),
         })),
-        Verdict::Unlimited => Some(Answer::Unlimited),
+        Verdict::Unlimited => Some(Decision::Unlimited),
         Verdict::Elsewhere => None,
     }
 }
--- a/crates/front/src/limits.rs
+++ b/crates/front/src/limits.rs
@@ -5,7 +5,7 @@
 //! nothing there. A refusal keeps the replica out of this host's choice until there may be room again.
 
 use crate::attempt::Call;
-use crate::grant::{self, Answer, Claim, Grant, Source};
+use crate::grant::{self, Claim, Decision, Grant, Source};
 use crate::heard;
 use crate::message::Subject;
 use crate::peers::Peers;
@@ -88,15 +88,15 @@
     let source = {
         let mut table = state.table.lock();
         match answer {
-            Some(Answer::Given(given)) => {
+            Some(Decision::Given(given)) => {
                 table.told_of_room(replica, Some(Ok(given.left)), now);
                 Some(Source::Limiter)
             }
-            Some(Answer::Over(over)) => {
+            Some(Decision::Over(over)) => {
                 table.told_of_room(replica, Some(Err(over)), now);
                 None
             }
-            Some(Answer::Unlimited) => {
+            Some(Decision::Unlimited) => {
                 table.unlimited(replica);
                 return Ok(None);
             }
--- a/crates/front/src/quota.rs
+++ b/crates/front/src/quota.rs
@@ -5,7 +5,7 @@
 //! that host does not answer, this one goes on by its share of what was given out lately.
 
 use crate::attempt::Call;
-use crate::grant::{self, Answer, Claim, Grant, Source};
+use crate::grant::{self, Claim, Decision, Grant, Source};
 use crate::message::Subject;
 use crate::peers::Peers;
 use crate::peers::quota::{PATIENT, QUICK};
@@ -56,8 +56,8 @@
     wanted: &Claim,
 ) -> Result<Source, Fault> {
     let decided = |answer| match answer {
-        Answer::Given(_) | Answer::Unlimited => Ok(Source::Limiter),
-        Answer::Over(told) => Err(over(account, quota, wanted.units, told.wait)),
+        Decision::Given(_) | Decision::Unlimited => Ok(Source::Limiter),
+        Decision::Over(told) => Err(over(account, quota, wanted.units, told.wait)),
     };
     if state.shares.may_ask(state.now())
         && let Some(answer) = grant::ask(state, peers, wanted, QUICK).await
