--- a/crates/front/src/grant.rs
+++ b/crates/front/src/grant.rs
@@ -47,7 +47,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Decision {
     /// They are given.
-    Given(Given),
+    Granted(Given),
     /// There are not enough.
     Over(Over),
     /// There is no limit.
@@ -79,7 +79,7 @@
     };
     state.shares.with(&wanted.subject, |share| {
         share.answered(asked, untold);
-        if let Decision::Given(told) = answer {
+        if let Decision::Granted(told) = answer {
             share.given(wanted.units, told, asked);
         }
     });
@@ -89,7 +89,7 @@
 /// What a verdict says; none where the host that was asked does not give out.
 fn answer(verdict: Verdict) -> Option<Decision> {
     match verdict {
-        Verdict::Given { all, left } => Some(Decision::Given(Given {
+        Verdict::Given { all, left } => Some(Decision::Granted(Given {
             all: f64::from(all),
             left: f64::from(left),
         })),
--- a/crates/front/src/limits.rs
+++ b/crates/front/src/limits.rs
@@ -88,7 +88,7 @@
     let source = {
         let mut table = state.table.lock();
         match answer {
-            Some(Decision::Given(given)) => {
+            Some(Decision::Granted(given)) => {
                 table.told_of_room(replica, Some(Ok(given.left)), now);
                 Some(Source::Limiter)
             }
--- a/crates/front/src/quota.rs
+++ b/crates/front/src/quota.rs
@@ -56,7 +56,7 @@
     wanted: &Claim,
 ) -> Result<Source, Fault> {
     let decided = |answer| match answer {
-        Decision::Given(_) | Decision::Unlimited => Ok(Source::Limiter),
+        Decision::Granted(_) | Decision::Unlimited => Ok(Source::Limiter),
         Decision::Over(told) => Err(over(account, quota, wanted.units, told.wait)),
     };
     if state.shares.may_ask(state.now())
