--- a/crates/front/src/grant.rs
+++ b/crates/front/src/grant.rs
@@ -49,7 +49,7 @@
     /// They are given.
     Granted(Given),
     /// There are not enough.
-    Over(Over),
+    Denied(Over),
     /// There is no limit.
     Unlimited,
 }
@@ -93,7 +93,7 @@
             all: f64::from(all),
             left: f64::from(left),
         })),
-        Verdict::Refused { wait_ms, left } => Some(Decision::Over(Over {
+        Verdict::Refused { wait_ms, left } => Some(Decision::Denied(Over {
             wait: Span::from_ms(u64::from(wait_ms)),
             left: f64::from(left),
         })),
--- a/crates/front/src/limits.rs
+++ b/crates/front/src/limits.rs
@@ -92,7 +92,7 @@
                 table.told_of_room(replica, Some(Ok(given.left)), now);
                 Some(Source::Limiter)
             }
-            Some(Decision::Over(over)) => {
+            Some(Decision::Denied(over)) => {
                 table.told_of_room(replica, Some(Err(over)), now);
                 None
             }
--- a/crates/front/src/quota.rs
+++ b/crates/front/src/quota.rs
@@ -57,7 +57,7 @@
 ) -> Result<Source, Fault> {
     let decided = |answer| match answer {
         Decision::Granted(_) | Decision::Unlimited => Ok(Source::Limiter),
-        Decision::Over(told) => Err(over(account, quota, wanted.units, told.wait)),
+        Decision::Denied(told) => Err(over(account, quota, wanted.units, told.wait)),
     };
     if state.shares.may_ask(state.now())
         && let Some(answer) = grant::ask(state, peers, wanted, QUICK).await
