--- a/crates/front/src/grant.rs
+++ b/crates/front/src/grant.rs
@@ -19,7 +19,7 @@
     /// How many.
     pub units: f64,
     /// Units that are to be left for what is more urgent.
-    pub kept: f64,
+    pub reserved: f64,
     /// Whether nothing else can take the request, so that it comes again.
     pub queues: bool,
 }
@@ -68,7 +68,7 @@
         host: state.settings.name.clone(),
         subject: wanted.subject.clone(),
         units: wanted.units as f32,
-        kept: wanted.kept as f32,
+        kept: wanted.reserved as f32,
         queues: wanted.queues,
         alone: untold as f32,
     };
--- a/crates/front/src/limits.rs
+++ b/crates/front/src/limits.rs
@@ -125,7 +125,7 @@
         subject: Subject::Replica(met.limited),
         limit: met.notice.limit(1.0),
         units: 1.0,
-        kept: met.kept,
+        reserved: met.kept,
         queues: choice.candidates == 1,
     }
 }
--- a/crates/front/src/quota.rs
+++ b/crates/front/src/quota.rs
@@ -34,7 +34,7 @@
         subject: Subject::Account(account.name.clone()),
         limit: shares::limit(&quota),
         units: quota.cost(call.ask.tokens()),
-        kept: 0.0,
+        reserved: 0.0,
         queues: true,
     };
     let asked = state.now();
