--- a/crates/front/src/grant.rs
+++ b/crates/front/src/grant.rs
@@ -103,7 +103,7 @@
 }
 
 /// Uses units of this host's own share; otherwise the time after which there will be enough, if ever.
-pub fn use_alone(state: &State, wanted: &Claim) -> Result<(), Option<Span>> {
+pub fn spend_share(state: &State, wanted: &Claim) -> Result<(), Option<Span>> {
     let now = state.now();
     state.shares.with(&wanted.subject, |share| {
         share.use_alone(wanted.limit, wanted.units, now)
--- a/crates/front/src/limits.rs
+++ b/crates/front/src/limits.rs
@@ -102,7 +102,7 @@
             }
             None => {
                 table.told_of_room(replica, None, now);
-                let used = grant::use_alone(state, &wanted);
+                let used = grant::spend_share(state, &wanted);
                 used.is_ok().then_some(Source::Share)
             }
         }
--- a/crates/front/src/quota.rs
+++ b/crates/front/src/quota.rs
@@ -64,7 +64,7 @@
     {
         return decided(answer);
     }
-    let Err(wait) = grant::use_alone(state, wanted) else {
+    let Err(wait) = grant::spend_share(state, wanted) else {
         return Ok(Source::Share);
     };
     match grant::ask(state, peers, wanted, PATIENT).await {
