--- a/crates/front/src/grant.rs
+++ b/crates/front/src/grant.rs
@@ -112,7 +112,7 @@
 
 impl Claim {
     /// Units that were given for a question of `asked`.
-    pub fn granted(self, peers: &Arc<Peers>, asked: Time, source: Source) -> Grant {
+    pub fn into_grant(self, peers: &Arc<Peers>, asked: Time, source: Source) -> Grant {
         Grant {
             peers: peers.clone(),
             subject: self.subject,
--- a/crates/front/src/limits.rs
+++ b/crates/front/src/limits.rs
@@ -108,7 +108,7 @@
         }
     };
     match source {
-        Some(source) => Ok(Some(wanted.granted(peers, asked, source))),
+        Some(source) => Ok(Some(wanted.into_grant(peers, asked, source))),
         None => {
             state
                 .log
--- a/crates/front/src/quota.rs
+++ b/crates/front/src/quota.rs
@@ -43,7 +43,7 @@
         .as_ref()
         .map_or_else(|fault| fault.reason, |_| "let_in");
     state.log.metrics.account(&account.name, decision);
-    decided.map(|source| Some(wanted.granted(peers, asked, source)))
+    decided.map(|source| Some(wanted.into_grant(peers, asked, source)))
 }
 
 /// Asks the host that gives out; goes by this host's share where it does not answer, and asks once more
