--- a/crates/front/src/grant.rs
+++ b/crates/front/src/grant.rs
@@ -125,7 +125,7 @@
 
 impl Grant {
     /// Gives the units back: the request did not use them.
-    pub async fn give_back(self, state: &State) {
+    pub async fn refund(self, state: &State) {
         let age = state.now().since(self.asked);
         if self.source == Source::Share || age > GIVEN_BACK_WITHIN {
             return;
--- a/crates/front/src/relay/resume.rs
+++ b/crates/front/src/relay/resume.rs
@@ -38,7 +38,7 @@
             let now = state.now();
             if !state.table.lock().spend(&call.service, now) {
                 if let Some(grant) = grant {
-                    grant.give_back(&state).await;
+                    grant.refund(&state).await;
                 }
                 return false;
             }
@@ -47,7 +47,7 @@
             if let (Some(grant), Err(failed)) = (grant, &sent)
                 && failed.proves_unsent()
             {
-                grant.give_back(&state).await;
+                grant.refund(&state).await;
             }
             self.tried.note(&choice.replica, &sent);
             state.log.notable(|| {
--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -91,7 +91,7 @@
     let answered = attempts(entry, call).await;
     let has_not_run = answered.as_ref().is_err_and(|f| f.retry_after.is_some());
     if let Some(grant) = grant.filter(|_| has_not_run) {
-        grant.give_back(state).await;
+        grant.refund(state).await;
     }
     answered
 }
@@ -148,7 +148,7 @@
         if let (Some(grant), Err(failed)) = (grant, &sent)
             && failed.proves_unsent()
         {
-            grant.give_back(state).await;
+            grant.refund(state).await;
         }
         progress.tried.note(&choice.replica, &sent);
         let passed = match sent {
