--- a/crates/front/src/leader.rs
+++ b/crates/front/src/leader.rs
@@ -229,7 +229,7 @@
 
 /// Revision of the entry that a host may write anew when it tries to lead; 0 where there must be none. Another
 /// host's is never replaced: it may have become known only now, while this host was about to try.
-pub fn replaces(known: Option<&Leader>, own: SocketAddr) -> u64 {
+pub fn expected_revision(known: Option<&Leader>, own: SocketAddr) -> u64 {
     let left = known.filter(|leader| leader.peers == own);
     left.map_or(0, |leader| leader.term)
 }
@@ -241,7 +241,7 @@
         peers: state.settings.peers,
     };
     let value = serde_json::to_vec(&entry).expect("an entry is plain data");
-    let left = replaces(state.leader.lock().as_ref(), state.settings.peers);
+    let left = expected_revision(state.leader.lock().as_ref(), state.settings.peers);
     let mut txn = Transaction {
         expected: vec![(KEY.into(), left)],
         writes: vec![(KEY.into(), value, lease.id)],
--- a/crates/front/tests/changes.rs
+++ b/crates/front/tests/changes.rs
@@ -283,13 +283,13 @@
         peers: peers.parse().unwrap(),
         term: 3,
     };
-    assert_eq!(front::leader::replaces(None, own), 0);
+    assert_eq!(front::leader::expected_revision(None, own), 0);
     assert_eq!(
-        front::leader::replaces(Some(&leader("127.0.0.1:7002")), own),
+        front::leader::expected_revision(Some(&leader("127.0.0.1:7002")), own),
         0
     );
     assert_eq!(
-        front::leader::replaces(Some(&leader("127.0.0.1:7001")), own),
+        front::leader::expected_revision(Some(&leader("127.0.0.1:7001")), own),
         3
     );
 }
