--- a/crates/front/src/follow/take.rs
+++ b/crates/front/src/follow/take.rs
@@ -75,7 +75,7 @@
             }
         }
     } else if &*item.key == leader::KEY {
-        match leader::read(&item) {
+        match leader::decode(&item) {
             Ok(leader) => set_leader(state, Some(leader)),
             Err(why) => {
                 error!(target: "leader", event = "malformed", why = %why, "the leader's entry cannot be read")
--- a/crates/front/src/leader.rs
+++ b/crates/front/src/leader.rs
@@ -60,7 +60,7 @@
 }
 
 /// Reads the leader's entry.
-pub fn read(item: &Item) -> Result<Leader, serde_json::Error> {
+pub fn decode(item: &Item) -> Result<Leader, serde_json::Error> {
     let entry: Entry = serde_json::from_slice(&item.value)?;
     Ok(Leader {
         name: entry.name,
@@ -257,7 +257,7 @@
 /// Takes in the leader whose entry stood in the way of a creation, if one did.
 fn note_conflict(state: &State, items: &[Item]) {
     let found = items.iter().find(|i| &*i.key == KEY && i.revision > 0);
-    if let Some(Ok(leader)) = found.map(read) {
+    if let Some(Ok(leader)) = found.map(decode) {
         set_leader(state, Some(leader));
     }
 }
