--- a/crates/front/src/leader.rs
+++ b/crates/front/src/leader.rs
@@ -75,7 +75,7 @@
     /// Fencing token.
     pub token: u64,
     /// When it began.
-    pub since: Time,
+    pub started: Time,
     /// Whether no host has ever led before, so that no order can be under way.
     pub is_first: bool,
     held: Arc<Mutex<Held>>,
@@ -201,7 +201,7 @@
     info!(target: "leader", event = "won", term = token, lease = lease.id, "this host leads");
     let term = Term {
         token,
-        since: state.now(),
+        started: state.now(),
         is_first,
         held: Arc::new(Mutex::new(Held {
             until: asked + Span::from(lease.ttl).saturating_sub(MARGIN),
--- a/crates/front/src/planner.rs
+++ b/crates/front/src/planner.rs
@@ -173,7 +173,7 @@
             true => Duration::ZERO,
             false => self.state.settings.bounds.lease,
         };
-        self.term.since + Span::from(wait)
+        self.term.started + Span::from(wait)
     }
 
     /// Whether this host may tell sums: its term holds, or no other host is known to lead.
