--- a/crates/front/src/leader.rs
+++ b/crates/front/src/leader.rs
@@ -92,7 +92,7 @@
 
 impl Term {
     /// Whether the term still holds, by this host's clock.
-    pub fn holds(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         let held = self.held.lock();
         !held.over && self.clock.now() < held.until
     }
@@ -102,7 +102,7 @@
         let mut held = self.held.lock();
         held.until = held.until.max(lease_ends - MARGIN);
         drop(held);
-        self.holds()
+        self.is_valid()
     }
 
     /// Ends the term; no order is given after this.
@@ -276,7 +276,7 @@
         let step = state.now() + pause;
         while state.now() < step {
             tokio::time::sleep(LOOK).await;
-            if state.is_draining() || !term.holds() {
+            if state.is_draining() || !term.is_valid() {
                 return;
             }
         }
--- a/crates/front/src/peers/quota.rs
+++ b/crates/front/src/peers/quota.rs
@@ -178,7 +178,7 @@
     fn with_accounts<T>(&self, work: impl FnOnce(&mut Limiter<Name>) -> T) -> Option<T> {
         let mut limiters = self.quotas.limiters.lock();
         let (term, limiters) = limiters.as_mut()?;
-        term.holds().then(|| work(&mut limiters.accounts))
+        term.is_valid().then(|| work(&mut limiters.accounts))
     }
 
     /// Works with the limiter of replicas, and the part of their limits that it gives out, while this host leads as far as it
@@ -187,7 +187,7 @@
         let leads = self.state.leads();
         let mut limiters = self.quotas.limiters.lock();
         let (term, limiters) = limiters.as_mut()?;
-        let part = match term.holds() {
+        let part = match term.is_valid() {
             true => 1.0,
             false => PART_IN_DOUBT,
         };
--- a/crates/front/src/planner.rs
+++ b/crates/front/src/planner.rs
@@ -90,7 +90,7 @@
     changes.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut round = 0;
     while planner.may_tell() {
-        let acts = planner.term.holds() && planner.state.now() >= quiet;
+        let acts = planner.term.is_valid() && planner.state.now() >= quiet;
         tokio::select! {
             _ = tokio::time::sleep_until(next_plan), if planning.is_none() => {
                 begun = tokio::time::Instant::now();
@@ -178,7 +178,7 @@
 
     /// Whether this host may tell sums: its term holds, or no other host is known to lead.
     fn may_tell(&self) -> bool {
-        self.term.holds() || !self.state.is_led_by_another()
+        self.term.is_valid() || !self.state.is_led_by_another()
     }
 
     /// Takes in the replicas' entries, and what hosts told of the use of adapters.
--- a/crates/front/src/planner/digest.rs
+++ b/crates/front/src/planner/digest.rs
@@ -69,7 +69,7 @@
     /// more may be those that are in touch, and follow another one. In its term it does also when the store fails it,
     /// so that no host hears of the store from one that is cut off.
     fn readers(&self, hosts: Vec<Candidate>) -> Vec<Reader> {
-        match self.term.holds() {
+        match self.term.is_valid() {
             true => readers::choose(hosts, self.state.settings.peers),
             false => self.state.readers.named(),
         }
--- a/crates/front/src/planner/dispatch.rs
+++ b/crates/front/src/planner/dispatch.rs
@@ -73,7 +73,7 @@
         };
         let next = self.book.lock().next(id, engine, now);
         match next {
-            Next::Give(job, expected) if self.term.holds() => {
+            Next::Give(job, expected) if self.term.is_valid() => {
                 self.give(&entry, job, expected, permit).await
             }
             Next::Give(..) | Next::Stop => false,
--- a/crates/front/src/planner/quarantine.rs
+++ b/crates/front/src/planner/quarantine.rs
@@ -22,7 +22,7 @@
 
     /// Stores the list beside other work, unless it stands there or is being stored.
     fn begin_storing(self: &Arc<Self>) {
-        if !self.term.holds() || self.storing.swap(true, Ordering::Relaxed) {
+        if !self.term.is_valid() || self.storing.swap(true, Ordering::Relaxed) {
             return;
         }
         let Some((value, revision)) = self.state.quarantine.unstored(self.state.now()) else {
