--- a/crates/front/src/grant.rs
+++ b/crates/front/src/grant.rs
@@ -74,7 +74,7 @@
     };
     let answer = peers.ask_for(question, tries).await.and_then(answer);
     let Some(answer) = answer else {
-        state.shares.not_answered(state.now());
+        state.shares.note_no_answer(state.now());
         return None;
     };
     state.shares.with(&wanted.subject, |share| {
--- a/crates/front/src/shares.rs
+++ b/crates/front/src/shares.rs
@@ -73,7 +73,7 @@
     }
 
     /// Notes that it did not answer.
-    pub fn not_answered(&self, now: Time) {
+    pub fn note_no_answer(&self, now: Time) {
         *self.not_asked_until.lock() = now + NOT_ASKED;
     }
 }
