--- a/crates/front/src/peers/quarantine.rs
+++ b/crates/front/src/peers/quarantine.rs
@@ -17,7 +17,7 @@
     pub async fn report(self: Arc<Self>, mut reports: Reports) {
         while let Some(report) = reports.recv().await {
             match report {
-                Report::Fallen(group) => self.report_fall(group).await,
+                Report::Crashed(group) => self.report_fall(group).await,
                 Report::Sound(print) => {
                     self.state.quarantine.sound(print);
                     self.tell_leader_of(Message::Sound(print)).await;
--- a/crates/front/src/quarantine.rs
+++ b/crates/front/src/quarantine.rs
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 pub enum Report {
     /// A replica fell with these requests in flight here.
-    Fallen(Group),
+    Crashed(Group),
     /// A run of a request that is listed has ended well.
     Sound(Fingerprint),
     /// A trial has ended, and not well: whether it broke off.
--- a/crates/front/src/quarantine/probe.rs
+++ b/crates/front/src/quarantine/probe.rs
@@ -80,5 +80,5 @@
     state.log.notable(|| {
         info!(target: "quarantine", event = "fell", replica, in_flight, "a replica fell with requests of this host in flight; the failed sendings tell which")
     });
-    state.quarantine.report(Report::Fallen(group));
+    state.quarantine.report(Report::Crashed(group));
 }
