--- a/crates/front/src/peers/quarantine.rs
+++ b/crates/front/src/peers/quarantine.rs
@@ -18,7 +18,7 @@
         while let Some(report) = reports.recv().await {
             match report {
                 Report::Crashed(group) => self.report_fall(group).await,
-                Report::Sound(print) => {
+                Report::Succeeded(print) => {
                     self.state.quarantine.sound(print);
                     self.tell_leader_of(Message::Sound(print)).await;
                 }
--- a/crates/front/src/quarantine.rs
+++ b/crates/front/src/quarantine.rs
@@ -35,7 +35,7 @@
     /// A replica fell with these requests in flight here.
     Crashed(Group),
     /// A run of a request that is listed has ended well.
-    Sound(Fingerprint),
+    Succeeded(Fingerprint),
     /// A trial has ended, and not well: whether it broke off.
     Tried(Fingerprint, bool),
 }
@@ -87,7 +87,7 @@
     /// Notes that a run of a request has ended well here, and tells the leader where it is listed.
     pub fn ended_well(&self, print: Fingerprint, now: Time) {
         if self.board.lock().note_sound(print, now) {
-            self.report(Report::Sound(print));
+            self.report(Report::Succeeded(print));
         }
     }
 
@@ -161,7 +161,7 @@
     pub fn told(&self, listing: Listing, now: Time) {
         let sound = self.board.lock().told(listing, now);
         for print in sound {
-            self.report(Report::Sound(print));
+            self.report(Report::Succeeded(print));
         }
     }
 
