--- a/crates/front/src/peers/quarantine.rs
+++ b/crates/front/src/peers/quarantine.rs
@@ -22,7 +22,7 @@
                     self.state.quarantine.sound(print);
                     self.tell_leader_of(Message::Sound(print)).await;
                 }
-                Report::Tried(print, broke) => {
+                Report::TrialEnded(print, broke) => {
                     if !self.state.leads() {
                         // The trial may have been this host's own.
                         let now = self.state.now();
--- a/crates/front/src/quarantine.rs
+++ b/crates/front/src/quarantine.rs
@@ -37,7 +37,7 @@
     /// A run of a request that is listed has ended well.
     Succeeded(Fingerprint),
     /// A trial has ended, and not well: whether it broke off.
-    Tried(Fingerprint, bool),
+    TrialEnded(Fingerprint, bool),
 }
 
 /// Receiver of what this host is to tell.
--- a/crates/front/src/quarantine/admit.rs
+++ b/crates/front/src/quarantine/admit.rs
@@ -45,7 +45,7 @@
 impl Drop for Trial {
     fn drop(&mut self) {
         // Where the run has ended well, that was told before this.
-        let report = Report::Tried(self.print, self.is_broken.load(Ordering::Relaxed));
+        let report = Report::TrialEnded(self.print, self.is_broken.load(Ordering::Relaxed));
         self.state.quarantine.report(report);
     }
 }
