--- a/crates/front/src/quarantine.rs
+++ b/crates/front/src/quarantine.rs
@@ -75,7 +75,7 @@
     }
 
     /// Whether nothing is held of any request, so that none needs a look.
-    pub fn is_idle(&self, now: Time) -> bool {
+    pub fn is_empty(&self, now: Time) -> bool {
         self.board.lock().is_idle(now)
     }
 
--- a/crates/front/src/quarantine/admit.rs
+++ b/crates/front/src/quarantine/admit.rs
@@ -52,7 +52,7 @@
 
 /// Lets a request in if nothing is held of it, or its trial begins now.
 pub async fn admit(state: &Arc<State>, peers: &Peers, call: &Call) -> Result<(), Fault> {
-    if state.quarantine.is_idle(state.now()) {
+    if state.quarantine.is_empty(state.now()) {
         return Ok(());
     }
     let print = call.fingerprint();
@@ -105,7 +105,7 @@
 /// found out what it does.
 pub fn confirm(state: &State, call: &Call) -> Result<(), Fault> {
     let now = state.now();
-    if call.trial.get().is_some() || state.quarantine.is_idle(now) {
+    if call.trial.get().is_some() || state.quarantine.is_empty(now) {
         return Ok(());
     }
     match state.quarantine.standing(call.fingerprint(), now) {
--- a/crates/front/tests/quarantine.rs
+++ b/crates/front/tests/quarantine.rs
@@ -357,5 +357,5 @@
         ask_body(&hosts[0], "/again/x", "popular").await.status(),
         200
     );
-    until(|| state.quarantine.is_idle(state.now())).await;
+    until(|| state.quarantine.is_empty(state.now())).await;
 }
