--- a/crates/front/src/quarantine.rs
+++ b/crates/front/src/quarantine.rs
@@ -85,7 +85,7 @@
     }
 
     /// Notes that a run of a request has ended well here, and tells the leader where it is listed.
-    pub fn ended_well(&self, print: Fingerprint, now: Time) {
+    pub fn note_success(&self, print: Fingerprint, now: Time) {
         if self.board.lock().note_sound(print, now) {
             self.report(Report::Succeeded(print));
         }
