--- a/crates/front/src/quarantine.rs
+++ b/crates/front/src/quarantine.rs
@@ -213,9 +213,9 @@
 }
 
 /// Notes that a run of a request has ended well.
-pub fn ended_well(state: &State, call: &crate::attempt::Call) {
+pub fn note_success(state: &State, call: &crate::attempt::Call) {
     let now = state.now();
     if state.quarantine.is_alert(now) {
-        state.quarantine.ended_well(call.fingerprint(), now);
+        state.quarantine.note_success(call.fingerprint(), now);
     }
 }
--- a/crates/front/src/relay.rs
+++ b/crates/front/src/relay.rs
@@ -71,7 +71,7 @@
     let failed = head.status.is_server_error();
     place.answered(failed);
     if !failed {
-        quarantine::ended_well(state, call);
+        quarantine::note_success(state, call);
     }
     keep(state, &place, line, &said);
     let mut response = Response::new(whole(body));
@@ -314,7 +314,7 @@
         }
         if let Some(mut source) = self.source.take() {
             source.place.answered(false);
-            quarantine::ended_well(&self.state, &self.call);
+            quarantine::note_success(&self.state, &self.call);
             keep(&self.state, &source.place, source.line, &source.said);
         }
         Ok(())
