--- a/crates/front/src/peers/quarantine.rs
+++ b/crates/front/src/peers/quarantine.rs
@@ -37,7 +37,9 @@
     /// Tells a fall to the leader, and where hosts are few to all of them, so that the next leader knows of it too.
     async fn report_fall(&self, group: Group) {
         let now = self.state.now();
-        self.state.quarantine.fell(group.fall, &group.aboard, now);
+        self.state
+            .quarantine
+            .note_crash(group.fall, &group.aboard, now);
         let message = fallen(group);
         let others = self.others.lock().clone();
         for other in &others {
@@ -75,7 +77,7 @@
     pub(super) fn take_fall(&self, fallen: &Fallen) {
         let now = self.state.now();
         let fall = Fall(fallen.fall);
-        self.state.quarantine.fell(fall, &fallen.aboard, now);
+        self.state.quarantine.note_crash(fall, &fallen.aboard, now);
     }
 
     /// Asks the leader what may be done with a request that is suspected; none when there was no answer.
--- a/crates/front/src/quarantine.rs
+++ b/crates/front/src/quarantine.rs
@@ -92,7 +92,7 @@
     }
 
     /// Takes in a fall, seen here or told by another host.
-    pub fn fell(&self, fall: Fall, aboard: &[Fingerprint], now: Time) {
+    pub fn note_crash(&self, fall: Fall, aboard: &[Fingerprint], now: Time) {
         let changed = self.board.lock().fell(fall, aboard, now);
         for print in &changed {
             info!(target: "quarantine", event = "suspected", print = %print, "a request was in flight where several replicas fell");
--- a/crates/front/tests/quarantine.rs
+++ b/crates/front/tests/quarantine.rs
@@ -351,7 +351,9 @@
     let state = hosts[0].state();
     until(|| state.table.lock().view.contact.is_unreachable()).await;
     for fall in 0..2 {
-        state.quarantine.fell(Fall(fall), &[print], state.now());
+        state
+            .quarantine
+            .note_crash(Fall(fall), &[print], state.now());
     }
     assert_eq!(
         ask_body(&hosts[0], "/again/x", "popular").await.status(),
