--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -162,7 +162,7 @@
             Message::Limits(limits) => self.join_limits(&limits.limits, &limits.host),
             Message::Leaving(told) => self.join_leaving(&told),
             Message::Fallen(fallen) => self.take_fall(&fallen),
-            Message::Sound(print) => self.state.quarantine.sound(print),
+            Message::Sound(print) => self.state.quarantine.note_success_anywhere(print),
             Message::Tried(print, broke) => self.state.quarantine.tried(print, broke, now),
             Message::Permit(number, permit) => self.trials.answered(number, permit),
             Message::Listing(listing) if self.is_of_former_term(listing.term) => {}
--- a/crates/front/src/peers/quarantine.rs
+++ b/crates/front/src/peers/quarantine.rs
@@ -19,7 +19,7 @@
             match report {
                 Report::Crashed(group) => self.report_fall(group).await,
                 Report::Succeeded(print) => {
-                    self.state.quarantine.sound(print);
+                    self.state.quarantine.note_success_anywhere(print);
                     self.tell_leader_of(Message::Sound(print)).await;
                 }
                 Report::TrialEnded(print, broke) => {
--- a/crates/front/src/quarantine.rs
+++ b/crates/front/src/quarantine.rs
@@ -101,7 +101,7 @@
     }
 
     /// Takes in that a run of a request has ended well on some host.
-    pub fn sound(&self, print: Fingerprint) {
+    pub fn note_success_anywhere(&self, print: Fingerprint) {
         let cleared = self.board.lock().ledger.ended_well(print);
         if cleared {
             info!(target: "quarantine", event = "cleared", print = %print, "a run of the request has ended well");
