--- a/crates/front/src/peers/quarantine.rs
+++ b/crates/front/src/peers/quarantine.rs
@@ -118,7 +118,7 @@
     fn decide(&self, print: Fingerprint, ticket: Ticket) -> Permit {
         let now = self.state.now();
         match self.state.leads() {
-            true => self.state.quarantine.ask(print, ticket, now).into(),
+            true => self.state.quarantine.decide(print, ticket, now).into(),
             false => Permit::Elsewhere,
         }
     }
--- a/crates/front/src/quarantine.rs
+++ b/crates/front/src/quarantine.rs
@@ -110,7 +110,7 @@
     }
 
     /// Says, as the leader, what may be done with a request.
-    pub fn ask(&self, print: Fingerprint, ticket: Ticket, now: Time) -> Permit {
+    pub fn decide(&self, print: Fingerprint, ticket: Ticket, now: Time) -> Permit {
         self.board.lock().ledger.ask(print, ticket, now)
     }
 
--- a/crates/front/src/quarantine/admit.rs
+++ b/crates/front/src/quarantine/admit.rs
@@ -67,7 +67,7 @@
                 Some(permit) => permit,
                 // Nobody can come to lead before the store is back: what is innocent would wait for as long.
                 None if state.table.lock().view.contact.is_unreachable() => {
-                    state.quarantine.ask(print, ticket, state.now())
+                    state.quarantine.decide(print, ticket, state.now())
                 }
                 None => Permit::Wait,
             },
