--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -163,7 +163,7 @@
             Message::Leaving(told) => self.join_leaving(&told),
             Message::Fallen(fallen) => self.take_fall(&fallen),
             Message::Sound(print) => self.state.quarantine.note_success_anywhere(print),
-            Message::Tried(print, broke) => self.state.quarantine.tried(print, broke, now),
+            Message::Tried(print, broke) => self.state.quarantine.note_trial_ended(print, broke, now),
             Message::Permit(number, permit) => self.trials.answered(number, permit),
             Message::Listing(listing) if self.is_of_former_term(listing.term) => {}
             Message::Listing(listing) => self.state.quarantine.told(listing, now),
--- a/crates/front/src/peers/quarantine.rs
+++ b/crates/front/src/peers/quarantine.rs
@@ -26,7 +26,7 @@
                     if !self.state.leads() {
                         // The trial may have been this host's own.
                         let now = self.state.now();
-                        self.state.quarantine.tried(print, broke, now);
+                        self.state.quarantine.note_trial_ended(print, broke, now);
                     }
                     self.tell_leader_of(Message::Tried(print, broke)).await
                 }
--- a/crates/front/src/quarantine.rs
+++ b/crates/front/src/quarantine.rs
@@ -115,7 +115,7 @@
     }
 
     /// Takes in, as the leader, that a trial has not ended well.
-    pub fn tried(&self, print: Fingerprint, broke: bool, now: Time) {
+    pub fn note_trial_ended(&self, print: Fingerprint, broke: bool, now: Time) {
         let how = match broke {
             true => Ended::Broken,
             false => Ended::Undecided,
