--- a/crates/front/src/peers/quarantine.rs
+++ b/crates/front/src/peers/quarantine.rs
@@ -57,7 +57,7 @@
             return;
         };
         let now = self.state.now();
-        for group in self.state.quarantine.to_tell(term, now) {
+        for group in self.state.quarantine.unreported_crashes(term, now) {
             self.tell_leader_of(fallen(group)).await;
         }
     }
--- a/crates/front/src/quarantine.rs
+++ b/crates/front/src/quarantine.rs
@@ -136,7 +136,7 @@
     }
 
     /// Falls that the leader of a term is to be told once more.
-    pub fn to_tell(&self, term: u64, now: Time) -> Vec<Group> {
+    pub fn unreported_crashes(&self, term: u64, now: Time) -> Vec<Group> {
         self.board.lock().falls.to_tell(term, now)
     }
 
