--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -166,7 +166,7 @@
             Message::Tried(print, broke) => self.state.quarantine.note_trial_ended(print, broke, now),
             Message::Permit(number, permit) => self.trials.answered(number, permit),
             Message::Listing(listing) if self.is_of_former_term(listing.term) => {}
-            Message::Listing(listing) => self.state.quarantine.told(listing, now),
+            Message::Listing(listing) => self.state.quarantine.apply_listing(listing, now),
             Message::Pass(_) | Message::Question(_) | Message::Trial(..) => self.state.log.notable(|| {
                 tracing::warn!(target: "peers", event = "malformed", from = %from, "a datagram to be passed on holds one that is not for all")
             }),
--- a/crates/front/src/quarantine.rs
+++ b/crates/front/src/quarantine.rs
@@ -158,7 +158,7 @@
 
     /// Takes in the leader's list, and tells it which of these requests have ended well here since they were first in
     /// flight at a fall.
-    pub fn told(&self, listing: Listing, now: Time) {
+    pub fn apply_listing(&self, listing: Listing, now: Time) {
         let sound = self.board.lock().told(listing, now);
         for print in sound {
             self.report(Report::Succeeded(print));
