--- a/crates/front/src/planner/quarantine.rs
+++ b/crates/front/src/planner/quarantine.rs
@@ -25,7 +25,7 @@
         if !self.term.is_valid() || self.storing.swap(true, Ordering::Relaxed) {
             return;
         }
-        let Some((value, revision)) = self.state.quarantine.unstored(self.state.now()) else {
+        let Some((value, revision)) = self.state.quarantine.pending_write(self.state.now()) else {
             self.storing.store(false, Ordering::Relaxed);
             return;
         };
--- a/crates/front/src/quarantine.rs
+++ b/crates/front/src/quarantine.rs
@@ -166,7 +166,7 @@
     }
 
     /// What is to stand in the store by this leader's ledger, and the revision that it replaces; none while it stands there.
-    pub fn unstored(&self, now: Time) -> Option<(Vec<u8>, u64)> {
+    pub fn pending_write(&self, now: Time) -> Option<(Vec<u8>, u64)> {
         self.board.lock().unstored(now)
     }
 
