--- a/crates/front/src/follow/take.rs
+++ b/crates/front/src/follow/take.rs
@@ -82,7 +82,7 @@
             }
         }
     } else if &*item.key == quarantine::KEY {
-        quarantine::written(state, &item);
+        quarantine::apply_stored(state, &item);
     }
 }
 
--- a/crates/front/src/planner/quarantine.rs
+++ b/crates/front/src/planner/quarantine.rs
@@ -52,7 +52,7 @@
         };
         match self.state.store.commit(&txn).await {
             Ok(Committed::Done(revision)) => {
-                quarantine::written(&self.state, &stored(value, revision));
+                quarantine::apply_stored(&self.state, &stored(value, revision));
             }
             Ok(Committed::Conflict(items)) => {
                 for item in items.iter().filter(|item| &*item.key == KEY) {
--- a/crates/front/src/quarantine.rs
+++ b/crates/front/src/quarantine.rs
@@ -182,7 +182,7 @@
 }
 
 /// Takes in the list that stands in the store.
-pub fn written(state: &State, item: &Item) {
+pub fn apply_stored(state: &State, item: &Item) {
     match stored::decode(&item.value) {
         Ok(listed) => state.quarantine.stored(listed, item.revision),
         Err(why) => {
@@ -200,7 +200,7 @@
 pub fn found(state: &State, item: &Item) {
     match item.revision {
         0 => state.quarantine.board.lock().vanished(),
-        _ => written(state, item),
+        _ => apply_stored(state, item),
     }
 }
 
