--- a/crates/front/src/follow/take.rs
+++ b/crates/front/src/follow/take.rs
@@ -36,7 +36,7 @@
         set_leader(state, None);
     }
     if !has_quarantine {
-        quarantine::absent(state, listing.revision);
+        quarantine::note_not_stored(state, listing.revision);
     }
     state.changed.notify_waiters();
 }
--- a/crates/front/src/quarantine.rs
+++ b/crates/front/src/quarantine.rs
@@ -192,7 +192,7 @@
 }
 
 /// Takes in that the list does not stand in the store, as of a revision.
-pub fn absent(state: &State, revision: u64) {
+pub fn note_not_stored(state: &State, revision: u64) {
     state.quarantine.board.lock().absent(revision);
 }
 
