--- a/crates/front/src/planner/quarantine.rs
+++ b/crates/front/src/planner/quarantine.rs
@@ -56,7 +56,7 @@
             }
             Ok(Committed::Conflict(items)) => {
                 for item in items.iter().filter(|item| &*item.key == KEY) {
-                    quarantine::found(&self.state, item);
+                    quarantine::apply_conflict(&self.state, item);
                 }
             }
             Err(why) => self.state.log.notable(|| {
--- a/crates/front/src/quarantine.rs
+++ b/crates/front/src/quarantine.rs
@@ -197,7 +197,7 @@
 }
 
 /// Takes in what a leader wanted to replace in vain; a revision of 0 says that nothing stands there.
-pub fn found(state: &State, item: &Item) {
+pub fn apply_conflict(state: &State, item: &Item) {
     match item.revision {
         0 => state.quarantine.board.lock().vanished(),
         _ => apply_stored(state, item),
