--- a/crates/front/src/follow/take.rs
+++ b/crates/front/src/follow/take.rs
@@ -102,7 +102,7 @@
     } else if key == leader::KEY {
         set_leader(state, None);
     } else if key == quarantine::KEY {
-        quarantine::removed(state, revision);
+        quarantine::note_removed(state, revision);
     }
 }
 
--- a/crates/front/src/quarantine.rs
+++ b/crates/front/src/quarantine.rs
@@ -205,7 +205,7 @@
 }
 
 /// Takes in that the list was removed from the store, by which operators lift all of it.
-pub fn removed(state: &State, revision: u64) {
+pub fn note_removed(state: &State, revision: u64) {
     if state.quarantine.board.lock().removed(revision) {
         warn!(target: "quarantine", event = "lifted", revision, "the list of requests that are kept out was removed from the store; all are let in again");
         state.quarantine.changed.notify_one();
