--- a/crates/front/src/attempt/place.rs
+++ b/crates/front/src/attempt/place.rs
@@ -99,7 +99,7 @@
     pub fn ended(&self, call: &Call, why: &Failed) {
         self.failed();
         if let Failed::Lost(_) = why {
-            quarantine::broke(&self.state, call, self);
+            quarantine::note_broken(&self.state, call, self);
         }
     }
 
--- a/crates/front/src/quarantine/probe.rs
+++ b/crates/front/src/quarantine/probe.rs
@@ -20,7 +20,7 @@
 const LOOK_LIMIT: Duration = Duration::from_millis(300);
 
 /// Notes that a request broke at a replica, and looks whether that has fallen, once for all that break together.
-pub fn broke(state: &Arc<State>, call: &Call, place: &Place) {
+pub fn note_broken(state: &Arc<State>, call: &Call, place: &Place) {
     let now = state.now();
     let start = (place.replica.clone(), place.incarnation);
     let print = call.fingerprint();
