--- a/crates/front/src/follow/take.rs
+++ b/crates/front/src/follow/take.rs
@@ -169,7 +169,7 @@
         match &one {
             News::Gone(_) | News::Restarted(_) => {
                 state.pool.forget(id);
-                quarantine::replaced(state, id);
+                quarantine::note_replaced(state, id);
             }
             News::Missing(_) => state.missed.notify_one(),
             _ => {}
--- a/crates/front/src/quarantine.rs
+++ b/crates/front/src/quarantine.rs
@@ -14,7 +14,7 @@
 mod stored;
 
 pub use admit::{Trial, admit, confirm, may_repeat};
-pub use probe::{note_broken, replaced};
+pub use probe::{note_broken, note_replaced};
 pub use stored::KEY;
 
 use crate::message::Listing;
--- a/crates/front/src/quarantine/probe.rs
+++ b/crates/front/src/quarantine/probe.rs
@@ -63,7 +63,7 @@
 }
 
 /// Takes in that a replica is gone, or has started again: what broke there broke in a fall.
-pub fn replaced(state: &State, replica: &str) {
+pub fn note_replaced(state: &State, replica: &str) {
     let seen = state.table.lock().view.get(replica).cloned();
     let present = seen.map(|s| (s.entry.id.clone(), s.entry.incarnation));
     let groups = {
