--- a/crates/front/src/attempt.rs
+++ b/crates/front/src/attempt.rs
@@ -121,7 +121,7 @@
     };
     // At the last moment before each sending: the key may have gone since the one before.
     let account = accounts::reauthenticate(state, call).map_err(Failed::Barred)?;
-    quarantine::confirm(state, call).map_err(Failed::Held)?;
+    quarantine::check(state, call).map_err(Failed::Held)?;
     let account = account.as_ref().map(|a| &*a.name);
     let permit = heard::permit(state, call, &place).map_err(Failed::KeptBack)?;
     let mut request = request(state, call, choice, permit, last_event, account);
--- a/crates/front/src/quarantine/admit.rs
+++ b/crates/front/src/quarantine/admit.rs
@@ -103,7 +103,7 @@
 
 /// Confirms at the last moment before a sending that the request may still go: it may have waited here while others
 /// found out what it does.
-pub fn confirm(state: &State, call: &Call) -> Result<(), Fault> {
+pub fn check(state: &State, call: &Call) -> Result<(), Fault> {
     let now = state.now();
     if call.trial.get().is_some() || state.quarantine.is_empty(now) {
         return Ok(());
@@ -117,7 +117,7 @@
 
 /// Whether a request that may have run may be sent once more.
 pub fn may_repeat(state: &State, call: &Call) -> bool {
-    call.trial.get().is_none() && confirm(state, call).is_ok()
+    call.trial.get().is_none() && check(state, call).is_ok()
 }
 
 /// Answer to a request that ends each replica that runs it.
