--- a/crates/front/src/quarantine.rs
+++ b/crates/front/src/quarantine.rs
@@ -13,7 +13,7 @@
 mod registry;
 mod stored;
 
-pub use admit::{Trial, admit, check, may_repeat};
+pub use admit::{Trial, admit, check, may_retry};
 pub use probe::{note_broken, note_replaced};
 pub use stored::KEY;
 
--- a/crates/front/src/quarantine/admit.rs
+++ b/crates/front/src/quarantine/admit.rs
@@ -116,7 +116,7 @@
 }
 
 /// Whether a request that may have run may be sent once more.
-pub fn may_repeat(state: &State, call: &Call) -> bool {
+pub fn may_retry(state: &State, call: &Call) -> bool {
     call.trial.get().is_none() && check(state, call).is_ok()
 }
 
--- a/crates/front/src/relay/resume.rs
+++ b/crates/front/src/relay/resume.rs
@@ -23,7 +23,7 @@
         }
         let (state, call) = (self.state.clone(), self.call.clone());
         let repeatable = call.route.kind.is_repeatable();
-        if *why == Failed::Late || !repeatable || !quarantine::may_repeat(&state, &call) {
+        if *why == Failed::Late || !repeatable || !quarantine::may_retry(&state, &call) {
             return false;
         }
         self.splitter.rest();
--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -228,7 +228,7 @@
         Failed::Lost(_) | Failed::Failing(_) => {
             call.route.kind.is_repeatable()
                 && progress.tried.may_run(call)
-                && quarantine::may_repeat(state, call)
+                && quarantine::may_retry(state, call)
         }
         Failed::NotRun { .. } | Failed::Unsent(_) | Failed::KeptBack(_) => true,
     };
