--- a/crates/front/src/planner/service.rs
+++ b/crates/front/src/planner/service.rs
@@ -131,9 +131,9 @@
                 }
                 Step::Unload {
                     models: gone,
-                    instead,
+                    replacement,
                     ..
-                } => plan.close(replica, known, gone, instead, now),
+                } => plan.close(replica, known, gone, replacement, now),
             }
         }
         any
@@ -166,9 +166,9 @@
     fn holds(&self, replica: usize, known: &Known, now: Time) -> bool {
         let planned = &self.replicas[replica];
         let entry = &self.entries[replica];
-        let seen = self::replica(entry, known, self.engine, planned.load, now);
+        let seen = self::replica(entry, known, self.engine, planned.utilization, now);
         copies::Replica {
-            in_need: planned.in_need,
+            degraded_capacity: planned.degraded_capacity,
             ..seen
         } == *planned
     }
@@ -188,7 +188,7 @@
             true => now + CLOSING,
             false => now + CLOSING_IDLE,
         };
-        let from_store = !self.replicas[replica].copied.contains(&instead);
+        let from_store = !self.replicas[replica].cached.contains(&instead);
         let takes = load_job(entry, &self.engine.models[instead], from_store).takes;
         let there = now + MAKES_ROOM * gone.len() as f64 + takes;
         let gone = gone.into_iter().map(|m| (name(m), due(m)));
@@ -205,7 +205,7 @@
         replicas: &[copies::Replica],
         now: Time,
     ) {
-        let staying = replicas.iter().filter(|r| r.stays);
+        let staying = replicas.iter().filter(|r| r.in_service);
         let held: HashSet<usize> = staying.flat_map(|r| &r.held).copied().collect();
         for (m, model) in engine.models.iter().enumerate() {
             let key = (service.clone(), model.name.clone());
@@ -224,16 +224,16 @@
             model, from_store, ..
         } => {
             let planned = &models[*model];
-            info!(target: "planner", event = "load", replica = &*entry.id, model = name(*model), from_store, demand = planned.demand, recent = planned.recent, unserved = planned.unserved, "a copy is added")
+            info!(target: "planner", event = "load", replica = &*entry.id, model = name(*model), from_store, demand = planned.demand, recent = planned.recent_demand, unserved = planned.unserved_secs, "a copy is added")
         }
         Step::Unload {
             models: gone,
-            instead,
+            replacement,
             ..
         } => {
             for model in gone {
-                let (demand, wanted) = (models[*model].demand, models[*instead].demand);
-                info!(target: "planner", event = "close", replica = &*entry.id, model = name(*model), instead = name(*instead), demand, wanted, "a copy makes room")
+                let (demand, wanted) = (models[*model].demand, models[*replacement].demand);
+                info!(target: "planner", event = "close", replica = &*entry.id, model = name(*model), instead = name(*replacement), demand, wanted, "a copy makes room")
             }
         }
     }
@@ -270,10 +270,10 @@
         copies::Model {
             memory_mb: model.memory_mb,
             demand: demand.now,
-            recent: demand.recent,
-            unserved: demand.unserved.map_or(0.0, |at| now.since(at).secs()),
-            from_store: model.load_disk.as_secs_f64() / model.load.as_secs_f64().max(LEAST_LOAD),
-            expected,
+            recent_demand: demand.recent,
+            unserved_secs: demand.unserved.map_or(0.0, |at| now.since(at).secs()),
+            store_factor: model.load_disk.as_secs_f64() / model.load.as_secs_f64().max(LEAST_LOAD),
+            expected_demand: expected,
         }
     };
     engine.models.iter().map(seen_by_plan).collect()
@@ -292,7 +292,7 @@
         let known = known.get(&entry.id).unwrap_or(&nothing);
         let seen = replica(entry, known, engine, taken(entry, loads), now);
         copies::Replica {
-            in_need: needs.get(&entry.id).copied(),
+            degraded_capacity: needs.get(&entry.id).copied(),
             ..seen
         }
     };
@@ -314,15 +314,15 @@
     copies::Replica {
         free_mb: known.free_mb(engine),
         held,
-        coming,
-        fresh: known.fresh(now).and_then(index).into_iter().collect(),
-        copied: copies.filter_map(index).collect(),
-        promised: known.room_for().and_then(index),
-        idle: known.is_free(),
+        incoming: coming,
+        recently_loaded: known.fresh(now).and_then(index).into_iter().collect(),
+        cached: copies.filter_map(index).collect(),
+        reserved_for: known.room_for().and_then(index),
+        accepts_orders: known.is_free(),
         unloading: known.makes_room(),
-        stays: !entry.leaving && !known.is_lost(now),
-        load,
-        in_need: None,
+        in_service: !entry.leaving && !known.is_lost(now),
+        utilization: load,
+        degraded_capacity: None,
     }
 }
 
--- a/crates/place/src/copies.rs
+++ b/crates/place/src/copies.rs
@@ -19,7 +19,7 @@
 
 /// Demand, in replicas kept busy, from which a model counts as asked for: the recent demand of a single
 /// request fades to this in half a minute.
-pub const ASKED: f64 = 0.005;
+pub const ACTIVE_DEMAND: f64 = 0.005;
 
 /// Model as the plan sees it.
 #[derive(Debug, Clone, Copy)]
@@ -29,14 +29,14 @@
     /// Demand in replicas that it would keep busy.
     pub demand: f64,
     /// Demand of the last while, more slowly smoothed.
-    pub recent: f64,
+    pub recent_demand: f64,
     /// Time for which it has been asked for and on no replica, in seconds.
-    pub unserved: f64,
+    pub unserved_secs: f64,
     /// Part of a copy's value that it keeps when it comes from the weight store: the time of a load from
     /// a disk over that from there, since a copy is worth the more the sooner it is there.
-    pub from_store: f64,
+    pub store_factor: f64,
     /// Demand that may come without notice, before a copy could be back.
-    pub expected: f64,
+    pub expected_demand: f64,
 }
 
 /// Replica as the plan sees it; models by index.
@@ -47,29 +47,29 @@
     /// Models that it holds, and does not give up.
     pub held: Vec<usize>,
     /// Models that it is loading, or for which it is making room.
-    pub coming: Vec<usize>,
+    pub incoming: Vec<usize>,
     /// Model for which it has made room, and which it does not load yet.
-    pub promised: Option<usize>,
+    pub reserved_for: Option<usize>,
     /// Models that it holds since a moment ago: they do not give way yet, unless there are other copies.
-    pub fresh: Vec<usize>,
+    pub recently_loaded: Vec<usize>,
     /// Models of which it keeps a copy outside the accelerator.
-    pub copied: Vec<usize>,
+    pub cached: Vec<usize>,
     /// Whether it takes an order now.
-    pub idle: bool,
+    pub accepts_orders: bool,
     /// Whether it is giving up a model.
     pub unloading: bool,
     /// Whether it stays.
-    pub stays: bool,
+    pub in_service: bool,
     /// Share of its places that are taken.
-    pub load: f64,
+    pub utilization: f64,
     /// Part of what it could serve that it takes now, where it is in need.
-    pub in_need: Option<f64>,
+    pub degraded_capacity: Option<f64>,
 }
 
 impl Replica {
     /// What it serves now, as a part of a sound replica.
     fn serves(&self) -> f64 {
-        self.in_need.unwrap_or(1.0)
+        self.degraded_capacity.unwrap_or(1.0)
     }
 }
 
@@ -92,7 +92,7 @@
         /// Indices of the models.
         models: Vec<usize>,
         /// Index of the model that is to come.
-        instead: usize,
+        replacement: usize,
     },
 }
 
--- a/crates/standin/src/experiment/platform.rs
+++ b/crates/standin/src/experiment/platform.rs
@@ -128,19 +128,19 @@
         .map(|m| Model {
             memory_mb: 60_000.0,
             demand: if m % 10 == 0 { 14.0 } else { 0.5 },
-            recent: 0.5,
-            unserved: 0.0,
-            from_store: 0.25,
-            expected: 0.0,
+            recent_demand: 0.5,
+            unserved_secs: 0.0,
+            store_factor: 0.25,
+            expected_demand: 0.0,
         })
         .collect();
     let held: Vec<Replica> = (0..replicas)
         .map(|n| Replica {
             free_mb: 20_000.0,
             held: vec![n % models, (n + 1) % models, (n + 7) % models],
-            idle: n % 4 == 0,
-            stays: true,
-            load: 0.3,
+            accepts_orders: n % 4 == 0,
+            in_service: true,
+            utilization: 0.3,
             ..Replica::default()
         })
         .collect();
