--- a/crates/front/src/fleet/adapters.rs
+++ b/crates/front/src/fleet/adapters.rs
@@ -1,10 +1,10 @@
 //! Adapters that a replica is believed to hold, and which of them gives way.
 
-use super::{Job, Known};
+use super::{Job, Record};
 use platform::replica::Operation;
 use unit::{Name, Time};
 
-impl Known {
+impl Record {
     /// Adapters that it holds or that are on their way to it, as model and adapter.
     pub fn adapters(&self) -> Vec<(Name, Name)> {
         let held = self.held.iter().flat_map(|h| {
@@ -21,13 +21,13 @@
     }
 
     /// Whether an order about an adapter is to be given.
-    pub fn queues_adapter(&self, model: &Name, adapter: &Name) -> bool {
+    pub fn has_queued_adapter(&self, model: &Name, adapter: &Name) -> bool {
         let about = |job: &Job| job.model == *model && job.adapter.as_ref() == Some(adapter);
         self.queue.iter().any(about)
     }
 
     /// Adapters that it will hold when its queue is done.
-    pub fn adapters_due(&self) -> usize {
+    pub fn adapters_expected(&self) -> usize {
         let mut due = self.adapters();
         for job in &self.queue {
             let Some(adapter) = &job.adapter else {
@@ -44,13 +44,13 @@
     }
 
     /// Notes that an adapter is used.
-    pub fn use_adapter(&mut self, model: &Name, adapter: &Name, now: Time) {
+    pub fn touch_adapter(&mut self, model: &Name, adapter: &Name, now: Time) {
         let key = (model.clone(), adapter.clone());
-        self.used.insert(key, now);
+        self.last_used.insert(key, now);
     }
 
     /// The adapter that was asked for least lately, with when; not one that is queued to go.
-    pub fn oldest_adapter(&self) -> Option<((Name, Name), Time)> {
+    pub fn least_recent_adapter(&self) -> Option<((Name, Name), Time)> {
         let going = |key: &(Name, Name)| {
             self.queue.iter().any(|job| {
                 job.operation == Operation::Unload
@@ -58,7 +58,7 @@
                     && job.adapter.as_ref() == Some(&key.1)
             })
         };
-        let used = |key: &(Name, Name)| self.used.get(key).copied().unwrap_or_default();
+        let used = |key: &(Name, Name)| self.last_used.get(key).copied().unwrap_or_default();
         self.adapters()
             .into_iter()
             .filter(|key| !going(key))
--- a/crates/front/src/fleet/capacity.rs
+++ b/crates/front/src/fleet/capacity.rs
@@ -1,13 +1,13 @@
 //! Room at a replica, by what is believed of it.
 
-use super::{Job, Known};
+use super::{Job, Record};
 use platform::config::Engine;
 use platform::replica::Operation;
 use unit::Name;
 
-impl Known {
+impl Record {
     /// Whether there is room for what an order loads, by what is believed now.
-    pub fn has_room(&self, job: &Job, engine: &Engine) -> bool {
+    pub fn fits(&self, job: &Job, engine: &Engine) -> bool {
         if job.operation == Operation::Unload {
             return true;
         }
@@ -15,7 +15,7 @@
             Some(adapter) => {
                 let there = self.holds_adapter(&job.model, adapter);
                 let strays = self
-                    .strays
+                    .unanswered_before
                     .jobs()
                     .filter(|job| job.adapter.is_some())
                     .count();
@@ -44,7 +44,7 @@
         let loading = self.pending.iter().map(|p| &p.job);
         let loading = loading
             .chain(&self.queue)
-            .chain(self.strays.jobs())
+            .chain(self.unanswered_before.jobs())
             .filter(|j| j.operation == Operation::Load && j.adapter.is_none())
             .filter(|j| !self.held.iter().any(|h| h.model == j.model));
         let coming: f64 = loading.map(|j| size(&j.model)).sum();
--- a/crates/front/src/planner.rs
+++ b/crates/front/src/planner.rs
@@ -14,7 +14,7 @@
 mod quarantine;
 mod service;
 
-use crate::fleet::{Bucket, Known};
+use crate::fleet::{Bucket, Record};
 use crate::leader::Term;
 use crate::message::{Load, Missing, Row, Use, short};
 use crate::peers::Peers;
@@ -34,19 +34,19 @@
 use unit::{Name, Span, Time};
 
 /// Pause between two plans.
-const TICK: Duration = Duration::from_millis(200);
+const PLAN_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Replicas beyond which a plan is made on a thread of its own: it takes some 30 ms there on half a core,
 /// and a thread's wake-ups cost more than they save below.
-const MANY_REPLICAS: usize = 500;
+const BLOCKING_PLAN_REPLICAS: usize = 500;
 
 /// Pause after a plan, as a multiple of the time that it took: at some thousands of replicas a plan takes
 /// parts of a second, in which nothing is told, answered or renewed here.
-const REST: u32 = 4;
+const PAUSE_FACTOR: u32 = 4;
 
 /// Pause between two tellings of what has changed in flight, where hosts do not tell each other: a
 /// part of the time to read one prompt.
-const CHANGES: Duration = Duration::from_millis(15);
+const CHANGES_INTERVAL: Duration = Duration::from_millis(15);
 
 /// The leader's work in one term.
 pub struct Planner {
@@ -54,25 +54,25 @@
     peers: Arc<Peers>,
     term: Term,
     pool: Pool,
-    book: Mutex<Book>,
+    fleet: Mutex<Fleet>,
     /// What hosts were told last to be in flight at each replica, by its short name.
-    told: Mutex<HashMap<u32, Row>>,
+    last_sent: Mutex<HashMap<u32, Row>>,
     /// Whether the list of requests that are kept out is being stored.
     storing: AtomicBool,
 }
 
 /// What the leader believes and has in hand.
-struct Book {
+struct Fleet {
     /// Replicas that run models, by identity.
-    known: HashMap<Name, Known>,
+    records: HashMap<Name, Record>,
     /// Loads from the weight store that may begin, by service.
     buckets: HashMap<Name, Bucket>,
     /// Demand by service and model.
     demand: HashMap<(Name, Name), Demand>,
     /// When one more copy of an adapter was last added beside others, by model and adapter.
-    spread: HashMap<(Name, Name), Time>,
+    last_spread: HashMap<(Name, Name), Time>,
     /// When the demand was measured last.
-    planned_at: Time,
+    measured: Time,
 }
 
 /// Works until another host leads. Orders are given while the term holds; sums are told also while the
@@ -86,7 +86,7 @@
     let mut next_digest = next_plan;
     let mut planning: Option<JoinHandle<bool>> = None;
     let mut begun = next_plan;
-    let mut changes = tokio::time::interval(CHANGES);
+    let mut changes = tokio::time::interval(CHANGES_INTERVAL);
     changes.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut round = 0;
     while planner.may_tell() {
@@ -98,7 +98,7 @@
                 if acts {
                     planning = Some(planner.begin_plan());
                 }
-                next_plan = begun + TICK;
+                next_plan = begun + PLAN_INTERVAL;
             }
             changed = ended(&mut planning) => {
                 planning = None;
@@ -106,7 +106,7 @@
                 if changed {
                     next_digest = now;
                 }
-                next_plan = now + TICK.max(begun.elapsed() * REST);
+                next_plan = now + PLAN_INTERVAL.max(begun.elapsed() * PAUSE_FACTOR);
             }
             _ = planner.peers.inbox.wanted.notified() => {
                 if acts {
@@ -149,14 +149,14 @@
 /// Makes the planner of a term, which knows nothing of any replica yet.
 fn open(state: Arc<State>, peers: Arc<Peers>, term: Term) -> Planner {
     Planner {
-        book: Mutex::new(Book {
-            known: HashMap::new(),
+        fleet: Mutex::new(Fleet {
+            records: HashMap::new(),
             buckets: HashMap::new(),
             demand: HashMap::new(),
-            spread: HashMap::new(),
-            planned_at: state.now(),
+            last_spread: HashMap::new(),
+            measured: state.now(),
         }),
-        told: Mutex::default(),
+        last_sent: Mutex::default(),
         storing: AtomicBool::new(false),
         pool: Pool::default(),
         state,
@@ -186,20 +186,20 @@
         let now = self.state.now();
         let absent = self.peers.inbox.absent(now);
         let table = self.state.table.lock();
-        let mut book = self.book.lock();
-        book.known.retain(|id, _| table.view.get(id).is_some());
+        let mut book = self.fleet.lock();
+        book.records.retain(|id, _| table.view.get(id).is_some());
         let routes = table.routes.as_ref();
         let runs_models = |service: &Name| {
             let service = routes.and_then(|r| r.service(service));
             service.is_some_and(|s| s.engine.is_some())
         };
         for seen in table.view.all().filter(|s| runs_models(&s.entry.service)) {
-            let known = book.known.entry(seen.entry.id.clone());
+            let known = book.records.entry(seen.entry.id.clone());
             let known = known.or_insert_with(|| {
                 tell_found(&seen.entry);
-                Known::default()
+                Record::default()
             });
-            known.note_absent(absent.contains(&short(&seen.entry.id)), now);
+            known.note_unreachable(absent.contains(&short(&seen.entry.id)), now);
             known.sync(&seen.entry, now);
         }
         book.note_uses(self.peers.inbox.uses(), now);
@@ -210,7 +210,7 @@
     fn begin_plan(self: &Arc<Self>) -> JoinHandle<bool> {
         let planner = self.clone();
         let replicas = self.state.table.lock().view.all().count();
-        match replicas > MANY_REPLICAS {
+        match replicas > BLOCKING_PLAN_REPLICAS {
             true => tokio::task::spawn_blocking(move || planner.plan()),
             false => tokio::spawn(async move { planner.plan() }),
         }
@@ -238,10 +238,10 @@
     /// has not known of one.
     fn note_missing(&self) -> bool {
         let missing = self.peers.inbox.missing();
-        let mut book = self.book.lock();
+        let mut book = self.fleet.lock();
         let mut news = false;
         for Missing { service, model } in missing {
-            let awaited = book.known.values().filter_map(Known::awaited);
+            let awaited = book.records.values().filter_map(Record::incoming);
             if !awaited.map(|(m, _)| m).any(|m| *m == model) {
                 let demand = book.demand.entry((service, model)).or_default();
                 news |= demand.note_missing();
@@ -252,25 +252,25 @@
 
     /// Replicas that must be asked for a report, or that orders wait for.
     fn waiting(&self) -> Vec<Name> {
-        let book = self.book.lock();
+        let book = self.fleet.lock();
         let now = self.state.now();
-        let waits = |k: &Known| k.doubtful.is_none() && !k.queue.is_empty();
-        let waiting = |k: &&Known| !k.calling && (k.wants_look(now) || waits(k));
-        let known = book.known.iter().filter(|(_, k)| waiting(k));
+        let waits = |k: &Record| k.report_due.is_none() && !k.queue.is_empty();
+        let waiting = |k: &&Record| !k.in_call && (k.is_report_due(now) || waits(k));
+        let known = book.records.iter().filter(|(_, k)| waiting(k));
         known.map(|(id, _)| id.clone()).collect()
     }
 }
 
-impl Book {
+impl Fleet {
     /// Notes which adapters hosts have sent requests to.
     fn note_uses(&mut self, mut uses: Vec<Use>, now: Time) {
         uses.sort_by_key(|used| used.replica);
-        for (id, known) in &mut self.known {
+        for (id, known) in &mut self.records {
             let name = short(id);
             let first = uses.partition_point(|used| used.replica < name);
             let here = uses[first..].iter().take_while(|used| used.replica == name);
             for used in here {
-                known.use_adapter(&used.model, &used.adapter, now);
+                known.touch_adapter(&used.model, &used.adapter, now);
             }
         }
     }
--- a/crates/front/src/planner/adapters.rs
+++ b/crates/front/src/planner/adapters.rs
@@ -1,7 +1,7 @@
 //! Places for the adapters that hosts want.
 
-use super::{Book, Planner, entries, taken};
-use crate::fleet::{Job, Known};
+use super::{Fleet, Planner, entries, taken};
+use crate::fleet::{Job, Record};
 use crate::message::{Load, Message, Placed, Want};
 use platform::config::Engine;
 use platform::replica::{Entry, Operation};
@@ -52,7 +52,7 @@
         now: Time,
     ) -> Option<Name> {
         let (engine, entries) = self.staying(&want.service)?;
-        let mut book = self.book.lock();
+        let mut book = self.fleet.lock();
         if want.beside {
             let id = book.beside(&entries, want, &engine, loads, now)?;
             book.queue_adapter(&id, want, &engine);
@@ -60,8 +60,8 @@
         }
         match book.find(&entries, &want.model, &want.adapter) {
             Some(Place::Held(id)) => {
-                let known = book.known.get_mut(&id)?;
-                known.use_adapter(&want.model, &want.adapter, now);
+                let known = book.records.get_mut(&id)?;
+                known.touch_adapter(&want.model, &want.adapter, now);
                 let (model, adapter) = (want.model.clone(), want.adapter.clone());
                 self.tell_placed(model, adapter, id, Duration::ZERO);
                 return None;
@@ -106,26 +106,26 @@
     }
 }
 
-impl Book {
+impl Fleet {
     /// Where an adapter is already: at the first replica that holds it or has it queued.
     fn find(&self, entries: &[Entry], model: &Name, adapter: &Name) -> Option<Place> {
         entries.iter().find_map(|entry| {
-            let known = self.known.get(&entry.id)?;
+            let known = self.records.get(&entry.id)?;
             if known.holds_adapter(model, adapter) {
                 return Some(Place::Held(entry.id.clone()));
             }
-            let queues = known.queues_adapter(model, adapter);
+            let queues = known.has_queued_adapter(model, adapter);
             queues.then_some(Place::Queued)
         })
     }
 
     /// Queues the load of an adapter at a replica; the one used longest ago makes room.
     fn queue_adapter(&mut self, id: &Name, want: &Want, engine: &Engine) {
-        let Some(known) = self.known.get_mut(id) else {
+        let Some(known) = self.records.get_mut(id) else {
             return;
         };
-        if known.adapters_due() >= engine.adapters as usize
-            && let Some(((model, adapter), _)) = known.oldest_adapter()
+        if known.adapters_expected() >= engine.adapters as usize
+            && let Some(((model, adapter), _)) = known.least_recent_adapter()
         {
             known
                 .queue
@@ -146,8 +146,9 @@
         now: Time,
     ) -> Option<Name> {
         let key = (want.model.clone(), want.adapter.clone());
-        self.spread.retain(|_, at| now.since(*at) < SPREAD_PAUSE);
-        if self.spread.contains_key(&key) {
+        self.last_spread
+            .retain(|_, at| now.since(*at) < SPREAD_PAUSE);
+        if self.last_spread.contains_key(&key) {
             return None;
         }
         let (holders, others): (Vec<Entry>, Vec<Entry>) = entries
@@ -160,15 +161,16 @@
         if cost > least - LIGHTER {
             return None;
         }
-        self.spread.insert(key, now);
+        self.last_spread.insert(key, now);
         info!(target: "planner", event = "spread", model = &*want.model, adapter = &*want.adapter, replica = &*id, holders = holders.len(), least_taken = least, cost, "one more copy of an adapter");
         Some(id)
     }
 
     /// Whether a replica holds an adapter or has it queued.
     fn has(&self, id: &Name, model: &Name, adapter: &Name) -> bool {
-        let has = |k: &Known| k.holds_adapter(model, adapter) || k.queues_adapter(model, adapter);
-        self.known.get(id).is_some_and(has)
+        let has =
+            |k: &Record| k.holds_adapter(model, adapter) || k.has_queued_adapter(model, adapter);
+        self.records.get(id).is_some_and(has)
     }
 
     /// The replica at which one more adapter of a model costs least, and that cost.
@@ -182,10 +184,10 @@
     ) -> Option<(Name, f64)> {
         let mut best: Option<(f64, &Name)> = None;
         for entry in entries {
-            let Some(known) = self.known.get(&entry.id).filter(|k| may_take(k, model)) else {
+            let Some(known) = self.records.get(&entry.id).filter(|k| may_take(k, model)) else {
                 continue;
             };
-            let full = known.adapters_due() >= engine.adapters as usize;
+            let full = known.adapters_expected() >= engine.adapters as usize;
             if full && !may_give_up(known, now) {
                 continue;
             }
@@ -199,17 +201,17 @@
 }
 
 /// Whether a replica holds a model, and goes on holding it, so that an adapter of it may come.
-fn may_take(known: &Known, model: &Name) -> bool {
+fn may_take(known: &Record, model: &Name) -> bool {
     let holds = known.held.iter().any(|h| h.model == *model);
-    let closes = known.closes(model);
+    let closes = known.will_unload(model);
     let pending = known.pending.as_ref();
     let unloading = pending.is_some_and(|p| p.job.operation == Operation::Unload);
     holds && !closes && !unloading
 }
 
 /// Whether a replica has an adapter that was not used for a while.
-fn may_give_up(known: &Known, now: Time) -> bool {
-    let oldest = known.oldest_adapter();
+fn may_give_up(known: &Record, now: Time) -> bool {
+    let oldest = known.least_recent_adapter();
     oldest.is_some_and(|(_, at)| now.since(at) >= ADAPTER_KEPT)
 }
 
@@ -220,6 +222,6 @@
         model: model.clone(),
         adapter: Some(adapter.clone()),
         from_store: false,
-        takes: Span::ZERO,
+        duration: Span::ZERO,
     }
 }
--- a/crates/front/src/planner/demand.rs
+++ b/crates/front/src/planner/demand.rs
@@ -109,9 +109,9 @@
         let now = self.state.now();
         let arrivals = self.arrivals(now);
         let table = self.state.table.lock();
-        let mut book = self.book.lock();
-        let passed = now.since(book.planned_at);
-        book.planned_at = now;
+        let mut book = self.fleet.lock();
+        let passed = now.since(book.measured);
+        book.measured = now;
         for (service, engine) in routes.engines() {
             for model in &engine.models {
                 let key = (service.clone(), model.name.clone());
--- a/crates/front/src/planner/digest.rs
+++ b/crates/front/src/planner/digest.rs
@@ -1,7 +1,7 @@
 //! Telling all hosts the sums, and what is planned.
 
-use super::{Book, Planner};
-use crate::fleet::Known;
+use super::{Fleet, Planner};
+use crate::fleet::Record;
 use crate::message::{Digest, Load, MOST_DATAGRAM, Message, Plans, Row, short};
 use crate::readers::{self, Candidate, Reader};
 use std::collections::HashMap;
@@ -35,7 +35,7 @@
         self.peers.name_parts(hosts.clone()).await;
         let readers = self.readers(hosts);
         let (plans, adapters) = {
-            let book = self.book.lock();
+            let book = self.fleet.lock();
             let plans = Plans {
                 absent,
                 readers,
@@ -93,7 +93,7 @@
 
     /// Rows of all replicas, or of those whose load has changed since they were told.
     fn rows(&self, loads: &HashMap<u32, Load>, whole: bool) -> Vec<Row> {
-        let mut told = self.told.lock();
+        let mut told = self.last_sent.lock();
         if whole {
             told.clear();
         }
@@ -154,14 +154,14 @@
 }
 
 /// What hosts are told of the plan.
-fn plans(book: &Book, now: Time) -> Plans {
-    let coming = book.known.values().filter_map(|k| coming(k, now));
-    let closing = book.known.iter().flat_map(|(id, k)| {
+fn plans(book: &Fleet, now: Time) -> Plans {
+    let coming = book.records.values().filter_map(|k| coming(k, now));
+    let closing = book.records.iter().flat_map(|(id, k)| {
         let models = closing(k, now).into_iter();
         models.map(|model| (id.clone(), model))
     });
-    let loaded = book.known.iter().filter_map(|(id, k)| {
-        let (model, at) = k.loaded.as_ref()?;
+    let loaded = book.records.iter().filter_map(|(id, k)| {
+        let (model, at) = k.last_loaded.as_ref()?;
         (now.since(*at) < TOLD_LOADED).then(|| (id.clone(), model.clone()))
     });
     Plans {
@@ -173,26 +173,26 @@
 }
 
 /// Model that is on its way to a replica, and the time left, in milliseconds.
-fn coming(known: &Known, now: Time) -> Option<(Name, u32)> {
-    let (model, due) = known.awaited()?;
+fn coming(known: &Record, now: Time) -> Option<(Name, u32)> {
+    let (model, due) = known.incoming()?;
     Some((model.clone(), due.since(now).ms() as u32))
 }
 
 /// Models that a replica is about to give up, gives up, or gave up a moment ago.
-fn closing(known: &Known, now: Time) -> Vec<Name> {
-    let done = known.unloaded.iter();
+fn closing(known: &Record, now: Time) -> Vec<Name> {
+    let done = known.last_unloaded.iter();
     let done = done.filter(|(_, at)| now.since(*at) < TOLD_LOADED);
     let done = done.filter(|(model, _)| !known.held.iter().any(|h| h.model == *model));
-    let going = known.going().into_iter();
+    let going = known.unloading().into_iter();
     going.chain(done.map(|(model, _)| model)).cloned().collect()
 }
 
 /// Adapters of the replicas whose turn it is in a round; changes are told when they are made.
-fn adapters(book: &Book, round: usize) -> Vec<(Name, Vec<(Name, Name)>)> {
+fn adapters(book: &Fleet, round: usize) -> Vec<(Name, Vec<(Name, Name)>)> {
     let turn = |id: &Name| short(id) as usize % ADAPTER_ROUNDS == round % ADAPTER_ROUNDS;
-    book.known
+    book.records
         .iter()
-        .filter(|(id, k)| turn(id) && k.doubtful.is_none())
+        .filter(|(id, k)| turn(id) && k.report_due.is_none())
         .map(|(id, k)| (id.clone(), k.adapters()))
         .collect()
 }
--- a/crates/front/src/planner/dispatch.rs
+++ b/crates/front/src/planner/dispatch.rs
@@ -1,7 +1,7 @@
 //! Giving replicas the orders that wait for them, and noting what came of each.
 
-use super::{Book, Planner};
-use crate::fleet::{Job, Known, Pending};
+use super::{Fleet, Planner};
+use crate::fleet::{Job, Pending, Record};
 use crate::heard;
 use crate::table::Permit;
 use platform::answer::Said;
@@ -35,20 +35,20 @@
     /// Gives a replica the orders that wait for it, one after the other.
     pub(super) fn drive(self: &Arc<Self>, id: Name) {
         {
-            let mut book = self.book.lock();
-            let Some(known) = book.known.get_mut(&id) else {
+            let mut book = self.fleet.lock();
+            let Some(known) = book.records.get_mut(&id) else {
                 return;
             };
-            if known.calling {
+            if known.in_call {
                 return;
             }
-            known.calling = true;
+            known.in_call = true;
         }
         let planner = self.clone();
         tokio::spawn(async move {
             while planner.step(&id).await {}
-            if let Some(known) = planner.book.lock().known.get_mut(&id) {
-                known.calling = false;
+            if let Some(known) = planner.fleet.lock().records.get_mut(&id) {
+                known.in_call = false;
             }
         });
     }
@@ -71,7 +71,7 @@
         let Some(engine) = service.and_then(|s| s.engine.as_ref()) else {
             return false;
         };
-        let next = self.book.lock().next(id, engine, now);
+        let next = self.fleet.lock().next(id, engine, now);
         match next {
             Next::Give(job, expected) if self.term.is_valid() => {
                 self.give(&entry, job, expected, permit).await
@@ -96,10 +96,10 @@
 
     /// Whether a replica must be asked before the next order, and whether it may be asked now.
     fn doubt(&self, id: &str, now: Time) -> (bool, bool) {
-        let book = self.book.lock();
-        let known = book.known.get(id);
-        let doubtful = known.is_none_or(|k| k.doubtful.is_some());
-        (doubtful, known.is_some_and(|k| k.wants_look(now)))
+        let book = self.fleet.lock();
+        let known = book.records.get(id);
+        let doubtful = known.is_none_or(|k| k.report_due.is_some());
+        (doubtful, known.is_some_and(|k| k.is_report_due(now)))
     }
 
     /// Asks a replica what it holds; tells whether orders may go on.
@@ -118,11 +118,11 @@
                     heard::leaves(&self.state, &from(entry, "report"));
                     return false;
                 }
-                let mut book = self.book.lock();
-                let Some(known) = book.known.get_mut(&entry.id) else {
+                let mut book = self.fleet.lock();
+                let Some(known) = book.records.get_mut(&entry.id) else {
                     return false;
                 };
-                known.adopt(&report, self.state.now());
+                known.apply_report(&report, self.state.now());
                 info!(target: "planner", event = "looked", replica = &*entry.id, orders = report.orders, busy = report.busy, "a replica was asked what it holds");
                 !report.busy
             }
@@ -187,58 +187,58 @@
         answer: Answer,
         now: Time,
     ) -> bool {
-        let mut book = self.book.lock();
-        let Some(known) = book.known.get_mut(&entry.id) else {
+        let mut book = self.fleet.lock();
+        let Some(known) = book.records.get_mut(&entry.id) else {
             return false;
         };
-        if !known.is_of(entry.incarnation) {
+        if !known.is_incarnation(entry.incarnation) {
             // It was given to an earlier incarnation, and nothing holds of that one but what may land yet.
             if let Err(why) = answer {
-                book.unanswered(entry, &job, &why, now);
+                book.note_unanswered(entry, &job, &why, now);
             }
             return false;
         }
         match answer {
             Ok(Ordered::Accepted) if job.adapter.is_none() => {
-                known.orders = expected + 1;
+                known.orders_taken = expected + 1;
                 begin(known, job, now);
                 return true;
             }
             Ok(Ordered::Accepted) if job.operation == Operation::Unload => {
                 // It goes when its last request has ended; until then it takes its place.
-                known.orders = expected + 1;
-                known.doubt(now);
+                known.orders_taken = expected + 1;
+                known.require_report(now);
             }
             Ok(Ordered::Accepted | Ordered::InForce) if job.adapter.is_some() => {
-                known.orders = expected + 1;
-                known.effect(&job, now);
+                known.orders_taken = expected + 1;
+                known.apply(&job, now);
                 if let (Operation::Load, Some(adapter)) = (job.operation, job.adapter) {
                     self.tell_placed(job.model, adapter, entry.id.clone(), ADAPTER_ARRIVES);
                 }
                 return true;
             }
             Ok(Ordered::InForce) => {
-                known.effect(&job, now);
-                known.doubt(now);
+                known.apply(&job, now);
+                known.require_report(now);
             }
             Ok(Ordered::Fenced) => {
                 warn!(target: "planner", event = "fenced", term = self.term.token, "a later holder gives orders; this term ends");
                 self.term.end();
             }
-            Ok(_) => known.doubt(now),
+            Ok(_) => known.require_report(now),
             Err(why) => {
-                known.doubt(now);
-                book.unanswered(entry, &job, &why, now);
+                known.require_report(now);
+                book.note_unanswered(entry, &job, &why, now);
             }
         }
         false
     }
 }
 
-impl Book {
+impl Fleet {
     /// Takes the next order to a replica out of its queue.
     fn next(&mut self, id: &str, engine: &Engine, now: Time) -> Next {
-        let Some(known) = self.known.get_mut(id) else {
+        let Some(known) = self.records.get_mut(id) else {
             return Next::Stop;
         };
         let pends = known.pending.is_some();
@@ -247,23 +247,23 @@
             return Next::Stop;
         }
         let job = known.queue.pop_front();
-        let job = job.filter(|job| known.has_room(job, engine));
-        known.ordering(now);
-        job.map_or(Next::Skip, |job| Next::Give(job, known.orders))
+        let job = job.filter(|job| known.fits(job, engine));
+        known.note_ordered(now);
+        job.map_or(Next::Skip, |job| Next::Give(job, known.orders_taken))
     }
 
     /// Keeps the places of a load that may have begun without an answer: at the weight store, if it is from there,
     /// and at the replica, should this start again.
-    fn unanswered(&mut self, entry: &Entry, job: &Job, why: &platform::Error, now: Time) {
+    fn note_unanswered(&mut self, entry: &Entry, job: &Job, why: &platform::Error, now: Time) {
         if !matches!(why, platform::Error::Unknown { .. }) {
             return;
         }
-        if let Some(known) = self.known.get_mut(&entry.id) {
-            known.unanswered(job, entry.incarnation, now);
+        if let Some(known) = self.records.get_mut(&entry.id) {
+            known.note_unanswered(job, entry.incarnation, now);
         }
         if job.from_store {
             for bucket in self.buckets.values_mut() {
-                bucket.unanswered(now);
+                bucket.note_unanswered(now);
             }
         }
     }
@@ -280,12 +280,12 @@
 }
 
 /// Notes that an order about a model was accepted and is under way.
-fn begin(known: &mut Known, job: Job, now: Time) {
+fn begin(known: &mut Record, job: Job, now: Time) {
     if job.operation == Operation::Unload {
-        known.unloaded = Some((job.model.clone(), now));
+        known.last_unloaded = Some((job.model.clone(), now));
     }
     known.pending = Some(Pending {
-        due: now + job.takes,
+        due: now + job.duration,
         job,
     });
 }
--- a/crates/front/src/planner/prefetch.rs
+++ b/crates/front/src/planner/prefetch.rs
@@ -1,8 +1,8 @@
 //! Adapters that are fetched before they are asked for, into places that are free.
 
 use super::adapters::job;
-use super::{Book, Planner};
-use crate::fleet::Known;
+use super::{Fleet, Planner};
+use crate::fleet::Record;
 use place::adapters::{self, Replica};
 use platform::config::Engine;
 use platform::replica::Operation;
@@ -17,11 +17,11 @@
         let Some((_, entries)) = self.staying(service) else {
             return;
         };
-        let mut book = self.book.lock();
+        let mut book = self.fleet.lock();
         let replicas: Vec<Replica> = entries
             .iter()
             .map(|e| {
-                book.known
+                book.records
                     .get(&e.id)
                     .map_or_else(Replica::default, |k| places(k, engine))
             })
@@ -30,7 +30,7 @@
         let order = by_demand(&book, service, engine);
         for (replica, model, number) in adapters::plan(&replicas, &counts, &order, FETCHED_AHEAD) {
             let model = &engine.models[model];
-            if let Some(known) = book.known.get_mut(&entries[replica].id) {
+            if let Some(known) = book.records.get_mut(&entries[replica].id) {
                 let load = job(Operation::Load, &model.name, &model.adapter(number));
                 known.queue.push_back(load);
             }
@@ -39,7 +39,7 @@
 }
 
 /// Models that have adapters, those in demand first.
-fn by_demand(book: &Book, service: &Name, engine: &Engine) -> Vec<usize> {
+fn by_demand(book: &Fleet, service: &Name, engine: &Engine) -> Vec<usize> {
     let demand = |m: &usize| {
         let key = (service.clone(), engine.models[*m].name.clone());
         book.demand.get(&key).map_or(0.0, |d| d.now + d.recent)
@@ -52,7 +52,7 @@
 }
 
 /// A replica's places for adapters; none while it is about to change what it holds.
-fn places(known: &Known, engine: &Engine) -> Replica {
+fn places(known: &Record, engine: &Engine) -> Replica {
     let index = |name: &Name| engine.models.iter().position(|m| m.name == *name);
     let held = known.adapters().into_iter().filter_map(|(model, adapter)| {
         let at = index(&model)?;
@@ -60,8 +60,8 @@
     });
     Replica {
         models: known.held.iter().filter_map(|h| index(&h.model)).collect(),
-        free_slots: (engine.adapters as usize).saturating_sub(known.adapters_due()),
+        free_slots: (engine.adapters as usize).saturating_sub(known.adapters_expected()),
         adapters: held.collect(),
-        accepts_orders: known.is_free(),
+        accepts_orders: known.accepts_orders(),
     }
 }
--- a/crates/front/src/planner/service.rs
+++ b/crates/front/src/planner/service.rs
@@ -1,7 +1,7 @@
 //! Planning of one service: which replicas load and unload which models.
 
-use super::{Book, Demand, Planner, demand, entries, taken};
-use crate::fleet::{Bucket, Job, Known};
+use super::{Demand, Fleet, Planner, demand, entries, taken};
+use crate::fleet::{Bucket, Job, Record};
 use crate::message::{Load, short};
 use crate::table::Table;
 use place::copies::{self, Step};
@@ -34,15 +34,15 @@
     /// Queues the unloads of which hosts have known for long enough.
     pub(super) fn order_closed(&self) {
         let now = self.state.now();
-        let mut book = self.book.lock();
-        for known in book.known.values_mut() {
-            if let Some(model) = known.take_closed(now) {
+        let mut book = self.fleet.lock();
+        for known in book.records.values_mut() {
+            if let Some(model) = known.take_due_unload(now) {
                 known.queue.push_back(Job {
                     operation: Operation::Unload,
                     model,
                     adapter: None,
                     from_store: false,
-                    takes: UNLOAD,
+                    duration: UNLOAD,
                 });
             }
         }
@@ -65,9 +65,9 @@
             (entries, needs)
         };
         let (replicas, models, available) = {
-            let mut book = self.book.lock();
+            let mut book = self.fleet.lock();
             let book = &mut *book;
-            let replicas = replicas(&entries, &book.known, engine, (&loads, &needs), now);
+            let replicas = replicas(&entries, &book.records, engine, (&loads, &needs), now);
             book.note_held(service, engine, &replicas, now);
             let models = models(service, engine, &book.demand, now);
             let new = || self.bucket(engine, now);
@@ -89,7 +89,7 @@
     /// Queues the steps of a plan; tells whether there are any.
     fn take_steps(&self, plan: &Plan, steps: Vec<Step>) -> bool {
         let now = self.state.now();
-        let mut book = self.book.lock();
+        let mut book = self.fleet.lock();
         let book = &mut *book;
         let Some(bucket) = book.buckets.get_mut(plan.service) else {
             return false;
@@ -101,7 +101,7 @@
             let replica = *replica;
             let entry = &plan.entries[replica];
             // A replica that is gone meanwhile is not planned for any more.
-            let Some(known) = book.known.get_mut(&entry.id) else {
+            let Some(known) = book.records.get_mut(&entry.id) else {
                 continue;
             };
             let is_as_planned = begun.contains(&replica) || plan.holds(replica, known, now);
@@ -127,7 +127,7 @@
                     }
                     let job = load_job(entry, &plan.engine.models[model], from_store);
                     known.queue.push_back(job);
-                    known.room_used();
+                    known.clear_reservation();
                 }
                 Step::Unload {
                     models: gone,
@@ -163,7 +163,7 @@
 
 impl Plan<'_> {
     /// Whether what is believed of a replica is still what the plan was made from, but for its load.
-    fn holds(&self, replica: usize, known: &Known, now: Time) -> bool {
+    fn holds(&self, replica: usize, known: &Record, now: Time) -> bool {
         let planned = &self.replicas[replica];
         let entry = &self.entries[replica];
         let seen = self::replica(entry, known, self.engine, planned.utilization, now);
@@ -177,7 +177,7 @@
     fn close(
         &self,
         replica: usize,
-        known: &mut Known,
+        known: &mut Record,
         gone: Vec<usize>,
         instead: usize,
         now: Time,
@@ -189,14 +189,14 @@
             false => now + CLOSING_IDLE,
         };
         let from_store = !self.replicas[replica].cached.contains(&instead);
-        let takes = load_job(entry, &self.engine.models[instead], from_store).takes;
+        let takes = load_job(entry, &self.engine.models[instead], from_store).duration;
         let there = now + MAKES_ROOM * gone.len() as f64 + takes;
         let gone = gone.into_iter().map(|m| (name(m), due(m)));
-        known.close(gone, name(instead), there);
+        known.schedule_unloads(gone, name(instead), there);
     }
 }
 
-impl Book {
+impl Fleet {
     /// Notes which models of a service are on a replica.
     fn note_held(
         &mut self,
@@ -251,7 +251,7 @@
         model: model.name.clone(),
         adapter: None,
         from_store,
-        takes: takes.into(),
+        duration: takes.into(),
     }
 }
 
@@ -282,12 +282,12 @@
 /// Replicas of a service as the plan sees them, in the order of their entries.
 fn replicas(
     entries: &[Entry],
-    known: &HashMap<Name, Known>,
+    known: &HashMap<Name, Record>,
     engine: &Engine,
     (loads, needs): (&HashMap<u32, Load>, &HashMap<Name, f64>),
     now: Time,
 ) -> Vec<copies::Replica> {
-    let nothing = Known::default();
+    let nothing = Record::default();
     let seen_by_plan = |entry: &Entry| {
         let known = known.get(&entry.id).unwrap_or(&nothing);
         let seen = replica(entry, known, engine, taken(entry, loads), now);
@@ -300,14 +300,20 @@
 }
 
 /// One replica as the plan sees it.
-fn replica(entry: &Entry, known: &Known, engine: &Engine, load: f64, now: Time) -> copies::Replica {
+fn replica(
+    entry: &Entry,
+    known: &Record,
+    engine: &Engine,
+    load: f64,
+    now: Time,
+) -> copies::Replica {
     let index = |name: &Name| engine.models.iter().position(|m| m.name == *name);
-    let goes = known.going();
+    let goes = known.unloading();
     let held = known.held.iter().filter(|h| !goes.contains(&&h.model));
     let held: Vec<usize> = held.filter_map(|h| index(&h.model)).collect();
     let orders = known.pending.iter().map(|p| &p.job).chain(&known.queue);
     let loads = orders.filter(|j| j.operation == Operation::Load && j.adapter.is_none());
-    let coming = loads.map(|j| &j.model).chain(known.room_for());
+    let coming = loads.map(|j| &j.model).chain(known.reserved_for());
     let mut coming: Vec<usize> = coming.filter_map(index).collect();
     coming.retain(|m| !held.contains(m));
     let copies = entry.in_memory.iter().chain(&entry.on_disk);
@@ -315,11 +321,15 @@
         free_mb: known.free_mb(engine),
         held,
         incoming: coming,
-        recently_loaded: known.fresh(now).and_then(index).into_iter().collect(),
+        recently_loaded: known
+            .recently_loaded(now)
+            .and_then(index)
+            .into_iter()
+            .collect(),
         cached: copies.filter_map(index).collect(),
-        reserved_for: known.room_for().and_then(index),
-        accepts_orders: known.is_free(),
-        unloading: known.makes_room(),
+        reserved_for: known.reserved_for().and_then(index),
+        accepts_orders: known.accepts_orders(),
+        unloading: known.is_unloading(),
         in_service: !entry.leaving && !known.is_lost(now),
         utilization: load,
         degraded_capacity: None,
--- a/crates/front/tests/fleet.rs
+++ b/crates/front/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 mod site;
 
-use front::fleet::{Bucket, Job, Known, Pending};
+use front::fleet::{Bucket, Job, Pending, Record};
 use platform::config::{Engine, Model};
 use platform::replica::{Entry, Held, Operation, Report};
 use site::at;
@@ -68,63 +68,63 @@
         model: model.into(),
         adapter: adapter.map(Into::into),
         from_store: false,
-        takes: Span::from_secs(1),
+        duration: Span::from_secs(1),
     }
 }
 
 #[test]
 fn a_replica_takes_no_order_before_its_report() {
-    let known = Known::default();
+    let known = Record::default();
     assert!(!known.is_idle());
-    assert!(known.wants_look(at(0)));
+    assert!(known.is_report_due(at(0)));
 }
 
 /// ddrct-coveford trouble-3, seed 1013: a replica was told to load beyond its memory.
 #[test]
 fn an_entry_older_than_a_report_frees_no_memory() {
-    let mut known = Known::default();
-    known.adopt(&report(&["m1", "m2"], 3, false), at(0));
+    let mut known = Record::default();
+    known.apply_report(&report(&["m1", "m2"], 3, false), at(0));
     known.sync(&entry(&["m1"]), at(200));
     let load = job(Operation::Load, "m3", None);
-    assert!(!known.has_room(&load, &engine()));
+    assert!(!known.fits(&load, &engine()));
     known.sync(&entry(&["m1"]), at(10_000));
     assert!(
-        !known.has_room(&load, &engine()),
+        !known.fits(&load, &engine()),
         "not by an entry, however long it says so"
     );
-    assert!(known.wants_look(at(11_000)), "but the replica is asked");
-    known.adopt(&report(&["m1"], 4, false), at(11_000));
-    assert!(known.has_room(&load, &engine()));
+    assert!(known.is_report_due(at(11_000)), "but the replica is asked");
+    known.apply_report(&report(&["m1"], 4, false), at(11_000));
+    assert!(known.fits(&load, &engine()));
 }
 
 #[test]
 fn an_unload_is_done_when_a_report_says_so() {
-    let mut known = Known::default();
-    known.adopt(&report(&["m1", "m2"], 3, false), at(0));
+    let mut known = Record::default();
+    known.apply_report(&report(&["m1", "m2"], 3, false), at(0));
     known.pending = Some(Pending {
         job: job(Operation::Unload, "m2", None),
         due: at(5_000),
     });
     known.sync(&entry(&["m1"]), at(300));
-    assert!(!known.has_room(&job(Operation::Load, "m3", None), &engine()));
-    known.adopt(&report(&["m1", "m2"], 4, true), at(600));
+    assert!(!known.fits(&job(Operation::Load, "m3", None), &engine()));
+    known.apply_report(&report(&["m1", "m2"], 4, true), at(600));
     assert!(!known.is_idle(), "its last requests run yet");
-    known.adopt(&report(&["m1"], 4, false), at(900));
+    known.apply_report(&report(&["m1"], 4, false), at(900));
     assert!(known.is_idle());
 }
 
 #[test]
 fn adapters_beyond_the_places_are_refused_when_the_order_is_given() {
-    let mut known = Known::default();
-    known.adopt(&report(&["m1"], 0, false), at(0));
+    let mut known = Record::default();
+    known.apply_report(&report(&["m1"], 0, false), at(0));
     for adapter in ["a1", "a2"] {
         let load = job(Operation::Load, "m1", Some(adapter));
-        assert!(known.has_room(&load, &engine()));
-        known.effect(&load, at(0));
+        assert!(known.fits(&load, &engine()));
+        known.apply(&load, at(0));
     }
-    assert!(!known.has_room(&job(Operation::Load, "m1", Some("a3")), &engine()));
-    known.effect(&job(Operation::Unload, "m1", Some("a1")), at(0));
-    assert!(known.has_room(&job(Operation::Load, "m1", Some("a3")), &engine()));
+    assert!(!known.fits(&job(Operation::Load, "m1", Some("a3")), &engine()));
+    known.apply(&job(Operation::Unload, "m1", Some("a1")), at(0));
+    assert!(known.fits(&job(Operation::Load, "m1", Some("a3")), &engine()));
 }
 
 /// Two holders, one after the other, each with as many loads as its bucket allows.
@@ -155,7 +155,7 @@
 fn an_unanswered_load_keeps_its_place_until_it_can_no_longer_begin() {
     let mut bucket = Bucket::new(1.4, Span::from_secs(5), 1.1, at(0));
     let full = bucket.available(at(60_000));
-    bucket.unanswered(at(60_000));
+    bucket.note_unanswered(at(60_000));
     assert_eq!(bucket.available(at(60_000)), full - 1);
     assert_eq!(bucket.available(at(74_000)), full);
 }
@@ -164,14 +164,14 @@
 /// only then was another copy loaded.
 #[test]
 fn a_replica_that_stays_out_of_reach_is_lost_before_its_entry_goes() {
-    let mut known = Known::default();
+    let mut known = Record::default();
 
-    known.note_absent(true, at(0));
-    known.note_absent(true, at(200));
+    known.note_unreachable(true, at(0));
+    known.note_unreachable(true, at(200));
     assert!(!known.is_lost(at(200)), "it may be a moment only");
     assert!(known.is_lost(at(400)));
-    known.note_absent(false, at(600));
-    known.note_absent(true, at(800));
+    known.note_unreachable(false, at(600));
+    known.note_unreachable(true, at(800));
     assert!(!known.is_lost(at(1_000)), "it was back meanwhile");
 }
 
@@ -212,15 +212,15 @@
         model: model.into(),
         adapter: None,
         from_store: false,
-        takes: Span::from_ms(8_000),
+        duration: Span::from_ms(8_000),
     }
 }
 
 #[test]
 fn nothing_is_believed_of_a_replica_that_has_started_again() {
-    let mut known = Known::default();
+    let mut known = Record::default();
     known.sync(&restarted(&["m1"], 1), at(0));
-    known.adopt(
+    known.apply_report(
         &Report {
             incarnation: Some(1),
             ..report(&["m1", "m2"], 7, false)
@@ -230,47 +230,47 @@
     known.queue.push_back(load("m3"));
     known.sync(&restarted(&[], 2), at(500));
     assert!(known.held.is_empty() && known.queue.is_empty());
-    assert_eq!(known.orders, 0);
+    assert_eq!(known.orders_taken, 0);
     assert!(
-        known.wants_look(at(500)),
+        known.is_report_due(at(500)),
         "it is asked before the next order"
     );
 }
 
 #[test]
 fn a_report_of_another_incarnation_than_that_of_the_entry_is_not_adopted() {
-    let mut known = Known::default();
+    let mut known = Record::default();
     known.sync(&restarted(&[], 2), at(0));
     let early = Report {
         incarnation: Some(1),
         ..report(&["m1"], 7, false)
     };
-    known.adopt(&early, at(10));
+    known.apply_report(&early, at(10));
     assert!(known.held.is_empty());
-    assert!(known.wants_look(at(400)), "it is asked again");
+    assert!(known.is_report_due(at(400)), "it is asked again");
 }
 
 /// A load that was not answered may land on the next incarnation: it is addressed to the same identity, and expects
 /// a number of orders that this one may have taken by then.
 #[test]
 fn an_unanswered_load_keeps_its_room_over_a_restart_until_it_can_no_longer_land() {
-    let mut known = Known::default();
+    let mut known = Record::default();
     known.sync(&restarted(&[], 1), at(0));
-    known.unanswered(&load("m1"), Some(1), at(100));
-    assert!(known.has_room(&load("m2"), &engine()));
+    known.note_unanswered(&load("m1"), Some(1), at(100));
+    assert!(known.fits(&load("m2"), &engine()));
     known.sync(&restarted(&[], 2), at(1_000));
     known.held = held(&["m2"]);
-    assert!(!known.has_room(&load("m3"), &engine()), "m1 may come yet");
+    assert!(!known.fits(&load("m3"), &engine()), "m1 may come yet");
     known.sync(&restarted(&["m2"], 2), at(13_200));
-    assert!(known.has_room(&load("m3"), &engine()));
+    assert!(known.fits(&load("m3"), &engine()));
 }
 
 /// The call was on its way when the entry of the next incarnation came.
 #[test]
 fn a_load_given_to_an_earlier_incarnation_keeps_its_room_as_well() {
-    let mut known = Known::default();
+    let mut known = Record::default();
     known.sync(&restarted(&[], 2), at(0));
-    known.unanswered(&load("m1"), Some(1), at(100));
+    known.note_unanswered(&load("m1"), Some(1), at(100));
     known.held = held(&["m2"]);
-    assert!(!known.has_room(&load("m3"), &engine()));
+    assert!(!known.fits(&load("m3"), &engine()));
 }
