--- a/crates/front/src/grant.rs
+++ b/crates/front/src/grant.rs
@@ -2,7 +2,7 @@
 //!
 //! The host that leads gives out. While it does not answer, this one goes on by its share of what was given out lately.
 
-use crate::message::{Question, Subject, Verdict};
+use crate::message::{QuotaRequest, QuotaResponse, Subject};
 use crate::peers::Peers;
 use crate::state::State;
 use route::quota::{Limit, REFUND_WINDOW, Refusal, Usage};
@@ -65,7 +65,7 @@
     let untold = state
         .shares
         .with(&wanted.subject, |share| share.unreported());
-    let question = Question {
+    let question = QuotaRequest {
         number: 0,
         host: state.settings.name.clone(),
         subject: wanted.subject.clone(),
@@ -89,18 +89,18 @@
 }
 
 /// What a verdict says; none where the host that was asked does not give out.
-fn answer(verdict: Verdict) -> Option<Decision> {
+fn answer(verdict: QuotaResponse) -> Option<Decision> {
     match verdict {
-        Verdict::Given { all, left } => Some(Decision::Granted(Usage {
+        QuotaResponse::Given { all, left } => Some(Decision::Granted(Usage {
             granted: f64::from(all),
             available: f64::from(left),
         })),
-        Verdict::Refused { wait_ms, left } => Some(Decision::Denied(Refusal {
+        QuotaResponse::Refused { wait_ms, left } => Some(Decision::Denied(Refusal {
             retry_after: Span::from_ms(u64::from(wait_ms)),
             available: f64::from(left),
         })),
-        Verdict::Unlimited => Some(Decision::Unlimited),
-        Verdict::Elsewhere => None,
+        QuotaResponse::Unlimited => Some(Decision::Unlimited),
+        QuotaResponse::Elsewhere => None,
     }
 }
 
--- a/crates/front/src/message/limit.rs
+++ b/crates/front/src/message/limit.rs
@@ -1,6 +1,6 @@
 //! What hosts tell each other of the limits that replicas name.
 
-use super::{MOST_DATAGRAM, short};
+use super::{MAX_DATAGRAM, replica_hash};
 use platform::replica::{Entry, Incarnation};
 use route::quota::Advertisement;
 use serde::{Deserialize, Serialize};
@@ -10,14 +10,14 @@
 const ROW_SIZE: usize = 22;
 
 /// Limits that fit one datagram, beside what stands before them.
-pub const ROWS: usize = (MOST_DATAGRAM - HEAD_SIZE) / ROW_SIZE;
+pub const ROWS: usize = (MAX_DATAGRAM - HEAD_SIZE) / ROW_SIZE;
 
 /// Size of what stands before the rows, in bytes, with the longest name of a host.
 const HEAD_SIZE: usize = 100;
 
 /// What was heard of the limit of one incarnation of a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Limited {
+pub struct ReplicaLimit {
     /// Short name of the incarnation.
     pub replica: u32,
     /// Requests a second that it named last.
@@ -30,35 +30,35 @@
 
 /// Limits that a host has heard itself, to the leader.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Heard {
+pub struct LimitReport {
     /// The host.
     pub host: Name,
     /// The limits.
-    pub limits: Vec<Limited>,
+    pub limits: Vec<ReplicaLimit>,
 }
 
 /// Limits that hold, or are over since a while ago, from the leader to all.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Limits {
+pub struct LimitDigest {
     /// Fencing token of the leader's term.
     pub term: u64,
     /// The leader.
     pub host: Name,
     /// The limits.
-    pub limits: Vec<Limited>,
+    pub limits: Vec<ReplicaLimit>,
 }
 
 /// Short name of one incarnation of a replica.
 fn incarnation(id: &str, incarnation: Incarnation) -> u32 {
-    short(&format!("{id}/{}", incarnation.unwrap_or_default()))
+    replica_hash(&format!("{id}/{}", incarnation.unwrap_or_default()))
 }
 
-impl Limited {
+impl ReplicaLimit {
     /// What was heard, as it is told now.
-    pub fn new(entry: &Entry, notice: &Advertisement, now: Time) -> Limited {
+    pub fn new(entry: &Entry, notice: &Advertisement, now: Time) -> ReplicaLimit {
         let age_ms = |at: Time| now.since(at).ms() as u32;
-        Limited {
-            replica: Limited::name(entry),
+        ReplicaLimit {
+            replica: ReplicaLimit::name(entry),
             rate: notice.rate as f32,
             named_ms: age_ms(notice.advertised_at),
             unnamed_ms: notice.withdrawn_at.map(age_ms),
--- a/crates/front/src/message/quarantine.rs
+++ b/crates/front/src/message/quarantine.rs
@@ -5,16 +5,16 @@
 
 /// Fall of a replica, as a host saw it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Fallen {
+pub struct CrashReport {
     /// Identity of the fall, alike on all hosts.
-    pub fall: u64,
+    pub crash: u64,
     /// Requests of the host that broke there.
-    pub aboard: Vec<Fingerprint>,
+    pub in_flight: Vec<Fingerprint>,
 }
 
 /// Leader's answer to a host that asks what may be done with a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Permit {
+pub enum TrialResponse {
     /// Send it as any other.
     Free,
     /// Send it once, and tell how that ended.
@@ -27,50 +27,52 @@
     Elsewhere,
 }
 
-impl From<route::quarantine::Permit> for Permit {
-    fn from(permit: route::quarantine::Permit) -> Permit {
+impl From<route::quarantine::Permit> for TrialResponse {
+    fn from(permit: route::quarantine::Permit) -> TrialResponse {
         use route::quarantine::Permit as Decided;
         match permit {
-            Decided::Free => Permit::Free,
-            Decided::Trial => Permit::Trial,
-            Decided::Wait => Permit::Wait,
-            Decided::Quarantined(left) => Permit::KeptOut(left.secs().ceil() as u32),
+            Decided::Free => TrialResponse::Free,
+            Decided::Trial => TrialResponse::Trial,
+            Decided::Wait => TrialResponse::Wait,
+            Decided::Quarantined(left) => TrialResponse::KeptOut(left.secs().ceil() as u32),
         }
     }
 }
 
-impl Permit {
+impl TrialResponse {
     /// The decision; none where the host that was asked made none.
     pub fn decision(self) -> Option<route::quarantine::Permit> {
         use route::quarantine::Permit as Decided;
         match self {
-            Permit::Free => Some(Decided::Free),
-            Permit::Trial => Some(Decided::Trial),
-            Permit::Wait => Some(Decided::Wait),
-            Permit::KeptOut(secs) => Some(Decided::Quarantined(Span::from_secs(u64::from(secs)))),
-            Permit::Elsewhere => None,
+            TrialResponse::Free => Some(Decided::Free),
+            TrialResponse::Trial => Some(Decided::Trial),
+            TrialResponse::Wait => Some(Decided::Wait),
+            TrialResponse::KeptOut(secs) => {
+                Some(Decided::Quarantined(Span::from_secs(u64::from(secs))))
+            }
+            TrialResponse::Elsewhere => None,
         }
     }
 }
 
 /// Requests that are suspected or kept out, from the leader to all.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listing {
+pub struct QuarantineList {
     /// Fencing token of the leader's term.
     pub term: u64,
     /// Number of the list in that term, which rises as it changes.
     pub number: u32,
     /// The requests.
-    pub listed: Vec<Listed>,
+    pub entries: Vec<QuarantineEntry>,
 }
 
 /// Request in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct QuarantineEntry {
     /// The request.
-    pub print: Fingerprint,
+    pub fingerprint: Fingerprint,
     /// Whether it is kept out; it is suspected otherwise.
-    pub is_out: bool,
+    pub is_blocked: bool,
     /// Time since its first fall that counts, in milliseconds: a good end after that clears it.
     pub since_ms: u32,
 }
--- a/crates/front/src/peers/limits.rs
+++ b/crates/front/src/peers/limits.rs
@@ -3,7 +3,7 @@
 use super::Peers;
 use crate::limits;
 use crate::message::limit::ROWS;
-use crate::message::{Heard, Limited, Limits, Message};
+use crate::message::{LimitDigest, LimitReport, Message, ReplicaLimit};
 use std::sync::Arc;
 use std::time::Duration;
 use unit::Name;
@@ -57,7 +57,7 @@
         let now = self.state.now();
         let limits = self.state.table.lock().heard_limits(now);
         for limits in limits.chunks(ROWS) {
-            let heard = Heard {
+            let heard = LimitReport {
                 host: self.state.settings.name.clone(),
                 limits: limits.to_vec(),
             };
@@ -75,13 +75,13 @@
     }
 
     /// Limits as this host tells them while it leads, in datagrams.
-    fn messages(&self, limits: &[Limited]) -> Vec<Message> {
+    fn messages(&self, limits: &[ReplicaLimit]) -> Vec<Message> {
         let leader = self.state.leader.lock();
         let Some(term) = leader.as_ref().map(|l| l.term) else {
             return Vec::new();
         };
-        let message = |limits: &[Limited]| {
-            Message::Limits(Limits {
+        let message = |limits: &[ReplicaLimit]| {
+            Message::Limits(LimitDigest {
                 term,
                 host: self.state.settings.name.clone(),
                 limits: limits.to_vec(),
@@ -91,7 +91,7 @@
     }
 
     /// Takes in what another host heard, and has it told on if it is news.
-    pub(super) fn join_limits(&self, told: &[Limited], by: &Name) {
+    pub(super) fn join_limits(&self, told: &[ReplicaLimit], by: &Name) {
         let now = self.state.now();
         let changes = self.state.table.lock().join_limits(told, now);
         if changes.is_empty() {
--- a/crates/front/src/planner.rs
+++ b/crates/front/src/planner.rs
@@ -16,7 +16,7 @@
 
 use crate::fleet::{Bucket, Record};
 use crate::leader::Term;
-use crate::message::{Load, Missing, Row, Use, short};
+use crate::message::{AdapterUse, Load, ModelRequest, PackedLoad, replica_hash};
 use crate::peers::Peers;
 use crate::shares;
 use crate::state::State;
@@ -56,7 +56,7 @@
     pool: Pool,
     fleet: Mutex<Fleet>,
     /// What hosts were told last to be in flight at each replica, by its short name.
-    last_sent: Mutex<HashMap<u32, Row>>,
+    last_sent: Mutex<HashMap<u32, PackedLoad>>,
     /// Whether the list of requests that are kept out is being stored.
     storing: AtomicBool,
 }
@@ -199,7 +199,7 @@
                 tell_found(&seen.entry);
                 Record::default()
             });
-            known.note_unreachable(absent.contains(&short(&seen.entry.id)), now);
+            known.note_unreachable(absent.contains(&replica_hash(&seen.entry.id)), now);
             known.sync(&seen.entry, now);
         }
         book.note_uses(self.peers.inbox.uses(), now);
@@ -240,7 +240,7 @@
         let missing = self.peers.inbox.missing();
         let mut book = self.fleet.lock();
         let mut news = false;
-        for Missing { service, model } in missing {
+        for ModelRequest { service, model } in missing {
             let awaited = book.records.values().filter_map(Record::incoming);
             if !awaited.map(|(m, _)| m).any(|m| *m == model) {
                 let demand = book.demand.entry((service, model)).or_default();
@@ -263,10 +263,10 @@
 
 impl Fleet {
     /// Notes which adapters hosts have sent requests to.
-    fn note_uses(&mut self, mut uses: Vec<Use>, now: Time) {
+    fn note_uses(&mut self, mut uses: Vec<AdapterUse>, now: Time) {
         uses.sort_by_key(|used| used.replica);
         for (id, known) in &mut self.records {
-            let name = short(id);
+            let name = replica_hash(id);
             let first = uses.partition_point(|used| used.replica < name);
             let here = uses[first..].iter().take_while(|used| used.replica == name);
             for used in here {
@@ -295,6 +295,6 @@
 
 /// Share of a replica's places that are taken, by the sums of all hosts.
 fn taken(entry: &Entry, loads: &HashMap<u32, Load>) -> f64 {
-    let load = loads.get(&short(&entry.id));
+    let load = loads.get(&replica_hash(&entry.id));
     load.map_or(0.0, |l| f64::from(l.requests)) / f64::from(entry.slots)
 }
--- a/crates/front/src/planner/digest.rs
+++ b/crates/front/src/planner/digest.rs
@@ -2,7 +2,9 @@
 
 use super::{Fleet, Planner};
 use crate::fleet::Record;
-use crate::message::{Digest, Load, MOST_DATAGRAM, Message, Plans, Row, short};
+use crate::message::{
+    Digest, Load, MAX_DATAGRAM, Message, PackedLoad, PlannerStatus, replica_hash,
+};
 use crate::readers::{self, Candidate, Reader};
 use std::collections::HashMap;
 use unit::{Name, Span, Time};
@@ -36,7 +38,7 @@
         let readers = self.readers(hosts);
         let (plans, adapters) = {
             let book = self.fleet.lock();
-            let plans = Plans {
+            let plans = PlannerStatus {
                 absent,
                 readers,
                 peers: self.peers.direct(),
@@ -49,7 +51,7 @@
         let first = Digest {
             term: self.term.token,
             hosts,
-            plans: Some(plans),
+            planner: Some(plans),
             ..Digest::default()
         };
         let mut parts = Parts::new(first);
@@ -80,7 +82,7 @@
         let loads = self.peers.inbox.loads(self.state.now());
         let rows = self.rows(&loads, false);
         let hosts = self.peers.inbox.hosts().len() as u32;
-        for rows in rows.chunks(MOST_DATAGRAM / ROW_SIZE) {
+        for rows in rows.chunks(MAX_DATAGRAM / ROW_SIZE) {
             let digest = Digest {
                 term: self.term.token,
                 hosts,
@@ -92,14 +94,14 @@
     }
 
     /// Rows of all replicas, or of those whose load has changed since they were told.
-    fn rows(&self, loads: &HashMap<u32, Load>, whole: bool) -> Vec<Row> {
+    fn rows(&self, loads: &HashMap<u32, Load>, whole: bool) -> Vec<PackedLoad> {
         let mut told = self.last_sent.lock();
         if whole {
             told.clear();
         }
         let rows = self.replicas().into_iter().filter_map(|id| {
-            let load = loads.get(&short(&id)).copied().unwrap_or_default();
-            let row = Row::new(&id, &load);
+            let load = loads.get(&replica_hash(&id)).copied().unwrap_or_default();
+            let row = PackedLoad::new(&id, &load);
             let before = told.insert(row.replica(), row);
             (whole || before != Some(row)).then_some(row)
         });
@@ -122,10 +124,10 @@
 
 impl Parts {
     fn new(first: Digest) -> Parts {
-        let plans = first.plans.as_ref().map_or(0, |p| {
-            p.coming.len()
+        let plans = first.planner.as_ref().map_or(0, |p| {
+            p.loading.len()
                 + p.loaded.len()
-                + p.closing.len()
+                + p.unloading.len()
                 + p.absent.len()
                 + p.readers.len()
                 + p.peers.len()
@@ -139,7 +141,7 @@
     /// The part that has room for so many bytes more.
     fn room(&mut self, size: usize) -> &mut Digest {
         self.size += size;
-        if self.size > MOST_DATAGRAM {
+        if self.size > MAX_DATAGRAM {
             self.size = ROW_SIZE + size;
             let first = &self.all[0];
             let next = Digest {
@@ -154,7 +156,7 @@
 }
 
 /// What hosts are told of the plan.
-fn plans(book: &Fleet, now: Time) -> Plans {
+fn plans(book: &Fleet, now: Time) -> PlannerStatus {
     let coming = book.records.values().filter_map(|k| coming(k, now));
     let closing = book.records.iter().flat_map(|(id, k)| {
         let models = closing(k, now).into_iter();
@@ -164,11 +166,11 @@
         let (model, at) = k.last_loaded.as_ref()?;
         (now.since(*at) < TOLD_LOADED).then(|| (id.clone(), model.clone()))
     });
-    Plans {
+    PlannerStatus {
         loaded: loaded.collect(),
-        coming: coming.collect(),
-        closing: closing.collect(),
-        ..Plans::default()
+        loading: coming.collect(),
+        unloading: closing.collect(),
+        ..PlannerStatus::default()
     }
 }
 
@@ -189,7 +191,7 @@
 
 /// Adapters of the replicas whose turn it is in a round; changes are told when they are made.
 fn adapters(book: &Fleet, round: usize) -> Vec<(Name, Vec<(Name, Name)>)> {
-    let turn = |id: &Name| short(id) as usize % ADAPTER_ROUNDS == round % ADAPTER_ROUNDS;
+    let turn = |id: &Name| replica_hash(id) as usize % ADAPTER_ROUNDS == round % ADAPTER_ROUNDS;
     book.records
         .iter()
         .filter(|(id, k)| turn(id) && k.report_due.is_none())
--- a/crates/front/src/planner/service.rs
+++ b/crates/front/src/planner/service.rs
@@ -2,7 +2,7 @@
 
 use super::{Demand, Fleet, Planner, demand, entries, taken};
 use crate::fleet::{Bucket, Job, Record};
-use crate::message::{Load, short};
+use crate::message::{Load, replica_hash};
 use crate::table::Table;
 use place::copies::{self, Step};
 use platform::config::{self, Engine};
@@ -342,7 +342,9 @@
     resting: &HashSet<u32>,
     loads: &HashMap<u32, Load>,
 ) -> HashMap<Name, f64> {
-    let resting = entries.iter().filter(|e| resting.contains(&short(&e.id)));
+    let resting = entries
+        .iter()
+        .filter(|e| resting.contains(&replica_hash(&e.id)));
     let busy = resting.map(|entry| (entry.id.clone(), taken(entry, loads).min(1.0)));
     busy.collect()
 }
--- a/crates/front/src/quarantine/registry.rs
+++ b/crates/front/src/quarantine/registry.rs
@@ -1,7 +1,7 @@
 //! What one host knows of requests that end replicas.
 
 use super::stored;
-use crate::message::{Listed, Listing};
+use crate::message::{QuarantineEntry, QuarantineList};
 use route::quarantine::{Crash, Incidents, Status, Tracker};
 use std::collections::{BTreeMap, HashMap};
 use unit::{Fingerprint, Span, Time};
@@ -136,7 +136,7 @@
         self.telling = Telling::default();
     }
 
-    pub(super) fn listing(&mut self, term: u64, now: Time) -> (Listing, News) {
+    pub(super) fn listing(&mut self, term: u64, now: Time) -> (QuarantineList, News) {
         let listed = self.ledger.suspects(now);
         let next: BTreeMap<Fingerprint, bool> = listed
             .iter()
@@ -150,38 +150,42 @@
             self.telling.number += 1;
             self.telling.listed = next;
         }
-        let listed = listed.into_iter().map(|l| Listed {
-            print: l.fingerprint,
-            is_out: l.is_quarantined,
+        let listed = listed.into_iter().map(|l| QuarantineEntry {
+            fingerprint: l.fingerprint,
+            is_blocked: l.is_quarantined,
             since_ms: u32::try_from(now.since(l.since).0 / 1_000).unwrap_or(u32::MAX),
         });
-        let listing = Listing {
+        let listing = QuarantineList {
             term,
             number: self.telling.number,
-            listed: listed.collect(),
+            entries: listed.collect(),
         };
         (listing, News { changed, kept_out })
     }
 
     /// Takes in the leader's list; gives the requests in it that have ended well here since they were suspected.
-    pub(super) fn told(&mut self, listing: Listing, now: Time) -> Vec<Fingerprint> {
+    pub(super) fn told(&mut self, listing: QuarantineList, now: Time) -> Vec<Fingerprint> {
         let number = (listing.term, listing.number);
         if number < self.told.number {
             return Vec::new();
         }
-        if !listing.listed.is_empty() {
+        if !listing.entries.is_empty() {
             self.alert(now);
         }
-        let sound = listing.listed.iter().filter(|listed| {
+        let sound = listing.entries.iter().filter(|listed| {
             let since = now - Span::from_ms(u64::from(listed.since_ms));
-            let ended = self.sound.get(&listed.print);
-            !listed.is_out && ended.is_some_and(|at| *at > since)
+            let ended = self.sound.get(&listed.fingerprint);
+            !listed.is_blocked && ended.is_some_and(|at| *at > since)
         });
-        let sound = sound.map(|listed| listed.print).collect();
+        let sound = sound.map(|listed| listed.fingerprint).collect();
         self.told = Told {
             number,
             at: now,
-            listed: listing.listed.iter().map(|l| (l.print, l.is_out)).collect(),
+            listed: listing
+                .entries
+                .iter()
+                .map(|l| (l.fingerprint, l.is_blocked))
+                .collect(),
         };
         sound
     }
--- a/crates/front/src/serve/lacking.rs
+++ b/crates/front/src/serve/lacking.rs
@@ -4,7 +4,7 @@
 use super::{RETURN_LATER, RETURN_RANGE};
 use crate::attempt::Call;
 use crate::limits::{self, Held};
-use crate::message::{Missing, Want};
+use crate::message::{AdapterRequest, ModelRequest};
 use crate::respond::Fault;
 use crate::state::{State, Wish};
 use crate::table::{Full, Nowhere};
@@ -137,11 +137,11 @@
 pub(super) fn want_adapter(state: &State, call: &Call, beside: bool) {
     if let (Some(model), Some(adapter)) = (&call.ask.model, &call.ask.adapter) {
         // The task that receives lives as long as the daemon.
-        let _ = state.wanted.send(Wish::Adapter(Want {
+        let _ = state.wanted.send(Wish::Adapter(AdapterRequest {
             service: call.service.clone(),
             model: model.clone(),
             adapter: adapter.clone(),
-            beside,
+            additional: beside,
         }));
     }
 }
@@ -150,7 +150,7 @@
 fn want_model(state: &State, call: &Call) {
     if let Some(model) = &call.ask.model {
         // The task that receives lives as long as the daemon.
-        let _ = state.wanted.send(Wish::Model(Missing {
+        let _ = state.wanted.send(Wish::Model(ModelRequest {
             service: call.service.clone(),
             model: model.clone(),
         }));
--- a/crates/front/src/table/choose.rs
+++ b/crates/front/src/table/choose.rs
@@ -4,7 +4,7 @@
 use super::pace::Pace;
 use super::replica::State;
 use super::{STEP, Table, Want};
-use crate::message::RANKS;
+use crate::message::PRIORITY_LEVELS;
 use crate::view::Seen;
 use platform::config::Engine;
 use platform::ingress::Ask;
@@ -258,10 +258,10 @@
         Candidate {
             slots: entry.slots,
             in_flight: f64::from(load.requests),
-            prefill_ahead: ms(load.unread[..=rank].iter().sum()),
-            prefill_backlog: ms(load.unread.iter().sum()),
+            prefill_ahead: ms(load.prefill_ms[..=rank].iter().sum()),
+            prefill_backlog: ms(load.prefill_ms.iter().sum()),
             prefill: terms.pace.reading(model, ask, kept),
-            reserved_tokens: f64::from(load.reserved),
+            reserved_tokens: f64::from(load.reserved_tokens),
             token_capacity: terms.memory,
             decode: terms.pace.run,
             same_hall: entry.hall == self.hall,
@@ -301,5 +301,5 @@
 
 /// Rank of urgency that a priority belongs to.
 pub(super) fn rank(priority: u8) -> usize {
-    usize::from(priority).min(RANKS - 1)
+    usize::from(priority).min(PRIORITY_LEVELS - 1)
 }
