--- a/crates/front/src/attempt.rs
+++ b/crates/front/src/attempt.rs
@@ -122,8 +122,8 @@
         None => open(state, call, choice, &place).await?,
     };
     // At the last moment before each sending: the key may have gone since the one before.
-    let account = accounts::confirm(state, call).map_err(Failure::Unauthorized)?;
-    quarantine::confirm(state, call).map_err(Failure::Quarantined)?;
+    let account = accounts::reauthenticate(state, call).map_err(Failure::Unauthorized)?;
+    quarantine::check(state, call).map_err(Failure::Quarantined)?;
     let account = account.as_ref().map(|a| &*a.name);
     let permit = feedback::permit(state, call, &place).map_err(Failure::Unavailable)?;
     let mut request = request(state, call, choice, permit, last_event, account);
--- a/crates/front/src/follow/apply.rs
+++ b/crates/front/src/follow/apply.rs
@@ -36,7 +36,7 @@
         set_leader(state, None);
     }
     if !has_quarantine {
-        quarantine::absent(state, listing.revision);
+        quarantine::note_not_stored(state, listing.revision);
     }
     state.changed.notify_waiters();
 }
@@ -75,14 +75,14 @@
             }
         }
     } else if &*item.key == leader::KEY {
-        match leader::read(&item) {
+        match leader::decode(&item) {
             Ok(leader) => set_leader(state, Some(leader)),
             Err(why) => {
                 error!(target: "leader", event = "malformed", why = %why, "the leader's entry cannot be read")
             }
         }
     } else if &*item.key == quarantine::KEY {
-        quarantine::written(state, &item);
+        quarantine::apply_stored(state, &item);
     }
 }
 
@@ -102,7 +102,7 @@
     } else if key == leader::KEY {
         set_leader(state, None);
     } else if key == quarantine::KEY {
-        quarantine::removed(state, revision);
+        quarantine::note_removed(state, revision);
     }
 }
 
@@ -153,7 +153,7 @@
     if news.is_empty() {
         return;
     }
-    let settling = state.table.lock().view.contact.settling(state.now());
+    let settling = state.table.lock().view.contact.since_recovery(state.now());
     // Why an entry that vanished is missing and not gone: the store came back so long ago.
     let store_back_ms = settling.map(Span::ms);
     for one in news {
@@ -169,7 +169,7 @@
         match &one {
             Update::Removed(_) | Update::Restarted(_) => {
                 state.pool.close_all(id);
-                quarantine::replaced(state, id);
+                quarantine::note_replaced(state, id);
             }
             Update::Missing(_) => state.missed.notify_one(),
             _ => {}
--- a/crates/front/src/grant.rs
+++ b/crates/front/src/grant.rs
@@ -11,7 +11,7 @@
 use unit::{Span, Time};
 
 /// Units that are wanted for one request.
-pub struct Wanted {
+pub struct Claim {
     /// Whose limit it is.
     pub subject: Subject,
     /// The limit, as this host knows it.
@@ -19,7 +19,7 @@
     /// How many.
     pub units: f64,
     /// Units that are to be left for what is more urgent.
-    pub kept: f64,
+    pub reserved: f64,
     /// Whether nothing else can take the request, so that it comes again.
     pub queues: bool,
 }
@@ -45,11 +45,11 @@
 
 /// What the host that gives out says.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Answer {
+pub enum Decision {
     /// They are given.
-    Given(Usage),
+    Granted(Usage),
     /// There are not enough.
-    Over(Refusal),
+    Denied(Refusal),
     /// There is no limit.
     Unlimited,
 }
@@ -58,9 +58,9 @@
 pub async fn ask(
     state: &State,
     peers: &Peers,
-    wanted: &Wanted,
+    wanted: &Claim,
     tries: &[Duration],
-) -> Option<Answer> {
+) -> Option<Decision> {
     let asked = state.now();
     let untold = state
         .shares
@@ -70,18 +70,18 @@
         host: state.settings.name.clone(),
         subject: wanted.subject.clone(),
         units: wanted.units as f32,
-        kept: wanted.kept as f32,
+        kept: wanted.reserved as f32,
         queues: wanted.queues,
         alone: untold as f32,
     };
     let answer = peers.ask_for(question, tries).await.and_then(answer);
     let Some(answer) = answer else {
-        state.shares.not_answered(state.now());
+        state.shares.note_no_answer(state.now());
         return None;
     };
     state.shares.with(&wanted.subject, |share| {
         share.record_answer(asked, untold);
-        if let Answer::Given(told) = answer {
+        if let Decision::Granted(told) = answer {
             share.record_grant(wanted.units, told, asked);
         }
     });
@@ -89,32 +89,32 @@
 }
 
 /// What a verdict says; none where the host that was asked does not give out.
-fn answer(verdict: QuotaResponse) -> Option<Answer> {
+fn answer(verdict: QuotaResponse) -> Option<Decision> {
     match verdict {
-        QuotaResponse::Given { all, left } => Some(Answer::Given(Usage {
+        QuotaResponse::Given { all, left } => Some(Decision::Granted(Usage {
             granted: f64::from(all),
             available: f64::from(left),
         })),
-        QuotaResponse::Refused { wait_ms, left } => Some(Answer::Over(Refusal {
+        QuotaResponse::Refused { wait_ms, left } => Some(Decision::Denied(Refusal {
             retry_after: Span::from_ms(u64::from(wait_ms)),
             available: f64::from(left),
         })),
-        QuotaResponse::Unlimited => Some(Answer::Unlimited),
+        QuotaResponse::Unlimited => Some(Decision::Unlimited),
         QuotaResponse::Elsewhere => None,
     }
 }
 
 /// Uses units of this host's own share; otherwise the time after which there will be enough, if ever.
-pub fn use_alone(state: &State, wanted: &Wanted) -> Result<(), Option<Span>> {
+pub fn spend_share(state: &State, wanted: &Claim) -> Result<(), Option<Span>> {
     let now = state.now();
     state.shares.with(&wanted.subject, |share| {
         share.acquire_local(wanted.limit, wanted.units, now)
     })
 }
 
-impl Wanted {
+impl Claim {
     /// Units that were given for a question of `asked`.
-    pub fn granted(self, peers: &Arc<Peers>, asked: Time, source: Source) -> Grant {
+    pub fn into_grant(self, peers: &Arc<Peers>, asked: Time, source: Source) -> Grant {
         Grant {
             peers: peers.clone(),
             subject: self.subject,
@@ -127,7 +127,7 @@
 
 impl Grant {
     /// Gives the units back: the request did not use them.
-    pub async fn give_back(self, state: &State) {
+    pub async fn refund(self, state: &State) {
         let age = state.now().since(self.asked);
         if self.source == Source::Share || age > REFUND_WINDOW {
             return;
--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -10,7 +10,7 @@
 pub use quarantine::{CrashReport, QuarantineEntry, QuarantineList, TrialResponse};
 pub use quota::{QuotaRequest, QuotaResponse, Refund, Subject};
 
-use crate::contact::Word;
+use crate::contact::Ages;
 use crate::readers::Reader;
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -127,7 +127,7 @@
     /// Whether the store failed this host a moment ago.
     pub store_failed: bool,
     /// Time through which this host heard from the store, if it ever did.
-    pub store: Option<Word>,
+    pub store: Option<Ages>,
 }
 
 /// Rows of sums that fit one datagram: each takes at most 40 bytes.
@@ -311,7 +311,7 @@
     /// Where all hosts take datagrams, while they are few enough to tell each other directly.
     pub peers: Vec<SocketAddr>,
     /// Time through which hosts heard from the store.
-    pub store: Option<Word>,
+    pub store: Option<Ages>,
 }
 
 /// Request for an adapter.
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -145,7 +145,7 @@
                 let mut table = self.state.table.lock();
                 table.set_host_loads(&sums.host, &sums.loads, now);
                 if let Some(word) = sums.store {
-                    table.view.contact.told(word, now);
+                    table.view.contact.merge(word, now);
                 }
                 drop(table);
                 self.state.changed.notify_waiters();
@@ -162,11 +162,11 @@
             Message::Limits(limits) => self.join_limits(&limits.limits, &limits.host),
             Message::Leaving(told) => self.join_leaving(&told),
             Message::Fallen(fallen) => self.take_fall(&fallen),
-            Message::Sound(print) => self.state.quarantine.sound(print),
-            Message::Tried(print, broke) => self.state.quarantine.tried(print, broke, now),
+            Message::Sound(print) => self.state.quarantine.note_success_anywhere(print),
+            Message::Tried(print, broke) => self.state.quarantine.note_trial_ended(print, broke, now),
             Message::Permit(number, permit) => self.trials.answered(number, permit),
             Message::Listing(listing) if self.is_of_former_term(listing.term) => {}
-            Message::Listing(listing) => self.state.quarantine.told(listing, now),
+            Message::Listing(listing) => self.state.quarantine.apply_listing(listing, now),
             Message::Pass(_) | Message::Question(_) | Message::Trial(..) => self.state.log.notable(|| {
                 tracing::warn!(target: "peers", event = "malformed", from = %from, "a datagram to be passed on holds one that is not for all")
             }),
@@ -215,7 +215,7 @@
             *self.others.lock() = others.collect();
             self.state.readers.set(plans.readers, own);
             if let Some(word) = plans.store {
-                table.view.contact.told(word, now);
+                table.view.contact.merge(word, now);
             }
             table.set_unreachable(plans.absent, now);
             table.set_model_etas(&plans.loading, now);
--- a/crates/front/src/peers/inbox.rs
+++ b/crates/front/src/peers/inbox.rs
@@ -1,6 +1,6 @@
 //! What other hosts have told the leader, while this host leads.
 
-use crate::contact::{self, Word};
+use crate::contact::{self, Ages};
 use crate::message::{AdapterRequest, AdapterUse, Load, LoadReport, ModelRequest, PackedLoad};
 use crate::readers::Candidate;
 use parking_lot::Mutex;
@@ -185,12 +185,12 @@
     }
 
     /// Time through which hosts heard from the store, where replicas write each `heartbeat`.
-    pub fn store(&self, heartbeat: Span, now: Time) -> Option<Word> {
-        let silence = contact::silence_between_hosts(heartbeat);
+    pub fn store(&self, heartbeat: Span, now: Time) -> Option<Ages> {
+        let silence = contact::max_gap_between_hosts(heartbeat);
         let hosts = self.hosts.lock();
-        let run = |told: &Told| Some(told.sums.store?.run(told.at));
+        let run = |told: &Told| Some(told.sums.store?.uptime(told.at));
         let runs = hosts.values().filter_map(run);
-        runs.reduce(|a, b| a.join(b, silence)).map(|r| r.word(now))
+        runs.reduce(|a, b| a.join(b, silence)).map(|r| r.ages(now))
     }
 
     /// Sums of all hosts by replica's short name.
--- a/crates/front/src/peers/load_reports.rs
+++ b/crates/front/src/peers/load_reports.rs
@@ -130,7 +130,7 @@
     fn sums(&self, round: u32, demand: Vec<Demand>, loads: Vec<PackedLoad>) -> LoadReport {
         let settings = &self.state.settings;
         let now = self.state.now();
-        let store = self.state.table.lock().view.contact.word(now);
+        let store = self.state.table.lock().view.contact.ages(now);
         LoadReport {
             host: settings.name.clone(),
             hall: settings.hall.clone(),
--- a/crates/front/src/peers/quarantine.rs
+++ b/crates/front/src/peers/quarantine.rs
@@ -17,16 +17,16 @@
     pub async fn report(self: Arc<Self>, mut reports: Reports) {
         while let Some(report) = reports.recv().await {
             match report {
-                Report::Fallen(group) => self.report_fall(group).await,
-                Report::Sound(print) => {
-                    self.state.quarantine.sound(print);
+                Report::Crashed(group) => self.report_fall(group).await,
+                Report::Succeeded(print) => {
+                    self.state.quarantine.note_success_anywhere(print);
                     self.tell_leader_of(Message::Sound(print)).await;
                 }
-                Report::Tried(print, broke) => {
+                Report::TrialEnded(print, broke) => {
                     if !self.state.leads() {
                         // The trial may have been this host's own.
                         let now = self.state.now();
-                        self.state.quarantine.tried(print, broke, now);
+                        self.state.quarantine.note_trial_ended(print, broke, now);
                     }
                     self.tell_leader_of(Message::Tried(print, broke)).await
                 }
@@ -39,7 +39,7 @@
         let now = self.state.now();
         self.state
             .quarantine
-            .fell(group.crash, &group.in_flight, now);
+            .note_crash(group.crash, &group.in_flight, now);
         let message = fallen(group);
         let others = self.others.lock().clone();
         for other in &others {
@@ -57,7 +57,7 @@
             return;
         };
         let now = self.state.now();
-        for group in self.state.quarantine.to_tell(term, now) {
+        for group in self.state.quarantine.unreported_crashes(term, now) {
             self.tell_leader_of(fallen(group)).await;
         }
     }
@@ -77,7 +77,9 @@
     pub(super) fn take_fall(&self, fallen: &CrashReport) {
         let now = self.state.now();
         let fall = Crash(fallen.crash);
-        self.state.quarantine.fell(fall, &fallen.in_flight, now);
+        self.state
+            .quarantine
+            .note_crash(fall, &fallen.in_flight, now);
     }
 
     /// Asks the leader what may be done with a request that is suspected; none when there was no answer.
@@ -118,7 +120,7 @@
     fn decide(&self, print: Fingerprint, ticket: RequestId) -> TrialResponse {
         let now = self.state.now();
         match self.state.leads() {
-            true => self.state.quarantine.ask(print, ticket, now).into(),
+            true => self.state.quarantine.decide(print, ticket, now).into(),
             false => TrialResponse::Elsewhere,
         }
     }
--- a/crates/front/src/peers/quota.rs
+++ b/crates/front/src/peers/quota.rs
@@ -182,7 +182,7 @@
     fn with_accounts<T>(&self, work: impl FnOnce(&mut Limiter<Name>) -> T) -> Option<T> {
         let mut limiters = self.quotas.limiters.lock();
         let (term, limiters) = limiters.as_mut()?;
-        term.holds().then(|| work(&mut limiters.accounts))
+        term.is_valid().then(|| work(&mut limiters.accounts))
     }
 
     /// Works with the limiter of replicas, and the part of their limits that it gives out, while this host leads as far as it
@@ -191,7 +191,7 @@
         let leads = self.state.leads();
         let mut limiters = self.quotas.limiters.lock();
         let (term, limiters) = limiters.as_mut()?;
-        let part = match term.holds() {
+        let part = match term.is_valid() {
             true => 1.0,
             false => PART_IN_DOUBT,
         };
@@ -201,7 +201,7 @@
     /// Limit of an account by the newest configuration here.
     fn limit_of(&self, account: &str) -> Option<Limit> {
         let routes = self.state.table.lock().routes.clone()?;
-        let account = routes.accounts.as_ref()?.named(account)?;
+        let account = routes.accounts.as_ref()?.get(account)?;
         account.quota.as_ref().map(shares::limit)
     }
 
--- a/crates/front/src/planner/quarantine.rs
+++ b/crates/front/src/planner/quarantine.rs
@@ -22,10 +22,10 @@
 
     /// Stores the list beside other work, unless it stands there or is being stored.
     fn begin_storing(self: &Arc<Self>) {
-        if !self.term.holds() || self.storing.swap(true, Ordering::Relaxed) {
+        if !self.term.is_valid() || self.storing.swap(true, Ordering::Relaxed) {
             return;
         }
-        let Some((value, revision)) = self.state.quarantine.unstored(self.state.now()) else {
+        let Some((value, revision)) = self.state.quarantine.pending_write(self.state.now()) else {
             self.storing.store(false, Ordering::Relaxed);
             return;
         };
@@ -52,11 +52,11 @@
         };
         match self.state.store.commit(&txn).await {
             Ok(Committed::Done(revision)) => {
-                quarantine::written(&self.state, &stored(value, revision));
+                quarantine::apply_stored(&self.state, &stored(value, revision));
             }
             Ok(Committed::Conflict(items)) => {
                 for item in items.iter().filter(|item| &*item.key == KEY) {
-                    quarantine::found(&self.state, item);
+                    quarantine::apply_conflict(&self.state, item);
                 }
             }
             Err(why) => self.state.log.notable(|| {
--- a/crates/front/src/planner/service.rs
+++ b/crates/front/src/planner/service.rs
@@ -1,8 +1,8 @@
 //! Planning of one service: which replicas load and unload which models.
 
-use super::{Book, Demand, Planner, demand, entries, taken};
+use super::{Demand, Fleet, Planner, demand, entries, taken};
+use crate::fleet::{Bucket, Job, Record};
 use crate::message::{Load, replica_hash};
-use crate::orders::{Bucket, Job, Known};
 use crate::table::Table;
 use place::copies::{self, Step};
 use platform::config::{self, Engine};
@@ -34,15 +34,15 @@
     /// Queues the unloads of which hosts have known for long enough.
     pub(super) fn order_closed(&self) {
         let now = self.state.now();
-        let mut book = self.book.lock();
-        for known in book.known.values_mut() {
-            if let Some(model) = known.take_closed(now) {
+        let mut book = self.fleet.lock();
+        for known in book.records.values_mut() {
+            if let Some(model) = known.take_due_unload(now) {
                 known.queue.push_back(Job {
                     operation: Operation::Unload,
                     model,
                     adapter: None,
                     from_store: false,
-                    takes: UNLOAD,
+                    duration: UNLOAD,
                 });
             }
         }
@@ -65,9 +65,9 @@
             (entries, needs)
         };
         let (replicas, models, available) = {
-            let mut book = self.book.lock();
+            let mut book = self.fleet.lock();
             let book = &mut *book;
-            let replicas = replicas(&entries, &book.known, engine, (&loads, &needs), now);
+            let replicas = replicas(&entries, &book.records, engine, (&loads, &needs), now);
             book.note_held(service, engine, &replicas, now);
             let models = models(service, engine, &book.demand, now);
             let new = || self.bucket(engine, now);
@@ -89,7 +89,7 @@
     /// Queues the steps of a plan; tells whether there are any.
     fn take_steps(&self, plan: &Plan, steps: Vec<Step>) -> bool {
         let now = self.state.now();
-        let mut book = self.book.lock();
+        let mut book = self.fleet.lock();
         let book = &mut *book;
         let Some(bucket) = book.buckets.get_mut(plan.service) else {
             return false;
@@ -101,7 +101,7 @@
             let replica = *replica;
             let entry = &plan.entries[replica];
             // A replica that is gone meanwhile is not planned for any more.
-            let Some(known) = book.known.get_mut(&entry.id) else {
+            let Some(known) = book.records.get_mut(&entry.id) else {
                 continue;
             };
             let is_as_planned = begun.contains(&replica) || plan.holds(replica, known, now);
@@ -127,13 +127,13 @@
                     }
                     let job = load_job(entry, &plan.engine.models[model], from_store);
                     known.queue.push_back(job);
-                    known.room_used();
+                    known.clear_reservation();
                 }
                 Step::Unload {
                     models: gone,
-                    instead,
+                    replacement,
                     ..
-                } => plan.close(replica, known, gone, instead, now),
+                } => plan.close(replica, known, gone, replacement, now),
             }
         }
         any
@@ -163,12 +163,12 @@
 
 impl Plan<'_> {
     /// Whether what is believed of a replica is still what the plan was made from, but for its load.
-    fn holds(&self, replica: usize, known: &Known, now: Time) -> bool {
+    fn holds(&self, replica: usize, known: &Record, now: Time) -> bool {
         let planned = &self.replicas[replica];
         let entry = &self.entries[replica];
-        let seen = self::replica(entry, known, self.engine, planned.load, now);
+        let seen = self::replica(entry, known, self.engine, planned.utilization, now);
         copies::Replica {
-            in_need: planned.in_need,
+            degraded_capacity: planned.degraded_capacity,
             ..seen
         } == *planned
     }
@@ -177,7 +177,7 @@
     fn close(
         &self,
         replica: usize,
-        known: &mut Known,
+        known: &mut Record,
         gone: Vec<usize>,
         instead: usize,
         now: Time,
@@ -188,15 +188,15 @@
             true => now + CLOSING,
             false => now + CLOSING_IDLE,
         };
-        let from_store = !self.replicas[replica].copied.contains(&instead);
-        let takes = load_job(entry, &self.engine.models[instead], from_store).takes;
+        let from_store = !self.replicas[replica].cached.contains(&instead);
+        let takes = load_job(entry, &self.engine.models[instead], from_store).duration;
         let there = now + MAKES_ROOM * gone.len() as f64 + takes;
         let gone = gone.into_iter().map(|m| (name(m), due(m)));
-        known.close(gone, name(instead), there);
+        known.schedule_unloads(gone, name(instead), there);
     }
 }
 
-impl Book {
+impl Fleet {
     /// Notes which models of a service are on a replica.
     fn note_held(
         &mut self,
@@ -205,7 +205,7 @@
         replicas: &[copies::Replica],
         now: Time,
     ) {
-        let staying = replicas.iter().filter(|r| r.stays);
+        let staying = replicas.iter().filter(|r| r.in_service);
         let held: HashSet<usize> = staying.flat_map(|r| &r.held).copied().collect();
         for (m, model) in engine.models.iter().enumerate() {
             let key = (service.clone(), model.name.clone());
@@ -224,16 +224,16 @@
             model, from_store, ..
         } => {
             let planned = &models[*model];
-            info!(target: "planner", event = "load", replica = &*entry.id, model = name(*model), from_store, demand = planned.demand, recent = planned.recent, unserved = planned.unserved, "a copy is added")
+            info!(target: "planner", event = "load", replica = &*entry.id, model = name(*model), from_store, demand = planned.demand, recent = planned.recent_demand, unserved = planned.unserved_secs, "a copy is added")
         }
         Step::Unload {
             models: gone,
-            instead,
+            replacement,
             ..
         } => {
             for model in gone {
-                let (demand, wanted) = (models[*model].demand, models[*instead].demand);
-                info!(target: "planner", event = "close", replica = &*entry.id, model = name(*model), instead = name(*instead), demand, wanted, "a copy makes room")
+                let (demand, wanted) = (models[*model].demand, models[*replacement].demand);
+                info!(target: "planner", event = "close", replica = &*entry.id, model = name(*model), instead = name(*replacement), demand, wanted, "a copy makes room")
             }
         }
     }
@@ -251,7 +251,7 @@
         model: model.name.clone(),
         adapter: None,
         from_store,
-        takes: takes.into(),
+        duration: takes.into(),
     }
 }
 
@@ -270,10 +270,10 @@
         copies::Model {
             memory_mb: model.memory_mb,
             demand: demand.now,
-            recent: demand.recent,
-            unserved: demand.unserved.map_or(0.0, |at| now.since(at).secs()),
-            from_store: model.load_disk.as_secs_f64() / model.load.as_secs_f64().max(LEAST_LOAD),
-            expected,
+            recent_demand: demand.recent,
+            unserved_secs: demand.unserved.map_or(0.0, |at| now.since(at).secs()),
+            store_factor: model.load_disk.as_secs_f64() / model.load.as_secs_f64().max(LEAST_LOAD),
+            expected_demand: expected,
         }
     };
     engine.models.iter().map(seen_by_plan).collect()
@@ -282,17 +282,17 @@
 /// Replicas of a service as the plan sees them, in the order of their entries.
 fn replicas(
     entries: &[Entry],
-    known: &HashMap<Name, Known>,
+    known: &HashMap<Name, Record>,
     engine: &Engine,
     (loads, needs): (&HashMap<u32, Load>, &HashMap<Name, f64>),
     now: Time,
 ) -> Vec<copies::Replica> {
-    let nothing = Known::default();
+    let nothing = Record::default();
     let seen_by_plan = |entry: &Entry| {
         let known = known.get(&entry.id).unwrap_or(&nothing);
         let seen = replica(entry, known, engine, taken(entry, loads), now);
         copies::Replica {
-            in_need: needs.get(&entry.id).copied(),
+            degraded_capacity: needs.get(&entry.id).copied(),
             ..seen
         }
     };
@@ -300,29 +300,39 @@
 }
 
 /// One replica as the plan sees it.
-fn replica(entry: &Entry, known: &Known, engine: &Engine, load: f64, now: Time) -> copies::Replica {
+fn replica(
+    entry: &Entry,
+    known: &Record,
+    engine: &Engine,
+    load: f64,
+    now: Time,
+) -> copies::Replica {
     let index = |name: &Name| engine.models.iter().position(|m| m.name == *name);
-    let goes = known.going();
+    let goes = known.unloading();
     let held = known.held.iter().filter(|h| !goes.contains(&&h.model));
     let held: Vec<usize> = held.filter_map(|h| index(&h.model)).collect();
     let orders = known.pending.iter().map(|p| &p.job).chain(&known.queue);
     let loads = orders.filter(|j| j.operation == Operation::Load && j.adapter.is_none());
-    let coming = loads.map(|j| &j.model).chain(known.room_for());
+    let coming = loads.map(|j| &j.model).chain(known.reserved_for());
     let mut coming: Vec<usize> = coming.filter_map(index).collect();
     coming.retain(|m| !held.contains(m));
     let copies = entry.in_memory.iter().chain(&entry.on_disk);
     copies::Replica {
         free_mb: known.free_mb(engine),
         held,
-        coming,
-        fresh: known.fresh(now).and_then(index).into_iter().collect(),
-        copied: copies.filter_map(index).collect(),
-        promised: known.room_for().and_then(index),
-        idle: known.is_free(),
-        unloading: known.makes_room(),
-        stays: !entry.leaving && !known.is_lost(now),
-        load,
-        in_need: None,
+        incoming: coming,
+        recently_loaded: known
+            .recently_loaded(now)
+            .and_then(index)
+            .into_iter()
+            .collect(),
+        cached: copies.filter_map(index).collect(),
+        reserved_for: known.reserved_for().and_then(index),
+        accepts_orders: known.accepts_orders(),
+        unloading: known.is_unloading(),
+        in_service: !entry.leaving && !known.is_lost(now),
+        utilization: load,
+        degraded_capacity: None,
     }
 }
 
--- a/crates/front/src/quarantine/admit.rs
+++ b/crates/front/src/quarantine/admit.rs
@@ -45,14 +45,14 @@
 impl Drop for Trial {
     fn drop(&mut self) {
         // Where the run has ended well, that was told before this.
-        let report = Report::Tried(self.print, self.is_broken.load(Ordering::Relaxed));
+        let report = Report::TrialEnded(self.print, self.is_broken.load(Ordering::Relaxed));
         self.state.quarantine.report(report);
     }
 }
 
 /// Lets a request in if nothing is held of it, or its trial begins now.
 pub async fn admit(state: &Arc<State>, peers: &Peers, call: &Call) -> Result<(), Rejection> {
-    if state.quarantine.is_idle(state.now()) {
+    if state.quarantine.is_empty(state.now()) {
         return Ok(());
     }
     let print = call.fingerprint();
@@ -66,8 +66,8 @@
             Status::Suspected => match peers.ask_for_trial(print, ticket).await {
                 Some(permit) => permit,
                 // Nobody can come to lead before the store is back: what is innocent would wait for as long.
-                None if state.table.lock().view.contact.is_away() => {
-                    state.quarantine.ask(print, ticket, state.now())
+                None if state.table.lock().view.contact.is_unreachable() => {
+                    state.quarantine.decide(print, ticket, state.now())
                 }
                 None => Permit::Wait,
             },
@@ -103,9 +103,9 @@
 
 /// Confirms at the last moment before a sending that the request may still go: it may have waited here while others
 /// found out what it does.
-pub fn confirm(state: &State, call: &Call) -> Result<(), Rejection> {
+pub fn check(state: &State, call: &Call) -> Result<(), Rejection> {
     let now = state.now();
-    if call.trial.get().is_some() || state.quarantine.is_idle(now) {
+    if call.trial.get().is_some() || state.quarantine.is_empty(now) {
         return Ok(());
     }
     match state.quarantine.standing(call.fingerprint(), now) {
@@ -116,8 +116,8 @@
 }
 
 /// Whether a request that may have run may be sent once more.
-pub fn may_repeat(state: &State, call: &Call) -> bool {
-    call.trial.get().is_none() && confirm(state, call).is_ok()
+pub fn may_retry(state: &State, call: &Call) -> bool {
+    call.trial.get().is_none() && check(state, call).is_ok()
 }
 
 /// Answer to a request that ends each replica that runs it.
--- a/crates/front/src/quarantine/look.rs
+++ b/crates/front/src/quarantine/probe.rs
@@ -20,7 +20,7 @@
 const LOOK_LIMIT: Duration = Duration::from_millis(300);
 
 /// Notes that a request broke at a replica, and looks whether that has fallen, once for all that break together.
-pub fn broke(state: &Arc<State>, call: &Call, place: &Reservation) {
+pub fn note_broken(state: &Arc<State>, call: &Call, place: &Reservation) {
     let now = state.now();
     let start = (place.replica.clone(), place.incarnation);
     let print = call.fingerprint();
@@ -63,7 +63,7 @@
 }
 
 /// Takes in that a replica is gone, or has started again: what broke there broke in a fall.
-pub fn replaced(state: &State, replica: &str) {
+pub fn note_replaced(state: &State, replica: &str) {
     let seen = state.table.lock().view.get(replica).cloned();
     let present = seen.map(|s| (s.entry.id.clone(), s.entry.incarnation));
     let groups = {
@@ -80,5 +80,5 @@
     state.log.notable(|| {
         info!(target: "quarantine", event = "fell", replica, in_flight, "a replica fell with requests of this host in flight; the failed sendings tell which")
     });
-    state.quarantine.report(Report::Fallen(group));
+    state.quarantine.report(Report::Crashed(group));
 }
--- a/crates/front/src/quota.rs
+++ b/crates/front/src/quota.rs
@@ -5,7 +5,7 @@
 //! that host does not answer, this one goes on by its share of what was given out lately.
 
 use crate::attempt::Call;
-use crate::grant::{self, Answer, Grant, Source, Wanted};
+use crate::grant::{self, Claim, Decision, Grant, Source};
 use crate::message::Subject;
 use crate::peers::Peers;
 use crate::peers::quota::{PATIENT, QUICK};
@@ -34,11 +34,11 @@
     let Some((account, quota)) = account.and_then(|a| Some((a, a.quota?))) else {
         return Ok(None);
     };
-    let wanted = Wanted {
+    let wanted = Claim {
         subject: Subject::Account(account.name.clone()),
         limit: shares::limit(&quota),
         units: quota.cost(call.ask.tokens()),
-        kept: 0.0,
+        reserved: 0.0,
         queues: true,
     };
     let asked = state.now();
@@ -47,7 +47,7 @@
         .as_ref()
         .map_or_else(|fault| fault.reason, |_| "let_in");
     state.log.metrics.account(&account.name, decision);
-    decided.map(|source| Some(wanted.granted(peers, asked, source)))
+    decided.map(|source| Some(wanted.into_grant(peers, asked, source)))
 }
 
 /// Asks the host that gives out; goes by this host's share where it does not answer, and asks once more
@@ -57,18 +57,18 @@
     peers: &Arc<Peers>,
     account: &Account,
     quota: &Quota,
-    wanted: &Wanted,
+    wanted: &Claim,
 ) -> Result<Source, Rejection> {
     let decided = |answer| match answer {
-        Answer::Given(_) | Answer::Unlimited => Ok(Source::Limiter),
-        Answer::Over(told) => Err(over(account, quota, wanted.units, told.retry_after)),
+        Decision::Granted(_) | Decision::Unlimited => Ok(Source::Limiter),
+        Decision::Denied(told) => Err(over(account, quota, wanted.units, told.retry_after)),
     };
     if state.shares.may_ask(state.now())
         && let Some(answer) = grant::ask(state, peers, wanted, QUICK).await
     {
         return decided(answer);
     }
-    let Err(wait) = grant::use_alone(state, wanted) else {
+    let Err(wait) = grant::spend_share(state, wanted) else {
         return Ok(Source::Share);
     };
     match grant::ask(state, peers, wanted, PATIENT).await {
--- a/crates/front/src/rate_limit.rs
+++ b/crates/front/src/rate_limit.rs
@@ -6,7 +6,7 @@
 
 use crate::attempt::Call;
 use crate::feedback;
-use crate::grant::{self, Answer, Grant, Source, Wanted};
+use crate::grant::{self, Claim, Decision, Grant, Source};
 use crate::message::Subject;
 use crate::peers::Peers;
 use crate::peers::quota::QUICK;
@@ -88,27 +88,27 @@
     let source = {
         let mut table = state.table.lock();
         match answer {
-            Some(Answer::Given(given)) => {
+            Some(Decision::Granted(given)) => {
                 table.record_limiter_answer(replica, Some(Ok(given.available)), now);
                 Some(Source::Limiter)
             }
-            Some(Answer::Over(over)) => {
+            Some(Decision::Denied(over)) => {
                 table.record_limiter_answer(replica, Some(Err(over)), now);
                 None
             }
-            Some(Answer::Unlimited) => {
+            Some(Decision::Unlimited) => {
                 table.clear_limit(replica);
                 return Ok(None);
             }
             None => {
                 table.record_limiter_answer(replica, None, now);
-                let used = grant::use_alone(state, &wanted);
+                let used = grant::spend_share(state, &wanted);
                 used.is_ok().then_some(Source::Share)
             }
         }
     };
     match source {
-        Some(source) => Ok(Some(wanted.granted(peers, asked, source))),
+        Some(source) => Ok(Some(wanted.into_grant(peers, asked, source))),
         None => {
             state
                 .log
@@ -120,12 +120,12 @@
     }
 }
 
-fn wanted(met: &LimitTerms, choice: &Choice) -> Wanted {
-    Wanted {
+fn wanted(met: &LimitTerms, choice: &Choice) -> Claim {
+    Claim {
         subject: Subject::Replica(met.limited),
         limit: met.notice.limit(1.0),
         units: 1.0,
-        kept: met.kept,
+        reserved: met.kept,
         queues: choice.candidates == 1,
     }
 }
--- a/crates/front/src/relay/resume.rs
+++ b/crates/front/src/relay/resume.rs
@@ -23,7 +23,7 @@
         }
         let (state, call) = (self.state.clone(), self.call.clone());
         let repeatable = call.route.kind.is_repeatable();
-        if *why == Failure::TimedOut || !repeatable || !quarantine::may_repeat(&state, &call) {
+        if *why == Failure::TimedOut || !repeatable || !quarantine::may_retry(&state, &call) {
             return false;
         }
         self.splitter.rest();
@@ -38,7 +38,7 @@
             let now = state.now();
             if !state.table.lock().spend_retry(&call.service, now) {
                 if let Some(grant) = grant {
-                    grant.give_back(&state).await;
+                    grant.refund(&state).await;
                 }
                 return false;
             }
@@ -47,7 +47,7 @@
             if let (Some(grant), Err(failed)) = (grant, &sent)
                 && failed.proves_unsent()
             {
-                grant.give_back(&state).await;
+                grant.refund(&state).await;
             }
             self.tried.note(&choice.replica, &sent);
             state.log.notable(|| {
--- a/crates/front/src/run/gauges.rs
+++ b/crates/front/src/run/gauges.rs
@@ -25,7 +25,7 @@
     metrics
         .gauge("coveford_accounts", &[])
         .set(known.all().count() as f64);
-    let age = accounts::known_age(state);
+    let age = accounts::data_age(state);
     metrics
         .gauge("coveford_keys_age_seconds", &[])
         .set(age.secs());
@@ -72,7 +72,7 @@
     set("coveford_configuration_version", &[], version as f64);
     set("coveford_replicas", &[], table.view.all().count() as f64);
     set("coveford_hosts", &[], table.host_count as f64);
-    let away = f64::from(u8::from(table.view.contact.is_away()));
+    let away = f64::from(u8::from(table.view.contact.is_unreachable()));
     set("coveford_store_away", &[], away);
 }
 
--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -91,7 +91,7 @@
     let answered = attempts(entry, call).await;
     let has_not_run = answered.as_ref().is_err_and(|f| f.retry_after.is_some());
     if let Some(grant) = grant.filter(|_| has_not_run) {
-        grant.give_back(state).await;
+        grant.refund(state).await;
     }
     answered
 }
@@ -148,7 +148,7 @@
         if let (Some(grant), Err(failed)) = (grant, &sent)
             && failed.proves_unsent()
         {
-            grant.give_back(state).await;
+            grant.refund(state).await;
         }
         progress.tried.note(&choice.replica, &sent);
         let passed = match sent {
@@ -231,7 +231,7 @@
         Failure::Lost(_) | Failure::ServerError(_) => {
             call.route.kind.is_repeatable()
                 && progress.tried.may_run(call)
-                && quarantine::may_repeat(state, call)
+                && quarantine::may_retry(state, call)
         }
         Failure::NotRun { .. } | Failure::Unsent(_) | Failure::Unavailable(_) => true,
     };
--- a/crates/front/src/serve/read.rs
+++ b/crates/front/src/serve/read.rs
@@ -41,7 +41,7 @@
         return Ok(route.clone());
     }
     let most = Span::from(state.settings.bounds.configuration) * OLD_CONFIGURATION;
-    if state.table.lock().view.contact.is_away() || accounts::known_age(state) > most {
+    if state.table.lock().view.contact.is_unreachable() || accounts::data_age(state) > most {
         // The route may stand in a newer configuration that this host cannot read.
         let message = "No route leads there by the last configuration that this host could read.";
         return Err(Rejection::not_run(
@@ -71,7 +71,7 @@
 ) -> Result<Call, Rejection> {
     let (mut head, body) = request.into_parts();
     let host = host(&head.uri, &head.headers);
-    let caller = accounts::identify(state, routes, &route, &mut head.headers)?;
+    let caller = accounts::authenticate(state, routes, &route, &mut head.headers)?;
     let ask = ingress::ask(&head.headers);
     let patience = ask.patience.unwrap_or(route.timeout).min(route.timeout);
     let deadline = arrived + Span::from(patience);
--- a/crates/front/tests/changes.rs
+++ b/crates/front/tests/changes.rs
@@ -69,7 +69,7 @@
     let replica = web(&store, "i-1").await;
     let daemon = daemon(&store, "d1").await;
     store.set_mode(mode);
-    until(|| daemon.state().table.lock().view.contact.is_away()).await;
+    until(|| daemon.state().table.lock().view.contact.is_unreachable()).await;
     // No entry lapses before three heartbeats are missed.
     sleep((HEARTBEAT * 2.0).std()).await;
     replica.vanish();
@@ -283,13 +283,13 @@
         peers: peers.parse().unwrap(),
         term: 3,
     };
-    assert_eq!(front::leader::replaces(None, own), 0);
+    assert_eq!(front::leader::expected_revision(None, own), 0);
     assert_eq!(
-        front::leader::replaces(Some(&leader("127.0.0.1:7002")), own),
+        front::leader::expected_revision(Some(&leader("127.0.0.1:7002")), own),
         0
     );
     assert_eq!(
-        front::leader::replaces(Some(&leader("127.0.0.1:7001")), own),
+        front::leader::expected_revision(Some(&leader("127.0.0.1:7001")), own),
         3
     );
 }
--- a/crates/front/tests/readers.rs
+++ b/crates/front/tests/readers.rs
@@ -146,7 +146,7 @@
     // store's return, and entries that vanished as ones that may come back; it passed that on.
     let end = Instant::now() + Duration::from_millis(4_500);
     while Instant::now() < end {
-        let is_away = follower.state().table.lock().view.contact.is_away();
+        let is_away = follower.state().table.lock().view.contact.is_unreachable();
         assert!(!is_away, "the store is there, for other hosts");
         sleep(Duration::from_millis(10)).await;
     }
@@ -313,7 +313,7 @@
     until(|| host.state().is_ready()).await;
     // What it read then is as old as its first question; the next answer of the store makes it new.
     let most = Span::from_ms(1_000);
-    until(|| front::accounts::known_age(host.state()) < most).await;
+    until(|| front::accounts::data_age(host.state()) < most).await;
     assert_eq!(ask(&host, "/nowhere/x", None).await.1.status(), 404);
 }
 
--- a/crates/place/tests/paging.rs
+++ b/crates/place/tests/paging.rs
@@ -44,17 +44,17 @@
         let model = Model {
             memory_mb: 40.0,
             demand: 0.0,
-            recent: 0.0,
-            unserved: 0.0,
-            from_store: DISK / STORE,
-            expected: 0.0,
+            recent_demand: 0.0,
+            unserved_secs: 0.0,
+            store_factor: DISK / STORE,
+            expected_demand: 0.0,
         };
         let replica = |r: usize| Replica {
             free_mb: 0.0,
             held: vec![2 * r % models, (2 * r + 1) % models],
-            copied: (0..6).map(|i| (2 * r + 3 * i) % models).collect(),
-            idle: true,
-            stays: true,
+            cached: (0..6).map(|i| (2 * r + 3 * i) % models).collect(),
+            accepts_orders: true,
+            in_service: true,
             ..Replica::default()
         };
         Fleet {
@@ -76,15 +76,15 @@
         self.allowed = (self.allowed + self.rate * TICK).min(3.0);
         for (m, model) in self.models.iter_mut().enumerate() {
             model.demand = demand(m, self.now);
-            model.recent += (model.demand - model.recent) * TICK / RECENT;
+            model.recent_demand += (model.demand - model.recent_demand) * TICK / RECENT;
         }
         (0..self.replicas.len()).for_each(|r| self.finish(r));
         for m in 0..self.models.len() {
             if self.replicas.iter().any(|r| r.held.contains(&m)) {
                 self.held[m] = self.now;
             }
-            let asked = self.models[m].demand + self.models[m].recent > 0.005;
-            self.models[m].unserved = if asked { self.now - self.held[m] } else { 0.0 };
+            let asked = self.models[m].demand + self.models[m].recent_demand > 0.005;
+            self.models[m].unserved_secs = if asked { self.now - self.held[m] } else { 0.0 };
         }
         let most = self.replicas.len();
         for step in plan(&self.replicas, &self.models, self.allowed as usize, most) {
@@ -99,18 +99,18 @@
         match self.doing[r].take_if(|(_, due)| now >= *due) {
             Some((Doing::Unload(models), _)) => {
                 replica.free_mb += models.len() as f64 * 40.0;
-                (replica.idle, replica.unloading) = (true, false);
+                (replica.accepts_orders, replica.unloading) = (true, false);
             }
             Some((Doing::Load(model, took), _)) => {
-                replica.coming.clear();
+                replica.incoming.clear();
                 replica.held.push(model);
-                replica.copied.push(model);
-                replica.idle = true;
+                replica.cached.push(model);
+                replica.accepts_orders = true;
                 self.fresh[r].push((model, now + took));
             }
             None => {}
         }
-        self.replicas[r].fresh = self.fresh[r].iter().map(|(m, _)| *m).collect();
+        self.replicas[r].recently_loaded = self.fresh[r].iter().map(|(m, _)| *m).collect();
     }
 
     fn begin(&mut self, step: Step) {
@@ -121,10 +121,10 @@
                 from_store,
             } => {
                 let replica = &mut self.replicas[r];
-                assert!(replica.free_mb >= 40.0 && replica.idle, "no room");
+                assert!(replica.free_mb >= 40.0 && replica.accepts_orders, "no room");
                 replica.free_mb -= 40.0;
-                replica.coming = vec![model];
-                (replica.promised, replica.idle) = (None, false);
+                replica.incoming = vec![model];
+                (replica.reserved_for, replica.accepts_orders) = (None, false);
                 let takes = if from_store { STORE } else { DISK };
                 self.allowed -= f64::from(u8::from(from_store));
                 self.loads += 1;
@@ -133,13 +133,13 @@
             Step::Unload {
                 replica: r,
                 models,
-                instead,
+                replacement,
             } => {
                 let replica = &mut self.replicas[r];
                 replica.held.retain(|m| !models.contains(m));
-                replica.coming = vec![instead];
-                replica.promised = Some(instead);
-                (replica.idle, replica.unloading) = (false, true);
+                replica.incoming = vec![replacement];
+                replica.reserved_for = Some(replacement);
+                (replica.accepts_orders, replica.unloading) = (false, true);
                 let due = self.now + UNLOAD * models.len() as f64;
                 self.doing[r] = Some((Doing::Unload(models), due));
             }
@@ -223,7 +223,7 @@
 fn a_rare_request_does_not_at_once_displace_what_may_wake() {
     let mut fleet = Fleet::new(2, 5, 1.0);
     for model in &mut fleet.models {
-        model.expected = 2.0;
+        model.expected_demand = 2.0;
     }
     fleet.tick(|m, _| if m == 4 { 0.28 } else { 0.0 });
     assert!(fleet.doing.iter().all(Option::is_none), "not at once");
@@ -240,9 +240,9 @@
     fleet.allowed = 0.0;
     fleet.replicas[0].free_mb = 40.0;
     fleet.replicas[0].held = vec![0];
-    fleet.replicas[0].copied = vec![1];
-    fleet.replicas[0].coming = vec![2];
-    fleet.replicas[0].promised = Some(2);
+    fleet.replicas[0].cached = vec![1];
+    fleet.replicas[0].incoming = vec![2];
+    fleet.replicas[0].reserved_for = Some(2);
     fleet.tick(|m, _| [0.0, 3.0, 0.3][m]);
     assert!(fleet.doing[0].is_none(), "it waits for the weight store");
     fleet.allowed = 1.0;
