--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -143,9 +143,9 @@
             }
             Message::PeerLoads(sums) => {
                 let mut table = self.state.table.lock();
-                table.told_by(&sums.host, &sums.loads, now);
+                table.set_host_loads(&sums.host, &sums.loads, now);
                 if let Some(word) = sums.store {
-                    table.view.contact.told(word, now);
+                    table.view.contact.merge(word, now);
                 }
                 drop(table);
                 self.state.changed.notify_waiters();
@@ -162,11 +162,11 @@
             Message::LimitDigest(limits) => self.join_limits(&limits.limits, &limits.host),
             Message::Departures(told) => self.join_leaving(&told),
             Message::CrashReport(fallen) => self.take_fall(&fallen),
-            Message::Succeeded(print) => self.state.quarantine.sound(print),
-            Message::TrialFailed(print, broke) => self.state.quarantine.tried(print, broke, now),
+            Message::Succeeded(print) => self.state.quarantine.note_success_anywhere(print),
+            Message::TrialFailed(print, broke) => self.state.quarantine.note_trial_ended(print, broke, now),
             Message::TrialResponse(number, permit) => self.trials.answered(number, permit),
             Message::QuarantineList(listing) if self.is_of_former_term(listing.term) => {}
-            Message::QuarantineList(listing) => self.state.quarantine.told(listing, now),
+            Message::QuarantineList(listing) => self.state.quarantine.apply_listing(listing, now),
             Message::Forward(_) | Message::QuotaRequest(_) | Message::TrialRequest(..) => self.state.log.rate_limited(|| {
                 tracing::warn!(target: "peers", event = "malformed", from = %from, "a datagram to be passed on holds one that is not for all")
             }),
@@ -203,9 +203,9 @@
             return;
         }
         let mut table = self.state.table.lock();
-        table.hosts = (digest.hosts as usize).max(1);
-        table.knows_hosts = true;
-        table.told(&digest.loads, now);
+        table.host_count = (digest.hosts as usize).max(1);
+        table.knows_host_count = true;
+        table.set_fleet_loads(&digest.loads, now);
         for (replica, adapters) in digest.adapters {
             table.set_adapters(&replica, adapters, now);
         }
@@ -215,12 +215,12 @@
             *self.others.lock() = others.collect();
             self.state.readers.set(plans.readers, own);
             if let Some(word) = plans.store {
-                table.view.contact.told(word, now);
+                table.view.contact.merge(word, now);
             }
-            table.set_absent(plans.absent, now);
-            table.set_coming(&plans.loading, now);
+            table.set_unreachable(plans.absent, now);
+            table.set_model_etas(&plans.loading, now);
             table.set_loaded(plans.loaded, now);
-            table.set_closing(plans.unloading, now);
+            table.set_unloading(plans.unloading, now);
         }
     }
 
--- a/crates/front/src/peers/limits.rs
+++ b/crates/front/src/peers/limits.rs
@@ -1,9 +1,9 @@
 //! Telling which replicas name limits: each host tells the leader what it heard itself, the leader tells all.
 
 use super::Peers;
-use crate::limits;
 use crate::message::limit::ROWS;
 use crate::message::{LimitDigest, LimitReport, Message, ReplicaLimit};
+use crate::rate_limit;
 use std::sync::Arc;
 use std::time::Duration;
 use unit::Name;
@@ -23,7 +23,7 @@
                 continue;
             }
             let now = self.state.now();
-            let changed = self.state.table.lock().changed_limits(now);
+            let changed = self.state.table.lock().take_changed_limits(now);
             for message in self.messages(&changed) {
                 self.broadcast(&message).await;
             }
@@ -55,7 +55,7 @@
             return;
         }
         let now = self.state.now();
-        let limits = self.state.table.lock().heard_limits(now);
+        let limits = self.state.table.lock().own_limits(now);
         for limits in limits.chunks(ROWS) {
             let heard = LimitReport {
                 host: self.state.settings.name.clone(),
@@ -93,7 +93,7 @@
     /// Takes in what another host heard, and has it told on if it is news.
     pub(super) fn join_limits(&self, told: &[ReplicaLimit], by: &Name) {
         let now = self.state.now();
-        let changes = self.state.table.lock().join_limits(told, now);
+        let changes = self.state.table.lock().merge_limits(told, now);
         if changes.is_empty() {
             return;
         }
@@ -101,7 +101,7 @@
             self.state.limits_changed.notify_one();
         }
         for (replica, rate, change) in changes {
-            limits::tell(&self.state, &replica, rate, change, by);
+            rate_limit::log_change(&self.state, &replica, rate, change, by);
         }
         self.state.changed.notify_waiters();
     }
--- a/crates/front/src/peers/load_reports.rs
+++ b/crates/front/src/peers/load_reports.rs
@@ -42,7 +42,7 @@
 
     /// Pause between two rounds.
     pub fn report_interval(&self) -> Duration {
-        let hosts = self.state.table.lock().hosts;
+        let hosts = self.state.table.lock().host_count;
         match hosts <= MOST_DIRECT {
             true => ROUND,
             false => STAR_ROUND.max(ROUND_PER_HOST * hosts as u32),
@@ -63,7 +63,7 @@
                 self.tell_leader().await;
                 continue;
             }
-            let loads = self.state.table.lock().in_flight();
+            let loads = self.state.table.lock().own_loads();
             let message = Message::PeerLoads(self.sums(0, Vec::new(), loads));
             for other in others {
                 self.send(&message, other).await;
@@ -77,7 +77,7 @@
             return;
         };
         let now = self.state.now();
-        let loads = self.state.table.lock().tell(now);
+        let loads = self.state.table.lock().report_own_loads(now);
         let telling = self.tellings.fetch_add(1, Ordering::Relaxed);
         let sums = self.sums(telling, Vec::new(), loads);
         if leader.peers == self.state.settings.peers {
@@ -97,13 +97,19 @@
         let now = self.state.now();
         let (demand, loads, used, absent, resting) = {
             let mut table = self.state.table.lock();
-            let (demand, loads) = (table.demand(now), table.tell(now));
+            let (demand, loads) = (table.demand(now), table.report_own_loads(now));
             let resting = table
-                .resting(now)
+                .backing_off(now)
                 .iter()
                 .map(|id| replica_hash(id))
                 .collect();
-            (demand, loads, table.take_used(), table.absent(now), resting)
+            (
+                demand,
+                loads,
+                table.take_adapter_uses(),
+                table.unreachable_replicas(now),
+                resting,
+            )
         };
         let sums = LoadReport {
             adapter_uses: used,
@@ -124,7 +130,7 @@
     fn sums(&self, round: u32, demand: Vec<Demand>, loads: Vec<PackedLoad>) -> LoadReport {
         let settings = &self.state.settings;
         let now = self.state.now();
-        let store = self.state.table.lock().view.contact.word(now);
+        let store = self.state.table.lock().view.contact.ages(now);
         LoadReport {
             host: settings.name.clone(),
             hall: settings.hall.clone(),
--- a/crates/front/src/planner/demand.rs
+++ b/crates/front/src/planner/demand.rs
@@ -89,7 +89,7 @@
         self.recent += (need - self.recent) * weight;
         self.now = need + (rise * AHEAD.secs()).min(need * MOST_RISE);
         let (since, peak) = self.woke.unwrap_or((now, 0.0));
-        let is_asked = self.now + self.recent > copies::ASKED;
+        let is_asked = self.now + self.recent > copies::ACTIVE_DEMAND;
         self.woke = is_asked.then(|| (since, peak.max(need)));
     }
 }
@@ -109,14 +109,14 @@
         let now = self.state.now();
         let arrivals = self.arrivals(now);
         let table = self.state.table.lock();
-        let mut book = self.book.lock();
-        let passed = now.since(book.planned_at);
-        book.planned_at = now;
+        let mut book = self.fleet.lock();
+        let passed = now.since(book.measured);
+        book.measured = now;
         for (service, engine) in routes.engines() {
             for model in &engine.models {
                 let key = (service.clone(), model.name.clone());
                 let arrivals = arrivals.get(&key).copied().unwrap_or_default();
-                let (speed, run) = table.pace_of(service, &model.name);
+                let (speed, run) = table.pace(service, &model.name);
                 let reading = arrivals.tokens / (speed * 1_000.0);
                 let places = arrivals.rate * run.secs() / f64::from(engine.slots);
                 let need = reading.max(places) / FULL;
--- a/crates/front/src/table/replica.rs
+++ b/crates/front/src/table/replica.rs
@@ -1,11 +1,11 @@
 //! What this daemon knows of one replica beyond its entry.
 
-use super::absence::Absence;
+use super::average::Share;
 use super::choose::{rank, tokens};
-use super::limits::Need;
 use super::pace::Pace;
-use super::share::Share;
-use super::{DIRECT_AGE, SUMS_AGE, Want};
+use super::rate_limit::Need;
+use super::reachability::Absence;
+use super::{Criteria, DIRECT_AGE, SUMS_AGE};
 use crate::message::Load;
 use platform::ingress::Ask;
 use std::collections::{BTreeMap, VecDeque};
@@ -87,7 +87,7 @@
     }
 
     /// Counts a request in.
-    pub(super) fn enter(&mut self, want: &Want, pace: &Pace) -> Footprint {
+    pub(super) fn enter(&mut self, want: &Criteria, pace: &Pace) -> Footprint {
         let model = want.ask.model.as_ref();
         let kept = model.map_or(0, |m| self.kept(m, want.ask));
         let print = Footprint {
