--- a/crates/front/src/contact.rs
+++ b/crates/front/src/contact.rs
@@ -21,32 +21,32 @@
 
 /// Time through which the store was heard from, without a silence in which entries can lapse.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Run {
+pub struct Uptime {
     since: Time,
     until: Time,
 }
 
 /// Run as one host tells it to another, whose clock differs: by ages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Word {
+pub struct Ages {
     /// Time since the run began, in milliseconds.
     since_ms: u32,
     /// Time since the store was heard from last, in milliseconds.
     until_ms: u32,
 }
 
-impl Run {
+impl Uptime {
     /// The run as it is told.
-    pub fn word(&self, now: Time) -> Word {
+    pub fn ages(&self, now: Time) -> Ages {
         let age = |at| u32::try_from(now.since(at).0 / 1_000).unwrap_or(u32::MAX);
-        Word {
+        Ages {
             since_ms: age(self.since),
             until_ms: age(self.until),
         }
     }
 
     /// Whether no silence longer than `silence` lies between it and another run.
-    fn meets(&self, other: &Run, silence: Span) -> bool {
+    fn meets(&self, other: &Uptime, silence: Span) -> bool {
         let gap = self
             .since
             .max(other.since)
@@ -55,22 +55,22 @@
     }
 
     /// Both runs as one where they meet, else the later one.
-    pub fn join(self, other: Run, silence: Span) -> Run {
+    pub fn join(self, other: Uptime, silence: Span) -> Uptime {
         if !self.meets(&other, silence) {
             return std::cmp::max_by_key(self, other, |run| run.until);
         }
-        Run {
+        Uptime {
             since: self.since.min(other.since),
             until: self.until.max(other.until),
         }
     }
 }
 
-impl Word {
+impl Ages {
     /// The run that was told at a time.
-    pub fn run(&self, told: Time) -> Run {
+    pub fn uptime(&self, told: Time) -> Uptime {
         let before = |ms: u32| told - Span::from_ms(u64::from(ms));
-        Run {
+        Uptime {
             since: before(self.since_ms),
             until: before(self.until_ms),
         }
@@ -79,7 +79,7 @@
 
 /// Silence between the runs of two hosts in which no entry can have lapsed, where replicas write each
 /// `heartbeat`.
-pub fn silence_between_hosts(heartbeat: Span) -> Span {
+pub fn max_gap_between_hosts(heartbeat: Span) -> Span {
     (heartbeat * LAPSES_AFTER).saturating_sub(TRANSIT)
 }
 
@@ -89,13 +89,13 @@
     /// Time between two writings of a replica's entry.
     heartbeat: Span,
     /// The last run of this host, or of what it heard of the store through others.
-    own: Option<Run>,
+    own: Option<Uptime>,
     /// Whether a longer silence went before that.
     is_back: bool,
     /// Whether no call is answered, here or by way of another host.
     away: bool,
     /// The last run of the hosts that told theirs.
-    others: Option<Run>,
+    others: Option<Uptime>,
 }
 
 impl Contact {
@@ -120,7 +120,7 @@
             }
             run => {
                 self.is_back = run.is_some();
-                *run = Some(Run {
+                *run = Some(Uptime {
                     since: now,
                     until: now,
                 });
@@ -134,25 +134,25 @@
     }
 
     /// Whether no call is answered, here or by way of another host.
-    pub fn is_away(&self) -> bool {
+    pub fn is_unreachable(&self) -> bool {
         self.away
     }
 
     /// Time since the store was last known to answer.
-    pub fn silent(&self, now: Time) -> Option<Span> {
+    pub fn silence(&self, now: Time) -> Option<Span> {
         self.own.map(|run| now.since(run.until))
     }
 
     /// This host's run, to be told to others. What these told is not in it, so that no word is told again
     /// as if it were new.
-    pub fn word(&self, now: Time) -> Option<Word> {
-        self.own.map(|run| run.word(now))
+    pub fn ages(&self, now: Time) -> Option<Ages> {
+        self.own.map(|run| run.ages(now))
     }
 
     /// Takes in another host's run.
-    pub fn told(&mut self, word: Word, now: Time) {
-        let run = word.run(now);
-        let silence = silence_between_hosts(self.heartbeat);
+    pub fn merge(&mut self, word: Ages, now: Time) {
+        let run = word.uptime(now);
+        let silence = max_gap_between_hosts(self.heartbeat);
         let joined = self.others.map(|known| known.join(run, silence));
         self.others = joined.or(Some(run));
     }
@@ -161,10 +161,10 @@
     ///
     /// A run of other hosts that reaches into this host's own goes before it. Without it, a host that was cut off
     /// alone sends requests to a replica that has left for 2 s after its return, and every second one where two
-    /// replicas can take it, by `cut_host` of the tests.
-    pub fn settling(&self, now: Time) -> Option<Span> {
+    /// replicas can take it, by `partitioned_host` of the tests.
+    pub fn since_recovery(&self, now: Time) -> Option<Span> {
         let own = self.own.filter(|_| self.is_back)?;
-        let silence = silence_between_hosts(self.heartbeat);
+        let silence = max_gap_between_hosts(self.heartbeat);
         let others = self.others.filter(|run| run.meets(&own, silence));
         let since = others.map_or(own.since, |run| run.since.min(own.since));
         let back = now.since(since);
@@ -172,7 +172,7 @@
     }
 
     /// Whether an entry that vanishes now may come back.
-    pub fn may_return(&self, now: Time) -> bool {
-        self.away || self.settling(now).is_some()
+    pub fn may_reappear(&self, now: Time) -> bool {
+        self.away || self.since_recovery(now).is_some()
     }
 }
--- a/crates/front/src/follow/begin.rs
+++ b/crates/front/src/follow/bootstrap.rs
@@ -5,7 +5,7 @@
 //! fleet read all pages at once, as after a loss of power, the store's link would be full for so long
 //! that calls run out of time and are made anew. A host to which nobody gives the rest in time reads it.
 
-use super::take::{apply, written};
+use super::apply::{apply, written};
 use super::{Next, hear, heard};
 use crate::state::State;
 use crate::{leader, quarantine, readers};
@@ -92,7 +92,7 @@
 
 /// Whether this host is to read the store itself, by the word of a leader.
 fn reads_itself(state: &State) -> bool {
-    let is_told = state.table.lock().knows_hosts;
+    let is_told = state.table.lock().knows_host_count;
     state.leads() || readers::reads(state) || (is_told && readers::is_direct(state))
 }
 
--- a/crates/front/src/peers/leaving.rs
+++ b/crates/front/src/peers/leaving.rs
@@ -2,7 +2,7 @@
 //! replica a request of their own to learn it.
 
 use super::Peers;
-use crate::heard;
+use crate::feedback;
 use crate::message::leaving::ROWS;
 use crate::message::{Leaving, Message};
 use platform::replica::Incarnation;
@@ -18,11 +18,11 @@
 
 impl Peers {
     /// Tells each word at once, until the daemon ends.
-    pub async fn tell_leaving(self: Arc<Self>) {
+    pub async fn send_departures(self: Arc<Self>) {
         loop {
-            self.state.leaving.notified().await;
+            self.state.departure_heard.notified().await;
             tokio::time::sleep(TOGETHER).await;
-            let untold = self.state.table.lock().view.untold_departures();
+            let untold = self.state.table.lock().view.take_unannounced_departures();
             if self.state.leads() {
                 self.tell_all_leaving(&untold).await;
                 continue;
@@ -33,7 +33,7 @@
                     self.send(&message, *other).await;
                 }
                 if others.is_empty() {
-                    self.tell_leader_of(message).await;
+                    self.send_to_leader(message).await;
                 }
             }
         }
@@ -45,28 +45,33 @@
             return;
         }
         let now = self.state.now();
-        let lately = self.state.table.lock().view.heard_lately(TOLD_AGAIN, now);
+        let lately = self
+            .state
+            .table
+            .lock()
+            .view
+            .recent_departures(TOLD_AGAIN, now);
         for message in self.leaving(&lately) {
-            self.tell_leader_of(message).await;
+            self.send_to_leader(message).await;
         }
     }
 
     /// Tells all hosts, as the leader, which replicas that are there leave by their word.
-    pub async fn tell_departures(&self) {
-        let known = self.state.table.lock().view.departing();
+    pub async fn broadcast_departures(&self) {
+        let known = self.state.table.lock().view.departures();
         self.tell_all_leaving(&known).await;
     }
 
     async fn tell_all_leaving(&self, replicas: &[(Name, Incarnation)]) {
         for message in self.leaving(replicas) {
-            self.send_all(&message).await;
+            self.broadcast(&message).await;
         }
     }
 
     /// Words as this host tells them, in datagrams.
     fn leaving(&self, replicas: &[(Name, Incarnation)]) -> Vec<Message> {
         let message = |replicas: &[(Name, Incarnation)]| {
-            Message::Leaving(Leaving {
+            Message::Departures(Leaving {
                 host: self.state.settings.name.clone(),
                 replicas: replicas.to_vec(),
             })
@@ -77,7 +82,7 @@
     /// Takes in what another host heard.
     pub(super) fn join_leaving(&self, told: &Leaving) {
         for (replica, incarnation) in &told.replicas {
-            heard::told_leaving(&self.state, replica, *incarnation, &told.host);
+            feedback::record_reported_departure(&self.state, replica, *incarnation, &told.host);
         }
     }
 }
--- a/crates/front/src/peers/limits.rs
+++ b/crates/front/src/peers/limits.rs
@@ -1,9 +1,9 @@
 //! Telling which replicas name limits: each host tells the leader what it heard itself, the leader tells all.
 
 use super::Peers;
-use crate::limits;
 use crate::message::limit::ROWS;
-use crate::message::{Heard, Limited, Limits, Message};
+use crate::message::{LimitDigest, LimitReport, Message, ReplicaLimit};
+use crate::rate_limit;
 use std::sync::Arc;
 use std::time::Duration;
 use unit::Name;
@@ -14,18 +14,18 @@
 
 impl Peers {
     /// Tells each change at once, until the daemon ends.
-    pub async fn tell_limit_changes(self: Arc<Self>) {
+    pub async fn send_limit_changes(self: Arc<Self>) {
         loop {
-            self.state.limited.notified().await;
+            self.state.limits_changed.notified().await;
             tokio::time::sleep(TOGETHER).await;
             if !self.state.leads() {
                 self.tell_heard_limits().await;
                 continue;
             }
             let now = self.state.now();
-            let changed = self.state.table.lock().changed_limits(now);
+            let changed = self.state.table.lock().take_changed_limits(now);
             for message in self.messages(&changed) {
-                self.send_all(&message).await;
+                self.broadcast(&message).await;
             }
             self.tell_newcomers().await;
         }
@@ -55,33 +55,33 @@
             return;
         }
         let now = self.state.now();
-        let limits = self.state.table.lock().heard_limits(now);
+        let limits = self.state.table.lock().own_limits(now);
         for limits in limits.chunks(ROWS) {
-            let heard = Heard {
+            let heard = LimitReport {
                 host: self.state.settings.name.clone(),
                 limits: limits.to_vec(),
             };
-            self.send(&Message::Heard(heard), leader.peers).await;
+            self.send(&Message::LimitReport(heard), leader.peers).await;
         }
     }
 
     /// Tells all hosts, as the leader, which limits hold or are over since a while ago.
-    pub async fn tell_limits(&self) {
+    pub async fn broadcast_limits(&self) {
         let now = self.state.now();
         let limits = self.state.table.lock().limits(now);
         for message in self.messages(&limits) {
-            self.send_all(&message).await;
+            self.broadcast(&message).await;
         }
     }
 
     /// Limits as this host tells them while it leads, in datagrams.
-    fn messages(&self, limits: &[Limited]) -> Vec<Message> {
+    fn messages(&self, limits: &[ReplicaLimit]) -> Vec<Message> {
         let leader = self.state.leader.lock();
         let Some(term) = leader.as_ref().map(|l| l.term) else {
             return Vec::new();
         };
-        let message = |limits: &[Limited]| {
-            Message::Limits(Limits {
+        let message = |limits: &[ReplicaLimit]| {
+            Message::LimitDigest(LimitDigest {
                 term,
                 host: self.state.settings.name.clone(),
                 limits: limits.to_vec(),
@@ -91,17 +91,17 @@
     }
 
     /// Takes in what another host heard, and has it told on if it is news.
-    pub(super) fn join_limits(&self, told: &[Limited], by: &Name) {
+    pub(super) fn join_limits(&self, told: &[ReplicaLimit], by: &Name) {
         let now = self.state.now();
-        let changes = self.state.table.lock().join_limits(told, now);
+        let changes = self.state.table.lock().merge_limits(told, now);
         if changes.is_empty() {
             return;
         }
         if self.state.leads() {
-            self.state.limited.notify_one();
+            self.state.limits_changed.notify_one();
         }
         for (replica, rate, change) in changes {
-            limits::tell(&self.state, &replica, rate, change, by);
+            rate_limit::log_change(&self.state, &replica, rate, change, by);
         }
         self.state.changed.notify_waiters();
     }
--- a/crates/front/src/peers/quota.rs
+++ b/crates/front/src/peers/quota.rs
@@ -1,9 +1,9 @@
 //! Asking the host that leads for units of limits over all hosts, and answering as the one that leads.
 
 use super::Peers;
-use super::questions::Questions;
+use super::pending::Questions;
 use crate::leader::Term;
-use crate::message::{Limited, Message, Question, Refund, Subject, Verdict};
+use crate::message::{Message, QuotaRequest, QuotaResponse, Refund, ReplicaLimit, Subject};
 use crate::shares;
 use parking_lot::Mutex;
 use route::quota::{Advertisement, Limit, Limiter, REPLICA_TOLERANCE, Tolerance, Units};
@@ -14,11 +14,11 @@
 
 /// Time for each try of a question: hosts are milliseconds apart, and a host whose processor is used up
 /// stands still for a tenth of a second at the most.
-pub const QUICK: &[Duration] = &[Duration::from_millis(40), Duration::from_millis(90)];
+pub const TIMEOUTS: &[Duration] = &[Duration::from_millis(40), Duration::from_millis(90)];
 
 /// Time for a last try of a request that would be refused without an answer: a leader of some thousands of
 /// replicas stands still for parts of a second while it plans.
-pub const PATIENT: &[Duration] = &[Duration::from_millis(400)];
+pub const LAST_TRY_TIMEOUTS: &[Duration] = &[Duration::from_millis(400)];
 
 /// Part of the limits of replicas that a leader gives out whose term it cannot renew while the store is away: another host may
 /// lead by now and give out the whole, and both together stay within the tolerance.
@@ -30,7 +30,7 @@
     /// What is given out in the term in which this host leads.
     limiters: Mutex<Option<(Term, Limiters)>>,
     /// Questions that wait for an answer.
-    open: Questions<Verdict>,
+    open: Questions<QuotaResponse>,
 }
 
 /// What one host gives out.
@@ -42,7 +42,7 @@
 
 impl Peers {
     /// Begins to give out, in a term in which this host leads.
-    pub fn give_out(&self, term: Term, tolerance: Tolerance) {
+    pub fn start_limiter(&self, term: Term, tolerance: Tolerance) {
         let now = self.state.now();
         let limiters = Limiters {
             accounts: Limiter::new(tolerance, now),
@@ -52,7 +52,11 @@
     }
 
     /// Asks for units, once for each time that a try may take; none when there was no answer.
-    pub async fn ask_for(&self, question: Question, tries: &[Duration]) -> Option<Verdict> {
+    pub async fn request_quota(
+        &self,
+        question: QuotaRequest,
+        tries: &[Duration],
+    ) -> Option<QuotaResponse> {
         let leader = self.state.leader.lock().clone()?.peers;
         if leader == self.state.settings.peers {
             return self.judge(&question);
@@ -69,34 +73,34 @@
     /// Asks once and waits for the answer.
     async fn ask_once(
         &self,
-        question: &Question,
+        question: &QuotaRequest,
         leader: SocketAddr,
         limit: Duration,
-    ) -> Option<Verdict> {
+    ) -> Option<QuotaResponse> {
         let send = |number| async move {
-            let question = Question {
+            let question = QuotaRequest {
                 number,
                 ..question.clone()
             };
-            self.send(&Message::Question(question), leader).await;
+            self.send(&Message::QuotaRequest(question), leader).await;
         };
         self.quotas.open.ask(limit, send).await
     }
 
     /// Gives an answer to the question that waits for it.
-    pub(super) fn answered(&self, number: u32, verdict: Verdict) {
+    pub(super) fn answered(&self, number: u32, verdict: QuotaResponse) {
         self.quotas.open.answered(number, verdict);
     }
 
     /// Answers a question of another host.
-    pub(super) async fn answer(&self, question: Question, from: SocketAddr) {
-        let verdict = self.judge(&question).unwrap_or(Verdict::Elsewhere);
-        let answer = Message::Verdict(question.number, verdict);
+    pub(super) async fn answer(&self, question: QuotaRequest, from: SocketAddr) {
+        let verdict = self.judge(&question).unwrap_or(QuotaResponse::NotLeader);
+        let answer = Message::QuotaResponse(question.number, verdict);
         self.send(&answer, from).await;
     }
 
     /// What this host says to a question; none when it does not give out.
-    fn judge(&self, question: &Question) -> Option<Verdict> {
+    fn judge(&self, question: &QuotaRequest) -> Option<QuotaResponse> {
         if !question.is_sound() {
             return None;
         }
@@ -108,7 +112,7 @@
             }
             Subject::Replica(limited) => {
                 let Some(notice) = self.notice_of(limited, &question.host, now)? else {
-                    return Some(Verdict::Unlimited);
+                    return Some(QuotaResponse::Unlimited);
                 };
                 let replica = &limited.replica;
                 self.with_replicas(|limiter, part| {
@@ -119,7 +123,7 @@
     }
 
     /// Gives units back that were given `age` ago and not used.
-    pub async fn give_back(&self, subject: Subject, units: f64, age: Span) {
+    pub async fn refund(&self, subject: Subject, units: f64, age: Span) {
         let Some(leader) = self.state.leader.lock().clone() else {
             return;
         };
@@ -169,7 +173,7 @@
     }
 
     /// Units given out of an account in the last window, if this host gives out.
-    pub fn given_out(&self, account: &Name) -> Option<f64> {
+    pub fn granted(&self, account: &Name) -> Option<f64> {
         let now = self.state.now();
         self.with_accounts(|limiter| limiter.granted(account, now))
     }
@@ -178,7 +182,7 @@
     fn with_accounts<T>(&self, work: impl FnOnce(&mut Limiter<Name>) -> T) -> Option<T> {
         let mut limiters = self.quotas.limiters.lock();
         let (term, limiters) = limiters.as_mut()?;
-        term.holds().then(|| work(&mut limiters.accounts))
+        term.is_valid().then(|| work(&mut limiters.accounts))
     }
 
     /// Works with the limiter of replicas, and the part of their limits that it gives out, while this host leads as far as it
@@ -187,7 +191,7 @@
         let leads = self.state.leads();
         let mut limiters = self.quotas.limiters.lock();
         let (term, limiters) = limiters.as_mut()?;
-        let part = match term.holds() {
+        let part = match term.is_valid() {
             true => 1.0,
             false => PART_IN_DOUBT,
         };
@@ -197,7 +201,7 @@
     /// Limit of an account by the newest configuration here.
     fn limit_of(&self, account: &str) -> Option<Limit> {
         let routes = self.state.table.lock().routes.clone()?;
-        let account = routes.accounts.as_ref()?.named(account)?;
+        let account = routes.accounts.as_ref()?.get(account)?;
         account.quota.as_ref().map(shares::limit)
     }
 
@@ -205,7 +209,7 @@
     /// cannot be counted.
     fn notice_of(
         &self,
-        limited: &Limited,
+        limited: &ReplicaLimit,
         host: &Name,
         now: Time,
     ) -> Option<Option<Advertisement>> {
@@ -222,9 +226,9 @@
     limiter: &mut Limiter<K>,
     subject: &K,
     limit: Limit,
-    question: &Question,
+    question: &QuotaRequest,
     now: Time,
-) -> Verdict {
+) -> QuotaResponse {
     let units = |count: f32| Units {
         subject,
         limit,
@@ -235,11 +239,11 @@
     };
     limiter.record_local_use(units(question.alone), now);
     match limiter.acquire(units(question.units), now) {
-        Ok(given) => Verdict::Given {
+        Ok(given) => QuotaResponse::Given {
             all: given.granted as f32,
             left: given.available as f32,
         },
-        Err(over) => Verdict::Refused {
+        Err(over) => QuotaResponse::Refused {
             wait_ms: over.retry_after.ms().ceil() as u32,
             left: over.available as f32,
         },
--- a/crates/front/src/planner/digest.rs
+++ b/crates/front/src/planner/digest.rs
@@ -1,8 +1,10 @@
 //! Telling all hosts the sums, and what is planned.
 
-use super::{Book, Planner};
-use crate::message::{Digest, Load, MOST_DATAGRAM, Message, Plans, Row, short};
-use crate::orders::Known;
+use super::{Fleet, Planner};
+use crate::fleet::Record;
+use crate::message::{
+    Digest, Load, MAX_DATAGRAM, Message, PackedLoad, PlannerStatus, replica_hash,
+};
 use crate::readers::{self, Candidate, Reader};
 use std::collections::HashMap;
 use unit::{Name, Span, Time};
@@ -32,14 +34,14 @@
         let hosts = self.peers.inbox.candidates(now);
         let heartbeat = self.state.settings.bounds.heartbeat.into();
         let store = self.peers.inbox.store(heartbeat, now);
-        self.peers.name_parts(hosts.clone()).await;
+        self.peers.assign_fanout_groups(hosts.clone()).await;
         let readers = self.readers(hosts);
         let (plans, adapters) = {
-            let book = self.book.lock();
-            let plans = Plans {
+            let book = self.fleet.lock();
+            let plans = PlannerStatus {
                 absent,
                 readers,
-                peers: self.peers.direct(),
+                peers: self.peers.direct_hosts(),
                 store,
                 ..plans(&book, now)
             };
@@ -49,7 +51,7 @@
         let first = Digest {
             term: self.term.token,
             hosts,
-            plans: Some(plans),
+            planner: Some(plans),
             ..Digest::default()
         };
         let mut parts = Parts::new(first);
@@ -61,7 +63,7 @@
             parts.room(size).adapters.push((id, adapters));
         }
         for digest in parts.all {
-            self.peers.send_all(&Message::Digest(digest)).await;
+            self.peers.broadcast(&Message::Digest(digest)).await;
         }
     }
 
@@ -69,7 +71,7 @@
     /// more may be those that are in touch, and follow another one. In its term it does also when the store fails it,
     /// so that no host hears of the store from one that is cut off.
     fn readers(&self, hosts: Vec<Candidate>) -> Vec<Reader> {
-        match self.term.holds() {
+        match self.term.is_valid() {
             true => readers::choose(hosts, self.state.settings.peers),
             false => self.state.readers.named(),
         }
@@ -80,26 +82,26 @@
         let loads = self.peers.inbox.loads(self.state.now());
         let rows = self.rows(&loads, false);
         let hosts = self.peers.inbox.hosts().len() as u32;
-        for rows in rows.chunks(MOST_DATAGRAM / ROW_SIZE) {
+        for rows in rows.chunks(MAX_DATAGRAM / ROW_SIZE) {
             let digest = Digest {
                 term: self.term.token,
                 hosts,
                 loads: rows.to_vec(),
                 ..Digest::default()
             };
-            self.peers.send_all(&Message::Digest(digest)).await;
+            self.peers.broadcast(&Message::Digest(digest)).await;
         }
     }
 
     /// Rows of all replicas, or of those whose load has changed since they were told.
-    fn rows(&self, loads: &HashMap<u32, Load>, whole: bool) -> Vec<Row> {
-        let mut told = self.told.lock();
+    fn rows(&self, loads: &HashMap<u32, Load>, whole: bool) -> Vec<PackedLoad> {
+        let mut told = self.last_sent.lock();
         if whole {
             told.clear();
         }
         let rows = self.replicas().into_iter().filter_map(|id| {
-            let load = loads.get(&short(&id)).copied().unwrap_or_default();
-            let row = Row::new(&id, &load);
+            let load = loads.get(&replica_hash(&id)).copied().unwrap_or_default();
+            let row = PackedLoad::new(&id, &load);
             let before = told.insert(row.replica(), row);
             (whole || before != Some(row)).then_some(row)
         });
@@ -122,10 +124,10 @@
 
 impl Parts {
     fn new(first: Digest) -> Parts {
-        let plans = first.plans.as_ref().map_or(0, |p| {
-            p.coming.len()
+        let plans = first.planner.as_ref().map_or(0, |p| {
+            p.loading.len()
                 + p.loaded.len()
-                + p.closing.len()
+                + p.unloading.len()
                 + p.absent.len()
                 + p.readers.len()
                 + p.peers.len()
@@ -139,7 +141,7 @@
     /// The part that has room for so many bytes more.
     fn room(&mut self, size: usize) -> &mut Digest {
         self.size += size;
-        if self.size > MOST_DATAGRAM {
+        if self.size > MAX_DATAGRAM {
             self.size = ROW_SIZE + size;
             let first = &self.all[0];
             let next = Digest {
@@ -154,45 +156,45 @@
 }
 
 /// What hosts are told of the plan.
-fn plans(book: &Book, now: Time) -> Plans {
-    let coming = book.known.values().filter_map(|k| coming(k, now));
-    let closing = book.known.iter().flat_map(|(id, k)| {
+fn plans(book: &Fleet, now: Time) -> PlannerStatus {
+    let coming = book.records.values().filter_map(|k| coming(k, now));
+    let closing = book.records.iter().flat_map(|(id, k)| {
         let models = closing(k, now).into_iter();
         models.map(|model| (id.clone(), model))
     });
-    let loaded = book.known.iter().filter_map(|(id, k)| {
-        let (model, at) = k.loaded.as_ref()?;
+    let loaded = book.records.iter().filter_map(|(id, k)| {
+        let (model, at) = k.last_loaded.as_ref()?;
         (now.since(*at) < TOLD_LOADED).then(|| (id.clone(), model.clone()))
     });
-    Plans {
+    PlannerStatus {
         loaded: loaded.collect(),
-        coming: coming.collect(),
-        closing: closing.collect(),
-        ..Plans::default()
+        loading: coming.collect(),
+        unloading: closing.collect(),
+        ..PlannerStatus::default()
     }
 }
 
 /// Model that is on its way to a replica, and the time left, in milliseconds.
-fn coming(known: &Known, now: Time) -> Option<(Name, u32)> {
-    let (model, due) = known.awaited()?;
+fn coming(known: &Record, now: Time) -> Option<(Name, u32)> {
+    let (model, due) = known.incoming()?;
     Some((model.clone(), due.since(now).ms() as u32))
 }
 
 /// Models that a replica is about to give up, gives up, or gave up a moment ago.
-fn closing(known: &Known, now: Time) -> Vec<Name> {
-    let done = known.unloaded.iter();
+fn closing(known: &Record, now: Time) -> Vec<Name> {
+    let done = known.last_unloaded.iter();
     let done = done.filter(|(_, at)| now.since(*at) < TOLD_LOADED);
     let done = done.filter(|(model, _)| !known.held.iter().any(|h| h.model == *model));
-    let going = known.going().into_iter();
+    let going = known.unloading().into_iter();
     going.chain(done.map(|(model, _)| model)).cloned().collect()
 }
 
 /// Adapters of the replicas whose turn it is in a round; changes are told when they are made.
-fn adapters(book: &Book, round: usize) -> Vec<(Name, Vec<(Name, Name)>)> {
-    let turn = |id: &Name| short(id) as usize % ADAPTER_ROUNDS == round % ADAPTER_ROUNDS;
-    book.known
+fn adapters(book: &Fleet, round: usize) -> Vec<(Name, Vec<(Name, Name)>)> {
+    let turn = |id: &Name| replica_hash(id) as usize % ADAPTER_ROUNDS == round % ADAPTER_ROUNDS;
+    book.records
         .iter()
-        .filter(|(id, k)| turn(id) && k.doubtful.is_none())
+        .filter(|(id, k)| turn(id) && k.report_due.is_none())
         .map(|(id, k)| (id.clone(), k.adapters()))
         .collect()
 }
--- a/crates/front/src/readers.rs
+++ b/crates/front/src/readers.rs
@@ -6,19 +6,19 @@
 //! another one, and then reads the store on its own; a host that cannot reach the store hears of it
 //! from any reader that can.
 //!
-//! This module knows whom a host hears from. Its parts: `choice` is how the leader names readers,
-//! `question` how a host asks one, `answer` how a reader answers, `message` what passes between them.
+//! This module knows whom a host hears from. Its parts: `selection` is how the leader names readers,
+//! `client` how a host asks one, `server` how a reader answers, `message` what passes between them.
 
-mod answer;
-mod choice;
+mod client;
 mod message;
-mod question;
+mod selection;
+mod server;
 
-pub use answer::answer;
-pub use choice::{Candidate, choose};
-pub use question::{Error, Heard, ask};
+pub use client::{Error, Heard, ask};
+pub use selection::{Candidate, choose};
+pub use server::answer;
 
-use crate::recent::Recent;
+use crate::changelog::Changelog;
 use crate::state::State;
 use conn::Pool;
 use parking_lot::Mutex;
@@ -44,7 +44,7 @@
 #[derive(Default)]
 pub struct Readers {
     /// What this host can pass on.
-    pub recent: Mutex<Recent>,
+    pub recent: Mutex<Changelog>,
     /// Notified when there is something new to pass on.
     pub news: Notify,
     /// Notified when this host is named as one that reads the store for others.
@@ -144,7 +144,7 @@
 
 /// Whether so few hosts are there that each reads the store itself.
 pub fn is_direct(state: &State) -> bool {
-    state.table.lock().hosts <= MOST_DIRECT
+    state.table.lock().host_count <= MOST_DIRECT
 }
 
 /// Whether the store failed this host a moment ago.
@@ -197,7 +197,7 @@
 /// Keeps the whole store as a reader told it, to pass it on.
 pub fn note_whole(state: &State, items: &[Item], revision: u64, confirmed: Time) {
     let mut recent = state.readers.recent.lock();
-    recent.restart(items, revision, confirmed);
+    recent.reset(items, revision, confirmed);
     drop(recent);
     state.readers.news.notify_waiters();
 }
--- a/crates/front/src/relay/resume.rs
+++ b/crates/front/src/relay/resume.rs
@@ -1,10 +1,10 @@
 //! Taking a broken stream up at another replica.
 
 use super::{Relay, Source};
-use crate::attempt::{Failed, Place, send};
+use crate::attempt::{Failure, Reservation, send};
 use crate::grant::Grant;
-use crate::table::{Choice, Nowhere, Want};
-use crate::{limits, quarantine};
+use crate::table::{Choice, Criteria, Unplaceable};
+use crate::{quarantine, rate_limit};
 use tracing::info;
 use unit::Span;
 
@@ -16,14 +16,14 @@
 
 impl Relay {
     /// Takes the stream up at another replica; tells whether that was possible.
-    pub(super) async fn resume(&mut self, why: &Failed) -> bool {
+    pub(super) async fn resume(&mut self, why: &Failure) -> bool {
         if let Some(source) = self.source.take() {
             source.place.ended(&self.call, why);
-            self.state.pool.forget(&source.place.replica);
+            self.state.pool.close_all(&source.place.replica);
         }
         let (state, call) = (self.state.clone(), self.call.clone());
         let repeatable = call.route.kind.is_repeatable();
-        if *why == Failed::Late || !repeatable || !quarantine::may_repeat(&state, &call) {
+        if *why == Failure::TimedOut || !repeatable || !quarantine::may_retry(&state, &call) {
             return false;
         }
         self.splitter.rest();
@@ -36,21 +36,21 @@
                 return false;
             };
             let now = state.now();
-            if !state.table.lock().spend(&call.service, now) {
+            if !state.table.lock().spend_retry(&call.service, now) {
                 if let Some(grant) = grant {
-                    grant.give_back(&state).await;
+                    grant.refund(&state).await;
                 }
                 return false;
             }
-            let place = Place::take(&state, &call, &choice);
+            let place = Reservation::take(&state, &call, &choice);
             let sent = send(&state, &call, &choice, place, last).await;
             if let (Some(grant), Err(failed)) = (grant, &sent)
                 && failed.proves_unsent()
             {
-                grant.give_back(&state).await;
+                grant.refund(&state).await;
             }
             self.tried.note(&choice.replica, &sent);
-            state.log.notable(|| {
+            state.log.rate_limited(|| {
                 let outcome = match &sent {
                     Ok(sent) => format!("status {}", sent.response.status()),
                     Err(failed) => failed.to_string(),
@@ -62,7 +62,7 @@
                     self.source = Some(Source::from(sent));
                     return true;
                 }
-                Err(Failed::Barred(_) | Failed::Held(_)) => return false,
+                Err(Failure::Unauthorized(_) | Failure::Quarantined(_)) => return false,
                 _ => {}
             }
         }
@@ -76,18 +76,20 @@
         let give_up = state.now() + RESUMES_WITHIN;
         loop {
             let now = state.now();
-            let want = Want {
-                resumes: true,
-                ..call.want(&self.tried.replicas)
+            let want = Criteria {
+                is_resumption: true,
+                ..call.criteria(&self.tried.replicas)
             };
             let chosen = state.table.lock().choose(&want, now);
             match chosen {
                 Ok(choice) => {
-                    if let Ok(grant) = limits::admit(state, &self.peers, &want, &choice).await {
+                    if let Ok(grant) = rate_limit::admit(state, &self.peers, &want, &choice).await {
                         return Some((choice, grant));
                     }
                 }
-                Err(Nowhere::Full(full)) if now + full.turn < give_up.min(call.deadline) => {
+                Err(Unplaceable::Saturated(full))
+                    if now + full.turn < give_up.min(call.deadline) =>
+                {
                     let _ = tokio::time::timeout(full.turn.std(), state.changed.notified()).await;
                 }
                 Err(_) => return None,
--- a/crates/front/src/serve/admit.rs
+++ b/crates/front/src/serve/admit.rs
@@ -1,13 +1,13 @@
 //! Admission: choosing a replica for a request, letting it wait for its turn, or refusing it.
 
-use super::lacking::{absent, full, want_adapter};
-use super::{Entry, RETURN_RANGE, tell};
-use crate::attempt::{Call, Place};
+use super::unavailable::{absent, full, want_adapter};
+use super::{Context, RETURN_RANGE, report};
+use crate::attempt::{Call, Reservation};
 use crate::grant::Grant;
-use crate::limits::{self, Held};
-use crate::respond::Fault;
-use crate::table::{Choice, Nowhere};
-use crate::waiting::Turn;
+use crate::queue::Placement;
+use crate::rate_limit::{self, Waiter};
+use crate::respond::Rejection;
+use crate::table::{Choice, Unplaceable};
 use route::batch;
 use std::sync::Arc;
 use std::time::Duration;
@@ -38,7 +38,7 @@
 /// Where a request goes.
 pub(super) struct Placed {
     pub(super) choice: Choice,
-    pub(super) place: Place,
+    pub(super) place: Reservation,
     /// Its part of the replica's limit, if that has named one.
     pub(super) grant: Option<Grant>,
 }
@@ -47,7 +47,7 @@
 struct Found {
     choice: Choice,
     /// The request's place there, where it got that with its turn.
-    place: Option<Place>,
+    place: Option<Reservation>,
     /// Whether it waited for its turn.
     waited: bool,
 }
@@ -65,17 +65,17 @@
 /// Chooses a replica, and gets a part of its limit where it has named one; a replica that has no room for the request
 /// is not chosen again until it may have.
 pub(super) async fn place(
-    entry: &Entry,
+    entry: &Context,
     call: &Arc<Call>,
     avoid: &[Name],
     sending: usize,
-) -> Result<Placed, Fault> {
+) -> Result<Placed, Rejection> {
     let state = &entry.state;
     let mut held = None;
     loop {
         let found = find(entry, call, avoid, sending, &mut held).await?;
-        let want = call.want(avoid);
-        let Ok(grant) = limits::admit(state, &entry.peers, &want, &found.choice).await else {
+        let want = call.criteria(avoid);
+        let Ok(grant) = rate_limit::admit(state, &entry.peers, &want, &found.choice).await else {
             // Not even this host's own word may keep others from their turn.
             tokio::task::yield_now().await;
             continue;
@@ -86,9 +86,9 @@
             waited,
         } = found;
         if sending == 0 {
-            tell::sent(state, call, &choice, waited);
+            report::sent(state, call, &choice, waited);
         }
-        let place = place.unwrap_or_else(|| Place::take(state, call, &choice));
+        let place = place.unwrap_or_else(|| Reservation::take(state, call, &choice));
         return Ok(Placed {
             choice,
             place,
@@ -99,17 +99,17 @@
 
 /// Finds a replica; waits shortly for a model or an adapter that is on its way, or for room at replicas in need.
 async fn find(
-    entry: &Entry,
+    entry: &Context,
     call: &Arc<Call>,
     avoid: &[Name],
     sending: usize,
-    held: &mut Option<Held>,
-) -> Result<Found, Fault> {
+    held: &mut Option<Waiter>,
+) -> Result<Found, Rejection> {
     let state = &entry.state;
     let held_until = call.arrived + Span::from(call.route.target) * HELD_PART;
     loop {
         let now = state.now();
-        let want = call.want(avoid);
+        let want = call.criteria(avoid);
         let chosen = state.table.lock().choose(&want, now);
         let (until, fault) = match chosen {
             Ok(choice) if sending > 0 => return Ok(Found::at_once(choice)),
@@ -119,7 +119,7 @@
                 }
                 return admit(entry, call, choice).await;
             }
-            Err(Nowhere::Full(at)) => full(state, call, &at, held, now),
+            Err(Unplaceable::Saturated(at)) => full(state, call, &at, held, now),
             Err(nowhere) => absent(state, call, nowhere, held_until, now),
         };
         // A host that stops has no time for requests that only wait.
@@ -133,20 +133,20 @@
 
 /// Admits a request where it can meet its target: at once, or when its turn comes. Refuses it at
 /// once where it cannot.
-async fn admit(entry: &Entry, call: &Arc<Call>, choice: Choice) -> Result<Found, Fault> {
+async fn admit(entry: &Context, call: &Arc<Call>, choice: Choice) -> Result<Found, Rejection> {
     let state = &entry.state;
     let now = state.now();
     let target = Span::from(call.route.target);
     let expected = now.since(call.arrived) + choice.first_token;
-    let others_wait = entry.waiting.lock().is_waited_for(call);
+    let others_wait = entry.queues.lock().is_waited_for(call);
     if choice.paced && !others_wait {
         return Ok(Found::at_once(choice));
     }
     let (taken, coming) = {
         let table = state.table.lock();
         let model = call.ask.model.as_ref();
-        let coming = model.and_then(|m| table.coming(m, now));
-        (table.taken(&call.want(&[]), now), coming)
+        let coming = model.and_then(|m| table.model_eta(m, now));
+        (table.utilization(&call.criteria(&[]), now), coming)
     };
     if expected > target * REFUSED_BEYOND && (taken >= PLACES_FREE || !choice.free) {
         return Err(overloaded(expected, target, coming));
@@ -161,7 +161,7 @@
     }
     // Much may have changed in the wait: the first choice may have left.
     let now = state.now();
-    let again = state.table.lock().choose(&call.want(&[]), now);
+    let again = state.table.lock().choose(&call.criteria(&[]), now);
     match again {
         Ok(choice) if choice.held_up && call.priority >= GIVES_WAY => {
             let expected = now.since(call.arrived) + choice.first_token;
@@ -173,22 +173,22 @@
 }
 
 /// Waits for the turn of a request; none when it did not come by `until`.
-async fn turn(entry: &Entry, call: &Arc<Call>, until: Time, now: Time) -> Option<Turn> {
+async fn turn(entry: &Context, call: &Arc<Call>, until: Time, now: Time) -> Option<Placement> {
     if until <= now {
         return None;
     }
     let state = &entry.state;
-    let turn = entry.waiting.lock().push(call, until, now);
+    let turn = entry.queues.lock().push(call, until, now);
     tokio::select! {
         turn = state.clock.timeout_at(until, turn) => turn.ok().and_then(Result::ok),
-        _ = state.stopping() => None,
+        _ = state.drain_started() => None,
     }
 }
 
 /// Answer to a request that would wait too long for its first token.
-fn overloaded(expected: Span, target: Span, coming: Option<Span>) -> Fault {
+fn overloaded(expected: Span, target: Span, coming: Option<Span>) -> Rejection {
     let wait = batch::retry_after(expected, target, coming);
     let wait = wait.max(RETURN_RANGE.0).min(RETURN_RANGE.1);
     let message = format!("The request would wait {expected} for its first token.");
-    Fault::not_run("overloaded", message, wait)
+    Rejection::not_run("overloaded", message, wait)
 }
--- a/crates/front/src/serve/lacking.rs
+++ b/crates/front/src/serve/unavailable.rs
@@ -3,11 +3,11 @@
 
 use super::{RETURN_LATER, RETURN_RANGE};
 use crate::attempt::Call;
-use crate::limits::{self, Held};
-use crate::message::{Missing, Want};
-use crate::respond::Fault;
-use crate::state::{State, Wish};
-use crate::table::{Full, Nowhere};
+use crate::message::{AdapterRequest, ModelRequest};
+use crate::rate_limit::{self, Waiter};
+use crate::respond::Rejection;
+use crate::state::{PlacementRequest, State};
+use crate::table::{Saturated, Unplaceable};
 use std::sync::Arc;
 use unit::{Span, Time};
 
@@ -43,33 +43,33 @@
 pub(super) fn full(
     state: &Arc<State>,
     call: &Call,
-    at: &Full,
-    held: &mut Option<Held>,
+    at: &Saturated,
+    held: &mut Option<Waiter>,
     now: Time,
-) -> (Time, Fault) {
+) -> (Time, Rejection) {
     let until = call.arrived + Span::from(call.route.target) * FULL_PART;
     if held.is_none() && now + at.turn > until {
         return (now, has_no_room(call, at));
     }
     // Its adapter may be on no other replica.
     want_adapter(state, call, true);
-    held.get_or_insert_with(|| limits::hold(state, &at.replica));
+    held.get_or_insert_with(|| rate_limit::register_waiter(state, &at.replica));
     (until, has_no_room(call, at))
 }
 
 /// Answer to a request whose replicas have no room by their own word.
-fn has_no_room(call: &Call, at: &Full) -> Fault {
+fn has_no_room(call: &Call, at: &Saturated) -> Rejection {
     let wait = at.turn.max(RETURN_RANGE.0);
     let spread = (wait * SPREAD_PART).max(LEAST_SPREAD);
     let wait = wait + spread * fraction(&call.id);
     match at.rests {
         true => {
             let message = "The replicas that could take the request take none from this host now.";
-            Fault::not_run("resting", message, wait)
+            Rejection::not_run("resting", message, wait)
         }
         false => {
             let message = "The replicas that could take the request are in need, and take no more of them now.";
-            Fault::not_run("limited", message, wait)
+            Rejection::not_run("limited", message, wait)
         }
     }
 }
@@ -83,20 +83,20 @@
 pub(super) fn absent(
     state: &State,
     call: &Call,
-    nowhere: Nowhere,
+    nowhere: Unplaceable,
     held_until: Time,
     now: Time,
-) -> (Time, Fault) {
+) -> (Time, Rejection) {
     let target = Span::from(call.route.target);
     match nowhere {
-        Nowhere::NoModel(Some(coming))
+        Unplaceable::NoModel(Some(coming))
             if now.since(call.arrived) + coming < target * COMING_PART =>
         {
             let until = call.arrived + target * COMING_PART;
             let message = "The model is being loaded.";
-            (until, Fault::not_run("model_loading", message, coming))
+            (until, Rejection::not_run("model_loading", message, coming))
         }
-        Nowhere::NoModel(coming) => {
+        Unplaceable::NoModel(coming) => {
             let until = match coming {
                 Some(_) => now,
                 None => {
@@ -107,27 +107,27 @@
             let wait = coming.map_or(RETURN_LATER, |c| c + TOLD_WITHIN);
             let message = "No replica holds the model at the moment.";
             let wait = wait.max(RETURN_RANGE.0);
-            (until, Fault::not_run("no_model", message, wait))
+            (until, Rejection::not_run("no_model", message, wait))
         }
-        Nowhere::NoAdapter => {
+        Unplaceable::NoAdapter => {
             want_adapter(state, call, false);
             let message = "The adapter is on no replica yet.";
-            let fault = Fault::not_run("no_adapter", message, RETURN_FOR_ADAPTER);
+            let fault = Rejection::not_run("no_adapter", message, RETURN_FOR_ADAPTER);
             (held_until, fault)
         }
-        Nowhere::Unreachable => {
+        Unplaceable::Unreachable => {
             let message = "The replicas that could take the request cannot be reached.";
-            let fault = Fault::not_run("unreachable", message, RETURN_UNREACHABLE);
+            let fault = Rejection::not_run("unreachable", message, RETURN_UNREACHABLE);
             (held_until, fault)
         }
-        Nowhere::Full(at) => (now, has_no_room(call, &at)),
-        Nowhere::Leaving => {
+        Unplaceable::Saturated(at) => (now, has_no_room(call, &at)),
+        Unplaceable::Leaving => {
             let message = "All replicas of the service leave, or cannot be used.";
-            (now, Fault::not_run("leaving", message, RETURN_LATER))
+            (now, Rejection::not_run("leaving", message, RETURN_LATER))
         }
-        Nowhere::NoReplica => {
+        Unplaceable::NoReplica => {
             let message = "No replica of the service is there.";
-            (now, Fault::not_run("no_replica", message, RETURN_LATER))
+            (now, Rejection::not_run("no_replica", message, RETURN_LATER))
         }
     }
 }
@@ -137,11 +137,11 @@
 pub(super) fn want_adapter(state: &State, call: &Call, beside: bool) {
     if let (Some(model), Some(adapter)) = (&call.ask.model, &call.ask.adapter) {
         // The task that receives lives as long as the daemon.
-        let _ = state.wanted.send(Wish::Adapter(Want {
+        let _ = state.wanted.send(PlacementRequest::Adapter(AdapterRequest {
             service: call.service.clone(),
             model: model.clone(),
             adapter: adapter.clone(),
-            beside,
+            additional: beside,
         }));
     }
 }
@@ -150,7 +150,7 @@
 fn want_model(state: &State, call: &Call) {
     if let Some(model) = &call.ask.model {
         // The task that receives lives as long as the daemon.
-        let _ = state.wanted.send(Wish::Model(Missing {
+        let _ = state.wanted.send(PlacementRequest::Model(ModelRequest {
             service: call.service.clone(),
             model: model.clone(),
         }));
--- a/crates/front/src/table/sums.rs
+++ b/crates/front/src/table/loads.rs
@@ -1,7 +1,7 @@
 //! Sums that are exchanged with other hosts: what is in flight here, and what is elsewhere.
 
 use super::Table;
-use crate::message::{Demand, Load, Row, short};
+use crate::message::{Demand, Load, PackedLoad, replica_hash};
 use std::collections::HashMap;
 use unit::{Name, Span, Time};
 
@@ -16,22 +16,22 @@
     }
 
     /// What this host has in flight.
-    pub fn in_flight(&self) -> Vec<Row> {
+    pub fn own_loads(&self) -> Vec<PackedLoad> {
         let busy = self.replicas.iter().filter(|(_, s)| s.mine.requests > 0.0);
-        busy.map(|(id, s)| Row::new(id, &s.mine)).collect()
+        busy.map(|(id, s)| PackedLoad::new(id, &s.mine)).collect()
     }
 
     /// Short names of replicas that this host found unreachable lately.
-    pub fn absent(&self, now: Time) -> Vec<u32> {
+    pub fn unreachable_replicas(&self, now: Time) -> Vec<u32> {
         let absent = self
             .replicas
             .iter()
             .filter(|(_, s)| s.absence.is_suspected(now));
-        absent.map(|(id, _)| short(id)).collect()
+        absent.map(|(id, _)| replica_hash(id)).collect()
     }
 
     /// What this host has in flight, remembered as told.
-    pub fn tell(&mut self, now: Time) -> Vec<Row> {
+    pub fn report_own_loads(&mut self, now: Time) -> Vec<PackedLoad> {
         let set_aside = now.since(self.told_before_at) >= UNDER_WAY;
         if set_aside {
             self.told_before_at = now;
@@ -42,23 +42,23 @@
             }
             state.told = state.mine;
         }
-        self.in_flight()
+        self.own_loads()
     }
 
     /// Takes in the sums of all hosts.
-    pub fn told(&mut self, rows: &[Row], now: Time) {
+    pub fn set_fleet_loads(&mut self, rows: &[PackedLoad], now: Time) {
         for (id, load) in self.named(rows) {
             let state = self.replicas.entry(id).or_default();
             // Whether the sums hold what was told last is not known; to count some of this host's own
             // requests twice for a moment is better than to miss them.
-            let own = state.told.least(&state.told_before);
-            state.others = load.without(&own);
+            let own = state.told.min(&state.told_before);
+            state.others = load.saturating_sub(&own);
             state.others_at = now;
         }
     }
 
     /// Takes in what another host has in flight, as it tells itself.
-    pub fn told_by(&mut self, host: &Name, rows: &[Row], now: Time) {
+    pub fn set_host_loads(&mut self, host: &Name, rows: &[PackedLoad], now: Time) {
         self.direct_at = now;
         for state in self.replicas.values_mut() {
             state.hosts.remove(host);
@@ -70,10 +70,13 @@
     }
 
     /// Rows of replicas that are known, with their identities.
-    fn named(&self, rows: &[Row]) -> Vec<(Name, Load)> {
-        let rows: HashMap<u32, &Row> = rows.iter().map(|r| (r.replica(), r)).collect();
+    fn named(&self, rows: &[PackedLoad]) -> Vec<(Name, Load)> {
+        let rows: HashMap<u32, &PackedLoad> = rows.iter().map(|r| (r.replica(), r)).collect();
         let ids = self.view.all().map(|s| &s.entry.id);
-        ids.filter_map(|id| rows.get(&short(id)).map(|row| (id.clone(), row.load())))
-            .collect()
+        ids.filter_map(|id| {
+            rows.get(&replica_hash(id))
+                .map(|row| (id.clone(), row.load()))
+        })
+        .collect()
     }
 }
--- a/crates/front/src/table/told.rs
+++ b/crates/front/src/table/plans.rs
@@ -2,7 +2,7 @@
 //! replicas that several hosts could not reach.
 
 use super::{SUMS_AGE, Table};
-use crate::message::short;
+use crate::message::replica_hash;
 use std::collections::{HashMap, HashSet};
 use unit::{Name, Span, Time};
 
@@ -39,7 +39,7 @@
     /// Whether several hosts could not reach a replica a moment ago.
     pub(super) fn is_absent(&self, replica: &str, now: Time) -> bool {
         let (absent, at) = &self.absent;
-        !absent.is_empty() && now.since(*at) < ABSENT_AGE && absent.contains(&short(replica))
+        !absent.is_empty() && now.since(*at) < ABSENT_AGE && absent.contains(&replica_hash(replica))
     }
 
     /// Time until a model is expected somewhere.
@@ -76,7 +76,7 @@
 
 impl Table {
     /// Time since the leader last told its plans.
-    pub fn told_plans_age(&self, now: Time) -> Span {
+    pub fn plans_age(&self, now: Time) -> Span {
         now.since(self.told.loaded.at)
     }
 
@@ -86,17 +86,17 @@
     }
 
     /// Notes which replicas are about to give up which models.
-    pub fn set_closing(&mut self, closing: Vec<(Name, Name)>, now: Time) {
+    pub fn set_unloading(&mut self, closing: Vec<(Name, Name)>, now: Time) {
         self.told.closing.set(closing, now);
     }
 
     /// Notes which replicas, by their short names, several hosts could not reach.
-    pub fn set_absent(&mut self, absent: Vec<u32>, now: Time) {
+    pub fn set_unreachable(&mut self, absent: Vec<u32>, now: Time) {
         self.told.set_absent(absent, now);
     }
 
     /// Notes when models are expected somewhere, in milliseconds from now.
-    pub fn set_coming(&mut self, coming: &[(Name, u32)], now: Time) {
+    pub fn set_model_etas(&mut self, coming: &[(Name, u32)], now: Time) {
         self.told.set_coming(coming, now);
     }
 }
--- a/crates/front/tests/accounts.rs
+++ b/crates/front/tests/accounts.rs
@@ -252,7 +252,7 @@
         ask_with(&daemon, "k-1", "/again/x", None).await.1.status(),
         200
     );
-    until(|| !front::accounts::may_serve(daemon.state())).await;
+    until(|| !front::accounts::can_authenticate(daemon.state())).await;
     assert!(away.elapsed() < bound, "{:?}", away.elapsed());
     let before = replica.arrivals();
     let (_, answer) = ask_with(&daemon, "k-1", "/again/x", None).await;
@@ -264,7 +264,7 @@
     assert_eq!(replica.arrivals(), before);
     assert_eq!(ask(&daemon, "/open/x", None).await.1.status(), 200);
     store.set_mode(Mode::Up);
-    until(|| front::accounts::may_serve(daemon.state())).await;
+    until(|| front::accounts::can_authenticate(daemon.state())).await;
     assert_eq!(
         ask_with(&daemon, "k-1", "/again/x", None).await.1.status(),
         200
@@ -280,10 +280,10 @@
     let mut oldest = unit::Span::ZERO;
     let end = Instant::now() + Duration::from_secs(3);
     while Instant::now() < end {
-        oldest = oldest.max(front::accounts::known_age(daemon.state()));
+        oldest = oldest.max(front::accounts::data_age(daemon.state()));
         sleep(Duration::from_millis(5)).await;
     }
-    let most = front::accounts::rested_on_for(&bounds()).unwrap();
+    let most = front::accounts::max_age(&bounds()).unwrap();
     assert!(oldest > unit::Span::from_ms(500), "{oldest}");
     assert!(oldest < most, "{oldest}");
 }
--- a/crates/front/tests/quota.rs
+++ b/crates/front/tests/quota.rs
@@ -3,7 +3,7 @@
 mod site;
 
 use front::Daemon;
-use front::message::{Message, Question, Refund, Subject, Verdict, decode, encode};
+use front::message::{Message, QuotaRequest, QuotaResponse, Refund, Subject, decode, encode};
 use platform_standin::replica::Fault;
 use platform_standin::store::Store;
 use platform_standin::{Account, store};
@@ -146,7 +146,7 @@
     sleep(Duration::from_millis(1_500)).await;
     let stranger = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     for units in [f32::NAN, f32::INFINITY, -1.0] {
-        let question = Question {
+        let question = QuotaRequest {
             number: 7,
             host: "h".into(),
             subject: Subject::Account("mine".into()),
@@ -164,13 +164,16 @@
         let to = daemon.state().settings.peers;
         let bytes = encode(&Message::Refund(refund));
         stranger.send_to(&bytes, to).await.unwrap();
-        let bytes = encode(&Message::Question(question));
+        let bytes = encode(&Message::QuotaRequest(question));
         stranger.send_to(&bytes, to).await.unwrap();
         let mut buffer = [0; 1_400];
         let received = timeout(Duration::from_secs(5), stranger.recv(&mut buffer));
         let length = received.await.unwrap().unwrap();
         let answer = decode(&buffer[..length]).unwrap();
-        assert!(matches!(answer, Message::Verdict(7, Verdict::Elsewhere)));
+        assert!(matches!(
+            answer,
+            Message::QuotaResponse(7, QuotaResponse::NotLeader)
+        ));
     }
     let (ran, _) = press(&daemon, "k-1", Duration::from_millis(300)).await;
     assert!(ran > 0);
--- a/crates/front/tests/limits.rs
+++ b/crates/front/tests/rate_limit.rs
@@ -8,7 +8,8 @@
 
 use front::Daemon;
 use front::message::{
-    Limited, Limits, MOST_DATAGRAM, Message, Question, Subject, Verdict, encode, limit,
+    LimitDigest, MAX_DATAGRAM, Message, QuotaRequest, QuotaResponse, ReplicaLimit, Subject, encode,
+    limit,
 };
 use platform_standin::replica::{Fault, Replica};
 use platform_standin::store::{Mode, Store};
@@ -187,7 +188,7 @@
     press(&hosts, &["/stream/x"], BOUND).await;
     let from = Instant::now();
     for host in &hosts {
-        host.state().clock.suspend(AWAY);
+        host.state().clock.simulate_suspend(AWAY);
         press(&hosts, &["/stream/x"], Duration::from_millis(1_500)).await;
     }
     press(&hosts, &["/stream/x"], WINDOW).await;
@@ -271,7 +272,7 @@
             host.state()
                 .table
                 .lock()
-                .limited(host.state().now())
+                .limits_by_replica(host.state().now())
                 .is_empty()
         );
     }
@@ -282,7 +283,11 @@
         site::ask(&host, "/stream/x", Some("m1")).await;
     }
     sleep(Duration::from_millis(1_500)).await;
-    let limited = host.state().table.lock().limited(host.state().now());
+    let limited = host
+        .state()
+        .table
+        .lock()
+        .limits_by_replica(host.state().now());
     assert_eq!(limited, [("i-1".into(), Some(2.5))]);
 }
 
@@ -368,21 +373,21 @@
 /// What is told of limits fits the usual packet, however large its numbers; a question and its answer are small.
 #[test]
 fn what_is_told_fits_a_datagram() {
-    let row = Limited {
+    let row = ReplicaLimit {
         replica: u32::MAX,
         rate: 1.0e-30,
         named_ms: u32::MAX,
         unnamed_ms: Some(u32::MAX),
     };
     let host: unit::Name = "a-host-with-a-rather-long-name-12".into();
-    let limits = Limits {
+    let limits = LimitDigest {
         term: u64::MAX,
         host: host.clone(),
         limits: vec![row; limit::ROWS],
     };
-    let bytes = encode(&Message::Limits(limits)).len();
-    assert!(bytes <= MOST_DATAGRAM, "{bytes} bytes");
-    let question = Question {
+    let bytes = encode(&Message::LimitDigest(limits)).len();
+    assert!(bytes <= MAX_DATAGRAM, "{bytes} bytes");
+    let question = QuotaRequest {
         number: u32::MAX,
         host,
         subject: Subject::Replica(row),
@@ -391,12 +396,12 @@
         queues: true,
         alone: 0.5,
     };
-    let verdict = Verdict::Refused {
+    let verdict = QuotaResponse::Refused {
         wait_ms: 9_000,
         left: -1.5,
     };
-    let asked = encode(&Message::Question(question)).len();
-    let answered = encode(&Message::Verdict(u32::MAX, verdict)).len();
+    let asked = encode(&Message::QuotaRequest(question)).len();
+    let answered = encode(&Message::QuotaResponse(u32::MAX, verdict)).len();
     assert!(
         asked <= 140 && answered <= 50,
         "{asked} and {answered} bytes"
