--- a/crates/front/src/heard.rs
+++ b/crates/front/src/feedback.rs
@@ -1,9 +1,9 @@
 //! Takes in what the head of an answer says of its replica, wherever one is read.
 
-use crate::attempt::{Call, Place};
-use crate::limits;
+use crate::attempt::{Call, Reservation};
+use crate::rate_limit;
 use crate::state::State;
-use crate::table::{Asked, Closed, Permit};
+use crate::table::{BackoffUpdate, Permit, Unavailable};
 use crate::view::Origin;
 use conn::Body;
 use hyper::Request;
@@ -27,36 +27,36 @@
 }
 
 /// Takes in all that an answer says of its replica.
-pub fn take_in(state: &State, from: &Source, said: &Said) {
+pub fn apply(state: &State, from: &Source, said: &Said) {
     if said.leaves {
-        leaves(state, from);
+        record_departure(state, from);
     }
     match &said.rest {
         Reading::Value(rest) => rests(state, from, Span::from_secs_f64(rest.as_secs_f64())),
         Reading::Absent if said.is_turned_away() => rests(state, from, Span::ZERO),
-        Reading::Unreadable(value) => state.log.notable(|| {
+        Reading::Unreadable(value) => state.log.rate_limited(|| {
             warn!(target: "replica", event = "unreadable", replica = &*from.replica, id = &*from.subject, value, "what the replica asks for is no time; it counts as not asked")
         }),
         Reading::Absent => {}
     }
     let answers = said.answers(&from.subject);
     let ran = answers && said.signed && !said.not_run;
-    limits::heard(state, from, &said.limit, ran);
+    rate_limit::apply(state, from, &said.limit, ran);
     let now = state.now();
     if answers && said.misdirected {
         let mut table = state.table.lock();
-        table.misdirected(&from.replica, from.whole, now);
+        table.record_misdirected(&from.replica, from.whole, now);
     } else if answers && (said.signed || said.not_run) {
-        state.table.lock().reached(&from.replica, now);
+        state.table.lock().record_reached(&from.replica, now);
     }
 }
 
 /// Takes in that a replica leaves, and has it told to other hosts.
-pub fn leaves(state: &State, from: &Source) {
+pub fn record_departure(state: &State, from: &Source) {
     let now = state.now();
     let is_news = {
         let view = &mut state.table.lock().view;
-        view.heard_leaving(&from.replica, from.incarnation, Origin::Answer, now)
+        view.record_departure(&from.replica, from.incarnation, Origin::Answer, now)
     };
     if is_news {
         let by = &state.settings.name;
@@ -65,7 +65,12 @@
 }
 
 /// Takes in that a replica has told another host that it leaves.
-pub fn told_leaving(state: &State, replica: &Name, incarnation: Incarnation, by: &Name) {
+pub fn record_reported_departure(
+    state: &State,
+    replica: &Name,
+    incarnation: Incarnation,
+    by: &Name,
+) {
     let now = state.now();
     let origin = match state.leads() {
         true => Origin::Host,
@@ -73,7 +78,7 @@
     };
     let is_news = {
         let view = &mut state.table.lock().view;
-        view.heard_leaving(replica, incarnation, origin, now)
+        view.record_departure(replica, incarnation, origin, now)
     };
     if is_news {
         tell_leaving(state, replica, None, by);
@@ -81,9 +86,9 @@
 }
 
 fn tell_leaving(state: &State, replica: &Name, id: Option<&str>, by: &Name) {
-    state.leaving.notify_one();
+    state.departure_heard.notify_one();
     state.changed.notify_waiters();
-    state.log.notable(|| {
+    state.log.rate_limited(|| {
         info!(target: "replica", event = "leaving", replica = &**replica, id, by = &**by, "a replica says in an answer that it leaves")
     });
 }
@@ -94,33 +99,33 @@
     let asked = state
         .table
         .lock()
-        .heard_rest(&from.replica, from.incarnation, rest, now);
-    if let Some(Asked { first, left }) = asked {
+        .record_backoff(&from.replica, from.incarnation, rest, now);
+    if let Some(BackoffUpdate { first, left }) = asked {
         state
             .log
             .metrics
             .counter("coveford_rests_total", &[])
             .increment(1);
         let (asked_ms, left_ms) = (rest.ms(), left.ms());
-        state.log.notable(|| {
+        state.log.rate_limited(|| {
             info!(target: "replica", event = "rests", replica = &*from.replica, id = &*from.subject, by = &*state.settings.name, asked_ms, left_ms, first, "a replica turned a request away and wants nothing from this host for a time")
         });
     }
 }
 
 /// Lets a request be sent to the replica of its place, unless that takes none now by its own word.
-pub fn permit(state: &State, call: &Call, place: &Place) -> Result<Permit, Closed> {
+pub fn permit(state: &State, call: &Call, place: &Reservation) -> Result<Permit, Unavailable> {
     let now = state.now();
     let permit = state.table.lock().permit(&place.replica, now);
     if let Err(closed) = &permit {
-        let word = closed.word();
+        let word = closed.label();
         let labels = [("why", word)];
         let metrics = &state.log.metrics;
         metrics
             .counter("coveford_kept_back_total", &labels)
             .increment(1);
-        let placed_ms = now.since(place.at).ms();
-        state.log.notable(|| {
+        let placed_ms = now.since(place.reserved_at).ms();
+        state.log.rate_limited(|| {
             info!(target: "replica", event = "kept_back", id = &*call.id, replica = &*place.replica, why = word, placed_ms, "a request was not sent to a replica that wants none")
         });
     }
@@ -128,10 +133,10 @@
 }
 
 /// Takes in the answers that come to a request before the one with the result.
-pub fn listen(state: &Arc<State>, request: &mut Request<Body>, from: Source) {
+pub fn observe_informational(state: &Arc<State>, request: &mut Request<Body>, from: Source) {
     let state = state.clone();
     hyper::ext::on_informational(request, move |response| {
         let said = answer::read(response.status(), response.headers());
-        take_in(&state, &from, &said);
+        apply(&state, &from, &said);
     });
 }
--- a/crates/front/src/follow.rs
+++ b/crates/front/src/follow.rs
@@ -2,21 +2,21 @@
 //!
 //! A watch is answered at the first change and is priced, so the next one starts only after a pause;
 //! changes of that time come together. In a large fleet most hosts hear of the changes from
-//! [`readers`]. Its parts: `begin` reads the store for the first time, `take` takes in what it tells.
+//! [`readers`]. Its parts: `bootstrap` reads the store for the first time, `apply` takes in what it tells.
 
-mod begin;
-mod take;
+mod apply;
+mod bootstrap;
 
-pub use take::{set_leader, told};
+pub use apply::{set_leader, told};
 
 use crate::contact::Contact;
 use crate::readers;
 use crate::readers::Heard;
 use crate::state::State;
+use apply::{apply, compare};
 use platform::store::{Change, Item, Listing};
 use std::sync::Arc;
 use std::time::Duration;
-use take::{apply, compare};
 use tracing::{info, warn};
 use unit::{Span, Time};
 
@@ -100,7 +100,7 @@
     }
     match after {
         Some(after) => watch(state, after).await,
-        None => begin::read(state).await,
+        None => bootstrap::read(state).await,
     }
 }
 
@@ -129,7 +129,7 @@
 async fn hear(state: &State, after: u64) -> Option<Next> {
     for _ in 0..ASKED {
         let reader = readers::source(state)?;
-        match readers::ask(state, reader, after, state.settings.bounds.following()).await {
+        match readers::ask(state, reader, after, state.settings.bounds.propagation()).await {
             Ok(news) => {
                 return Some(match news {
                     Heard::Changes(changes) => Next::Heard(changes),
@@ -138,7 +138,7 @@
             }
             Err(why) => {
                 state.readers.avoid_for(reader, &why, state.now());
-                state.log.notable(|| {
+                state.log.rate_limited(|| {
                     warn!(target: "store", event = "reader_failed", reader = %reader, after, why = %why, "a host that reads the store for this one cannot be rested on; it is not asked for a while")
                 });
             }
@@ -157,7 +157,7 @@
         true => READER_PART,
         false => WAIT_PART,
     };
-    let wait = state.settings.bounds.following().mul_f64(part);
+    let wait = state.settings.bounds.propagation().mul_f64(part);
     match state.settings.bounds.withdrawal {
         Some(bound) => wait.min(bound.mul_f64(WAIT_PART_OF_WITHDRAWAL)),
         None => wait,
@@ -166,7 +166,7 @@
 
 /// Pauses after a watch that told changes, before the next one.
 async fn pause(state: &State) {
-    let bound = state.settings.bounds.following();
+    let bound = state.settings.bounds.propagation();
     let pause = match (state.leads(), readers::reads(state)) {
         (true, _) => LEADER_PAUSE,
         (false, true) => bound.mul_f64(READER_PART),
@@ -184,7 +184,7 @@
         tokio::time::sleep(PAUSE).await;
         return;
     }
-    let most = state.settings.bounds.following().mul_f64(SELDOM_PART);
+    let most = state.settings.bounds.propagation().mul_f64(SELDOM_PART);
     let until = state.readers.next_chance().unwrap_or_default();
     let chance = until.since(state.now()).std();
     tokio::time::sleep(chance.clamp(PAUSE, most.max(PAUSE))).await;
@@ -206,14 +206,14 @@
             Some(answer)
         }
         Err(error) if turned_away(state) => {
-            state.log.notable(|| {
+            state.log.rate_limited(|| {
                 info!(target: "store", event = "turned_away", why = %error, "the store does not answer this host; another one is asked")
             });
             None
         }
         Err(error) => {
             let mut table = state.table.lock();
-            let was_away = table.view.contact.is_away();
+            let was_away = table.view.contact.is_unreachable();
             table.view.contact.failed();
             drop(table);
             if !was_away {
@@ -228,9 +228,9 @@
 pub fn regained(state: &State, now: Time, note: impl FnOnce(&mut Contact)) {
     let (was_away, silent, settling) = {
         let contact = &mut state.table.lock().view.contact;
-        let before = (contact.is_away(), contact.silent(now));
+        let before = (contact.is_unreachable(), contact.silence(now));
         note(contact);
-        (before.0, before.1, contact.settling(now))
+        (before.0, before.1, contact.since_recovery(now))
     };
     if was_away {
         let (silent_ms, store_back_ms) = (silent.map(Span::ms), settling.map(Span::ms));
--- a/crates/front/src/leader.rs
+++ b/crates/front/src/leader.rs
@@ -60,7 +60,7 @@
 }
 
 /// Reads the leader's entry.
-pub fn read(item: &Item) -> Result<Leader, serde_json::Error> {
+pub fn decode(item: &Item) -> Result<Leader, serde_json::Error> {
     let entry: Entry = serde_json::from_slice(&item.value)?;
     Ok(Leader {
         name: entry.name,
@@ -75,7 +75,7 @@
     /// Fencing token.
     pub token: u64,
     /// When it began.
-    pub since: Time,
+    pub started: Time,
     /// Whether no host has ever led before, so that no order can be under way.
     pub is_first: bool,
     held: Arc<Mutex<Held>>,
@@ -92,7 +92,7 @@
 
 impl Term {
     /// Whether the term still holds, by this host's clock.
-    pub fn holds(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         let held = self.held.lock();
         !held.over && self.clock.now() < held.until
     }
@@ -102,7 +102,7 @@
         let mut held = self.held.lock();
         held.until = held.until.max(lease_ends - MARGIN);
         drop(held);
-        self.holds()
+        self.is_valid()
     }
 
     /// Ends the term; no order is given after this.
@@ -153,7 +153,7 @@
 /// Whether this host may try to lead: it sees the store, stays, and knows of no other leader.
 fn may_try(state: &State) -> bool {
     let table = state.table.lock();
-    let sees = table.routes.is_some() && !table.view.contact.is_away();
+    let sees = table.routes.is_some() && !table.view.contact.is_unreachable();
     drop(table);
     sees && !state.is_draining() && !state.is_led_by_another()
 }
@@ -178,10 +178,10 @@
             return None;
         }
     };
-    let is_first = !state.has_led.load(Ordering::Relaxed);
+    let is_first = !state.leader_seen.load(Ordering::Relaxed);
     let created = create(state, &lease, is_first).await;
     // Whatever came of it: a host has led now, or may have.
-    state.has_led.store(true, Ordering::Relaxed);
+    state.leader_seen.store(true, Ordering::Relaxed);
     let (token, is_first) = match created {
         Created::Here(token) => (token, is_first),
         Created::ReadBack(token) => (token, false),
@@ -201,7 +201,7 @@
     info!(target: "leader", event = "won", term = token, lease = lease.id, "this host leads");
     let term = Term {
         token,
-        since: state.now(),
+        started: state.now(),
         is_first,
         held: Arc::new(Mutex::new(Held {
             until: asked + Span::from(lease.ttl).saturating_sub(MARGIN),
@@ -229,7 +229,7 @@
 
 /// Revision of the entry that a host may write anew when it tries to lead; 0 where there must be none. Another
 /// host's is never replaced: it may have become known only now, while this host was about to try.
-pub fn replaces(known: Option<&Leader>, own: SocketAddr) -> u64 {
+pub fn expected_revision(known: Option<&Leader>, own: SocketAddr) -> u64 {
     let left = known.filter(|leader| leader.peers == own);
     left.map_or(0, |leader| leader.term)
 }
@@ -241,7 +241,7 @@
         peers: state.settings.peers,
     };
     let value = serde_json::to_vec(&entry).expect("an entry is plain data");
-    let left = replaces(state.leader.lock().as_ref(), state.settings.peers);
+    let left = expected_revision(state.leader.lock().as_ref(), state.settings.peers);
     let mut txn = Transaction {
         expected: vec![(KEY.into(), left)],
         writes: vec![(KEY.into(), value, lease.id)],
@@ -257,7 +257,7 @@
 /// Takes in the leader whose entry stood in the way of a creation, if one did.
 fn note_conflict(state: &State, items: &[Item]) {
     let found = items.iter().find(|i| &*i.key == KEY && i.revision > 0);
-    if let Some(Ok(leader)) = found.map(read) {
+    if let Some(Ok(leader)) = found.map(decode) {
         set_leader(state, Some(leader));
     }
 }
@@ -276,7 +276,7 @@
         let step = state.now() + pause;
         while state.now() < step {
             tokio::time::sleep(LOOK).await;
-            if state.is_draining() || !term.holds() {
+            if state.is_draining() || !term.is_valid() {
                 return;
             }
         }
@@ -316,7 +316,7 @@
             }
             Ok(None) => return false,
             Err(why) => {
-                state.log.notable(|| {
+                state.log.rate_limited(|| {
                     warn!(target: "leader", event = "not_renewed", why = %why, "the lease could not be renewed yet")
                 });
                 tokio::time::sleep(RETRY).await;
--- a/crates/front/src/peers/inbox.rs
+++ b/crates/front/src/peers/inbox.rs
@@ -1,7 +1,7 @@
 //! What other hosts have told the leader, while this host leads.
 
-use crate::contact::{self, Word};
-use crate::message::{Load, Missing, Row, Sums, Use, Want};
+use crate::contact::{self, Ages};
+use crate::message::{AdapterRequest, AdapterUse, Load, LoadReport, ModelRequest, PackedLoad};
 use crate::readers::Candidate;
 use parking_lot::Mutex;
 use std::collections::{HashMap, HashSet};
@@ -27,18 +27,18 @@
     /// What each host told last, by its name.
     hosts: Mutex<HashMap<Name, Told>>,
     /// Adapters wanted since they were taken out last.
-    wants: Mutex<Vec<Want>>,
+    wants: Mutex<Vec<AdapterRequest>>,
     /// Models that are on no replica and were asked for, since they were taken out last.
-    missing: Mutex<Vec<Missing>>,
+    missing: Mutex<Vec<ModelRequest>>,
     /// Uses of adapters since they were taken out last.
-    uses: Mutex<Vec<Use>>,
+    uses: Mutex<Vec<AdapterUse>>,
     /// Notified when an adapter or a model is wanted.
-    pub wanted: Notify,
+    pub request_received: Notify,
 }
 
 /// What one host has told.
 struct Told {
-    sums: Sums,
+    sums: LoadReport,
     /// Number of the telling between two rounds that its loads are from, if they are.
     telling: Option<u32>,
     /// Where it takes datagrams.
@@ -51,7 +51,7 @@
 
 impl Inbox {
     /// Sums that still count.
-    pub fn sums(&self, now: Time) -> Vec<Sums> {
+    pub fn reports(&self, now: Time) -> Vec<LoadReport> {
         let mut hosts = self.hosts.lock();
         hosts.retain(|_, told| now.since(told.at) < SUMS_AGE);
         hosts.values().map(|told| told.sums.clone()).collect()
@@ -63,7 +63,7 @@
     }
 
     /// Hosts that have told anything and are not forgotten yet.
-    pub fn count(&self) -> usize {
+    pub fn host_count(&self) -> usize {
         self.hosts.lock().len()
     }
 
@@ -74,35 +74,35 @@
             hall: told.sums.hall.clone(),
             addr: told.from,
             cores: told.sums.cores,
-            cut: told.cut.is_some_and(|at| now.since(at) < CUT_KEPT),
+            store_failed: told.cut.is_some_and(|at| now.since(at) < CUT_KEPT),
             silent: now.since(told.at) > SILENT_AFTER,
         });
         candidates.collect()
     }
 
     /// Takes out the adapters that are wanted.
-    pub fn wants(&self) -> Vec<Want> {
+    pub fn take_adapter_requests(&self) -> Vec<AdapterRequest> {
         std::mem::take(&mut *self.wants.lock())
     }
 
     /// Takes out the models that are on no replica and were asked for.
-    pub fn missing(&self) -> Vec<Missing> {
+    pub fn take_model_requests(&self) -> Vec<ModelRequest> {
         std::mem::take(&mut *self.missing.lock())
     }
 
     /// Takes out the adapters that were used.
-    pub fn uses(&self) -> Vec<Use> {
+    pub fn take_adapter_uses(&self) -> Vec<AdapterUse> {
         std::mem::take(&mut *self.uses.lock())
     }
 
     /// Takes in a part of what a host tells in one round; parts of the same round add up. Tells whether the host is new.
-    pub fn put(&self, mut sums: Sums, from: SocketAddr, now: Time) -> bool {
-        self.uses.lock().append(&mut sums.used);
+    pub fn record_report(&self, mut sums: LoadReport, from: SocketAddr, now: Time) -> bool {
+        self.uses.lock().append(&mut sums.adapter_uses);
         let mut hosts = self.hosts.lock();
         let known = hosts.get_mut(&sums.host);
         let is_new = known.is_none();
         let cut = known.as_ref().and_then(|told| told.cut);
-        let cut = if sums.cut { Some(now) } else { cut };
+        let cut = if sums.store_failed { Some(now) } else { cut };
         match known {
             Some(told) if told.sums.round == sums.round => {
                 told.sums.demand.extend(sums.demand);
@@ -127,7 +127,7 @@
 
     /// Takes in a part of what a host has in flight between two rounds; parts of the same telling add
     /// up, and all else it told in its last round stays.
-    pub fn put_loads(&self, sums: Sums, now: Time) {
+    pub fn record_loads(&self, sums: LoadReport, now: Time) {
         if let Some(told) = self.hosts.lock().get_mut(&sums.host) {
             match told.telling == Some(sums.round) {
                 true => told.sums.loads.extend(sums.loads),
@@ -140,15 +140,15 @@
     }
 
     /// Takes in that a host needs an adapter.
-    pub(super) fn want(&self, want: Want) {
+    pub(super) fn want(&self, want: AdapterRequest) {
         self.wants.lock().push(want);
-        self.wanted.notify_one();
+        self.request_received.notify_one();
     }
 
     /// Takes in that a host has a request for a model that is on no replica.
-    pub(super) fn miss(&self, missing: Missing) {
+    pub(super) fn miss(&self, missing: ModelRequest) {
         self.missing.lock().push(missing);
-        self.wanted.notify_one();
+        self.request_received.notify_one();
     }
 
     /// Short names of replicas that several hosts could not reach, and that fewer hosts have requests at.
@@ -157,11 +157,11 @@
     pub fn absent(&self, now: Time) -> Vec<u32> {
         // By replica: hosts that could not reach it, and other hosts that have requests there.
         let mut votes: HashMap<u32, (usize, usize)> = HashMap::new();
-        for sums in self.sums(now) {
+        for sums in self.reports(now) {
             for replica in &sums.absent {
                 votes.entry(*replica).or_default().0 += 1;
             }
-            let reached = sums.loads.iter().map(Row::replica);
+            let reached = sums.loads.iter().map(PackedLoad::replica);
             for replica in reached.filter(|r| !sums.absent.contains(r)) {
                 votes.entry(replica).or_default().1 += 1;
             }
@@ -173,7 +173,7 @@
 
     /// Short names of replicas that want nothing from most hosts now.
     pub fn resting(&self, now: Time) -> HashSet<u32> {
-        let sums = self.sums(now);
+        let sums = self.reports(now);
         let mut votes: HashMap<u32, usize> = HashMap::new();
         for replica in sums.iter().flat_map(|sums| &sums.resting) {
             *votes.entry(*replica).or_default() += 1;
@@ -185,12 +185,12 @@
     }
 
     /// Time through which hosts heard from the store, where replicas write each `heartbeat`.
-    pub fn store(&self, heartbeat: Span, now: Time) -> Option<Word> {
-        let silence = contact::silence_between_hosts(heartbeat);
+    pub fn store(&self, heartbeat: Span, now: Time) -> Option<Ages> {
+        let silence = contact::max_gap_between_hosts(heartbeat);
         let hosts = self.hosts.lock();
-        let run = |told: &Told| Some(told.sums.store?.run(told.at));
+        let run = |told: &Told| Some(told.sums.store?.uptime(told.at));
         let runs = hosts.values().filter_map(run);
-        runs.reduce(|a, b| a.join(b, silence)).map(|r| r.word(now))
+        runs.reduce(|a, b| a.join(b, silence)).map(|r| r.ages(now))
     }
 
     /// Sums of all hosts by replica's short name.
--- a/crates/front/src/peers/quarantine.rs
+++ b/crates/front/src/peers/quarantine.rs
@@ -1,9 +1,9 @@
 //! Telling the leader of falls and of how runs ended, asking it for trials, and answering as the one that leads.
 
 use super::Peers;
-use crate::message::{Fallen, Message, Permit};
+use crate::message::{CrashReport, Message, TrialResponse};
 use crate::quarantine::{Report, Reports};
-use route::quarantine::{Fall, Group, Ticket};
+use route::quarantine::{Crash, Incident, RequestId};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,30 +14,33 @@
 
 impl Peers {
     /// Tells what this host has to report, until the daemon ends.
-    pub async fn report(self: Arc<Self>, mut reports: Reports) {
+    pub async fn forward_quarantine_reports(self: Arc<Self>, mut reports: Reports) {
         while let Some(report) = reports.recv().await {
             match report {
-                Report::Fallen(group) => self.report_fall(group).await,
-                Report::Sound(print) => {
-                    self.state.quarantine.sound(print);
-                    self.tell_leader_of(Message::Sound(print)).await;
+                Report::Crashed(group) => self.report_fall(group).await,
+                Report::Succeeded(print) => {
+                    self.state.quarantine.note_success_anywhere(print);
+                    self.send_to_leader(Message::Succeeded(print)).await;
                 }
-                Report::Tried(print, broke) => {
+                Report::TrialEnded(print, broke) => {
                     if !self.state.leads() {
                         // The trial may have been this host's own.
                         let now = self.state.now();
-                        self.state.quarantine.tried(print, broke, now);
+                        self.state.quarantine.note_trial_ended(print, broke, now);
                     }
-                    self.tell_leader_of(Message::Tried(print, broke)).await
+                    self.send_to_leader(Message::TrialFailed(print, broke))
+                        .await
                 }
             }
         }
     }
 
     /// Tells a fall to the leader, and where hosts are few to all of them, so that the next leader knows of it too.
-    async fn report_fall(&self, group: Group) {
+    async fn report_fall(&self, group: Incident) {
         let now = self.state.now();
-        self.state.quarantine.fell(group.fall, &group.aboard, now);
+        self.state
+            .quarantine
+            .note_crash(group.crash, &group.in_flight, now);
         let message = fallen(group);
         let others = self.others.lock().clone();
         for other in &others {
@@ -45,7 +48,7 @@
         }
         let leader = self.state.leader.lock().as_ref().map(|l| l.peers);
         if leader.is_some_and(|leader| !others.contains(&leader)) {
-            self.tell_leader_of(message).await;
+            self.send_to_leader(message).await;
         }
     }
 
@@ -55,13 +58,13 @@
             return;
         };
         let now = self.state.now();
-        for group in self.state.quarantine.to_tell(term, now) {
-            self.tell_leader_of(fallen(group)).await;
+        for group in self.state.quarantine.unreported_crashes(term, now) {
+            self.send_to_leader(fallen(group)).await;
         }
     }
 
     /// Tells the leader something; this host takes it in directly if it leads.
-    pub(super) async fn tell_leader_of(&self, message: Message) {
+    pub(super) async fn send_to_leader(&self, message: Message) {
         let Some(leader) = self.state.leader.lock().clone() else {
             return;
         };
@@ -72,17 +75,19 @@
     }
 
     /// Takes in a fall that another host saw.
-    pub(super) fn take_fall(&self, fallen: &Fallen) {
+    pub(super) fn take_fall(&self, fallen: &CrashReport) {
         let now = self.state.now();
-        let fall = Fall(fallen.fall);
-        self.state.quarantine.fell(fall, &fallen.aboard, now);
+        let fall = Crash(fallen.crash);
+        self.state
+            .quarantine
+            .note_crash(fall, &fallen.in_flight, now);
     }
 
     /// Asks the leader what may be done with a request that is suspected; none when there was no answer.
-    pub async fn ask_for_trial(
+    pub async fn request_trial(
         &self,
         print: Fingerprint,
-        ticket: Ticket,
+        ticket: RequestId,
     ) -> Option<route::quarantine::Permit> {
         let leader = self.state.leader.lock().clone()?.peers;
         if leader == self.state.settings.peers {
@@ -90,7 +95,7 @@
         }
         for limit in TRIES {
             let send = |number| async move {
-                self.send(&Message::Trial(number, print, ticket.0), leader)
+                self.send(&Message::TrialRequest(number, print, ticket.0), leader)
                     .await;
             };
             if let Some(permit) = self.trials.ask(limit, send).await {
@@ -108,24 +113,25 @@
         ticket: u64,
         from: SocketAddr,
     ) {
-        let permit = self.decide(print, Ticket(ticket));
-        self.send(&Message::Permit(number, permit), from).await;
+        let permit = self.decide(print, RequestId(ticket));
+        self.send(&Message::TrialResponse(number, permit), from)
+            .await;
     }
 
     /// What this host says to such a question.
-    fn decide(&self, print: Fingerprint, ticket: Ticket) -> Permit {
+    fn decide(&self, print: Fingerprint, ticket: RequestId) -> TrialResponse {
         let now = self.state.now();
         match self.state.leads() {
-            true => self.state.quarantine.ask(print, ticket, now).into(),
-            false => Permit::Elsewhere,
+            true => self.state.quarantine.decide(print, ticket, now).into(),
+            false => TrialResponse::NotLeader,
         }
     }
 }
 
 /// Fall as it is told.
-fn fallen(group: Group) -> Message {
-    Message::Fallen(Fallen {
-        fall: group.fall.0,
-        aboard: group.aboard,
+fn fallen(group: Incident) -> Message {
+    Message::CrashReport(CrashReport {
+        crash: group.crash.0,
+        in_flight: group.in_flight,
     })
 }
--- a/crates/front/src/peers/quota.rs
+++ b/crates/front/src/peers/quota.rs
@@ -1,12 +1,12 @@
 //! Asking the host that leads for units of limits over all hosts, and answering as the one that leads.
 
 use super::Peers;
-use super::questions::Questions;
+use super::pending::Questions;
 use crate::leader::Term;
-use crate::message::{Limited, Message, Question, Refund, Subject, Verdict};
+use crate::message::{Message, QuotaRequest, QuotaResponse, Refund, ReplicaLimit, Subject};
 use crate::shares;
 use parking_lot::Mutex;
-use route::quota::{INTAKE, Limit, Limiter, Notice, Tolerance, Units};
+use route::quota::{Advertisement, Limit, Limiter, REPLICA_TOLERANCE, Tolerance, Units};
 use std::hash::Hash;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,11 +14,11 @@
 
 /// Time for each try of a question: hosts are milliseconds apart, and a host whose processor is used up
 /// stands still for a tenth of a second at the most.
-pub const QUICK: &[Duration] = &[Duration::from_millis(40), Duration::from_millis(90)];
+pub const TIMEOUTS: &[Duration] = &[Duration::from_millis(40), Duration::from_millis(90)];
 
 /// Time for a last try of a request that would be refused without an answer: a leader of some thousands of
 /// replicas stands still for parts of a second while it plans.
-pub const PATIENT: &[Duration] = &[Duration::from_millis(400)];
+pub const LAST_TRY_TIMEOUTS: &[Duration] = &[Duration::from_millis(400)];
 
 /// Part of the limits of replicas that a leader gives out whose term it cannot renew while the store is away: another host may
 /// lead by now and give out the whole, and both together stay within the tolerance.
@@ -30,7 +30,7 @@
     /// What is given out in the term in which this host leads.
     limiters: Mutex<Option<(Term, Limiters)>>,
     /// Questions that wait for an answer.
-    open: Questions<Verdict>,
+    open: Questions<QuotaResponse>,
 }
 
 /// What one host gives out.
@@ -42,17 +42,21 @@
 
 impl Peers {
     /// Begins to give out, in a term in which this host leads.
-    pub fn give_out(&self, term: Term, tolerance: Tolerance) {
+    pub fn start_limiter(&self, term: Term, tolerance: Tolerance) {
         let now = self.state.now();
         let limiters = Limiters {
             accounts: Limiter::new(tolerance, now),
-            replicas: Limiter::new(INTAKE, now),
+            replicas: Limiter::new(REPLICA_TOLERANCE, now),
         };
         *self.quotas.limiters.lock() = Some((term, limiters));
     }
 
     /// Asks for units, once for each time that a try may take; none when there was no answer.
-    pub async fn ask_for(&self, question: Question, tries: &[Duration]) -> Option<Verdict> {
+    pub async fn request_quota(
+        &self,
+        question: QuotaRequest,
+        tries: &[Duration],
+    ) -> Option<QuotaResponse> {
         let leader = self.state.leader.lock().clone()?.peers;
         if leader == self.state.settings.peers {
             return self.judge(&question);
@@ -69,34 +73,34 @@
     /// Asks once and waits for the answer.
     async fn ask_once(
         &self,
-        question: &Question,
+        question: &QuotaRequest,
         leader: SocketAddr,
         limit: Duration,
-    ) -> Option<Verdict> {
+    ) -> Option<QuotaResponse> {
         let send = |number| async move {
-            let question = Question {
+            let question = QuotaRequest {
                 number,
                 ..question.clone()
             };
-            self.send(&Message::Question(question), leader).await;
+            self.send(&Message::QuotaRequest(question), leader).await;
         };
         self.quotas.open.ask(limit, send).await
     }
 
     /// Gives an answer to the question that waits for it.
-    pub(super) fn answered(&self, number: u32, verdict: Verdict) {
+    pub(super) fn answered(&self, number: u32, verdict: QuotaResponse) {
         self.quotas.open.answered(number, verdict);
     }
 
     /// Answers a question of another host.
-    pub(super) async fn answer(&self, question: Question, from: SocketAddr) {
-        let verdict = self.judge(&question).unwrap_or(Verdict::Elsewhere);
-        let answer = Message::Verdict(question.number, verdict);
+    pub(super) async fn answer(&self, question: QuotaRequest, from: SocketAddr) {
+        let verdict = self.judge(&question).unwrap_or(QuotaResponse::NotLeader);
+        let answer = Message::QuotaResponse(question.number, verdict);
         self.send(&answer, from).await;
     }
 
     /// What this host says to a question; none when it does not give out.
-    fn judge(&self, question: &Question) -> Option<Verdict> {
+    fn judge(&self, question: &QuotaRequest) -> Option<QuotaResponse> {
         if !question.is_sound() {
             return None;
         }
@@ -108,7 +112,7 @@
             }
             Subject::Replica(limited) => {
                 let Some(notice) = self.notice_of(limited, &question.host, now)? else {
-                    return Some(Verdict::Unlimited);
+                    return Some(QuotaResponse::Unlimited);
                 };
                 let replica = &limited.replica;
                 self.with_replicas(|limiter, part| {
@@ -119,7 +123,7 @@
     }
 
     /// Gives units back that were given `age` ago and not used.
-    pub async fn give_back(&self, subject: Subject, units: f64, age: Span) {
+    pub async fn refund(&self, subject: Subject, units: f64, age: Span) {
         let Some(leader) = self.state.leader.lock().clone() else {
             return;
         };
@@ -163,22 +167,22 @@
     /// Notes that a host is in touch.
     pub(super) fn heard(&self, host: &Name, now: Time) {
         if let Some((_, limiters)) = self.quotas.limiters.lock().as_mut() {
-            limiters.accounts.heard(host, now);
-            limiters.replicas.heard(host, now);
+            limiters.accounts.record_heartbeat(host, now);
+            limiters.replicas.record_heartbeat(host, now);
         }
     }
 
     /// Units given out of an account in the last window, if this host gives out.
-    pub fn given_out(&self, account: &Name) -> Option<f64> {
+    pub fn granted(&self, account: &Name) -> Option<f64> {
         let now = self.state.now();
-        self.with_accounts(|limiter| limiter.given(account, now))
+        self.with_accounts(|limiter| limiter.granted(account, now))
     }
 
     /// Works with the limiter of accounts while the term holds in which it was begun.
     fn with_accounts<T>(&self, work: impl FnOnce(&mut Limiter<Name>) -> T) -> Option<T> {
         let mut limiters = self.quotas.limiters.lock();
         let (term, limiters) = limiters.as_mut()?;
-        term.holds().then(|| work(&mut limiters.accounts))
+        term.is_valid().then(|| work(&mut limiters.accounts))
     }
 
     /// Works with the limiter of replicas, and the part of their limits that it gives out, while this host leads as far as it
@@ -187,7 +191,7 @@
         let leads = self.state.leads();
         let mut limiters = self.quotas.limiters.lock();
         let (term, limiters) = limiters.as_mut()?;
-        let part = match term.holds() {
+        let part = match term.is_valid() {
             true => 1.0,
             false => PART_IN_DOUBT,
         };
@@ -197,18 +201,23 @@
     /// Limit of an account by the newest configuration here.
     fn limit_of(&self, account: &str) -> Option<Limit> {
         let routes = self.state.table.lock().routes.clone()?;
-        let account = routes.accounts.as_ref()?.named(account)?;
+        let account = routes.accounts.as_ref()?.get(account)?;
         account.quota.as_ref().map(shares::limit)
     }
 
     /// What is known of a replica's limit here and at the host that asks, if it holds; none at all where the question's number
     /// cannot be counted.
-    fn notice_of(&self, limited: &Limited, host: &Name, now: Time) -> Option<Option<Notice>> {
+    fn notice_of(
+        &self,
+        limited: &ReplicaLimit,
+        host: &Name,
+        now: Time,
+    ) -> Option<Option<Advertisement>> {
         let asked = limited.notice(now)?;
         self.join_limits(std::slice::from_ref(limited), host);
         let known = self.state.table.lock().notice_of(limited.replica);
         let notice = known.unwrap_or(asked);
-        Some(Some(notice).filter(|notice| !notice.is_over(now)))
+        Some(Some(notice).filter(|notice| !notice.is_expired(now)))
     }
 }
 
@@ -217,26 +226,26 @@
     limiter: &mut Limiter<K>,
     subject: &K,
     limit: Limit,
-    question: &Question,
+    question: &QuotaRequest,
     now: Time,
-) -> Verdict {
+) -> QuotaResponse {
     let units = |count: f32| Units {
         subject,
         limit,
         host: &question.host,
         count: f64::from(count),
-        kept: f64::from(question.kept),
-        queues: question.queues,
+        reserved: f64::from(question.kept),
+        will_retry: question.queues,
     };
-    limiter.used_alone(units(question.alone), now);
-    match limiter.give(units(question.units), now) {
-        Ok(given) => Verdict::Given {
-            all: given.all as f32,
-            left: given.left as f32,
+    limiter.record_local_use(units(question.alone), now);
+    match limiter.acquire(units(question.units), now) {
+        Ok(given) => QuotaResponse::Given {
+            all: given.granted as f32,
+            left: given.available as f32,
         },
-        Err(over) => Verdict::Refused {
-            wait_ms: over.wait.ms().ceil() as u32,
-            left: over.left as f32,
+        Err(over) => QuotaResponse::Refused {
+            wait_ms: over.retry_after.ms().ceil() as u32,
+            left: over.available as f32,
         },
     }
 }
@@ -255,8 +264,8 @@
         limit,
         host: &refund.host,
         count: f64::from(refund.units),
-        kept: 0.0,
-        queues: false,
+        reserved: 0.0,
+        will_retry: false,
     };
-    limiter.take_back(units, given, now);
+    limiter.refund(units, given, now);
 }
--- a/crates/front/src/planner/adapters.rs
+++ b/crates/front/src/planner/adapters.rs
@@ -1,8 +1,8 @@
 //! Places for the adapters that hosts want.
 
-use super::{Book, Planner, entries, taken};
-use crate::message::{Load, Message, Placed, Want};
-use crate::orders::{Job, Known};
+use super::{Fleet, Planner, entries, taken};
+use crate::fleet::{Job, Record};
+use crate::message::{AdapterPlacement, AdapterRequest, Load, Message};
 use platform::config::Engine;
 use platform::replica::{Entry, Operation};
 use std::collections::HashMap;
@@ -37,7 +37,7 @@
     pub(super) fn place_adapters(self: &Arc<Self>) {
         let now = self.state.now();
         let loads = self.peers.inbox.loads(now);
-        for want in self.peers.inbox.wants() {
+        for want in self.peers.inbox.take_adapter_requests() {
             if let Some(id) = self.place_adapter(&want, &loads, now) {
                 self.drive(id);
             }
@@ -47,21 +47,21 @@
     /// Queues the orders for one adapter; gives the replica that gets them.
     fn place_adapter(
         self: &Arc<Self>,
-        want: &Want,
+        want: &AdapterRequest,
         loads: &HashMap<u32, Load>,
         now: Time,
     ) -> Option<Name> {
         let (engine, entries) = self.staying(&want.service)?;
-        let mut book = self.book.lock();
-        if want.beside {
+        let mut book = self.fleet.lock();
+        if want.additional {
             let id = book.beside(&entries, want, &engine, loads, now)?;
             book.queue_adapter(&id, want, &engine);
             return Some(id);
         }
         match book.find(&entries, &want.model, &want.adapter) {
             Some(Place::Held(id)) => {
-                let known = book.known.get_mut(&id)?;
-                known.use_adapter(&want.model, &want.adapter, now);
+                let known = book.records.get_mut(&id)?;
+                known.touch_adapter(&want.model, &want.adapter, now);
                 let (model, adapter) = (want.model.clone(), want.adapter.clone());
                 self.tell_placed(model, adapter, id, Duration::ZERO);
                 return None;
@@ -93,7 +93,7 @@
         replica: Name,
         after: Duration,
     ) {
-        let placed = Placed {
+        let placed = AdapterPlacement {
             model,
             adapter,
             replica: Some(replica),
@@ -101,31 +101,34 @@
         let planner = self.clone();
         tokio::spawn(async move {
             tokio::time::sleep(after).await;
-            planner.peers.send_all(&Message::Placed(placed)).await;
+            planner
+                .peers
+                .broadcast(&Message::AdapterPlacement(placed))
+                .await;
         });
     }
 }
 
-impl Book {
+impl Fleet {
     /// Where an adapter is already: at the first replica that holds it or has it queued.
     fn find(&self, entries: &[Entry], model: &Name, adapter: &Name) -> Option<Place> {
         entries.iter().find_map(|entry| {
-            let known = self.known.get(&entry.id)?;
+            let known = self.records.get(&entry.id)?;
             if known.holds_adapter(model, adapter) {
                 return Some(Place::Held(entry.id.clone()));
             }
-            let queues = known.queues_adapter(model, adapter);
+            let queues = known.has_queued_adapter(model, adapter);
             queues.then_some(Place::Queued)
         })
     }
 
     /// Queues the load of an adapter at a replica; the one used longest ago makes room.
-    fn queue_adapter(&mut self, id: &Name, want: &Want, engine: &Engine) {
-        let Some(known) = self.known.get_mut(id) else {
+    fn queue_adapter(&mut self, id: &Name, want: &AdapterRequest, engine: &Engine) {
+        let Some(known) = self.records.get_mut(id) else {
             return;
         };
-        if known.adapters_due() >= engine.adapters as usize
-            && let Some(((model, adapter), _)) = known.oldest_adapter()
+        if known.adapters_expected() >= engine.adapters as usize
+            && let Some(((model, adapter), _)) = known.least_recent_adapter()
         {
             known
                 .queue
@@ -140,14 +143,15 @@
     fn beside(
         &mut self,
         entries: &[Entry],
-        want: &Want,
+        want: &AdapterRequest,
         engine: &Engine,
         loads: &HashMap<u32, Load>,
         now: Time,
     ) -> Option<Name> {
         let key = (want.model.clone(), want.adapter.clone());
-        self.spread.retain(|_, at| now.since(*at) < SPREAD_PAUSE);
-        if self.spread.contains_key(&key) {
+        self.last_spread
+            .retain(|_, at| now.since(*at) < SPREAD_PAUSE);
+        if self.last_spread.contains_key(&key) {
             return None;
         }
         let (holders, others): (Vec<Entry>, Vec<Entry>) = entries
@@ -160,15 +164,16 @@
         if cost > least - LIGHTER {
             return None;
         }
-        self.spread.insert(key, now);
+        self.last_spread.insert(key, now);
         info!(target: "planner", event = "spread", model = &*want.model, adapter = &*want.adapter, replica = &*id, holders = holders.len(), least_taken = least, cost, "one more copy of an adapter");
         Some(id)
     }
 
     /// Whether a replica holds an adapter or has it queued.
     fn has(&self, id: &Name, model: &Name, adapter: &Name) -> bool {
-        let has = |k: &Known| k.holds_adapter(model, adapter) || k.queues_adapter(model, adapter);
-        self.known.get(id).is_some_and(has)
+        let has =
+            |k: &Record| k.holds_adapter(model, adapter) || k.has_queued_adapter(model, adapter);
+        self.records.get(id).is_some_and(has)
     }
 
     /// The replica at which one more adapter of a model costs least, and that cost.
@@ -182,10 +187,10 @@
     ) -> Option<(Name, f64)> {
         let mut best: Option<(f64, &Name)> = None;
         for entry in entries {
-            let Some(known) = self.known.get(&entry.id).filter(|k| may_take(k, model)) else {
+            let Some(known) = self.records.get(&entry.id).filter(|k| may_take(k, model)) else {
                 continue;
             };
-            let full = known.adapters_due() >= engine.adapters as usize;
+            let full = known.adapters_expected() >= engine.adapters as usize;
             if full && !may_give_up(known, now) {
                 continue;
             }
@@ -199,17 +204,17 @@
 }
 
 /// Whether a replica holds a model, and goes on holding it, so that an adapter of it may come.
-fn may_take(known: &Known, model: &Name) -> bool {
+fn may_take(known: &Record, model: &Name) -> bool {
     let holds = known.held.iter().any(|h| h.model == *model);
-    let closes = known.closes(model);
+    let closes = known.will_unload(model);
     let pending = known.pending.as_ref();
     let unloading = pending.is_some_and(|p| p.job.operation == Operation::Unload);
     holds && !closes && !unloading
 }
 
 /// Whether a replica has an adapter that was not used for a while.
-fn may_give_up(known: &Known, now: Time) -> bool {
-    let oldest = known.oldest_adapter();
+fn may_give_up(known: &Record, now: Time) -> bool {
+    let oldest = known.least_recent_adapter();
     oldest.is_some_and(|(_, at)| now.since(at) >= ADAPTER_KEPT)
 }
 
@@ -220,6 +225,6 @@
         model: model.clone(),
         adapter: Some(adapter.clone()),
         from_store: false,
-        takes: Span::ZERO,
+        duration: Span::ZERO,
     }
 }
--- a/crates/front/src/planner/demand.rs
+++ b/crates/front/src/planner/demand.rs
@@ -109,14 +109,14 @@
         let now = self.state.now();
         let arrivals = self.arrivals(now);
         let table = self.state.table.lock();
-        let mut book = self.book.lock();
-        let passed = now.since(book.planned_at);
-        book.planned_at = now;
+        let mut book = self.fleet.lock();
+        let passed = now.since(book.measured);
+        book.measured = now;
         for (service, engine) in routes.engines() {
             for model in &engine.models {
                 let key = (service.clone(), model.name.clone());
                 let arrivals = arrivals.get(&key).copied().unwrap_or_default();
-                let (speed, run) = table.pace_of(service, &model.name);
+                let (speed, run) = table.pace(service, &model.name);
                 let reading = arrivals.tokens / (speed * 1_000.0);
                 let places = arrivals.rate * run.secs() / f64::from(engine.slots);
                 let need = reading.max(places) / FULL;
@@ -134,7 +134,7 @@
         for demand in self
             .peers
             .inbox
-            .sums(now)
+            .reports(now)
             .into_iter()
             .flat_map(|h| h.demand)
         {
--- a/crates/front/src/planner/quarantine.rs
+++ b/crates/front/src/planner/quarantine.rs
@@ -14,18 +14,20 @@
     pub(super) async fn tell_listing(self: &Arc<Self>, again: bool) {
         let now = self.state.now();
         let (listing, changed) = self.state.quarantine.listing(self.term.token, now);
-        if changed || (again && !listing.listed.is_empty()) {
-            self.peers.send_all(&Message::Listing(listing)).await;
+        if changed || (again && !listing.entries.is_empty()) {
+            self.peers
+                .broadcast(&Message::QuarantineList(listing))
+                .await;
         }
         self.begin_storing();
     }
 
     /// Stores the list beside other work, unless it stands there or is being stored.
     fn begin_storing(self: &Arc<Self>) {
-        if !self.term.holds() || self.storing.swap(true, Ordering::Relaxed) {
+        if !self.term.is_valid() || self.storing.swap(true, Ordering::Relaxed) {
             return;
         }
-        let Some((value, revision)) = self.state.quarantine.unstored(self.state.now()) else {
+        let Some((value, revision)) = self.state.quarantine.pending_write(self.state.now()) else {
             self.storing.store(false, Ordering::Relaxed);
             return;
         };
@@ -52,14 +54,14 @@
         };
         match self.state.store.commit(&txn).await {
             Ok(Committed::Done(revision)) => {
-                quarantine::written(&self.state, &stored(value, revision));
+                quarantine::apply_stored(&self.state, &stored(value, revision));
             }
             Ok(Committed::Conflict(items)) => {
                 for item in items.iter().filter(|item| &*item.key == KEY) {
-                    quarantine::found(&self.state, item);
+                    quarantine::apply_conflict(&self.state, item);
                 }
             }
-            Err(why) => self.state.log.notable(|| {
+            Err(why) => self.state.log.rate_limited(|| {
                 warn!(target: "quarantine", event = "not_stored", why = %why, "the list of requests that are kept out could not be stored yet")
             }),
         }
--- a/crates/front/src/quarantine/admit.rs
+++ b/crates/front/src/quarantine/admit.rs
@@ -3,9 +3,9 @@
 use super::Report;
 use crate::attempt::Call;
 use crate::peers::Peers;
-use crate::respond::Fault;
+use crate::respond::Rejection;
 use crate::state::State;
-use route::quarantine::{KEPT_OUT_FOR, Permit, Standing, Ticket};
+use route::quarantine::{Permit, QUARANTINE_DURATION, RequestId, Status};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
@@ -45,29 +45,29 @@
 impl Drop for Trial {
     fn drop(&mut self) {
         // Where the run has ended well, that was told before this.
-        let report = Report::Tried(self.print, self.is_broken.load(Ordering::Relaxed));
+        let report = Report::TrialEnded(self.print, self.is_broken.load(Ordering::Relaxed));
         self.state.quarantine.report(report);
     }
 }
 
 /// Lets a request in if nothing is held of it, or its trial begins now.
-pub async fn admit(state: &Arc<State>, peers: &Peers, call: &Call) -> Result<(), Fault> {
-    if state.quarantine.is_idle(state.now()) {
+pub async fn admit(state: &Arc<State>, peers: &Peers, call: &Call) -> Result<(), Rejection> {
+    if state.quarantine.is_empty(state.now()) {
         return Ok(());
     }
     let print = call.fingerprint();
-    let ticket = Ticket(rendezvous::hash(call.id.as_bytes()));
+    let ticket = RequestId(rendezvous::hash(call.id.as_bytes()));
     let held_until = call.arrived + Span::from(call.route.target) * HELD_PART;
     loop {
         let now = state.now();
         let permit = match state.quarantine.standing(print, now) {
-            Standing::Clear => return Ok(()),
-            Standing::KeptOut => Permit::KeptOut(KEPT_OUT_FOR),
-            Standing::Suspected => match peers.ask_for_trial(print, ticket).await {
+            Status::Clear => return Ok(()),
+            Status::Quarantined => Permit::Quarantined(QUARANTINE_DURATION),
+            Status::Suspected => match peers.request_trial(print, ticket).await {
                 Some(permit) => permit,
                 // Nobody can come to lead before the store is back: what is innocent would wait for as long.
-                None if state.table.lock().view.contact.is_away() => {
-                    state.quarantine.ask(print, ticket, state.now())
+                None if state.table.lock().view.contact.is_unreachable() => {
+                    state.quarantine.decide(print, ticket, state.now())
                 }
                 None => Permit::Wait,
             },
@@ -82,7 +82,7 @@
                 begin_trial(state, call);
                 return Ok(());
             }
-            Permit::KeptOut(left) => return Err(kept_out(left)),
+            Permit::Quarantined(left) => return Err(kept_out(left)),
             Permit::Wait if now >= held_until || state.is_draining() => return Err(suspected()),
             Permit::Wait => {
                 let _ = timeout(LOOK, state.changed.notified()).await;
@@ -103,33 +103,33 @@
 
 /// Confirms at the last moment before a sending that the request may still go: it may have waited here while others
 /// found out what it does.
-pub fn confirm(state: &State, call: &Call) -> Result<(), Fault> {
+pub fn check(state: &State, call: &Call) -> Result<(), Rejection> {
     let now = state.now();
-    if call.trial.get().is_some() || state.quarantine.is_idle(now) {
+    if call.trial.get().is_some() || state.quarantine.is_empty(now) {
         return Ok(());
     }
     match state.quarantine.standing(call.fingerprint(), now) {
-        Standing::Clear => Ok(()),
-        Standing::Suspected => Err(suspected()),
-        Standing::KeptOut => Err(kept_out(KEPT_OUT_FOR)),
+        Status::Clear => Ok(()),
+        Status::Suspected => Err(suspected()),
+        Status::Quarantined => Err(kept_out(QUARANTINE_DURATION)),
     }
 }
 
 /// Whether a request that may have run may be sent once more.
-pub fn may_repeat(state: &State, call: &Call) -> bool {
-    call.trial.get().is_none() && confirm(state, call).is_ok()
+pub fn may_retry(state: &State, call: &Call) -> bool {
+    call.trial.get().is_none() && check(state, call).is_ok()
 }
 
 /// Answer to a request that ends each replica that runs it.
-fn kept_out(left: Span) -> Fault {
+fn kept_out(left: Span) -> Rejection {
     let message =
         "The request has ended each replica that began to run it; it is not sent any more.";
-    Fault::not_run("kept_out", message, left)
+    Rejection::not_run("kept_out", message, left)
 }
 
 /// Answer to a request that may be one of these, while another trial is under way.
-fn suspected() -> Fault {
+fn suspected() -> Rejection {
     let message =
         "The request was in flight where several replicas fell; it is tried alone, one at a time.";
-    Fault::not_run("suspected", message, RETURN_SUSPECTED)
+    Rejection::not_run("suspected", message, RETURN_SUSPECTED)
 }
--- a/crates/front/src/quarantine/look.rs
+++ b/crates/front/src/quarantine/probe.rs
@@ -1,9 +1,9 @@
 //! Telling a replica's fall from a connection that broke.
 
 use super::Report;
-use crate::attempt::{Call, Place};
+use crate::attempt::{Call, Reservation};
 use crate::state::State;
-use route::quarantine::Group;
+use route::quarantine::Incident;
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,7 +20,7 @@
 const LOOK_LIMIT: Duration = Duration::from_millis(300);
 
 /// Notes that a request broke at a replica, and looks whether that has fallen, once for all that break together.
-pub fn broke(state: &Arc<State>, call: &Call, place: &Place) {
+pub fn note_broken(state: &Arc<State>, call: &Call, place: &Reservation) {
     let now = state.now();
     let start = (place.replica.clone(), place.incarnation);
     let print = call.fingerprint();
@@ -30,7 +30,7 @@
     let is_first = {
         let mut board = state.quarantine.board.lock();
         board.alert(now);
-        board.falls.broke(&start, print, now)
+        board.falls.record_failure(&start, print, now)
     };
     if !is_first {
         return;
@@ -55,30 +55,30 @@
 }
 
 /// Tells of a fall, unless it is known.
-fn fallen(state: &State, start: &route::quarantine::Start) {
-    let group = state.quarantine.board.lock().falls.fell(start);
+fn fallen(state: &State, start: &route::quarantine::Instance) {
+    let group = state.quarantine.board.lock().falls.confirm_crash(start);
     if let Some(group) = group {
         tell(state, &start.0, group);
     }
 }
 
 /// Takes in that a replica is gone, or has started again: what broke there broke in a fall.
-pub fn replaced(state: &State, replica: &str) {
+pub fn note_replaced(state: &State, replica: &str) {
     let seen = state.table.lock().view.get(replica).cloned();
     let present = seen.map(|s| (s.entry.id.clone(), s.entry.incarnation));
     let groups = {
         let falls = &mut state.quarantine.board.lock().falls;
-        falls.replaced(replica, present.as_ref())
+        falls.confirm_replaced(replica, present.as_ref())
     };
     for group in groups {
         tell(state, replica, group);
     }
 }
 
-fn tell(state: &State, replica: &str, group: Group) {
-    let in_flight = group.aboard.len();
-    state.log.notable(|| {
+fn tell(state: &State, replica: &str, group: Incident) {
+    let in_flight = group.in_flight.len();
+    state.log.rate_limited(|| {
         info!(target: "quarantine", event = "fell", replica, in_flight, "a replica fell with requests of this host in flight; the failed sendings tell which")
     });
-    state.quarantine.report(Report::Fallen(group));
+    state.quarantine.report(Report::Crashed(group));
 }
--- a/crates/front/src/quarantine/board.rs
+++ b/crates/front/src/quarantine/registry.rs
@@ -1,8 +1,8 @@
 //! What one host knows of requests that end replicas.
 
 use super::stored;
-use crate::message::{Listed, Listing};
-use route::quarantine::{Fall, Falls, Ledger, Standing};
+use crate::message::{QuarantineEntry, QuarantineList};
+use route::quarantine::{Crash, Incidents, Status, Tracker};
 use std::collections::{BTreeMap, HashMap};
 use unit::{Fingerprint, Span, Time};
 
@@ -19,9 +19,9 @@
 #[derive(Default)]
 pub(super) struct Board {
     /// Falls by request; all that is known of them at the host that leads.
-    pub(super) ledger: Ledger,
+    pub(super) ledger: Tracker,
     /// Requests that broke here, by replica.
-    pub(super) falls: Falls,
+    pub(super) falls: Incidents,
     /// The leader's list.
     told: Told,
     /// The list in the store.
@@ -66,21 +66,21 @@
 }
 
 /// Standing of a request that is listed.
-fn standing_of(is_out: bool) -> Standing {
+fn standing_of(is_out: bool) -> Status {
     match is_out {
-        true => Standing::KeptOut,
-        false => Standing::Suspected,
+        true => Status::Quarantined,
+        false => Status::Suspected,
     }
 }
 
 impl Board {
-    pub(super) fn standing(&self, print: Fingerprint, now: Time) -> Standing {
+    pub(super) fn standing(&self, print: Fingerprint, now: Time) -> Status {
         let told = self.told.listed.get(&print).filter(|_| self.is_told(now));
         let listed = told.into_iter().chain(self.stored.listed.get(&print));
         let listed = listed.map(|is_out| standing_of(*is_out)).max();
         // Only the leader keeps out; what was seen here alone is a reason to ask it.
-        let seen = self.ledger.standing(print, now).min(Standing::Suspected);
-        listed.unwrap_or(Standing::Clear).max(seen)
+        let seen = self.ledger.status(print, now).min(Status::Suspected);
+        listed.unwrap_or(Status::Clear).max(seen)
     }
 
     fn is_told(&self, now: Time) -> bool {
@@ -89,7 +89,7 @@
 
     pub(super) fn is_idle(&self, now: Time) -> bool {
         let told = !self.told.listed.is_empty() && self.is_told(now);
-        !told && self.stored.listed.is_empty() && !self.ledger.holds_any()
+        !told && self.stored.listed.is_empty() && !self.ledger.has_suspects()
     }
 
     pub(super) fn is_alert(&self, now: Time) -> bool {
@@ -108,17 +108,17 @@
         if self.sound.len() < MOST_SOUND {
             self.sound.insert(print, now);
         }
-        self.standing(print, now) != Standing::Clear
+        self.standing(print, now) != Status::Clear
     }
 
     pub(super) fn fell(
         &mut self,
-        fall: Fall,
+        fall: Crash,
         aboard: &[Fingerprint],
         now: Time,
     ) -> Vec<Fingerprint> {
         self.alert(now);
-        self.ledger.fell(fall, aboard, now)
+        self.ledger.record_crash(fall, aboard, now)
     }
 
     pub(super) fn lift(&mut self, print: Fingerprint) {
@@ -136,10 +136,12 @@
         self.telling = Telling::default();
     }
 
-    pub(super) fn listing(&mut self, term: u64, now: Time) -> (Listing, News) {
-        let listed = self.ledger.listed(now);
-        let next: BTreeMap<Fingerprint, bool> =
-            listed.iter().map(|l| (l.print, l.is_out)).collect();
+    pub(super) fn listing(&mut self, term: u64, now: Time) -> (QuarantineList, News) {
+        let listed = self.ledger.suspects(now);
+        let next: BTreeMap<Fingerprint, bool> = listed
+            .iter()
+            .map(|l| (l.fingerprint, l.is_quarantined))
+            .collect();
         let changed = next != self.telling.listed;
         let is_new = |print: &Fingerprint| self.telling.listed.get(print) != Some(&true);
         let out = next.iter().filter(|(_, is_out)| **is_out);
@@ -148,46 +150,51 @@
             self.telling.number += 1;
             self.telling.listed = next;
         }
-        let listed = listed.into_iter().map(|l| Listed {
-            print: l.print,
-            is_out: l.is_out,
+        let listed = listed.into_iter().map(|l| QuarantineEntry {
+            fingerprint: l.fingerprint,
+            is_blocked: l.is_quarantined,
             since_ms: u32::try_from(now.since(l.since).0 / 1_000).unwrap_or(u32::MAX),
         });
-        let listing = Listing {
+        let listing = QuarantineList {
             term,
             number: self.telling.number,
-            listed: listed.collect(),
+            entries: listed.collect(),
         };
         (listing, News { changed, kept_out })
     }
 
     /// Takes in the leader's list; gives the requests in it that have ended well here since they were suspected.
-    pub(super) fn told(&mut self, listing: Listing, now: Time) -> Vec<Fingerprint> {
+    pub(super) fn told(&mut self, listing: QuarantineList, now: Time) -> Vec<Fingerprint> {
         let number = (listing.term, listing.number);
         if number < self.told.number {
             return Vec::new();
         }
-        if !listing.listed.is_empty() {
+        if !listing.entries.is_empty() {
             self.alert(now);
         }
-        let sound = listing.listed.iter().filter(|listed| {
+        let sound = listing.entries.iter().filter(|listed| {
             let since = now - Span::from_ms(u64::from(listed.since_ms));
-            let ended = self.sound.get(&listed.print);
-            !listed.is_out && ended.is_some_and(|at| *at > since)
+            let ended = self.sound.get(&listed.fingerprint);
+            !listed.is_blocked && ended.is_some_and(|at| *at > since)
         });
-        let sound = sound.map(|listed| listed.print).collect();
+        let sound = sound.map(|listed| listed.fingerprint).collect();
         self.told = Told {
             number,
             at: now,
-            listed: listing.listed.iter().map(|l| (l.print, l.is_out)).collect(),
+            listed: listing
+                .entries
+                .iter()
+                .map(|l| (l.fingerprint, l.is_blocked))
+                .collect(),
         };
         sound
     }
 
     /// List that is to stand in the store, and the revision that it replaces; none while it stands there.
     pub(super) fn unstored(&mut self, now: Time) -> Option<(Vec<u8>, u64)> {
-        let listed = self.ledger.listed(now).into_iter();
-        let listed: BTreeMap<Fingerprint, bool> = listed.map(|l| (l.print, l.is_out)).collect();
+        let listed = self.ledger.suspects(now).into_iter();
+        let listed: BTreeMap<Fingerprint, bool> =
+            listed.map(|l| (l.fingerprint, l.is_quarantined)).collect();
         let replaced = match self.stored.stands {
             true => self.stored.revision,
             false => 0,
--- a/crates/front/src/quota.rs
+++ b/crates/front/src/quota.rs
@@ -5,11 +5,11 @@
 //! that host does not answer, this one goes on by its share of what was given out lately.
 
 use crate::attempt::Call;
-use crate::grant::{self, Answer, Grant, Source, Wanted};
+use crate::grant::{self, Claim, Decision, Grant, Source};
 use crate::message::Subject;
 use crate::peers::Peers;
-use crate::peers::quota::{PATIENT, QUICK};
-use crate::respond::Fault;
+use crate::peers::quota::{LAST_TRY_TIMEOUTS, TIMEOUTS};
+use crate::respond::Rejection;
 use crate::shares;
 use crate::state::State;
 use hyper::StatusCode;
@@ -25,16 +25,20 @@
 const LEAST_WAIT: Span = Span::from_ms(100);
 
 /// Lets a request in if its account may have it run; none where the account has no limit.
-pub async fn admit(state: &State, peers: &Arc<Peers>, call: &Call) -> Result<Option<Grant>, Fault> {
+pub async fn admit(
+    state: &State,
+    peers: &Arc<Peers>,
+    call: &Call,
+) -> Result<Option<Grant>, Rejection> {
     let account = call.caller.account.as_deref();
     let Some((account, quota)) = account.and_then(|a| Some((a, a.quota?))) else {
         return Ok(None);
     };
-    let wanted = Wanted {
+    let wanted = Claim {
         subject: Subject::Account(account.name.clone()),
         limit: shares::limit(&quota),
         units: quota.cost(call.ask.tokens()),
-        kept: 0.0,
+        reserved: 0.0,
         queues: true,
     };
     let asked = state.now();
@@ -42,8 +46,11 @@
     let decision = decided
         .as_ref()
         .map_or_else(|fault| fault.reason, |_| "let_in");
-    state.log.metrics.account(&account.name, decision);
-    decided.map(|source| Some(wanted.granted(peers, asked, source)))
+    state
+        .log
+        .metrics
+        .record_account_decision(&account.name, decision);
+    decided.map(|source| Some(wanted.into_grant(peers, asked, source)))
 }
 
 /// Asks the host that gives out; goes by this host's share where it does not answer, and asks once more
@@ -53,44 +60,44 @@
     peers: &Arc<Peers>,
     account: &Account,
     quota: &Quota,
-    wanted: &Wanted,
-) -> Result<Source, Fault> {
+    wanted: &Claim,
+) -> Result<Source, Rejection> {
     let decided = |answer| match answer {
-        Answer::Given(_) | Answer::Unlimited => Ok(Source::Limiter),
-        Answer::Over(told) => Err(over(account, quota, wanted.units, told.wait)),
+        Decision::Granted(_) | Decision::Unlimited => Ok(Source::Limiter),
+        Decision::Denied(told) => Err(over(account, quota, wanted.units, told.retry_after)),
     };
     if state.shares.may_ask(state.now())
-        && let Some(answer) = grant::ask(state, peers, wanted, QUICK).await
+        && let Some(answer) = grant::ask(state, peers, wanted, TIMEOUTS).await
     {
         return decided(answer);
     }
-    let Err(wait) = grant::use_alone(state, wanted) else {
+    let Err(wait) = grant::spend_share(state, wanted) else {
         return Ok(Source::Share);
     };
-    match grant::ask(state, peers, wanted, PATIENT).await {
+    match grant::ask(state, peers, wanted, LAST_TRY_TIMEOUTS).await {
         Some(answer) => decided(answer),
         None => Err(without_share(account, wait)),
     }
 }
 
 /// Answer to a request whose account's share here is used up while nobody answers that gives out.
-fn without_share(account: &Account, wait: Option<Span>) -> Fault {
+fn without_share(account: &Account, wait: Option<Span>) -> Rejection {
     let message = format!(
         "What account {} may use is not confirmed at the moment, and its share here is used up.",
         account.name
     );
     let wait = wait.unwrap_or(RETURN_WITHOUT_SHARE);
-    Fault::not_run("quota_unconfirmed", message, wait.max(LEAST_WAIT))
+    Rejection::not_run("quota_unconfirmed", message, wait.max(LEAST_WAIT))
 }
 
 /// Answer to a request whose account is over its limit.
-fn over(account: &Account, quota: &Quota, units: f64, wait: Span) -> Fault {
+fn over(account: &Account, quota: &Quota, units: f64, wait: Span) -> Rejection {
     let (name, rate, burst) = (&account.name, quota.rate, quota.burst);
     let message = format!(
         "Account {name} is over its limit of {rate} a second and {burst} at once; this request uses {units}."
     );
-    Fault {
+    Rejection {
         retry_after: Some(wait.max(LEAST_WAIT)),
-        ..Fault::refused(StatusCode::TOO_MANY_REQUESTS, "over_quota", message)
+        ..Rejection::client_error(StatusCode::TOO_MANY_REQUESTS, "over_quota", message)
     }
 }
--- a/crates/front/src/run/gauges.rs
+++ b/crates/front/src/run/gauges.rs
@@ -25,12 +25,12 @@
     metrics
         .gauge("coveford_accounts", &[])
         .set(known.all().count() as f64);
-    let age = accounts::known_age(state);
+    let age = accounts::data_age(state);
     metrics
         .gauge("coveford_keys_age_seconds", &[])
         .set(age.secs());
     for account in known.all().take(MOST_ACCOUNTS) {
-        let given = peers.given_out(&account.name);
+        let given = peers.granted(&account.name);
         if let (Some(given), Some(quota)) = (given, account.quota) {
             let labels = [("account", &*account.name)];
             metrics.gauge("coveford_account_given", &labels).set(given);
@@ -71,8 +71,8 @@
     let version = table.routes.as_ref().map_or(0, |r| r.version);
     set("coveford_configuration_version", &[], version as f64);
     set("coveford_replicas", &[], table.view.all().count() as f64);
-    set("coveford_hosts", &[], table.hosts as f64);
-    let away = f64::from(u8::from(table.view.contact.is_away()));
+    set("coveford_hosts", &[], table.host_count as f64);
+    let away = f64::from(u8::from(table.view.contact.is_unreachable()));
     set("coveford_store_away", &[], away);
 }
 
@@ -81,7 +81,7 @@
 
 /// Tells which replicas have named limits; one that is over is told as endless, since a gauge cannot be taken back.
 fn limit_gauges(state: &State) {
-    let mut limited = state.table.lock().limited(state.now());
+    let mut limited = state.table.lock().limits_by_replica(state.now());
     let metrics = &state.log.metrics;
     let in_need = limited.iter().filter(|(_, rate)| rate.is_some()).count();
     metrics
@@ -99,7 +99,7 @@
 fn word_gauges(state: &State) {
     let (leaving, resting) = {
         let table = state.table.lock();
-        (table.view.departing().len(), table.rest_times(state.now()))
+        (table.view.departures().len(), table.backoffs(state.now()))
     };
     let metrics = &state.log.metrics;
     let count = |name, count: usize| metrics.gauge(name, &[]).set(count as f64);
--- a/crates/front/src/serve/tell.rs
+++ b/crates/front/src/serve/report.rs
@@ -2,7 +2,7 @@
 
 use super::is_events;
 use crate::attempt::Call;
-use crate::respond::{Body, Fault};
+use crate::respond::{Body, Rejection};
 use crate::state::State;
 use crate::table::Choice;
 use hyper::Response;
@@ -18,7 +18,7 @@
             .counter("coveford_sent_to_missing_total", &[])
             .increment(1);
     }
-    state.log.routine(&call.id, || {
+    state.log.sampled(&call.id, || {
         let ms = state.now().since(call.arrived).ms();
         info!(target: "request", event = "sent", id = &*call.id, route = &*call.route.name, model = call.ask.model.as_deref(), adapter = call.ask.adapter.as_deref(), replica = &*choice.replica, candidates = choice.candidates, expected_ms = choice.first_token.ms(), paced = choice.paced, waited, ms, entry = choice.revision, missing_ms, "sent to the replica with the least expected time")
     });
@@ -31,24 +31,27 @@
     if is_events(call, response) {
         return;
     }
-    state.log.metrics.first_byte(&call.route.name, took);
+    state.log.metrics.record_first_byte(&call.route.name, took);
     let outcome = match response.status().is_success() {
         true => "complete",
         false => "failed_by_replica",
     };
-    state.log.metrics.ended(&call.route.name, outcome);
-    state.log.routine(&call.id, || {
+    state.log.metrics.record_outcome(&call.route.name, outcome);
+    state.log.sampled(&call.id, || {
         info!(target: "request", event = "answered", id = &*call.id, route = &*call.route.name, status, ms = took.ms(), target_ms = Span::from(call.route.target).ms(), "the replica's answer was passed on")
     });
 }
 
 /// Tells of a request that coveford answers itself.
-pub(super) fn failed(state: &State, call: &Call, fault: &Fault) {
+pub(super) fn failed(state: &State, call: &Call, fault: &Rejection) {
     let ms = state.now().since(call.arrived).ms();
-    state.log.metrics.ended(&call.route.name, fault.reason);
+    state
+        .log
+        .metrics
+        .record_outcome(&call.route.name, fault.reason);
     let retry_after_ms = fault.retry_after.map(|s| s.ms());
     let account = call.caller.account.as_ref().map(|a| &*a.name);
-    state.log.notable(|| {
+    state.log.rate_limited(|| {
         warn!(target: "request", event = "refused", id = &*call.id, route = &*call.route.name, model = call.ask.model.as_deref(), adapter = call.ask.adapter.as_deref(), account, status = fault.status.as_u16(), reason = fault.reason, retry_after_ms, ms, why = fault.message, "the request is given up")
     });
 }
--- a/crates/front/src/state.rs
+++ b/crates/front/src/state.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::{self, Clock};
 use crate::log::Log;
-use crate::message::{Missing, Want};
+use crate::message::{AdapterRequest, ModelRequest};
 use crate::pool::Pool;
 use crate::quarantine::{self, Quarantine, Reports};
 use crate::readers::Readers;
@@ -29,15 +29,15 @@
     /// Notified when the table changed such that a waiting request may go on.
     pub changed: Notify,
     /// Notified when a request was counted in, so that other hosts are told.
-    pub entered: Notify,
+    pub load_added: Notify,
     /// Notified when the entry of a replica has vanished, and the replica may be gone.
-    pub missed: Notify,
+    pub entry_missing: Notify,
     /// Notified when what is known of a replica's limit has changed, so that other hosts are told.
-    pub limited: Notify,
+    pub limits_changed: Notify,
     /// Notified when a replica has said that it leaves.
-    pub leaving: Notify,
+    pub departure_heard: Notify,
     /// Notified when the prompt of a request was read or the request ended.
-    pub eased: Notify,
+    pub load_reduced: Notify,
     /// The platform's store.
     pub store: Store,
     /// Who reads the store, and what this host can pass on of it.
@@ -49,17 +49,17 @@
     /// Logs and metrics.
     pub log: Log,
     /// Memory for bodies, in KB.
-    pub bodies: Arc<Semaphore>,
+    pub body_memory: Arc<Semaphore>,
     /// Whether all that stood in the store was heard once, the replicas' entries among it.
     pub knows_replicas: AtomicBool,
     /// Whether any host has ever led, as far as this one knows.
-    pub has_led: AtomicBool,
+    pub leader_seen: AtomicBool,
     /// Requests that end replicas.
     pub quarantine: Quarantine,
     /// Who leads, if that is known.
     pub leader: Mutex<Option<Leader>>,
     /// Adapters and models wanted here, to be told to the leader.
-    pub wanted: tokio::sync::mpsc::UnboundedSender<Wish>,
+    pub wanted: tokio::sync::mpsc::UnboundedSender<PlacementRequest>,
     draining: watch::Sender<bool>,
     in_flight: AtomicUsize,
     /// Time of this host.
@@ -79,22 +79,22 @@
 
 /// What requests here lack.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub enum Wish {
+pub enum PlacementRequest {
     /// An adapter.
-    Adapter(Want),
+    Adapter(AdapterRequest),
     /// A model.
-    Model(Missing),
+    Model(ModelRequest),
 }
 
 /// Receiver of what is wanted at this host.
-pub type Wanted = tokio::sync::mpsc::UnboundedReceiver<Wish>;
+pub type PlacementRequests = tokio::sync::mpsc::UnboundedReceiver<PlacementRequest>;
 
 /// Makes the shared state.
 pub fn open(
     settings: Settings,
     log: Log,
     store_limit: std::time::Duration,
-) -> (Arc<State>, Wanted, Reports) {
+) -> (Arc<State>, PlacementRequests, Reports) {
     let seed = unit::rendezvous::hash(settings.name.as_bytes());
     let bodies = settings.limits.memory_mb * 1_024 / BODIES_PART;
     let (wanted, receiver) = tokio::sync::mpsc::unbounded_channel();
@@ -103,19 +103,19 @@
     let state = State {
         table: Mutex::new(Table::new(settings.hall.clone(), seed, heartbeat)),
         changed: Notify::new(),
-        entered: Notify::new(),
-        missed: Notify::new(),
-        limited: Notify::new(),
-        leaving: Notify::new(),
-        eased: Notify::new(),
+        load_added: Notify::new(),
+        entry_missing: Notify::new(),
+        limits_changed: Notify::new(),
+        departure_heard: Notify::new(),
+        load_reduced: Notify::new(),
         store: platform::store::open(settings.store, store_limit),
         readers: Readers::default(),
         shares: shares::open(&settings.bounds),
         pool: Pool::default(),
         log,
-        bodies: Arc::new(Semaphore::new(bodies)),
+        body_memory: Arc::new(Semaphore::new(bodies)),
         knows_replicas: AtomicBool::new(false),
-        has_led: AtomicBool::new(false),
+        leader_seen: AtomicBool::new(false),
         quarantine,
         leader: Mutex::default(),
         wanted,
@@ -139,12 +139,12 @@
     }
 
     /// Starts the drain.
-    pub fn set_draining(&self) {
+    pub fn start_drain(&self) {
         self.draining.send_replace(true);
     }
 
     /// Waits until this daemon is told to stop.
-    pub async fn stopping(&self) {
+    pub async fn drain_started(&self) {
         let mut draining = self.draining.subscribe();
         // The sender lives as long as this state.
         let _ = draining.wait_for(|stops| *stops).await;
--- a/crates/front/src/table/choose.rs
+++ b/crates/front/src/table/choose.rs
@@ -3,9 +3,9 @@
 use super::adapters::holds_adapter;
 use super::pace::Pace;
 use super::replica::State;
-use super::{STEP, Table, Want};
-use crate::message::RANKS;
-use crate::view::Seen;
+use super::{Criteria, STEP, Table};
+use crate::message::PRIORITY_LEVELS;
+use crate::view::Replica;
 use platform::config::Engine;
 use platform::ingress::Ask;
 use platform::replica::Entry;
@@ -50,7 +50,7 @@
 
 /// Why no replica was chosen.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Nowhere {
+pub enum Unplaceable {
     /// No replica of the service is there.
     NoReplica,
     /// All replicas of the service that it may go to leave.
@@ -62,12 +62,12 @@
     /// The replicas that could take it cannot be reached at the moment.
     Unreachable,
     /// The replicas that could take it have no room now by their own word: the one where its turn comes first.
-    Full(Full),
+    Saturated(Saturated),
 }
 
 /// Replica that takes nothing now by its own word.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Full {
+pub struct Saturated {
     /// Time until a request has its turn there.
     pub turn: Span,
     /// The replica.
@@ -97,7 +97,7 @@
 
 /// What is the same for all candidates of a request.
 struct Terms<'a> {
-    want: &'a Want<'a>,
+    want: &'a Criteria<'a>,
     /// Model that the request needs, where the service runs models.
     model: Option<&'a Name>,
     pace: Pace,
@@ -110,13 +110,13 @@
 
 impl Table {
     /// Chooses a replica for a request.
-    pub fn choose(&mut self, want: &Want, now: Time) -> Result<Choice, Nowhere> {
+    pub fn choose(&mut self, want: &Criteria, now: Time) -> Result<Choice, Unplaceable> {
         let service = self.service(want.service);
         let engine = service.as_ref().and_then(|s| s.engine.as_ref());
         let model = want.ask.model.as_ref().filter(|_| engine.is_some());
         let (mut found, mut beside) = (Vec::new(), Vec::new());
         let mut nearest = Fit::Out;
-        let mut first_turn: Option<Full> = None;
+        let mut first_turn: Option<Saturated> = None;
         for seen in self.view.all() {
             let fit = self.fit(&seen.entry, want, model, now);
             nearest = nearest.max(fit);
@@ -132,7 +132,7 @@
         }
         if found.is_empty() {
             return Err(match first_turn {
-                Some(full) if nearest == Fit::Full => Nowhere::Full(full),
+                Some(full) if nearest == Fit::Full => Unplaceable::Saturated(full),
                 _ => self.nowhere(nearest, model, now),
             });
         }
@@ -142,22 +142,24 @@
         let ask = batch_ask(want, engine, self.blur(now));
         let is_unheard = |at: &usize| {
             let id = &found[*at].entry.id;
-            candidates[*at].takes(&ask) && self.is_unheard(id, now)
+            candidates[*at].is_available(&ask) && self.is_unheard(id, now)
         };
         let unheard = (0..found.len()).find(is_unheard);
         let (at, first_token) = match unheard {
-            Some(at) => (at, candidates[at].first_token(&ask)),
-            None => batch::choose(&ask, &candidates, &mut self.rng).ok_or(Nowhere::NoReplica)?,
+            Some(at) => (at, candidates[at].ttft(&ask)),
+            None => {
+                batch::choose(&ask, &candidates, &mut self.rng).ok_or(Unplaceable::NoReplica)?
+            }
         };
-        let takes = |seen: &&Seen| self.candidate(&seen.entry, &terms).takes(&ask);
-        let crowded = !candidates[at].takes(&ask) && beside.iter().any(takes);
+        let takes = |seen: &&Replica| self.candidate(&seen.entry, &terms).is_available(&ask);
+        let crowded = !candidates[at].is_available(&ask) && beside.iter().any(takes);
         Ok(Choice {
             replica: found[at].entry.id.clone(),
             addr: found[at].entry.addr,
             first_token,
-            paced: candidates[at].is_paced(&ask),
-            held_up: candidates[at].is_held_up(&ask),
-            free: candidates.iter().any(Candidate::has_place),
+            paced: candidates[at].fits_prefill_limit(&ask),
+            held_up: candidates[at].exceeds_prefill_limit(&ask),
+            free: candidates.iter().any(Candidate::has_free_slot),
             crowded,
             candidates: candidates.len(),
             revision: found[at].revision,
@@ -168,7 +170,7 @@
     /// What is the same for all candidates of a request.
     fn terms<'a>(
         &self,
-        want: &'a Want<'a>,
+        want: &'a Criteria<'a>,
         model: Option<&'a Name>,
         engine: Option<&Engine>,
         now: Time,
@@ -185,15 +187,15 @@
 
     /// Width of the random part of a choice, by the age of what other hosts told.
     fn blur(&self, now: Time) -> Span {
-        match self.is_direct(now) || self.hosts == 1 {
+        match self.is_direct(now) || self.host_count == 1 {
             true => DIRECT_BLUR,
             false => TOLD_BLUR,
         }
     }
 
     /// How far a replica fits a request.
-    fn fit(&self, entry: &Entry, want: &Want, model: Option<&Name>, now: Time) -> Fit {
-        if entry.service != *want.service || want.avoid.contains(&entry.id) {
+    fn fit(&self, entry: &Entry, want: &Criteria, model: Option<&Name>, now: Time) -> Fit {
+        if entry.service != *want.service || want.excluded.contains(&entry.id) {
             return Fit::Out;
         }
         if entry.leaving {
@@ -222,14 +224,14 @@
     }
 
     /// Why a replica has no room now by its own word, if it has none: its rest, or else its limit.
-    fn full(&self, entry: &Entry, want: &Want, now: Time) -> Option<Full> {
-        let full = |turn, rests| Full {
+    fn full(&self, entry: &Entry, want: &Criteria, now: Time) -> Option<Saturated> {
+        let full = |turn, rests| Saturated {
             turn,
             replica: entry.id.clone(),
             rests,
         };
         let rest = self.rest(&entry.id, entry.incarnation, now);
-        if let Some(turn) = rest.and_then(|rest| rest.turn(now)) {
+        if let Some(turn) = rest.and_then(|rest| rest.wait(now)) {
             return Some(full(turn, true));
         }
         let state = self.replicas.get(&entry.id)?;
@@ -237,13 +239,13 @@
     }
 
     /// Why no replica can take a request, by the one that fits it best.
-    fn nowhere(&self, nearest: Fit, model: Option<&Name>, now: Time) -> Nowhere {
+    fn nowhere(&self, nearest: Fit, model: Option<&Name>, now: Time) -> Unplaceable {
         match nearest {
-            Fit::Out => Nowhere::NoReplica,
-            Fit::Leaving => Nowhere::Leaving,
-            Fit::NoModel => Nowhere::NoModel(model.and_then(|m| self.told.coming(m, now))),
-            Fit::NoAdapter => Nowhere::NoAdapter,
-            Fit::Absent | Fit::Full | Fit::Whole => Nowhere::Unreachable,
+            Fit::Out => Unplaceable::NoReplica,
+            Fit::Leaving => Unplaceable::Leaving,
+            Fit::NoModel => Unplaceable::NoModel(model.and_then(|m| self.told.coming(m, now))),
+            Fit::NoAdapter => Unplaceable::NoAdapter,
+            Fit::Absent | Fit::Full | Fit::Whole => Unplaceable::Unreachable,
         }
     }
 
@@ -258,26 +260,26 @@
         Candidate {
             slots: entry.slots,
             in_flight: f64::from(load.requests),
-            ahead: ms(load.unread[..=rank].iter().sum()),
-            backlog: ms(load.unread.iter().sum()),
-            reading: terms.pace.reading(model, ask, kept),
-            reserved: f64::from(load.reserved),
-            memory: terms.memory,
-            run: terms.pace.run,
-            near: entry.hall == self.hall,
-            failing: state.failing.at(terms.now),
-            lagging: state.lagging.at(terms.now),
+            prefill_ahead: ms(load.prefill_ms[..=rank].iter().sum()),
+            prefill_backlog: ms(load.prefill_ms.iter().sum()),
+            prefill: terms.pace.reading(model, ask, kept),
+            reserved_tokens: f64::from(load.reserved_tokens),
+            token_capacity: terms.memory,
+            decode: terms.pace.run,
+            same_hall: entry.hall == self.hall,
+            failure_rate: state.failing.at(terms.now),
+            stall_rate: state.lagging.at(terms.now),
         }
     }
 }
 
 /// What a request asks of a batch.
-fn batch_ask(want: &Want, engine: Option<&Engine>, blur: Span) -> batch::Ask {
+fn batch_ask(want: &Criteria, engine: Option<&Engine>, blur: Span) -> batch::Request {
     let stride = engine.map_or(1, |e| e.stride);
-    batch::Ask {
+    batch::Request {
         tokens: tokens(want.ask) as f64,
-        pace: want.gap.map(|gap| step_pace(gap, stride)),
-        blur,
+        prefill_limit: want.max_gap.map(|gap| step_pace(gap, stride)),
+        jitter: blur,
     }
 }
 
@@ -301,5 +303,5 @@
 
 /// Rank of urgency that a priority belongs to.
 pub(super) fn rank(priority: u8) -> usize {
-    usize::from(priority).min(RANKS - 1)
+    usize::from(priority).min(PRIORITY_LEVELS - 1)
 }
--- a/crates/front/tests/leaving.rs
+++ b/crates/front/tests/departures.rs
@@ -4,7 +4,7 @@
 mod site;
 
 use front::Daemon;
-use front::message::{Leaving, MOST_DATAGRAM, Message, encode, leaving};
+use front::message::{Leaving, MAX_DATAGRAM, Message, encode, leaving};
 use platform_standin::proxy;
 use platform_standin::replica::{self, Options, Replica, Word, Words};
 use platform_standin::store::{Mode, Store};
@@ -150,7 +150,7 @@
     press(&hosts, ALL, Duration::from_millis(300)).await;
     way.set(proxy::Mode::MuteTarget);
     keep_alone(&hosts[0]);
-    hosts[0].state().clock.suspend(Span::from_secs(6));
+    hosts[0].state().clock.simulate_suspend(Span::from_secs(6));
     press(&hosts, ALL, BOUND + AFTER).await;
     assert_eq!(late_from_all(&engine, &hosts), 0, "streams");
     assert_eq!(late_from_all(&web, &hosts), 0, "plain requests");
@@ -257,9 +257,9 @@
 #[test]
 fn what_is_told_of_departures_fits_a_datagram() {
     let row = ("i-0123456789abcdef0123456789abcdef".into(), Some(u64::MAX));
-    let message = Message::Leaving(Leaving {
+    let message = Message::Departures(Leaving {
         host: "a-host-with-a-name-of-some-sixty-signs-as-platforms-give-them".into(),
         replicas: vec![row; leaving::ROWS],
     });
-    assert!(encode(&message).len() <= MOST_DATAGRAM);
+    assert!(encode(&message).len() <= MAX_DATAGRAM);
 }
--- a/crates/front/tests/quarantine.rs
+++ b/crates/front/tests/quarantine.rs
@@ -19,7 +19,7 @@
 use platform_standin::proxy::Mode;
 use platform_standin::replica::{Fault, Replica};
 use platform_standin::store::Store;
-use route::quarantine::Fall;
+use route::quarantine::Crash;
 use site::{
     BACK, FATAL, ask, ask_body, behind_a_proxy, daemon, fragile, fragile_engine, keep_alone,
     request, send, settings, store, until,
@@ -220,7 +220,7 @@
     let (host, way) = behind_a_proxy(&store, "cut").await;
     let leader = keep_alone(&host);
     way.set(Mode::DeafTarget);
-    until(|| host.state().table.lock().view.contact.is_away()).await;
+    until(|| host.state().table.lock().view.contact.is_unreachable()).await;
     keep_out(&others).await;
     way.set(Mode::Pass);
     *host.state().leader.lock() = leader;
@@ -307,7 +307,7 @@
     until(|| {
         hosts
             .iter()
-            .all(|host| host.state().table.lock().hosts == 18)
+            .all(|host| host.state().table.lock().host_count == 18)
     })
     .await;
     for number in 0..14 {
@@ -349,13 +349,15 @@
     drop(hosts.remove(leads));
     store.set_mode(platform_standin::store::Mode::Silent);
     let state = hosts[0].state();
-    until(|| state.table.lock().view.contact.is_away()).await;
+    until(|| state.table.lock().view.contact.is_unreachable()).await;
     for fall in 0..2 {
-        state.quarantine.fell(Fall(fall), &[print], state.now());
+        state
+            .quarantine
+            .note_crash(Crash(fall), &[print], state.now());
     }
     assert_eq!(
         ask_body(&hosts[0], "/again/x", "popular").await.status(),
         200
     );
-    until(|| state.quarantine.is_idle(state.now())).await;
+    until(|| state.quarantine.is_empty(state.now())).await;
 }
--- a/crates/front/tests/readers.rs
+++ b/crates/front/tests/readers.rs
@@ -3,8 +3,8 @@
 mod site;
 
 use front::Daemon;
+use front::changelog::Changelog;
 use front::readers::{self, Candidate, Reader};
-use front::recent::Recent;
 use front::state::State;
 use platform::store::{Change, Item};
 use platform_standin::store::{Mode, Store};
@@ -36,7 +36,7 @@
         loop {
             ignore_leader(&state);
             state.readers.set(known.clone(), state.settings.peers);
-            state.table.lock().hosts = LARGE;
+            state.table.lock().host_count = LARGE;
             sleep(Duration::from_millis(1)).await;
         }
     })
@@ -146,7 +146,7 @@
     // store's return, and entries that vanished as ones that may come back; it passed that on.
     let end = Instant::now() + Duration::from_millis(4_500);
     while Instant::now() < end {
-        let is_away = follower.state().table.lock().view.contact.is_away();
+        let is_away = follower.state().table.lock().view.contact.is_unreachable();
         assert!(!is_away, "the store is there, for other hosts");
         sleep(Duration::from_millis(10)).await;
     }
@@ -180,8 +180,8 @@
 
 #[test]
 fn what_is_passed_on_misses_no_removal() {
-    let mut recent = Recent::default();
-    recent.restart(&[item("a", 3), item("b", 5)], 6, at(0));
+    let mut recent = Changelog::default();
+    recent.reset(&[item("a", 3), item("b", 5)], 6, at(0));
     assert_eq!(recent.since(4), None, "removals before 6 are not known");
     recent.extend([removed("a", 8), Change::Written(item("c", 7))], 9, at(1));
     recent.extend([Change::Written(item("a", 2))], 9, at(1));
@@ -200,8 +200,8 @@
 /// What a reader that is behind confirms is an older state than this host has heard of.
 #[test]
 fn word_of_an_older_revision_does_not_make_news_younger() {
-    let mut recent = Recent::default();
-    recent.restart(&[item("a", 3)], 9, at(0));
+    let mut recent = Changelog::default();
+    recent.reset(&[item("a", 3)], 9, at(0));
     recent.extend([], 7, at(5));
     assert_eq!(
         (recent.revision(), recent.age(at(6))),
@@ -225,7 +225,7 @@
             for state in &daemons {
                 ignore_leader(state);
                 state.readers.set(known.clone(), state.settings.peers);
-                state.table.lock().hosts = LARGE;
+                state.table.lock().host_count = LARGE;
             }
             sleep(Duration::from_millis(1)).await;
         }
@@ -278,7 +278,7 @@
     for i in 1..18 {
         hosts.push(daemon(&store, &format!("d{i}")).await);
     }
-    until(|| first.state().table.lock().hosts == 18).await;
+    until(|| first.state().table.lock().host_count == 18).await;
     let begin = Instant::now();
     let last = daemon(&store, "d18").await;
     assert!(
@@ -313,7 +313,7 @@
     until(|| host.state().is_ready()).await;
     // What it read then is as old as its first question; the next answer of the store makes it new.
     let most = Span::from_ms(1_000);
-    until(|| front::accounts::known_age(host.state()) < most).await;
+    until(|| front::accounts::data_age(host.state()) < most).await;
     assert_eq!(ask(&host, "/nowhere/x", None).await.1.status(), 404);
 }
 
@@ -342,7 +342,7 @@
         hall: hall.into(),
         addr: ([127, 0, 0, 1], port).into(),
         cores,
-        cut: false,
+        store_failed: false,
         silent: false,
     }
 }
@@ -383,13 +383,13 @@
     };
     assert_eq!(heads(hosts()), [2, 4]);
     let mut cut = hosts();
-    cut[3].cut = true;
+    cut[3].store_failed = true;
     assert_eq!(heads(cut), [2, 5], "the store turns 4 away");
     let mut silent = hosts();
     silent[3].silent = true;
     silent[4].silent = true;
     assert_eq!(heads(silent), [2, 6]);
     let mut all = hosts();
-    all.iter_mut().for_each(|host| host.cut = true);
+    all.iter_mut().for_each(|host| host.store_failed = true);
     assert_eq!(heads(all).len(), 2, "somebody notices the store's return");
 }
