--- a/crates/place/src/adapters.rs
+++ b/crates/place/src/adapters.rs
@@ -1,24 +1,29 @@
-//! Which adapters to fetch ahead of requests, into places that are free.
+//! Plans the prefetch of adapters into free adapter slots.
 
-/// Replica as the plan sees it.
+/// State of a replica that a plan is based on.
 #[derive(Debug, Clone, Default)]
 pub struct Replica {
-    /// Models that it holds, by index.
+    /// Indices of the models it holds.
     pub models: Vec<usize>,
-    /// Places for adapters that nothing takes.
+    /// Free adapter slots.
     pub free_slots: usize,
-    /// Adapters that it holds, as model and number from 1.
+    /// Adapters it holds, as model index and adapter number from 1.
     pub adapters: Vec<(usize, u32)>,
-    /// Whether it takes orders now.
+    /// Whether it can take orders now.
     pub accepts_orders: bool,
 }
 
-/// Adapter to be fetched: replica, model and number from 1.
+/// Adapter to fetch: replica index, model index, and adapter number from 1.
 pub type Fetch = (usize, usize, u32);
 
-/// Plans at most `most` fetches of adapters that are nowhere: for models by `order`, each onto the
-/// holder of its model with the most free places. Nothing makes room for another here.
-pub fn plan(replicas: &[Replica], counts: &[u32], order: &[usize], most: usize) -> Vec<Fetch> {
+/// Plans at most `max_fetches` fetches of adapters that are on no replica, for models in the given order.
+/// Each goes to the replica with the most free slots among those that hold its model. Nothing is evicted.
+pub fn plan(
+    replicas: &[Replica],
+    counts: &[u32],
+    order: &[usize],
+    max_fetches: usize,
+) -> Vec<Fetch> {
     let mut free: Vec<usize> = replicas
         .iter()
         .map(|r| if r.accepts_orders { r.free_slots } else { 0 })
@@ -36,7 +41,7 @@
             };
             free[best] -= 1;
             fetches.push((best, *model, number));
-            if fetches.len() >= most {
+            if fetches.len() >= max_fetches {
                 return fetches;
             }
         }
--- a/crates/place/src/copies.rs
+++ b/crates/place/src/copies.rs
@@ -1,126 +1,130 @@
-//! Which models each replica of a service should hold, and the next orders towards that.
+//! Plans which models each replica of a service holds, one load or unload at a time.
 //!
-//! Pure: counts and demand in, steps out. Every model that is asked for gets a copy on a replica that
-//! stays; where there are fewer places than models, idle ones give way, and those that are asked for
-//! take turns. Memory left over is filled, since copies that are there before the demand comes cost
-//! least; demand that no copy covers goes first. Loads from copies at hand go before loads from the
-//! weight store, which allows only so many a second.
+//! Every model in demand gets a copy on a replica in service. Where there are fewer slots than models,
+//! idle models are evicted and models in demand share the slots in turn. Spare memory is filled with
+//! further copies, models whose demand exceeds their copies first. Loads from a cached copy are preferred
+//! to loads from the weight store, whose rate is limited.
 //!
-//! `state` is what a plan knows while it is made, `step` finds the next step.
+//! `state` holds the state of a plan under construction; `step` selects the next step.
 
 mod state;
 mod step;
 
 use state::State;
 
-/// Part of the replicas that may be making room at once. An unload waits for the runs of its model,
-/// some seconds, in which its replica takes no other order; the rest can follow a shift of demand.
-const MAKING_ROOM: f64 = 1.0 / 6.0;
+/// Maximum share of the replicas that unload at the same time. An unloading replica takes no other
+/// order until the runs of the model have ended; the others stay available when demand shifts.
+const MAX_UNLOADING_SHARE: f64 = 1.0 / 6.0;
 
-/// Demand, in replicas kept busy, from which a model counts as asked for: the recent demand of a single
-/// request fades to this in half a minute.
+/// Demand, in replicas kept busy, above which a model counts as in demand. The recent demand that a
+/// single request causes decays to this within half a minute.
 pub const ACTIVE_DEMAND: f64 = 0.005;
 
-/// Model as the plan sees it.
+/// State of a model that a plan is based on.
 #[derive(Debug, Clone, Copy)]
 pub struct Model {
-    /// Memory of its weights, in MB.
+    /// Size of the weights in MB.
     pub memory_mb: f64,
-    /// Demand in replicas that it would keep busy.
+    /// Current demand, in replicas kept busy.
     pub demand: f64,
-    /// Demand of the last while, more slowly smoothed.
+    /// Demand smoothed over a longer time.
     pub recent_demand: f64,
-    /// Time for which it has been asked for and on no replica, in seconds.
+    /// Time in seconds for which it has been in demand without a copy on any replica.
     pub unserved_secs: f64,
-    /// Part of a copy's value that it keeps when it comes from the weight store: the time of a load from
-    /// a disk over that from there, since a copy is worth the more the sooner it is there.
+    /// Factor on the value of a copy that is loaded from the weight store: the load time from local disk
+    /// divided by that from the store.
     pub store_factor: f64,
-    /// Demand that may come without notice, before a copy could be back.
+    /// Demand that may arise before an evicted last copy could be loaded again.
     pub expected_demand: f64,
 }
 
-/// Replica as the plan sees it; models by index.
+/// State of a replica that a plan is based on. Models are given by index.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Replica {
-    /// Memory that nothing takes, in MB, with room kept for its adapters.
+    /// Free memory in MB, less what is set aside for adapters.
     pub free_mb: f64,
-    /// Models that it holds, and does not give up.
+    /// Loaded models that are not being unloaded.
     pub held: Vec<usize>,
-    /// Models that it is loading, or for which it is making room.
+    /// Models that it is loading or freeing memory for.
     pub incoming: Vec<usize>,
-    /// Model for which it has made room, and which it does not load yet.
+    /// Model for which it has freed memory and whose load has not started.
     pub reserved_for: Option<usize>,
-    /// Models that it holds since a moment ago: they do not give way yet, unless there are other copies.
+    /// Models loaded so recently that the last copy of one is not evicted yet.
     pub recently_loaded: Vec<usize>,
-    /// Models of which it keeps a copy outside the accelerator.
+    /// Models whose weights it has in host memory or on disk.
     pub cached: Vec<usize>,
-    /// Whether it takes an order now.
+    /// Whether it can take an order now.
     pub accepts_orders: bool,
-    /// Whether it is giving up a model.
+    /// Whether it is unloading a model.
     pub unloading: bool,
-    /// Whether it stays.
+    /// Whether it is reachable and not leaving. Copies on other replicas are not counted.
     pub in_service: bool,
-    /// Share of its places that are taken.
+    /// Share of its request slots in use.
     pub utilization: f64,
-    /// Part of what it could serve that it takes now, where it is in need.
+    /// Share of its normal capacity that it serves now; `None` when it serves all of it.
     pub degraded_capacity: Option<f64>,
 }
 
 impl Replica {
-    /// What it serves now, as a part of a sound replica.
-    fn serves(&self) -> f64 {
+    /// Share of its normal capacity that it serves now.
+    fn capacity(&self) -> f64 {
         self.degraded_capacity.unwrap_or(1.0)
     }
 }
 
-/// Order that the plan wants given.
+/// Order to one replica.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
-    /// Load a model on a replica.
+    /// Load a model.
     Load {
         /// Index of the replica.
         replica: usize,
         /// Index of the model.
         model: usize,
-        /// Whether it comes from the weight store.
+        /// Whether the weights come from the weight store rather than from a local copy.
         from_store: bool,
     },
-    /// Unload models, to make room for another.
+    /// Unload models to free memory for another.
     Unload {
         /// Index of the replica.
         replica: usize,
         /// Indices of the models.
         models: Vec<usize>,
-        /// Index of the model that is to come.
+        /// Index of the model that is to be loaded afterwards.
         replacement: usize,
     },
 }
 
-/// Plans at most `most` steps, of which at most `store_loads` load from the weight store.
-pub fn plan(replicas: &[Replica], models: &[Model], store_loads: usize, most: usize) -> Vec<Step> {
+/// Plans at most `max_steps` steps, of which at most `store_loads` load from the weight store.
+pub fn plan(
+    replicas: &[Replica],
+    models: &[Model],
+    store_loads: usize,
+    max_steps: usize,
+) -> Vec<Step> {
     let mut state = State::new(replicas, models);
-    let mut bounds = step::Bounds {
+    let mut budget = step::Budget {
         store_loads,
-        unloads: unloads(replicas),
+        unloads: available_unloads(replicas),
     };
-    let mut steps = step::promised(&mut state, &mut bounds);
-    while steps.len() < most {
-        let Some(step) = step::best(&state, &bounds) else {
+    let mut steps = step::load_reserved(&mut state, &mut budget);
+    while steps.len() < max_steps {
+        let Some(step) = step::best_step(&state, &budget) else {
             break;
         };
         match step {
-            Step::Load { from_store, .. } => bounds.store_loads -= usize::from(from_store),
-            Step::Unload { .. } => bounds.unloads = bounds.unloads.saturating_sub(1),
+            Step::Load { from_store, .. } => budget.store_loads -= usize::from(from_store),
+            Step::Unload { .. } => budget.unloads = budget.unloads.saturating_sub(1),
         }
-        state.take(&step);
+        state.apply(&step);
         steps.push(step);
     }
     steps
 }
 
-/// Unloads that may begin now.
-fn unloads(replicas: &[Replica]) -> usize {
-    let most = (replicas.len() as f64 * MAKING_ROOM).ceil() as usize;
+/// Unloads that may start now within [`MAX_UNLOADING_SHARE`].
+fn available_unloads(replicas: &[Replica]) -> usize {
+    let limit = (replicas.len() as f64 * MAX_UNLOADING_SHARE).ceil() as usize;
     let begun = replicas.iter().filter(|r| r.unloading).count();
-    most.saturating_sub(begun)
+    limit.saturating_sub(begun)
 }
--- a/crates/place/src/copies/state.rs
+++ b/crates/place/src/copies/state.rs
@@ -1,61 +1,60 @@
-//! What a plan of copies knows while it is made: counts of copies, demand on each replica, and what
-//! copies are worth.
+//! State of a plan under construction: copies of each model, demand on each replica, and the value of
+//! a further copy.
 
 use super::{ACTIVE_DEMAND, Model, Replica, Step};
 
-/// Part of a copy in place of none, by which the value of a model's first copy is reckoned.
-const NO_COPY: f64 = 0.5;
+/// Capacity, in copies, that is assumed for a model without any, so that the value of its first copy is
+/// finite.
+const MIN_CAPACITY: f64 = 0.5;
 
-/// Value of the demand that one more copy takes off the others, against the value of having it at
-/// all.
-const RELIEVED: f64 = 10.0;
+/// Weight of current demand, which a further copy takes from the others, relative to recent demand.
+const RELIEF_WEIGHT: f64 = 10.0;
 
-/// Least weight of a model that nobody asks for now, so that leftover memory is spread.
-const UNASKED: f64 = 0.05;
+/// Weight of a model without demand; spreads spare memory over such models.
+const BASE_WEIGHT: f64 = 0.05;
 
-/// Time in seconds after which a model that is asked for and on no replica is worth twice as much:
-/// about that of a load from a disk, with room made for it. So models that are asked for alike take
-/// turns, however few places there are.
-const UNSERVED_DOUBLES: f64 = 4.0;
+/// Time in seconds after which the value of a copy doubles for a model that is in demand and on no
+/// replica: about that of an unload and a load from disk. Models of equal demand thus share slots in
+/// turn.
+const WAIT_DOUBLING_SECS: f64 = 4.0;
 
-/// Copies of one model on replicas that stay.
+/// Copies of one model on replicas in service.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Count {
-    /// Those that are there.
+pub(super) struct CopyCount {
+    /// Loaded copies.
     pub(super) held: usize,
-    /// Those that are there or will be.
-    pub(super) all: usize,
-    /// What these serve, in copies on sound replicas: one in need serves a part.
-    serving: f64,
+    /// Loaded and incoming copies.
+    pub(super) total: usize,
+    /// Capacity of all these; a copy on a replica of full capacity counts as 1.
+    capacity: f64,
 }
 
-/// Replicas and models while a plan is made; both by index.
+/// Replicas and models by index, with the steps of the plan so far applied.
 pub(super) struct State<'a> {
     pub(super) replicas: Vec<Replica>,
     pub(super) models: &'a [Model],
-    pub(super) counts: Vec<Count>,
-    /// Whether there are fewer places than models, so that not all of them can be there at once.
-    pub(super) scarce: bool,
-    /// Demand that falls on each replica when that for a model is shared evenly by its copies.
+    pub(super) counts: Vec<CopyCount>,
+    /// Whether there are fewer slots than models.
+    pub(super) oversubscribed: bool,
+    /// Demand on each replica when that for a model is divided among its copies by capacity.
     demand: Vec<f64>,
 }
 
 impl<'a> State<'a> {
-    /// Takes in the replicas as they are.
     pub(super) fn new(replicas: &[Replica], models: &'a [Model]) -> State<'a> {
         let mut state = State {
             replicas: replicas.to_vec(),
             models,
             counts: Vec::new(),
-            scarce: places(replicas, models) < models.len(),
+            oversubscribed: slots(replicas, models) < models.len(),
             demand: Vec::new(),
         };
-        state.count();
+        state.refresh();
         state
     }
 
-    /// Takes in a step that is to be done; its replica does no other.
-    pub(super) fn take(&mut self, step: &Step) {
+    /// Applies a step. Its replica takes no further order in this plan.
+    pub(super) fn apply(&mut self, step: &Step) {
         match step {
             Step::Load { replica, model, .. } => {
                 let replica = &mut self.replicas[*replica];
@@ -70,127 +69,131 @@
             } => {
                 let replica = &mut self.replicas[*replica];
                 replica.held.retain(|m| !models.contains(m));
-                // The room is meant for that model, so no other replica loads it on top.
+                // Counts as a copy, so that no other replica loads the model as well.
                 replica.incoming.push(*replacement);
                 replica.accepts_orders = false;
             }
         }
-        self.count();
+        self.refresh();
     }
 
-    /// Lets a replica that has made room wait, so that the room stays; or forgets what the room was for.
-    pub(super) fn settle(&mut self, r: usize, waits: bool) {
+    /// Keeps a replica's reservation, in which case it takes no order in this plan, or drops the
+    /// reservation.
+    pub(super) fn settle_reservation(&mut self, r: usize, keep: bool) {
         let replica = &mut self.replicas[r];
-        replica.accepts_orders &= !waits;
-        if !waits && let Some(model) = replica.reserved_for.take() {
+        replica.accepts_orders &= !keep;
+        if !keep && let Some(model) = replica.reserved_for.take() {
             replica.incoming.retain(|m| *m != model);
         }
-        self.count();
+        self.refresh();
     }
 
-    /// Brings counts and what follows from them up to date.
-    fn count(&mut self) {
-        self.counts = counts(&self.replicas, self.models.len());
+    /// Recomputes copy counts and demand.
+    fn refresh(&mut self) {
+        self.counts = count_copies(&self.replicas, self.models.len());
         self.demand = self.replicas.iter().map(|r| self.demand_on(r)).collect();
     }
 
     fn demand_on(&self, replica: &Replica) -> f64 {
-        on(replica).map(|m| self.part_on(*m, replica)).sum()
+        models_on(replica)
+            .map(|m| self.demand_share(*m, replica))
+            .sum()
     }
 
-    /// Demand for a model that falls on a replica which holds it.
-    fn part_on(&self, model: usize, replica: &Replica) -> f64 {
-        let serving = self.counts[model].serving.max(1.0);
-        self.models[model].demand * replica.serves() / serving
+    /// Demand for a model that one replica with a copy of it serves.
+    fn demand_share(&self, model: usize, replica: &Replica) -> f64 {
+        let capacity = self.counts[model].capacity.max(1.0);
+        self.models[model].demand * replica.capacity() / capacity
     }
 
-    /// Whether a replica holds a model or will.
-    pub(super) fn is_on(&self, model: usize, r: usize) -> bool {
-        on(&self.replicas[r]).any(|m| *m == model)
+    /// Whether a replica has a loaded or incoming copy of a model.
+    pub(super) fn has_copy(&self, model: usize, r: usize) -> bool {
+        models_on(&self.replicas[r]).any(|m| *m == model)
     }
 
-    /// Value of one more copy of a model where others serve so much already, on a replica on which so much demand
-    /// for other models falls.
-    fn value(&self, model: usize, serving: f64, others: f64) -> f64 {
+    /// Value of a further copy of a model whose copies have the given capacity, on a replica that serves
+    /// `other_demand` for other models.
+    fn value(&self, model: usize, capacity: f64, other_demand: f64) -> f64 {
         let model = &self.models[model];
-        let n = serving.max(NO_COPY);
-        let demand = match serving <= 0.0 {
+        let n = capacity.max(MIN_CAPACITY);
+        let demand = match capacity <= 0.0 {
             true => model.demand.max(model.expected_demand),
             false => model.demand,
         };
-        // A copy relieves the others the less, the more its replica has to do already.
-        let asked = (1.0 + RELIEVED) * demand + model.recent_demand;
-        let relieved = asked / (1.0 + others);
-        // Copies so valued go by the square root of demand: demand moves from the busiest model to one
-        // that few asked for within less time than weights need to come, so that the next ones must
-        // not have their copies taken for the busiest.
-        (UNASKED + relieved) / (n * (n + 1.0))
+        // The busier the replica, the less demand the copy takes over.
+        let weighted_demand = (1.0 + RELIEF_WEIGHT) * demand + model.recent_demand;
+        let relief = weighted_demand / (1.0 + other_demand);
+        // This value makes the number of copies proportional to the square root of demand. Demand shifts
+        // between models faster than weights load, so the busiest model must not displace the copies of
+        // the next ones.
+        (BASE_WEIGHT + relief) / (n * (n + 1.0))
     }
 
-    /// What one more copy of a model gains on a replica, at the most: nothing is given up for it.
+    /// Gain of a further copy of a model on a replica when nothing is evicted for it.
     pub(super) fn gain(&self, model: usize, r: usize) -> f64 {
-        let value = self.value(model, self.counts[model].serving, self.demand[r]);
-        value * self.replicas[r].serves() * self.patience(model)
+        let value = self.value(model, self.counts[model].capacity, self.demand[r]);
+        value * self.replicas[r].capacity() * self.wait_factor(model)
     }
 
-    /// What one more copy of a model gains on an empty replica.
-    pub(super) fn most_gain(&self, model: usize) -> f64 {
-        self.value(model, self.counts[model].serving, 0.0) * self.patience(model)
+    /// Upper bound on the gain of a further copy of a model: that on an empty replica.
+    pub(super) fn max_gain(&self, model: usize) -> f64 {
+        self.value(model, self.counts[model].capacity, 0.0) * self.wait_factor(model)
     }
 
-    /// Factor by which a model is worth more the longer it was on no replica.
-    fn patience(&self, model: usize) -> f64 {
-        if self.counts[model].all > 0 {
+    /// Factor on the value of a model that grows while it is on no replica.
+    fn wait_factor(&self, model: usize) -> f64 {
+        if self.counts[model].total > 0 {
             return 1.0;
         }
-        1.0 + self.models[model].unserved_secs / UNSERVED_DOUBLES
+        1.0 + self.models[model].unserved_secs / WAIT_DOUBLING_SECS
     }
 
-    /// Whether a model is to be on some replica: each, while there are places for all; else those that
-    /// are asked for.
-    pub(super) fn is_needed(&self, model: usize) -> bool {
+    /// Whether a model must have a copy: every model if there are slots for all, otherwise those in
+    /// demand.
+    pub(super) fn is_required(&self, model: usize) -> bool {
         let model = &self.models[model];
-        !self.scarce || model.demand + model.recent_demand > ACTIVE_DEMAND
+        !self.oversubscribed || model.demand + model.recent_demand > ACTIVE_DEMAND
     }
 
-    /// What is lost when a replica gives up a copy.
+    /// Loss of value when a replica evicts a copy.
     pub(super) fn loss(&self, model: usize, r: usize) -> f64 {
         let replica = &self.replicas[r];
-        let own = self.part_on(model, replica);
-        let left = match self.counts[model].all {
+        let own = self.demand_share(model, replica);
+        let remaining = match self.counts[model].total {
             0 | 1 => 0.0,
-            _ => self.counts[model].serving - replica.serves(),
+            _ => self.counts[model].capacity - replica.capacity(),
         };
-        self.value(model, left, (self.demand[r] - own).max(0.0)) * replica.serves()
+        self.value(model, remaining, (self.demand[r] - own).max(0.0)) * replica.capacity()
     }
 }
 
-/// Models that the replicas hold or have room for.
-fn places(replicas: &[Replica], models: &[Model]) -> usize {
+/// Number of copies that the replicas in service hold or have memory for.
+fn slots(replicas: &[Replica], models: &[Model]) -> usize {
     let memory: f64 = models.iter().map(|m| m.memory_mb).sum();
     let mean = memory / models.len().max(1) as f64;
-    let staying = replicas.iter().filter(|r| r.in_service);
-    let of_one = |r: &Replica| on(r).count() + (r.free_mb.max(0.0) / mean.max(1.0)) as usize;
-    staying.map(of_one).sum()
+    let in_service = replicas.iter().filter(|r| r.in_service);
+    let slots_of =
+        |r: &Replica| models_on(r).count() + (r.free_mb.max(0.0) / mean.max(1.0)) as usize;
+    in_service.map(slots_of).sum()
 }
 
-/// Models that a replica holds or will.
-fn on(replica: &Replica) -> impl Iterator<Item = &usize> {
+/// Models with a loaded or incoming copy on a replica.
+fn models_on(replica: &Replica) -> impl Iterator<Item = &usize> {
     replica.held.iter().chain(&replica.incoming)
 }
 
-/// Copies of each model on replicas that stay.
-fn counts(replicas: &[Replica], models: usize) -> Vec<Count> {
-    let mut counts = vec![Count::default(); models];
+/// Counts the copies of each model on replicas in service.
+fn count_copies(replicas: &[Replica], models: usize) -> Vec<CopyCount> {
+    let mut counts = vec![CopyCount::default(); models];
     for replica in replicas.iter().filter(|r| r.in_service) {
         for model in &replica.held {
             counts[*model].held += 1;
-            counts[*model].all += 1;
-            counts[*model].serving += replica.serves();
+            counts[*model].total += 1;
+            counts[*model].capacity += replica.capacity();
         }
         for model in &replica.incoming {
-            counts[*model].all += 1;
-            counts[*model].serving += replica.serves();
+            counts[*model].total += 1;
+            counts[*model].capacity += replica.capacity();
         }
     }
     counts
--- a/crates/place/src/copies/step.rs
+++ b/crates/place/src/copies/step.rs
@@ -1,53 +1,51 @@
-//! The next step of a plan of copies.
+//! Selects the next step of a plan.
 
 use super::Step;
 use super::state::State;
 
-/// Part of a copy's value that is lost on a replica whose places are all taken.
-const LOADED: f64 = 0.3;
+/// Part of a copy's value that is lost on a replica whose request slots are all in use.
+const UTILIZATION_PENALTY: f64 = 0.3;
 
-/// Factor by which a copy gained must exceed those given up, so that copies do not move to and fro.
+/// Factor by which the gain of a copy must exceed the loss of those evicted for it; avoids thrashing.
 const HYSTERESIS: f64 = 1.5;
 
-/// Least gain of a swap; a move costs two orders, and the evicted prompts.
-const LEAST_GAIN: f64 = 0.05;
+/// Cost of evicting one copy: two orders, and the cached prompts.
+const EVICTION_COST: f64 = 0.05;
 
-/// What may begin now.
-pub(super) struct Bounds {
+/// Steps that may still be planned.
+pub(super) struct Budget {
     /// Loads from the weight store.
     pub(super) store_loads: usize,
     /// Unloads.
     pub(super) unloads: usize,
 }
 
-/// How much a step is wanted; the greater one goes first.
+/// Rank of a step, compared field by field; the highest is taken first.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 struct Score {
-    /// Whether it brings a model that is asked for and nowhere, and takes no last copy of another one: that
-    /// goes before all others.
+    /// Whether it adds the first copy of a required model without evicting the last copy of another.
     urgent: bool,
-    /// What it gains, less what is given up for it.
+    /// Gain less the loss and cost of evictions.
     gain: f64,
 }
 
 impl Score {
-    /// Whether a step with this score is worth an order.
-    fn is_worth_it(self) -> bool {
+    fn is_worthwhile(self) -> bool {
         self.urgent || self.gain > 0.0
     }
 }
 
-/// What could be done next towards one more copy of a model on a replica.
-enum Next {
-    /// That step.
-    Now(Step),
-    /// There is room, and the weight store allows no load at the moment.
-    Wait,
+/// Possible step towards a further copy of a model on a replica.
+enum Candidate {
+    /// A step that can be taken now.
+    Ready(Step),
+    /// A load that must wait until the weight store allows another.
+    StoreLimited,
 }
 
-/// Loads of models for which replicas have made room: these come before all else, since the room was
-/// paid for. A replica whose model must wait for the weight store keeps the room.
-pub(super) fn promised(state: &mut State, bounds: &mut Bounds) -> Vec<Step> {
+/// Plans the loads for which replicas have already freed memory; these precede all other steps. A replica
+/// whose load must wait for the weight store keeps its reservation.
+pub(super) fn load_reserved(state: &mut State, budget: &mut Budget) -> Vec<Step> {
     let mut steps = Vec::new();
     for replica in 0..state.replicas.len() {
         let of = &state.replicas[replica];
@@ -59,167 +57,175 @@
         };
         let from_store = !of.cached.contains(&model);
         let fits = state.models[model].memory_mb <= of.free_mb && !of.held.contains(&model);
-        if fits && state.is_needed(model) && from_store && bounds.store_loads == 0 {
-            state.settle(replica, true);
+        if fits && state.is_required(model) && from_store && budget.store_loads == 0 {
+            state.settle_reservation(replica, true);
             continue;
         }
-        state.settle(replica, false);
-        if fits && state.is_needed(model) {
-            bounds.store_loads -= usize::from(from_store);
+        state.settle_reservation(replica, false);
+        if fits && state.is_required(model) {
+            budget.store_loads -= usize::from(from_store);
             let step = Step::Load {
                 replica,
                 model,
                 from_store,
             };
-            state.take(&step);
+            state.apply(&step);
             steps.push(step);
         }
     }
     steps
 }
 
-/// The step with the highest score, of all idle replicas and models.
-pub(super) fn best(state: &State, bounds: &Bounds) -> Option<Step> {
-    let wanted = wanted(state);
+/// Returns the step with the highest score over all available replicas and models.
+pub(super) fn best_step(state: &State, budget: &Budget) -> Option<Step> {
+    let ranked = rank_models(state);
     let mut best: Option<(Step, Score)> = None;
     for (r, replica) in state.replicas.iter().enumerate() {
         if replica.accepts_orders && replica.in_service {
-            let above = best.as_ref().map(|(_, score)| *score);
-            best = best_of(state, r, &wanted, bounds, above).or(best);
+            let lower_bound = best.as_ref().map(|(_, score)| *score);
+            best = best_step_on(state, r, &ranked, budget, lower_bound).or(best);
         }
     }
     best.map(|(step, _)| step)
 }
 
-/// Models by what one more copy gains at the most, the greatest first.
-fn wanted(state: &State) -> Vec<(usize, Score)> {
+/// Ranks the models by an upper bound on the score of a further copy, the highest first.
+fn rank_models(state: &State) -> Vec<(usize, Score)> {
     let score = |m: usize| Score {
-        urgent: state.counts[m].all == 0 && state.is_needed(m),
-        gain: state.most_gain(m),
+        urgent: state.counts[m].total == 0 && state.is_required(m),
+        gain: state.max_gain(m),
     };
     let models = 0..state.models.len();
-    let mut wanted: Vec<(usize, Score)> = models.map(|m| (m, score(m))).collect();
+    let mut ranked: Vec<(usize, Score)> = models.map(|m| (m, score(m))).collect();
     let order = |a: &Score, b: &Score| a.urgent.cmp(&b.urgent).then(a.gain.total_cmp(&b.gain));
-    wanted.sort_by(|a, b| order(&b.1, &a.1));
-    wanted
+    ranked.sort_by(|a, b| order(&b.1, &a.1));
+    ranked
 }
 
-/// The step with the highest score on one replica, if it is higher than `above` and nothing better
-/// waits for the weight store: a copy that few need would take the room and the time of that one.
-fn best_of(
+/// Returns the step with the highest score on one replica, if it exceeds `lower_bound`. Returns none when
+/// a load with a higher score waits for the weight store: another step would take its memory.
+fn best_step_on(
     state: &State,
     r: usize,
-    wanted: &[(usize, Score)],
-    bounds: &Bounds,
-    above: Option<Score>,
+    ranked: &[(usize, Score)],
+    budget: &Budget,
+    lower_bound: Option<Score>,
 ) -> Option<(Step, Score)> {
-    let mut most = above;
+    let mut best_score = lower_bound;
     let mut best = None;
-    for (m, score) in wanted {
-        // No step scores more than its model gains.
-        if most.is_some_and(|most| *score <= most) {
+    for (m, score) in ranked {
+        // The models after this one cannot score higher.
+        if best_score.is_some_and(|best_score| *score <= best_score) {
             break;
         }
-        let Some((next, gain, turns)) = next(state, r, *m, bounds) else {
+        let Some((candidate, gain, evicts_last)) = evaluate(state, r, *m, budget) else {
             continue;
         };
-        let urgent = score.urgent && !turns;
+        let urgent = score.urgent && !evicts_last;
         let score = Score { urgent, gain };
-        let waits = matches!(next, Next::Now(Step::Unload { .. })) && bounds.unloads == 0;
-        // A model that is nowhere does not wait for others.
+        let waits =
+            matches!(candidate, Candidate::Ready(Step::Unload { .. })) && budget.unloads == 0;
+        // The limit on unloads does not delay the first copy of a required model.
         let allowed = !waits || score.urgent;
-        if allowed && score.is_worth_it() && most.is_none_or(|most| score > most) {
-            most = Some(score);
-            best = match next {
-                Next::Now(step) => Some((step, score)),
-                Next::Wait => None,
+        if allowed
+            && score.is_worthwhile()
+            && best_score.is_none_or(|best_score| score > best_score)
+        {
+            best_score = Some(score);
+            best = match candidate {
+                Candidate::Ready(step) => Some((step, score)),
+                Candidate::StoreLimited => None,
             };
         }
     }
     best
 }
 
-/// The next step towards one more copy of a model on a replica, what it gains, and whether another model
-/// is on no replica after it.
-fn next(state: &State, r: usize, m: usize, bounds: &Bounds) -> Option<(Next, f64, bool)> {
-    if state.is_on(m, r) {
+/// Evaluates a further copy of a model on a replica: the step towards it, its gain, and whether it evicts
+/// the last copy of another model.
+fn evaluate(state: &State, r: usize, m: usize, budget: &Budget) -> Option<(Candidate, f64, bool)> {
+    if state.has_copy(m, r) {
         return None;
     }
     let replica = &state.replicas[r];
     let from_store = !replica.cached.contains(&m);
-    let part = match from_store {
+    let source_factor = match from_store {
         true => state.models[m].store_factor,
         false => 1.0,
     };
-    let gain = state.gain(m, r) * part * (1.0 - LOADED * replica.utilization.min(1.0));
+    let gain = state.gain(m, r)
+        * source_factor
+        * (1.0 - UTILIZATION_PENALTY * replica.utilization.min(1.0));
     if state.models[m].memory_mb <= replica.free_mb {
         let load = Step::Load {
             replica: r,
             model: m,
             from_store,
         };
-        let next = match from_store && bounds.store_loads == 0 {
-            true => Next::Wait,
-            false => Next::Now(load),
+        let candidate = match from_store && budget.store_loads == 0 {
+            true => Candidate::StoreLimited,
+            false => Candidate::Ready(load),
         };
-        return Some((next, gain, false));
+        return Some((candidate, gain, false));
     }
-    if !state.is_needed(m) {
-        // It may be asked for, and so may those that would go for it.
+    if !state.is_required(m) {
+        // Nothing is evicted for a model without demand.
         return None;
     }
-    let swap = swap(state, r, m)?;
-    let gain = gain - swap.lost * HYSTERESIS - LEAST_GAIN * swap.models.len() as f64;
+    let eviction = eviction(state, r, m)?;
+    let gain = gain - eviction.loss * HYSTERESIS - EVICTION_COST * eviction.models.len() as f64;
     let unload = Step::Unload {
         replica: r,
-        models: swap.models,
+        models: eviction.models,
         replacement: m,
     };
-    Some((Next::Now(unload), gain, swap.turns))
+    Some((Candidate::Ready(unload), gain, eviction.evicts_last))
 }
 
-/// Models that give way to another one on a replica.
-struct Swap {
-    /// Those that go, the least valued first.
+/// Models to evict from a replica for another one.
+struct Eviction {
+    /// Models by loss, the lowest first.
     models: Vec<usize>,
-    /// Value of all that go.
-    lost: f64,
-    /// Whether one of them is on no other replica.
-    turns: bool,
+    /// Total loss of value.
+    loss: f64,
+    /// Whether one of them has no other loaded copy.
+    evicts_last: bool,
 }
 
-/// What must go for a model on a replica; none when what may go does not make room.
-fn swap(state: &State, r: usize, wanted: usize) -> Option<Swap> {
+/// Chooses the models to evict from a replica for `wanted`; none if those that may be evicted do not free
+/// enough memory.
+fn eviction(state: &State, r: usize, wanted: usize) -> Option<Eviction> {
     let replica = &state.replicas[r];
     let needed = state.models[wanted].memory_mb - replica.free_mb;
     let memory = |m: usize| state.models[m].memory_mb;
     let is_last = |m: usize| state.counts[m].held < 2;
-    let is_nowhere = state.counts[wanted].all == 0;
-    // One more copy is worth no last one of a model that is asked for: that would take it back.
-    let may_go = |m: &&usize| match is_last(**m) {
+    let is_absent = state.counts[wanted].total == 0;
+    // A further copy does not displace the last copy of a required model, which would be loaded again at
+    // once.
+    let may_evict = |m: &&usize| match is_last(**m) {
         true => {
-            state.scarce
+            state.oversubscribed
                 && !replica.recently_loaded.contains(m)
-                && (is_nowhere || !state.is_needed(**m))
+                && (is_absent || !state.is_required(**m))
         }
         false => true,
     };
-    let loose = replica.held.iter().filter(may_go);
-    let mut loose: Vec<(usize, f64)> = loose.map(|m| (*m, state.loss(*m, r))).collect();
-    loose.sort_by(|a, b| a.1.total_cmp(&b.1));
-    let several = (1..=loose.len()).find(|n| {
-        let freed: f64 = loose[..*n].iter().map(|(m, _)| memory(*m)).sum();
+    let evictable = replica.held.iter().filter(may_evict);
+    let mut evictable: Vec<(usize, f64)> = evictable.map(|m| (*m, state.loss(*m, r))).collect();
+    evictable.sort_by(|a, b| a.1.total_cmp(&b.1));
+    let several = (1..=evictable.len()).find(|n| {
+        let freed: f64 = evictable[..*n].iter().map(|(m, _)| memory(*m)).sum();
         freed >= needed
     });
-    let several = &loose[..several?];
-    let lost = |models: &[(usize, f64)]| -> f64 { models.iter().map(|(_, loss)| loss).sum() };
-    // Each order takes a second and more: one large model goes rather than two small ones.
-    let one = loose.iter().find(|(m, _)| memory(*m) >= needed);
-    let one = one.filter(|(_, loss)| *loss <= lost(several) + LEAST_GAIN);
-    let gone = one.map_or(several, std::slice::from_ref);
-    Some(Swap {
-        models: gone.iter().map(|(m, _)| *m).collect(),
-        lost: lost(gone),
-        turns: gone.iter().any(|(m, _)| is_last(*m)),
+    let several = &evictable[..several?];
+    let total_loss = |models: &[(usize, f64)]| -> f64 { models.iter().map(|(_, loss)| loss).sum() };
+    // Each unload takes more than a second: evicting one large model beats evicting several small ones.
+    let single = evictable.iter().find(|(m, _)| memory(*m) >= needed);
+    let single = single.filter(|(_, loss)| *loss <= total_loss(several) + EVICTION_COST);
+    let chosen = single.map_or(several, std::slice::from_ref);
+    Some(Eviction {
+        models: chosen.iter().map(|(m, _)| *m).collect(),
+        loss: total_loss(chosen),
+        evicts_last: chosen.iter().any(|(m, _)| is_last(*m)),
     })
 }
--- a/crates/place/src/fit.rs
+++ b/crates/place/src/fit.rs
@@ -1,48 +1,48 @@
-//! Whether the floors of a bundle fit the accelerators, with the arithmetic.
+//! Checks whether the minimum replicas of a bundle fit the upstreams' memory.
 
 use crate::homes::Requirement;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use unit::{Bytes, Name};
 
-/// Upstream and its accelerator memory, from the host list.
+/// Upstream that replicas are packed into.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Bin {
-    /// Its name.
+    /// Name of the upstream.
     pub upstream: Name,
-    /// Its memory.
+    /// Accelerator memory by the host list.
     pub memory: Bytes,
 }
 
-/// Replica that found no room.
+/// Replica that fits no upstream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Unplaced {
     /// The model.
     pub model: Name,
-    /// Memory of one replica with its adapters.
+    /// Memory of the replica with its adapters.
     pub memory: Bytes,
 }
 
 /// Outcome of the check.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fit {
-    /// Memory of all upstreams that stay.
+    /// Total memory of the upstreams.
     pub has: Bytes,
-    /// Memory of all replicas that must be.
+    /// Total memory of the required replicas.
     pub needs: Bytes,
-    /// Upstreams.
+    /// Number of upstreams.
     pub upstreams: usize,
-    /// Replicas.
+    /// Number of required replicas.
     pub replicas: usize,
-    /// Largest upstream.
+    /// Memory of the largest upstream.
     pub largest: Bytes,
-    /// Replicas that found no room.
+    /// Replicas that fit no upstream.
     #[serde(rename = "homeless")]
     pub unplaced: Vec<Unplaced>,
 }
 
 impl Fit {
-    /// Whether every replica found room.
+    /// Whether every replica fits.
     pub fn fits(&self) -> bool {
         self.unplaced.is_empty()
     }
@@ -66,26 +66,26 @@
     }
 }
 
-/// Packs replicas into upstreams, the largest first, each where least is left over.
-///
-/// Two replicas of one model go to different upstreams.
+/// Packs the replicas into upstreams by best fit, in order of decreasing size. Replicas of one model go to
+/// different upstreams.
 pub fn check(models: &[Requirement], bins: &[Bin]) -> Fit {
-    let mut left: Vec<(u64, Vec<&Name>)> = bins.iter().map(|r| (r.memory.0, Vec::new())).collect();
+    let mut remaining: Vec<(u64, Vec<&Name>)> =
+        bins.iter().map(|bin| (bin.memory.0, Vec::new())).collect();
     let mut ordered: Vec<&Requirement> = models.iter().collect();
     ordered.sort_by(|a, b| b.memory.cmp(&a.memory).then(a.model.cmp(&b.model)));
     let mut fit = Fit {
-        has: bins.iter().map(|r| r.memory).sum(),
+        has: bins.iter().map(|bin| bin.memory).sum(),
         needs: Bytes(0),
         upstreams: bins.len(),
         replicas: 0,
-        largest: bins.iter().map(|r| r.memory).max().unwrap_or_default(),
+        largest: bins.iter().map(|bin| bin.memory).max().unwrap_or_default(),
         unplaced: Vec::new(),
     };
     for requirement in ordered {
         for _ in 0..requirement.min_replicas {
             fit.replicas += 1;
             fit.needs += requirement.memory;
-            let best = left
+            let best = remaining
                 .iter_mut()
                 .filter(|(bytes, models)| {
                     *bytes >= requirement.memory.0 && !models.contains(&&requirement.model)
--- a/crates/place/src/fleet.rs
+++ b/crates/place/src/fleet.rs
@@ -1,20 +1,20 @@
-//! Upstreams of one hall as the planner sees them.
+//! Upstreams of a hall, with the reports that the planner decides on.
 
 use unit::Name;
 use unit::engine::{Report, Resident, State, Weights};
 
-/// Upstream with its newest report.
+/// Upstream with its latest report.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Upstream {
     /// Its name.
     pub name: Name,
-    /// Its newest report.
+    /// Latest report.
     pub report: Report,
-    /// Whether it gets no new work.
+    /// Whether it is leaving and gets no new work.
     pub leaving: bool,
-    /// Whether it checks fences.
+    /// Whether it rejects orders by their fence.
     pub fencing: bool,
-    /// Whether its report could not be had this time; it gets no orders then.
+    /// Whether it sent no report for this tick; it gets no orders then.
     pub unreachable: bool,
 }
 
@@ -26,12 +26,12 @@
 }
 
 impl Upstream {
-    /// Entry of weights that take memory here.
+    /// Finds the entry of weights that take memory here.
     pub fn find(&self, weights: &Weights) -> Option<&Resident> {
         self.report.resident.iter().find(|r| r.weights == *weights)
     }
 
-    /// Whether it holds a version of a model ready.
+    /// Whether any version of a model is ready here.
     pub fn holds_ready(&self, model: &str) -> bool {
         self.report
             .resident
@@ -41,13 +41,13 @@
 }
 
 impl Fleet {
-    /// Upstream of a name.
+    /// Finds an upstream by name.
     pub fn find(&self, name: &str) -> Option<&Upstream> {
         self.upstreams.iter().find(|u| &*u.name == name)
     }
 }
 
-/// Whether weights are those of a model itself, of any version.
+/// Whether weights are the base weights of a model, in any version, rather than an adapter.
 pub fn is_base(weights: &Weights, model: &str) -> bool {
     weights.adapter.is_none() && &*weights.model == model
 }
--- a/crates/place/src/homes.rs
+++ b/crates/place/src/homes.rs
@@ -1,44 +1,43 @@
-//! Which halls keep each model reachable.
+//! Home halls of each model, which keep it available.
 //!
-//! A hall that is a home of a model never unloads its last replica. Only the
-//! hall itself joins (once it holds the model ready) and leaves (while another
-//! home remains), each by compare-and-swap on one value, so that two halls can
-//! never each rely on the other.
+//! A home of a model never unloads its last replica there. A hall joins once the model is ready in it,
+//! and leaves only while another home remains. Both are compare-and-swap writes of one value, so two
+//! halls cannot leave at the same time in reliance on each other.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use unit::{Bytes, Name, rendezvous};
 
-/// Homes of each model, as they stand in the key-value service.
+/// Homes of each model, as stored in the key-value service.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Homes {
-    /// Halls by model.
+    /// Home halls by model.
     pub halls: BTreeMap<Name, BTreeSet<Name>>,
-    /// Planner that wrote it, with a number of this write: the nonce of a lost answer.
+    /// Planner and number of the last write; identifies a write whose answer was lost.
     pub writer: Name,
 }
 
-/// Hall with the accelerator memory that the host list gives it.
+/// Hall with its accelerator memory by the host list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Hall {
     /// Its name.
     pub name: Name,
-    /// Memory of its upstreams that are not leaving.
+    /// Total memory of its upstreams that are not leaving.
     pub memory: Bytes,
 }
 
-/// Model that must be kept reachable.
+/// Replicas that a model must have.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Requirement {
-    /// Its name.
+    /// Name of the model.
     pub model: Name,
-    /// Memory of one replica, with its adapters.
+    /// Memory of one replica with its adapters.
     pub memory: Bytes,
-    /// Replicas in the whole fleet.
+    /// Minimum number of replicas in the whole fleet.
     pub min_replicas: u32,
 }
 
-/// Share of a hall's memory given to floors, in percent; the rest follows demand.
+/// Share of a hall's memory for minimum replicas, in percent; the rest is left to demand.
 const FLOOR_PERCENT: u64 = 85;
 
 impl Homes {
@@ -49,12 +48,12 @@
             .is_some_and(|halls| halls.contains(hall))
     }
 
-    /// Whether a model has a home at all.
+    /// Whether a model has any home.
     pub fn has_home(&self, model: &str) -> bool {
         self.halls.get(model).is_some_and(|halls| !halls.is_empty())
     }
 
-    /// A hall joins the homes of a model.
+    /// Adds a hall to the homes of a model; returns whether it was not one already.
     pub fn join(&mut self, model: &Name, hall: &Name) -> bool {
         self.halls
             .entry(model.clone())
@@ -62,7 +61,7 @@
             .insert(hall.clone())
     }
 
-    /// A hall leaves the homes of a model, while another remains.
+    /// Removes a hall from the homes of a model unless it is the last one; returns whether it was removed.
     pub fn leave(&mut self, model: &str, hall: &str) -> bool {
         let Some(halls) = self.halls.get_mut(model) else {
             return false;
@@ -71,12 +70,13 @@
     }
 }
 
-/// Halls that should hold each model: the same at every planner with the same host list.
+/// Assigns each model to halls, one for each of its minimum replicas. Planners with the same host list get the
+/// same result.
 ///
-/// The largest models choose first; each goes to the first hall of its own
-/// order that has room, each further replica to the next.
+/// The largest models come first. Each replica goes to the next hall with enough memory in the model's
+/// rendezvous order.
 pub fn assign(models: &[Requirement], halls: &[Hall]) -> BTreeMap<Name, Vec<Name>> {
-    let mut left: BTreeMap<&Name, u64> = halls
+    let mut remaining: BTreeMap<&Name, u64> = halls
         .iter()
         .map(|h| (&h.name, h.memory.0 / 100 * FLOOR_PERCENT))
         .collect();
@@ -92,19 +92,19 @@
             let chosen = assigned.entry(requirement.model.clone()).or_default();
             let key = rendezvous::hash(requirement.model.as_bytes());
             let ranked = rendezvous::top(key, &names, names.len());
-            let open = ranked.into_iter().filter(|hall| !chosen.contains(hall));
-            let open: Vec<&Name> = open.collect();
-            let roomy = open
+            let candidates = ranked.into_iter().filter(|hall| !chosen.contains(hall));
+            let candidates: Vec<&Name> = candidates.collect();
+            let with_room = candidates
                 .iter()
-                .find(|hall| left[**hall] >= requirement.memory.0);
-            // Every model has one hall at least, and be it the least full one.
-            let least_full = open
+                .find(|hall| remaining[**hall] >= requirement.memory.0);
+            // A model that fits nowhere still gets one hall: the one with the most memory left.
+            let least_full = candidates
                 .iter()
-                .max_by_key(|hall| left[**hall])
+                .max_by_key(|hall| remaining[**hall])
                 .filter(|_| round == 0);
-            if let Some(hall) = roomy.or(least_full) {
-                let left = left.get_mut(*hall).expect("ranked halls are known");
-                *left = left.saturating_sub(requirement.memory.0);
+            if let Some(hall) = with_room.or(least_full) {
+                let remaining = remaining.get_mut(*hall).expect("ranked halls are known");
+                *remaining = remaining.saturating_sub(requirement.memory.0);
                 chosen.push((*hall).clone());
             }
         }
--- a/crates/place/src/ledger.rs
+++ b/crates/place/src/ledger.rs
@@ -1,16 +1,14 @@
 //! Ledger of a hall: every order that may still take effect.
 //!
-//! Committed memory of an upstream is what its newest report shows, joined
-//! with every unresolved load in the ledger. An order is resolved only by
-//! proof:
+//! The committed memory of an upstream is what its latest report shows plus every unresolved load in the
+//! ledger. An order is resolved:
 //!
-//! - at an upstream that checks fences, by a report whose fence is at or past
-//!   the order's (it took effect or never will);
-//! - at one that checks none, by a report that shows the effect, as long as
-//!   only one order about those weights was ever on its way; an order in doubt
-//!   may land at any time;
-//! - at both by a new incarnation: an order goes over a connection that dies
-//!   with the process it was meant for.
+//! - on a fencing upstream, by a report whose fence is at least the order's: the order has taken effect or
+//!   never will;
+//! - on any other upstream, by a report that shows its effect, unless the order is in doubt: such an order may
+//!   take effect at any time;
+//! - on both, by a report of another incarnation, because an order is sent over a connection to one process
+//!   and cannot reach the next one.
 
 use crate::fleet::{Fleet, Upstream};
 use serde::{Deserialize, Serialize};
@@ -18,30 +16,30 @@
 use unit::engine::{Action, Fence, Order, OrderStatus, State, Weights};
 use unit::{Bytes, Name};
 
-/// Reasons kept for `coveford why`.
+/// Moves kept for `coveford why`.
 const MAX_MOVES: usize = 200;
 
-/// Ledger as it stands in the key-value service.
+/// Ledger as stored in the key-value service.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
     /// Term of the planner that wrote it.
     pub term: u64,
-    /// Planner that wrote it, with a number of this write: the nonce of a lost answer.
+    /// Planner and number of the last write; identifies a write whose answer was lost.
     pub writer: Name,
-    /// Number of the last order.
+    /// Number of the latest order.
     pub last: u64,
     /// Orders that may still take effect.
     pub open: Vec<Entry>,
-    /// Newest report that resolved an order, by upstream; an older one is not acted on.
+    /// Latest report that resolved an order, by upstream. Older reports are ignored.
     pub seen: BTreeMap<Name, ReportId>,
-    /// Newest moves with their reasons, oldest first.
+    /// Latest moves, oldest first.
     pub moves: Vec<Move>,
 }
 
 /// Identity of a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportId {
-    /// Incarnation of the engine.
+    /// Incarnation of the upstream.
     pub incarnation: u64,
     /// Number of the report.
     pub number: u64,
@@ -50,80 +48,80 @@
 /// Order that may still take effect.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Where it goes.
+    /// Upstream it is sent to.
     pub upstream: Name,
     /// The order.
     pub order: Order,
-    /// What is known of its sending.
+    /// Its delivery, as far as known.
     #[serde(rename = "sent")]
     pub delivery: Delivery,
 }
 
-/// What is known of an order's sending.
+/// Delivery of an order, as far as known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Delivery {
-    /// It may be on its way, now or later.
+    /// Not acknowledged; it may be in transit or sent later.
     #[serde(rename = "Perhaps")]
     Unconfirmed,
-    /// The upstream took it.
+    /// Acknowledged by the upstream.
     #[serde(rename = "Taken")]
     Accepted,
-    /// It may be on its way, and another order about the same weights was given since.
+    /// Not known to be delivered, and followed by another order for the same weights or not answered in time.
     #[serde(rename = "Doubt")]
     InDoubt,
 }
 
-/// Move with its reason.
+/// Order that was given, with its reason.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Move {
-    /// Fence of its order; also its identity for `coveford why`.
+    /// Fence of the order; identifies the move in `coveford why`.
     pub fence: Fence,
-    /// Where.
+    /// Upstream it was sent to.
     pub upstream: Name,
-    /// What.
+    /// Action ordered.
     pub action: Action,
-    /// Why, as a full sentence.
+    /// Reason, as a full sentence.
     pub reason: String,
-    /// Operators' wall clock in milliseconds since 1970, for people.
+    /// Wall clock in milliseconds since 1970, for display.
     pub at_ms: u64,
 }
 
-/// Order that is wanted, not yet in the ledger.
+/// Order to be reserved in the ledger.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NewOrder {
-    /// Where.
+    /// Upstream to send it to.
     pub upstream: Name,
-    /// What.
+    /// Action to order.
     pub action: Action,
-    /// Why, as a full sentence.
+    /// Reason, as a full sentence.
     pub reason: String,
 }
 
-/// Why an order may not be given.
+/// Why an order is not reserved.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Denial {
     /// The upstream is not known.
     Unknown,
-    /// Another order about the same weights is unresolved.
+    /// An unresolved order for the same weights blocks it.
     Unresolved,
-    /// Its report is older than one that resolved an order before.
+    /// The report is older than one that has resolved an order.
     StaleReport,
-    /// Its memory would be overcommitted.
+    /// The load would overcommit the memory of the upstream.
     InsufficientMemory {
-        /// Free.
+        /// Free memory.
         free: Bytes,
-        /// Needed.
+        /// Memory that the load needs.
         needed: Bytes,
     },
 }
 
 impl Ledger {
-    /// Takes the ledger over for a new planner: a higher term.
+    /// Begins a new term, for a planner that takes the ledger over.
     pub fn take_over(&mut self) {
         self.term += 1;
     }
 
-    /// Drops orders that a report resolves.
+    /// Removes the orders that the reports of a fleet resolve.
     pub fn resolve(&mut self, fleet: &Fleet) {
         let mut seen = Vec::new();
         let known = &self.seen;
@@ -134,39 +132,39 @@
             if !is_current(known.get(&upstream.name), upstream) || !is_resolved(entry, upstream) {
                 return true;
             }
-            seen.push((upstream.name.clone(), identity(upstream)));
+            seen.push((upstream.name.clone(), report_id(upstream)));
             false
         });
         self.seen.extend(seen);
     }
 
-    /// Whether an upstream's report is not older than one that resolved an order before.
+    /// Whether an upstream's report is at least as new as the latest one that resolved an order.
     pub fn is_current(&self, upstream: &Upstream) -> bool {
         is_current(self.seen.get(&upstream.name), upstream)
     }
 
-    /// Whether a fresh order to that upstream is unresolved.
+    /// Whether an upstream has an unresolved order that is not in doubt.
     pub fn is_open(&self, upstream: &str) -> bool {
         let fresh = |o: &&Entry| &*o.upstream == upstream && o.delivery != Delivery::InDoubt;
         self.open.iter().any(|o| fresh(&o))
     }
 
-    /// Memory that an upstream has committed.
+    /// Memory of an upstream that is used or reserved.
     pub fn committed(&self, upstream: &Upstream) -> Bytes {
         let resident: Bytes = upstream.report.resident.iter().map(|r| r.bytes).sum();
-        let mut coming: Vec<&Weights> = Vec::new();
+        let mut counted_weights: Vec<&Weights> = Vec::new();
         let mut bytes = Bytes(0);
         for (weights, size) in self.loads(&upstream.name) {
-            let counted = upstream.find(weights).is_some() || coming.contains(&weights);
+            let counted = upstream.find(weights).is_some() || counted_weights.contains(&weights);
             if !counted {
-                coming.push(weights);
+                counted_weights.push(weights);
                 bytes += size;
             }
         }
         resident + bytes
     }
 
-    /// Memory that an upstream has free.
+    /// Memory of an upstream that is neither used nor reserved.
     pub fn free(&self, upstream: &Upstream) -> Bytes {
         upstream
             .report
@@ -174,6 +172,7 @@
             .saturating_sub(self.committed(upstream))
     }
 
+    /// Unresolved loads on an upstream, with their sizes.
     fn loads<'a>(&'a self, upstream: &'a str) -> impl Iterator<Item = (&'a Weights, Bytes)> {
         let here = self.open.iter().filter(move |o| &*o.upstream == upstream);
         here.filter_map(|entry| match &entry.order.action {
@@ -182,12 +181,12 @@
         })
     }
 
-    /// Whether weights are on their way to an upstream.
+    /// Whether an unresolved order loads weights on an upstream.
     pub fn has_pending_load(&self, upstream: &str, weights: &Weights) -> bool {
         self.loads(upstream).any(|(w, _)| w == weights)
     }
 
-    /// Whether weights at an upstream may go away by an unresolved order.
+    /// Whether an unresolved order unloads weights from an upstream.
     pub fn has_pending_unload(&self, upstream: &str, weights: &Weights) -> bool {
         self.open.iter().any(|entry| {
             let unload =
@@ -196,7 +195,7 @@
         })
     }
 
-    /// Writes an order into the ledger, if it is safe.
+    /// Reserves an order if it is safe. It may be sent once the ledger has been written.
     pub fn reserve(
         &mut self,
         upstream: &Upstream,
@@ -242,35 +241,35 @@
             reason: new_order.reason.clone(),
             at_ms,
         });
-        let surplus = self.moves.len().saturating_sub(MAX_MOVES);
-        self.moves.drain(..surplus);
+        let excess = self.moves.len().saturating_sub(MAX_MOVES);
+        self.moves.drain(..excess);
         Ok(order)
     }
 
-    /// Whether an unresolved order stands in the way of another about the same weights.
+    /// Whether an unresolved order blocks another one for the same weights.
     ///
-    /// At an upstream that checks fences every order is resolved sooner or
-    /// later by being sent again, and a load may overtake an unload. At one that checks none, an order of an
-    /// earlier term may never be; it is left in doubt, which counts for ever.
+    /// On a fencing upstream every order is eventually resolved by sending it again, and a load may supersede
+    /// an unload. On any other, an unconfirmed order of an earlier term may never be resolved; it does not
+    /// block, stays in doubt, and keeps its memory reserved until a new incarnation reports.
     fn blocks(&self, upstream: &Upstream, action: &Action) -> bool {
         self.open.iter().any(|entry| {
-            let same =
+            let same_subject =
                 entry.upstream == upstream.name && subject(&entry.order.action) == subject(action);
-            let old = entry.order.fence.term < self.term;
+            let earlier_term = entry.order.fence.term < self.term;
             let overtaken = upstream.fencing
                 && matches!(entry.order.action, Action::Unload { .. })
                 && matches!(action, Action::Load { .. });
             let passable = match entry.delivery {
                 _ if overtaken => true,
                 Delivery::Accepted => false,
-                Delivery::Unconfirmed => old && !upstream.fencing,
+                Delivery::Unconfirmed => earlier_term && !upstream.fencing,
                 Delivery::InDoubt => true,
             };
-            same && !passable
+            same_subject && !passable
         })
     }
 
-    /// Leaves in doubt what may still be on its way about the same weights.
+    /// Marks unresolved orders for the same weights as in doubt.
     fn mark_in_doubt(&mut self, upstream: &str, action: &Action) {
         for entry in &mut self.open {
             if &*entry.upstream == upstream && subject(&entry.order.action) == subject(action) {
@@ -279,9 +278,10 @@
         }
     }
 
-    /// Takes in that an order to an upstream that checks no fences got no answer.
+    /// Records that an order was not answered; returns whether this changed the ledger.
     ///
-    /// It is not sent again: two copies could not be told apart.
+    /// On an upstream without fencing the order is in doubt from then on. It is not sent again, because the
+    /// upstream could not tell the copies apart.
     pub fn record_no_answer(&mut self, upstream: &Upstream, fence: Fence) -> bool {
         let found = self
             .open
@@ -296,8 +296,8 @@
         }
     }
 
-    /// Takes in the answer to an order; tells whether that changed anything.
-    pub fn record_answer(&mut self, upstream: &str, fence: Fence, obeyed: OrderStatus) -> bool {
+    /// Records the answer to an order; returns whether this changed the ledger.
+    pub fn record_answer(&mut self, upstream: &str, fence: Fence, status: OrderStatus) -> bool {
         let at = self
             .open
             .iter()
@@ -305,15 +305,15 @@
         let Some(at) = at else {
             return false;
         };
-        match obeyed {
+        match status {
             OrderStatus::Accepted => {
                 let changed = self.open[at].delivery != Delivery::Accepted;
                 self.open[at].delivery = Delivery::Accepted;
                 changed
             }
-            // A copy that came before may have been done: only a report can tell.
+            // An earlier copy of the order may have been carried out; only a report shows that.
             OrderStatus::Stale => false,
-            // It was not and will not be done.
+            // It has not been and will not be carried out.
             OrderStatus::WrongIncarnation | OrderStatus::Infeasible => {
                 self.open.remove(at);
                 true
@@ -322,7 +322,7 @@
     }
 }
 
-/// Whether a report proves that an order will have no effect beyond what the report shows.
+/// Whether a report proves that an order has no further effect.
 fn is_resolved(entry: &Entry, upstream: &Upstream) -> bool {
     let report = &upstream.report;
     if report.incarnation != entry.order.incarnation {
@@ -334,7 +334,7 @@
     entry.delivery != Delivery::InDoubt && shows_effect(entry, upstream)
 }
 
-/// What an order is about; none for a role.
+/// Weights that an action loads or unloads.
 fn subject(action: &Action) -> Option<&Weights> {
     match action {
         Action::Load { weights, .. } | Action::Unload { weights } => Some(weights),
@@ -342,7 +342,7 @@
     }
 }
 
-fn identity(upstream: &Upstream) -> ReportId {
+fn report_id(upstream: &Upstream) -> ReportId {
     ReportId {
         incarnation: upstream.report.incarnation,
         number: upstream.report.number,
@@ -350,10 +350,11 @@
 }
 
 fn is_current(seen: Option<&ReportId>, upstream: &Upstream) -> bool {
-    let now = identity(upstream);
+    let now = report_id(upstream);
     seen.is_none_or(|s| s.incarnation != now.incarnation || s.number <= now.number)
 }
 
+/// Whether a report shows the effect of an order.
 fn shows_effect(entry: &Entry, upstream: &Upstream) -> bool {
     match &entry.order.action {
         Action::Load { weights, .. } => {
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -1,7 +1,7 @@
-//! Pure decisions on placement: which weights each upstream of a hall should hold.
+//! Placement: which weights each upstream of a hall, or each replica of a service, holds.
 //!
-//! Nothing here awaits, logs or reads a clock. The safety of memory rests on
-//! [`ledger`] alone; [`plan`] only proposes what the ledger allows.
+//! The functions are pure: they do no I/O, log nothing and read no clock. [`ledger`] alone prevents
+//! memory overcommitment; [`plan`](mod@plan) issues only orders that the ledger accepts.
 
 pub mod adapters;
 pub mod balance;
--- a/crates/place/src/plan.rs
+++ b/crates/place/src/plan.rs
@@ -1,9 +1,9 @@
-//! One tick of a hall's planner: what to load and unload now, and why.
+//! One tick of a hall's planner: the loads and unloads to order now, with their reasons.
 //!
-//! In order: floors, versions, adapters, what the bundle no longer names, then
-//! growth. Each step asks the ledger for every order, so none can overcommit;
-//! a step that finds no room may ask for an unload, and gets its room ticks
-//! later, when a report shows it.
+//! A tick restores minimum replicas, rolls versions, loads adapters, unloads what the bundle no longer lists,
+//! and scales up, in this order. Every order is reserved in the ledger, so no step can overcommit memory. A
+//! step that lacks memory may order unloads; its load follows in a later tick, once a report shows the memory
+//! as free.
 
 mod floor;
 mod reconcile;
--- a/crates/place/src/plan/floor.rs
+++ b/crates/place/src/plan/floor.rs
@@ -1,4 +1,4 @@
-//! Floors: every served model keeps its replicas.
+//! Minimum replicas (floors) of models, and the evictions that make room for them.
 
 use super::scale_up;
 use super::tick::{Spec, Tick};
@@ -6,37 +6,36 @@
 use unit::Bytes;
 use unit::engine::Weights;
 
-/// Joins the homes of models that this hall holds and should; leaves those that others keep.
-pub(super) fn homes(tick: &mut Tick) {
+/// Joins the homes of models that are ready here and belong here; leaves those that an assigned hall keeps.
+pub(super) fn update_homes(tick: &mut Tick) {
     for spec in tick.input.specs {
         let model = &spec.model;
         let is_home = tick.input.homes.is_home(model, tick.input.hall);
-        let assigned = tick
-            .assigned
+        let is_assigned = tick
+            .assignment
             .get(model)
             .is_some_and(|h| h.contains(tick.input.hall));
-        let should = assigned || !tick.input.homes.has_home(model);
+        let should_hold = is_assigned || !tick.input.homes.has_home(model);
         let holds = !tick.ready(model).is_empty();
-        if should && holds && !is_home {
+        if should_hold && holds && !is_home {
             tick.plan.joins.push(model.clone());
         }
-        // What the assignment's first hall keeps, this hall need not.
-        let others = tick.assigned.get(model).cloned().unwrap_or_default();
-        let kept = others.iter().any(|h| tick.input.homes.is_home(model, h));
-        if is_home && !assigned && kept {
+        let others = tick.assignment.get(model).cloned().unwrap_or_default();
+        let is_kept = others.iter().any(|h| tick.input.homes.is_home(model, h));
+        if is_home && !is_assigned && is_kept {
             tick.plan.leaves.push(model.clone());
         }
     }
 }
 
-/// Loads what is missing from the floors, the most important models first.
-pub(super) fn repair(tick: &mut Tick) {
+/// Loads missing replicas: models without a ready replica first, then by priority and size.
+pub(super) fn restore(tick: &mut Tick) {
     let mut missing: Vec<(&Spec, usize)> = tick
         .input
         .specs
         .iter()
         .filter_map(|spec| {
-            let have = tick.ready(&spec.model).len() + tick.coming(&spec.model).len();
+            let have = tick.ready(&spec.model).len() + tick.incoming(&spec.model).len();
             let floor = tick.floor(spec);
             (have < floor).then(|| (spec, floor - have))
         })
@@ -50,7 +49,7 @@
         )
     });
     for (spec, count) in missing {
-        if tick.ready(&spec.model).is_empty() && renew(tick, spec) {
+        if tick.ready(&spec.model).is_empty() && supersede_unload(tick, spec) {
             continue;
         }
         for _ in 0..count {
@@ -60,16 +59,16 @@
                 tick.ready(&spec.model).len(),
                 tick.floor(spec)
             );
-            place(tick, spec, reason);
+            place_replica(tick, spec, reason);
         }
     }
 }
 
-/// Overtakes an unload that has not taken effect yet, when nothing else is left of a model.
+/// Supersedes a pending unload of the only replica left of a model, by a load of the same weights.
 ///
-/// At a fencing upstream a later order makes the earlier one void, and loading what is there
-/// already moves nothing.
-fn renew(tick: &mut Tick, spec: &Spec) -> bool {
+/// A fencing upstream ignores the earlier order once it has seen the later one, and loading resident weights
+/// has no cost.
+fn supersede_unload(tick: &mut Tick, spec: &Spec) -> bool {
     for at in tick.usable() {
         let upstream = tick.upstream(at);
         let kept = upstream.report.resident.iter().find(|r| {
@@ -88,15 +87,16 @@
     false
 }
 
-/// Loads a replica where it fits best, or makes room for it.
-pub(super) fn place(tick: &mut Tick, spec: &Spec, reason: String) -> bool {
-    let fitting = fitting(tick, spec);
-    for at in fitting {
+/// Loads a replica on the best upstream with enough memory, or makes room for it; returns whether it was
+/// ordered.
+pub(super) fn place_replica(tick: &mut Tick, spec: &Spec, reason: String) -> bool {
+    let candidates = upstreams_with_room(tick, spec);
+    for at in candidates {
         if tick.load(at, spec.weights(), spec.memory, reason.clone()) {
             return true;
         }
     }
-    if !tick.may_start() {
+    if !tick.may_load() {
         let text = format!(
             "A replica of {} waits for the weight store: {reason}",
             spec.model
@@ -115,12 +115,12 @@
     false
 }
 
-/// Upstreams with room for a replica with its adapters, the one with least work and most room first.
-fn fitting(tick: &Tick, spec: &Spec) -> Vec<usize> {
-    let mut fitting: Vec<(u32, Bytes, usize)> = tick
+/// Upstreams with room for a replica and its adapters: the least busy first, then the tightest fit.
+fn upstreams_with_room(tick: &Tick, spec: &Spec) -> Vec<usize> {
+    let mut candidates: Vec<(u32, Bytes, usize)> = tick
         .usable()
         .into_iter()
-        .filter(|at| !tick.has(*at, &spec.model))
+        .filter(|at| !tick.has_replica(*at, &spec.model))
         .map(|at| (tick.free(at), at))
         .filter(|(free, _)| *free >= spec.total_memory())
         .map(|(free, at)| {
@@ -128,22 +128,22 @@
             (load.running + load.waiting, free, at)
         })
         .collect();
-    // Between equally idle ones the fullest that fits, so that large gaps stay for large models.
-    fitting.sort_by_key(|(busy, free, _)| (*busy, *free));
-    fitting.into_iter().map(|(_, _, at)| at).collect()
+    // The tightest fit leaves large gaps for large models.
+    candidates.sort_by_key(|(busy, free, _)| (*busy, *free));
+    candidates.into_iter().map(|(_, _, at)| at).collect()
 }
 
-/// Unloads surplus replicas at the upstream where the fewest must go; tells whether room is coming.
+/// Unloads surplus replicas on the upstream where the fewest must go; returns whether memory will become free.
 pub(super) fn make_room(tick: &mut Tick, spec: &Spec) -> bool {
     let mut best: Option<(usize, Vec<Surplus>)> = None;
     for at in tick.usable() {
-        if tick.has(at, &spec.model) {
+        if tick.has_replica(at, &spec.model) {
             continue;
         }
-        if room_is_coming(tick, at, spec.total_memory()) {
+        if will_have_room(tick, at, spec.total_memory()) {
             return true;
         }
-        let Some(chosen) = enough(tick, at, spec.total_memory()) else {
+        let Some(chosen) = choose_surplus(tick, at, spec.total_memory()) else {
             continue;
         };
         if best.as_ref().is_none_or(|(_, b)| chosen.len() < b.len()) {
@@ -157,48 +157,50 @@
     true
 }
 
-/// Unloads replicas to make room for another model.
+/// Orders the unload of surplus replicas to make room for another model.
 pub(super) fn evict(tick: &mut Tick, spec: &Spec, at: usize, chosen: Vec<Surplus>) {
     for surplus in chosen {
         let reason = format!(
             "{} has replicas to spare here, and {} needs the room.",
             surplus.weights.model, spec.model
         );
-        for weights in surplus.all {
+        for weights in surplus.weights_to_unload {
             tick.unload(at, weights, reason.clone());
         }
     }
 }
 
-/// Memory that unloads under way at an upstream will free.
-pub(super) fn going(tick: &Tick, at: usize) -> Bytes {
+/// Memory that pending unloads on an upstream will free.
+pub(super) fn pending_free_memory(tick: &Tick, at: usize) -> Bytes {
     let upstream = tick.upstream(at);
-    let going = upstream.report.resident.iter().filter(|r| {
+    let unloading = upstream.report.resident.iter().filter(|r| {
         r.state == unit::engine::State::Unloading
             || tick.ledger.has_pending_unload(&upstream.name, &r.weights)
     });
-    going.map(|r| r.bytes).sum()
+    unloading.map(|r| r.bytes).sum()
 }
 
-/// Whether unloads under way at an upstream will free enough.
-fn room_is_coming(tick: &Tick, at: usize, needed: Bytes) -> bool {
-    let going = going(tick, at);
-    going > Bytes(0) && tick.free(at) + going >= needed
+/// Whether pending unloads on an upstream will free enough memory.
+fn will_have_room(tick: &Tick, at: usize, needed: Bytes) -> bool {
+    let pending = pending_free_memory(tick, at);
+    pending > Bytes(0) && tick.free(at) + pending >= needed
 }
 
-/// Replica that may go.
+/// Ready replica above the minimum, which may be evicted.
 #[derive(Debug, Clone)]
 pub(super) struct Surplus {
     pub(super) weights: Weights,
-    all: Vec<Weights>,
+    /// Weights of the replica and its adapters.
+    weights_to_unload: Vec<Weights>,
+    /// Memory of these.
     bytes: Bytes,
-    /// Work that falls to it, in shares of an upstream.
+    /// Work that it does, as a share of an upstream's capacity.
     work: f64,
 }
 
-/// Fewest surplus replicas at an upstream whose memory, with what is free, is enough.
-pub(super) fn enough(tick: &Tick, at: usize, needed: Bytes) -> Option<Vec<Surplus>> {
-    let mut surplus = surplus(tick, at);
+/// Chooses surplus replicas on an upstream, those with least work first, until enough memory would be free.
+pub(super) fn choose_surplus(tick: &Tick, at: usize, needed: Bytes) -> Option<Vec<Surplus>> {
+    let mut surplus = surplus_replicas(tick, at);
     surplus.sort_by(|a, b| a.work.total_cmp(&b.work));
     let mut free = tick.free(at);
     let mut chosen = Vec::new();
@@ -212,8 +214,8 @@
     (free >= needed && !chosen.is_empty()).then_some(chosen)
 }
 
-/// Ready replicas at an upstream that the floors do not need.
-fn surplus(tick: &Tick, at: usize) -> Vec<Surplus> {
+/// Ready replicas on an upstream beyond the minimum of their models.
+fn surplus_replicas(tick: &Tick, at: usize) -> Vec<Surplus> {
     let upstream = tick.upstream(at);
     let mut found = Vec::new();
     for resident in &upstream.report.resident {
@@ -232,7 +234,7 @@
         if !here || ready <= floor {
             continue;
         }
-        let whole: Vec<_> = upstream
+        let residents: Vec<_> = upstream
             .report
             .resident
             .iter()
@@ -246,8 +248,8 @@
             .unwrap_or_default();
         found.push(Surplus {
             weights: weights.clone(),
-            bytes: whole.iter().map(|r| r.bytes).sum(),
-            all: whole.iter().map(|r| r.weights.clone()).collect(),
+            bytes: residents.iter().map(|r| r.bytes).sum(),
+            weights_to_unload: residents.iter().map(|r| r.weights.clone()).collect(),
             work: demand.rate * demand.work / scale_up::replicas(tick, &weights.model) as f64,
         });
     }
--- a/crates/place/src/plan/scale_up.rs
+++ b/crates/place/src/plan/scale_up.rs
@@ -1,12 +1,12 @@
-//! Growth: another replica where demand overloads those there are, if it is worth the moves.
+//! Scale-up: adds replicas of models on overloaded upstreams if the benefit exceeds the cost of the moves.
 //!
-//! A local search: from the fullest upstreams, each of their larger models is tried at the least
-//! full ones, with evictions where memory asks for them. The whole spread of demand is worked out
-//! anew for each trial, so that what an eviction costs its own model counts as well.
+//! This is a local search. The busiest models of the most overloaded upstreams are tried on the least busy
+//! upstreams, with evictions where memory is short. Demand is redistributed for each trial, so the effect of
+//! an eviction on the evicted model is included.
 //!
-//! All halls are weighed by each planner, and each acts on the offers that fall to its own
-//! upstreams: planners that see much the same need no further agreement. Upstreams are numbered
-//! over this hall's first, then those elsewhere.
+//! Each planner evaluates the upstreams of all halls and executes only candidates in its own hall. Planners
+//! with similar input thus agree without coordination. Upstreams are indexed over this hall first, then the
+//! other halls.
 
 use super::floor::{self, Surplus};
 use super::tick::{Demand, Spec, Tick};
@@ -15,61 +15,68 @@
 use unit::engine::{Resident, State};
 use unit::{Bytes, Name};
 
-/// Work of an upstream, in shares of its capacity, above which requests miss their targets.
-const FULL: f64 = 0.90;
+/// Work of an upstream, as a share of its capacity, above which requests miss their latency targets.
+const OVERLOAD_THRESHOLD: f64 = 0.90;
 
-/// Time over which a move must earn what it costs, in seconds.
-const HORIZON: f64 = 60.0;
+/// Time in seconds within which the benefit of a move must exceed its cost.
+const HORIZON_SECS: f64 = 60.0;
 
-/// Requests that must be saved to be worth one move, at equal weights.
+/// Cost of one move, in requests that meet their target, at equal weights of attainment and moves.
 const MOVE_COST: f64 = 5.0;
 
-/// Replicas added in one tick at the most.
-const MOST_PER_TICK: usize = 4;
+const MAX_ADDED_PER_TICK: usize = 4;
 
-/// Weight of one rank of priority in the worth of a request.
-const PER_PRIORITY: f64 = 0.1;
+/// Increase of a request's value per level of priority.
+const PRIORITY_WEIGHT: f64 = 0.1;
 
-/// Full upstreams looked at, models of each, and upstreams tried for each model.
-const HOT: usize = 4;
-const MODELS: usize = 3;
-const TARGETS: usize = 6;
+// Bounds of the search in one iteration.
+const MAX_OVERLOADED_UPSTREAMS: usize = 4;
+const MAX_MODELS_PER_UPSTREAM: usize = 3;
+const MAX_TARGETS_PER_MODEL: usize = 6;
 
-/// Replica that could be added.
-struct Offer<'a> {
+/// Replica that could be added on an upstream.
+struct Candidate<'a> {
     spec: &'a Spec,
-    at: usize,
-    evicted: Evicted,
-    worth: f64,
+    upstream: usize,
+    evictions: Evictions,
+    /// Benefit less cost, in weighted requests over the horizon.
+    net_benefit: f64,
+    /// Requests per second that would no longer be overload.
     relief: f64,
-    level: f64,
+    /// Utilization of the busiest upstream that holds the model now.
+    utilization: f64,
 }
 
-/// Demand and where it can go, by model in the order of the wants.
-struct Spread {
+/// Distribution of the demand over the upstreams of all halls; models in the order of the specs.
+struct Distribution {
     flows: Vec<Flow>,
+    /// Work of each upstream, as a share of its capacity.
     work: Vec<f64>,
-    over: f64,
+    /// Total work above [`OVERLOAD_THRESHOLD`].
+    overload: f64,
 }
 
-/// Adds the replicas that are worth most.
+/// Adds the replicas with the highest net benefit, at most [`MAX_ADDED_PER_TICK`].
 pub(super) fn scale_up(tick: &mut Tick) {
-    let mut promised: Vec<(usize, usize)> = Vec::new();
-    for _ in 0..MOST_PER_TICK {
-        if !tick.may_start() {
+    let mut added: Vec<(usize, usize)> = Vec::new();
+    for _ in 0..MAX_ADDED_PER_TICK {
+        if !tick.may_load() {
             return;
         }
-        let spread = spread(tick, &promised);
-        let Some(offer) = best(tick, &spread) else {
+        let distribution = distribution(tick, &added);
+        let Some(candidate) = best_candidate(tick, &distribution) else {
             return;
         };
         let model = tick
             .input
             .specs
             .iter()
-            .position(|w| w.model == offer.spec.model);
-        promised.push((model.expect("offers are of wanted models"), offer.at));
-        take(tick, offer);
+            .position(|w| w.model == candidate.spec.model);
+        added.push((
+            model.expect("candidates are for specified models"),
+            candidate.upstream,
+        ));
+        execute(tick, candidate);
     }
 }
 
@@ -77,33 +84,34 @@
     tick.input.demand.get(model).copied().unwrap_or_default()
 }
 
-/// Upstreams that hold or are getting a model, in all halls.
-fn places(tick: &Tick, model: &Name) -> Vec<usize> {
+/// Upstreams in all halls that hold or load a model.
+fn holders(tick: &Tick, model: &Name) -> Vec<usize> {
     let ready = tick.ready(model).into_iter().map(|(at, _)| at);
-    let coming = tick.coming(model).iter().map(|(at, _)| *at);
+    let incoming = tick.incoming(model).iter().map(|(at, _)| *at);
     let here = tick.input.fleet.upstreams.len();
-    let elsewhere = tick.input.other_halls.upstreams.iter().enumerate();
-    let elsewhere = elsewhere.filter(|(_, u)| !u.leaving && holds(u, model));
-    let mut places: Vec<usize> = ready.chain(coming).collect();
-    places.extend(elsewhere.map(|(i, _)| here + i));
-    places.sort_unstable();
-    places.dedup();
-    places
+    let remote = tick.input.other_halls.upstreams.iter().enumerate();
+    let remote = remote.filter(|(_, u)| !u.leaving && holds(u, model));
+    let mut holders: Vec<usize> = ready.chain(incoming).collect();
+    holders.extend(remote.map(|(i, _)| here + i));
+    holders.sort_unstable();
+    holders.dedup();
+    holders
 }
 
-/// Whether an upstream holds a model and is not letting it go.
+/// Whether an upstream holds or loads a model.
 fn holds(upstream: &Upstream, model: &str) -> bool {
     let mut resident = upstream.report.resident.iter();
     resident.any(|r| is_base(&r.weights, model) && r.state != State::Unloading)
 }
 
-/// Number of replicas of a model in all halls, ready or on their way; at least one.
+/// Number of replicas of a model in all halls, ready or loading; at least one.
 pub(super) fn replicas(tick: &Tick, model: &Name) -> usize {
-    places(tick, model).len().max(1)
+    holders(tick, model).len().max(1)
 }
 
-/// Demand over what is there, on its way, or promised in this tick.
-fn spread(tick: &Tick, promised: &[(usize, usize)]) -> Spread {
+/// Distributes the demand over ready and loading replicas and those added in this tick, given as model and
+/// upstream.
+fn distribution(tick: &Tick, added: &[(usize, usize)]) -> Distribution {
     let mut flows: Vec<Flow> = tick
         .input
         .specs
@@ -112,163 +120,184 @@
             let demand = demand(tick, &spec.model);
             Flow {
                 work: demand.rate * demand.work,
-                at: places(tick, &spec.model),
+                upstreams: holders(tick, &spec.model),
             }
         })
         .collect();
-    for (model, at) in promised {
-        if !flows[*model].at.contains(at) {
-            flows[*model].at.push(*at);
+    for (model, upstream) in added {
+        if !flows[*model].upstreams.contains(upstream) {
+            flows[*model].upstreams.push(*upstream);
         }
     }
     let all = tick.input.fleet.upstreams.len() + tick.input.other_halls.upstreams.len();
-    let work = balance::spread(&flows, all);
-    let over = over(&work);
-    Spread { flows, work, over }
+    let work = balance::distribute(&flows, all);
+    let overload = overload(&work);
+    Distribution {
+        flows,
+        work,
+        overload,
+    }
 }
 
-/// Work beyond what upstreams can do in time.
-fn over(work: &[f64]) -> f64 {
-    work.iter().map(|w| (w - FULL).max(0.0)).sum()
+/// Total work above [`OVERLOAD_THRESHOLD`].
+fn overload(work: &[f64]) -> f64 {
+    work.iter().map(|w| (w - OVERLOAD_THRESHOLD).max(0.0)).sum()
 }
 
-/// The offer that earns most beyond its cost.
-fn best<'a>(tick: &Tick<'a>, spread: &Spread) -> Option<Offer<'a>> {
-    if spread.over <= 0.0 {
+/// Returns the candidate with the highest net benefit, if any.
+fn best_candidate<'a>(tick: &Tick<'a>, distribution: &Distribution) -> Option<Candidate<'a>> {
+    if distribution.overload <= 0.0 {
         return None;
     }
     let here = tick.input.fleet.upstreams.len();
-    let elsewhere = tick.input.other_halls.upstreams.iter().enumerate();
-    let elsewhere = elsewhere.filter(|(_, u)| !u.leaving).map(|(i, _)| here + i);
-    let mut cold: Vec<usize> = tick.usable().into_iter().chain(elsewhere).collect();
-    cold.sort_by(|a, b| spread.work[*a].total_cmp(&spread.work[*b]));
-    let mut best: Option<Offer> = None;
-    for m in hot_models(spread) {
+    let remote = tick.input.other_halls.upstreams.iter().enumerate();
+    let remote = remote.filter(|(_, u)| !u.leaving).map(|(i, _)| here + i);
+    let mut least_busy: Vec<usize> = tick.usable().into_iter().chain(remote).collect();
+    least_busy.sort_by(|a, b| distribution.work[*a].total_cmp(&distribution.work[*b]));
+    let mut best: Option<Candidate> = None;
+    for m in overloaded_models(distribution) {
         let spec = &tick.input.specs[m];
-        let tried = cold.iter().filter(|u| !spread.flows[m].at.contains(u));
-        for u in tried.take(TARGETS) {
-            let Some(offer) = weigh(tick, spread, m, spec, *u) else {
+        let tried = least_busy
+            .iter()
+            .filter(|u| !distribution.flows[m].upstreams.contains(u));
+        for u in tried.take(MAX_TARGETS_PER_MODEL) {
+            let Some(candidate) = evaluate(tick, distribution, m, spec, *u) else {
                 continue;
             };
-            if best.as_ref().is_none_or(|b| offer.worth > b.worth) {
-                best = Some(offer);
+            if best
+                .as_ref()
+                .is_none_or(|b| candidate.net_benefit > b.net_benefit)
+            {
+                best = Some(candidate);
             }
         }
     }
     best
 }
 
-/// Models with much work at the fullest upstreams.
-fn hot_models(spread: &Spread) -> Vec<usize> {
-    let mut hot: Vec<usize> = (0..spread.work.len())
-        .filter(|u| spread.work[*u] > FULL)
+/// Models with the most work per replica on the most overloaded upstreams.
+fn overloaded_models(distribution: &Distribution) -> Vec<usize> {
+    let mut overloaded: Vec<usize> = (0..distribution.work.len())
+        .filter(|u| distribution.work[*u] > OVERLOAD_THRESHOLD)
         .collect();
-    hot.sort_by(|a, b| spread.work[*b].total_cmp(&spread.work[*a]));
+    overloaded.sort_by(|a, b| distribution.work[*b].total_cmp(&distribution.work[*a]));
     let mut models = Vec::new();
-    for u in hot.into_iter().take(HOT) {
+    for u in overloaded.into_iter().take(MAX_OVERLOADED_UPSTREAMS) {
         let per_replica = |m: &usize| {
-            let flow = &spread.flows[*m];
-            flow.work / flow.at.len() as f64
+            let flow = &distribution.flows[*m];
+            flow.work / flow.upstreams.len() as f64
         };
-        let mut here: Vec<usize> = (0..spread.flows.len())
-            .filter(|m| spread.flows[*m].work > 0.0 && spread.flows[*m].at.contains(&u))
+        let mut here: Vec<usize> = (0..distribution.flows.len())
+            .filter(|m| {
+                distribution.flows[*m].work > 0.0 && distribution.flows[*m].upstreams.contains(&u)
+            })
             .collect();
         here.sort_by(|a, b| per_replica(b).total_cmp(&per_replica(a)));
-        models.extend(here.into_iter().take(MODELS));
+        models.extend(here.into_iter().take(MAX_MODELS_PER_UPSTREAM));
     }
     models.sort_unstable();
     models.dedup();
     models
 }
 
-/// What a replica of a model at an upstream would earn and cost; none when it is not worth it.
-fn weigh<'a>(
+/// Evaluates a further replica of model `m` on upstream `u`; none if it cannot be placed or costs more than it
+/// brings.
+fn evaluate<'a>(
     tick: &Tick<'a>,
-    spread: &Spread,
+    distribution: &Distribution,
     m: usize,
     spec: &'a Spec,
     u: usize,
-) -> Option<Offer<'a>> {
-    let evicted = match tick.input.fleet.upstreams.get(u) {
-        Some(_) => evicted_here(tick, spec, u)?,
-        None => evicted_elsewhere(tick, spread, spec, u)?,
+) -> Option<Candidate<'a>> {
+    let evictions = match tick.input.fleet.upstreams.get(u) {
+        Some(_) => local_evictions(tick, spec, u)?,
+        None => remote_evictions(tick, distribution, spec, u)?,
     };
-    let mut flows = spread.flows.clone();
-    flows[m].at.push(u);
-    for gone in evicted.models(tick) {
-        flows[gone].at.retain(|at| *at != u);
+    let mut flows = distribution.flows.clone();
+    flows[m].upstreams.push(u);
+    for evicted in evictions.models(tick) {
+        flows[evicted].upstreams.retain(|holder| *holder != u);
     }
-    let after = over(&balance::spread(&flows, spread.work.len()));
+    let after = overload(&balance::distribute(&flows, distribution.work.len()));
     let demand = demand(tick, &spec.model);
-    let relief = (spread.over - after) / demand.work.max(1e-9);
-    let moves = 1 + evicted.count();
-    let rank = 1.0 + f64::from(spec.priority) * PER_PRIORITY;
-    let earned = tick.input.attainment_weight * rank * relief * HORIZON;
+    let relief = (distribution.overload - after) / demand.work.max(1e-9);
+    let moves = 1 + evictions.count();
+    let priority_factor = 1.0 + f64::from(spec.priority) * PRIORITY_WEIGHT;
+    let benefit = tick.input.attainment_weight * priority_factor * relief * HORIZON_SECS;
     let cost = tick.input.move_cost * MOVE_COST * moves as f64;
-    let at = &spread.flows[m].at;
-    let level = at.iter().map(|u| spread.work[*u]).fold(0.0, f64::max);
-    (earned > cost).then_some(Offer {
+    let holders = &distribution.flows[m].upstreams;
+    let utilization = holders
+        .iter()
+        .map(|u| distribution.work[*u])
+        .fold(0.0, f64::max);
+    (benefit > cost).then_some(Candidate {
         spec,
-        at: u,
-        evicted,
-        worth: earned - cost,
+        upstream: u,
+        evictions,
+        net_benefit: benefit - cost,
         relief,
-        level,
+        utilization,
     })
 }
 
-/// What must go for a load.
-enum Evicted {
-    /// Replicas of this hall.
-    Here(Vec<Surplus>),
-    /// Models, by number, that another hall's planner is expected to let go.
-    Elsewhere(Vec<usize>),
+/// Replicas to evict for a load.
+enum Evictions {
+    /// Replicas in this hall.
+    Local(Vec<Surplus>),
+    /// Indices of the models that the planner of another hall is expected to evict.
+    Remote(Vec<usize>),
 }
 
-impl Evicted {
+impl Evictions {
     fn count(&self) -> usize {
         match self {
-            Evicted::Here(surplus) => surplus.len(),
-            Evicted::Elsewhere(models) => models.len(),
+            Evictions::Local(surplus) => surplus.len(),
+            Evictions::Remote(models) => models.len(),
         }
     }
 
     fn models(&self, tick: &Tick) -> Vec<usize> {
         match self {
-            Evicted::Here(surplus) => {
-                let number = |s: &Surplus| {
+            Evictions::Local(surplus) => {
+                let index = |s: &Surplus| {
                     tick.input
                         .specs
                         .iter()
                         .position(|w| w.model == s.weights.model)
                 };
-                surplus.iter().filter_map(number).collect()
+                surplus.iter().filter_map(index).collect()
             }
-            Evicted::Elsewhere(models) => models.clone(),
+            Evictions::Remote(models) => models.clone(),
         }
     }
 }
 
-fn evicted_here(tick: &Tick, spec: &Spec, u: usize) -> Option<Evicted> {
-    let going = floor::going(tick, u);
-    if tick.free(u) + going >= spec.total_memory() {
-        return Some(Evicted::Here(Vec::new()));
+fn local_evictions(tick: &Tick, spec: &Spec, u: usize) -> Option<Evictions> {
+    let pending = floor::pending_free_memory(tick, u);
+    if tick.free(u) + pending >= spec.total_memory() {
+        return Some(Evictions::Local(Vec::new()));
     }
-    // Where something goes already, its room is awaited before more must go.
-    if going > Bytes(0) {
+    // Pending unloads must end before more is evicted here.
+    if pending > Bytes(0) {
         return None;
     }
-    floor::enough(tick, u, spec.total_memory()).map(Evicted::Here)
+    floor::choose_surplus(tick, u, spec.total_memory()).map(Evictions::Local)
 }
 
-/// What another hall's planner would let go: the replicas with least work of models that have more.
-fn evicted_elsewhere(tick: &Tick, spread: &Spread, spec: &Spec, u: usize) -> Option<Evicted> {
+/// Predicts the evictions of another hall's planner: models with other replicas, least work per replica first.
+fn remote_evictions(
+    tick: &Tick,
+    distribution: &Distribution,
+    spec: &Spec,
+    u: usize,
+) -> Option<Evictions> {
     let upstream = &tick.input.other_halls.upstreams[u - tick.input.fleet.upstreams.len()];
-    let staying = |r: &&Resident| r.state != State::Unloading;
+    let is_staying = |r: &&Resident| r.state != State::Unloading;
     let resident = &upstream.report.resident;
-    let taken: Bytes = resident.iter().filter(staying).map(|r| r.bytes).sum();
-    let mut free = upstream.report.memory.saturating_sub(taken);
-    let per_replica = |m: usize| spread.flows[m].work / spread.flows[m].at.len().max(1) as f64;
+    let used: Bytes = resident.iter().filter(is_staying).map(|r| r.bytes).sum();
+    let mut free = upstream.report.memory.saturating_sub(used);
+    let per_replica =
+        |m: usize| distribution.flows[m].work / distribution.flows[m].upstreams.len().max(1) as f64;
     let mut surplus: Vec<(usize, Bytes)> = resident
         .iter()
         .filter(|r| r.state == State::Ready && r.weights.adapter.is_none())
@@ -278,37 +307,37 @@
                 .specs
                 .iter()
                 .position(|w| w.model == r.weights.model)?;
-            (spread.flows[m].at.len() > 1).then_some((m, r.bytes))
+            (distribution.flows[m].upstreams.len() > 1).then_some((m, r.bytes))
         })
         .collect();
     surplus.sort_by(|a, b| per_replica(a.0).total_cmp(&per_replica(b.0)));
-    let mut gone = Vec::new();
+    let mut chosen = Vec::new();
     for (m, bytes) in surplus {
         if free >= spec.total_memory() {
             break;
         }
         free += bytes;
-        gone.push(m);
+        chosen.push(m);
     }
-    (free >= spec.total_memory()).then_some(Evicted::Elsewhere(gone))
+    (free >= spec.total_memory()).then_some(Evictions::Remote(chosen))
 }
 
-/// Acts on an offer that falls to this hall.
-fn take(tick: &mut Tick, offer: Offer) {
-    let spec = offer.spec;
-    let Evicted::Here(evicted) = offer.evicted else {
+/// Orders the load or the evictions for a candidate in this hall.
+fn execute(tick: &mut Tick, candidate: Candidate) {
+    let spec = candidate.spec;
+    let Evictions::Local(evictions) = candidate.evictions else {
         return;
     };
-    if tick.free(offer.at) < spec.total_memory() {
-        // The load follows in a later tick, when a report shows the room.
-        floor::evict(tick, spec, offer.at, evicted);
+    if tick.free(candidate.upstream) < spec.total_memory() {
+        // The load is ordered in a later tick, once a report shows the memory as free.
+        floor::evict(tick, spec, candidate.upstream, evictions);
         return;
     }
     let reason = format!(
         "Upstreams of {} are filled to {:.0} in 100; another replica relieves {:.1} requests a second.",
         spec.model,
-        offer.level * 100.0,
-        offer.relief
+        candidate.utilization * 100.0,
+        candidate.relief
     );
-    tick.load(offer.at, spec.weights(), spec.memory, reason);
+    tick.load(candidate.upstream, spec.weights(), spec.memory, reason);
 }
--- a/crates/place/src/plan/tick.rs
+++ b/crates/place/src/plan/tick.rs
@@ -1,4 +1,4 @@
-//! The state of one tick, and what its steps share.
+//! Input, output and state of a tick, and the operations that its steps share.
 
 use super::{floor, reconcile, scale_up};
 use crate::fleet::{Fleet, Upstream, is_base};
@@ -9,18 +9,18 @@
 use unit::engine::{Action, Order, State, Weights};
 use unit::{Bytes, Name, Span, Time};
 
-/// Model as the bundle wants it.
+/// Model as the bundle specifies it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Spec {
-    /// Its name.
+    /// Name of the model.
     pub model: Name,
     /// Version of its weights.
     pub version: Name,
     /// Memory of one replica.
     pub memory: Bytes,
-    /// Least number of replicas in the fleet.
+    /// Minimum number of replicas in the whole fleet.
     pub min_replicas: u32,
-    /// Rank of its class.
+    /// Priority of its class; higher goes first.
     pub priority: u8,
     /// Adapters and their memory.
     pub adapters: Vec<(Name, Bytes)>,
@@ -49,7 +49,7 @@
         self.memory + self.adapters.iter().map(|(_, bytes)| *bytes).sum()
     }
 
-    /// What must be kept of it.
+    /// Replicas that it must have, with their memory.
     pub fn requirement(&self) -> Requirement {
         Requirement {
             model: self.model.clone(),
@@ -59,21 +59,21 @@
     }
 }
 
-/// Demand for a model, from all daemons.
+/// Demand for a model, summed over all daemons.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Demand {
-    /// Requests a second, smoothed.
+    /// Smoothed requests per second.
     pub rate: f64,
-    /// Share of one upstream's capacity that one request a second takes.
+    /// Share of one upstream's capacity that one request per second takes.
     pub work: f64,
 }
 
-/// What a tick is decided on.
+/// Input of a tick.
 #[derive(Debug, Clone)]
 pub struct Input<'a> {
-    /// Time now.
+    /// Current time.
     pub now: Time,
-    /// Wall clock in milliseconds, for the record of moves.
+    /// Wall clock in milliseconds since 1970, recorded with moves.
     pub wall_ms: u64,
     /// This hall.
     pub hall: &'a Name,
@@ -83,19 +83,19 @@
     pub specs: &'a [Spec],
     /// Upstreams of this hall.
     pub fleet: &'a Fleet,
-    /// Upstreams of other halls, as last reported; they are weighed, never ordered.
+    /// Upstreams of other halls, as last reported. They are taken into account but get no orders.
     pub other_halls: &'a Fleet,
-    /// Homes as read for this tick.
+    /// Home halls of the models, as read for this tick.
     pub homes: &'a Homes,
     /// Demand by model.
     pub demand: &'a BTreeMap<Name, Demand>,
-    /// Worth of a request a second that meets its target.
+    /// Value of one request that meets its target.
     pub attainment_weight: f64,
     /// Cost of a move.
     pub move_cost: f64,
 }
 
-/// Bound on loads, within what the weight store gives this hall.
+/// Limiter of loads: a token bucket and a bound on concurrent loads, for this hall's share of the weight store.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LoadLimiter {
     per_second: f64,
@@ -104,11 +104,11 @@
     refilled_at: Option<Time>,
 }
 
-/// Loads that may be saved up while none is needed.
+/// Maximum number of saved tokens.
 const BURST: f64 = 3.0;
 
 impl LoadLimiter {
-    /// Makes the bound for one of `halls` halls that share a store.
+    /// Creates the limiter of one of `halls` halls that share a store.
     pub fn new(per_second: f64, max_concurrent: u32, halls: usize) -> LoadLimiter {
         let halls = halls.max(1);
         LoadLimiter {
@@ -120,74 +120,76 @@
     }
 
     fn refill(&mut self, now: Time) {
-        let passed = self.refilled_at.map_or(Span::ZERO, |at| now.since(at));
+        let elapsed = self.refilled_at.map_or(Span::ZERO, |at| now.since(at));
         self.refilled_at = Some(now);
-        self.tokens = (self.tokens + passed.secs() * self.per_second).min(BURST);
+        self.tokens = (self.tokens + elapsed.secs() * self.per_second).min(BURST);
     }
 }
 
-/// Outcome of a tick.
+/// Result of a tick.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// Orders to send, with their upstreams; the ledger holds them already.
+    /// Orders to send, by upstream. They are reserved in the ledger already.
     pub orders: Vec<(Name, Order)>,
-    /// Orders of earlier ticks to send again: to fencing upstreams that never saw them.
+    /// Unresolved orders of earlier ticks to send again, to fencing upstreams only.
     #[serde(rename = "again")]
     pub resends: Vec<(Name, Order)>,
     /// Models whose homes this hall joins.
     pub joins: Vec<Name>,
     /// Models whose homes this hall leaves.
     pub leaves: Vec<Name>,
-    /// What could not be done, as full sentences by model.
+    /// Explanations of what could not be done, by model.
     pub notes: BTreeMap<Name, String>,
 }
 
-/// State of a tick under way.
+/// State of a tick. Upstreams are given by index into `input.fleet`.
 pub(super) struct Tick<'a> {
     pub(super) input: &'a Input<'a>,
     pub(super) ledger: &'a mut Ledger,
     pub(super) limiter: &'a mut LoadLimiter,
-    pub(super) loading: usize,
-    pub(super) assigned: BTreeMap<Name, Vec<Name>>,
+    pub(super) loads_in_progress: usize,
+    /// Halls that each model is assigned to.
+    pub(super) assignment: BTreeMap<Name, Vec<Name>>,
     pub(super) plan: Plan,
-    /// Replicas (model, upstream) that this tick has decided to give up.
-    pub(super) going: BTreeSet<(Name, Name)>,
-    /// Weights at upstreams: ready, staying.
+    /// Replicas (model, upstream) that this tick unloads.
+    pub(super) unloading: BTreeSet<(Name, Name)>,
+    /// Ready replicas by model: upstream and version.
     ready: BTreeMap<Name, Vec<(usize, Name)>>,
-    /// Weights on their way: loading or reserved.
-    coming: BTreeMap<Name, Vec<(usize, Name)>>,
+    /// Replicas by model that are loading or whose load is reserved: upstream and version.
+    incoming: BTreeMap<Name, Vec<(usize, Name)>>,
 }
 
-/// Decides a tick; the orders are in the ledger when this returns.
+/// Plans a tick. The orders it returns are reserved in the ledger.
 pub fn plan(input: &Input, ledger: &mut Ledger, limiter: &mut LoadLimiter) -> Plan {
     ledger.resolve(input.fleet);
     limiter.refill(input.now);
     let requirements: Vec<Requirement> = input.specs.iter().map(Spec::requirement).collect();
-    let assigned = assign(&requirements, input.halls);
-    let loading = count_loading(input.fleet, ledger);
-    let (ready, coming) = replicas(input.fleet, ledger);
+    let assignment = assign(&requirements, input.halls);
+    let loads_in_progress = count_loads(input.fleet, ledger);
+    let (ready, incoming) = replicas(input.fleet, ledger);
     let mut tick = Tick {
         input,
         ledger,
         limiter,
-        loading,
-        assigned,
+        loads_in_progress,
+        assignment,
         plan: Plan::default(),
-        going: BTreeSet::new(),
+        unloading: BTreeSet::new(),
         ready,
-        coming,
+        incoming,
     };
-    floor::homes(&mut tick);
-    floor::repair(&mut tick);
-    reconcile::versions(&mut tick);
-    reconcile::adapters(&mut tick);
-    reconcile::unnamed(&mut tick);
+    floor::update_homes(&mut tick);
+    floor::restore(&mut tick);
+    reconcile::update_versions(&mut tick);
+    reconcile::load_adapters(&mut tick);
+    reconcile::unload_unlisted(&mut tick);
     scale_up::scale_up(&mut tick);
     tick.plan.resends = tick.resends();
     tick.plan
 }
 
-fn count_loading(fleet: &Fleet, ledger: &Ledger) -> usize {
+/// Loads that upstreams report or that are reserved and not reported yet.
+fn count_loads(fleet: &Fleet, ledger: &Ledger) -> usize {
     let resident = fleet.upstreams.iter().flat_map(|u| &u.report.resident);
     let loading = resident.filter(|r| r.state == State::Loading).count();
     let reserved = ledger
@@ -201,12 +203,13 @@
     loading + reserved
 }
 
+/// Upstream and version of each replica, by model.
 type Replicas = BTreeMap<Name, Vec<(usize, Name)>>;
 
-/// Replicas of each model with their versions: those ready to stay, and those on their way.
+/// Ready replicas without a pending unload, and incoming ones. Upstreams that leave are left out.
 fn replicas(fleet: &Fleet, ledger: &Ledger) -> (Replicas, Replicas) {
     let mut ready = Replicas::new();
-    let mut coming = Replicas::new();
+    let mut incoming = Replicas::new();
     for (i, upstream) in fleet.upstreams.iter().enumerate() {
         if upstream.leaving {
             continue;
@@ -217,13 +220,15 @@
                 continue;
             }
             let at = (i, weights.version.clone());
-            // A silent upstream, or one known only from an old report, may hold it still: no
-            // reason to load another, and none to let another go.
-            let sure = !upstream.unreachable && ledger.is_current(upstream);
+            // Without a current report the replica may or may not be there. As an incoming one it keeps
+            // another from being loaded, and does not count when one is to be unloaded.
+            let is_certain = !upstream.unreachable && ledger.is_current(upstream);
             match resident.state {
-                State::Ready if !sure => coming.entry(weights.model.clone()).or_default().push(at),
+                State::Ready if !is_certain => {
+                    incoming.entry(weights.model.clone()).or_default().push(at)
+                }
                 State::Ready => ready.entry(weights.model.clone()).or_default().push(at),
-                State::Loading => coming.entry(weights.model.clone()).or_default().push(at),
+                State::Loading => incoming.entry(weights.model.clone()).or_default().push(at),
                 State::Unloading => {}
             }
         }
@@ -234,11 +239,11 @@
                 && entry.delivery != crate::ledger::Delivery::InDoubt
             {
                 let at = (i, weights.version.clone());
-                coming.entry(weights.model.clone()).or_default().push(at);
+                incoming.entry(weights.model.clone()).or_default().push(at);
             }
         }
     }
-    (ready, coming)
+    (ready, incoming)
 }
 
 impl<'a> Tick<'a> {
@@ -246,53 +251,54 @@
         &self.input.fleet.upstreams[at]
     }
 
-    /// Upstreams that hold a model ready and will go on holding it, with its version.
+    /// Upstreams that have a model ready and that this tick does not unload it from, with its version.
     pub(super) fn ready(&self, model: &str) -> Vec<(usize, Name)> {
         let found = self.ready.get(model).cloned().unwrap_or_default();
-        let stays = |(at, _): &(usize, Name)| {
+        let is_staying = |(at, _): &(usize, Name)| {
             !self
-                .going
+                .unloading
                 .iter()
                 .any(|(m, u)| **m == *model && *u == self.upstream(*at).name)
         };
-        found.into_iter().filter(stays).collect()
+        found.into_iter().filter(is_staying).collect()
     }
 
-    /// Upstreams to which a model is on its way, with its version.
-    pub(super) fn coming(&self, model: &str) -> &[(usize, Name)] {
-        self.coming.get(model).map_or(&[], Vec::as_slice)
+    /// Upstreams that are to load or are loading a model, with its version.
+    pub(super) fn incoming(&self, model: &str) -> &[(usize, Name)] {
+        self.incoming.get(model).map_or(&[], Vec::as_slice)
     }
 
-    /// Replicas of a model that this hall must keep.
+    /// Minimum number of replicas of a model in this hall.
     pub(super) fn floor(&self, spec: &Spec) -> usize {
         let halls = self
-            .assigned
+            .assignment
             .get(&spec.model)
             .map_or(&[][..], Vec::as_slice);
         if let Some(i) = halls.iter().position(|hall| hall == self.input.hall) {
-            // The first halls take what does not divide evenly.
+            // The first halls take the remainder.
             return (spec.min_replicas as usize + halls.len() - 1 - i) / halls.len();
         }
         usize::from(self.input.homes.is_home(&spec.model, self.input.hall))
     }
 
-    /// Whether the last replica of a model here may go, as far as other halls are concerned.
+    /// Whether this hall is a home of a model or joins its homes in this tick.
     pub(super) fn is_home(&self, model: &str) -> bool {
         self.input.homes.is_home(model, self.input.hall)
             || self.plan.joins.iter().any(|m| &**m == model)
     }
 
+    /// Explains what could not be done for a model.
     pub(super) fn note(&mut self, model: &Name, text: String) {
         self.plan.notes.insert(model.clone(), text);
     }
 
-    /// Whether the weight store has room for another load.
-    pub(super) fn may_start(&self) -> bool {
-        self.limiter.tokens >= 1.0 && self.loading < self.limiter.max_concurrent
+    /// Whether the load limiter allows another load.
+    pub(super) fn may_load(&self) -> bool {
+        self.limiter.tokens >= 1.0 && self.loads_in_progress < self.limiter.max_concurrent
     }
 
-    /// Reserves an order; tells whether the ledger allowed it.
-    fn order(&mut self, at: usize, action: Action, reason: String) -> Result<(), Denial> {
+    /// Reserves an order in the ledger and adds it to the plan.
+    fn reserve_order(&mut self, at: usize, action: Action, reason: String) -> Result<(), Denial> {
         let upstream = self.upstream(at);
         let new_order = NewOrder {
             upstream: upstream.name.clone(),
@@ -306,7 +312,7 @@
         Ok(())
     }
 
-    /// Orders a load, if the store and the ledger allow it.
+    /// Orders a load if the limiter and the ledger allow it; returns whether they did.
     pub(super) fn load(
         &mut self,
         at: usize,
@@ -314,45 +320,49 @@
         bytes: Bytes,
         reason: String,
     ) -> bool {
-        if !self.may_start() {
+        if !self.may_load() {
             return false;
         }
         let model = weights.model.clone();
         let version = weights.version.clone();
-        let base = weights.adapter.is_none();
+        let is_base = weights.adapter.is_none();
         if self
-            .order(at, Action::Load { weights, bytes }, reason)
+            .reserve_order(at, Action::Load { weights, bytes }, reason)
             .is_err()
         {
             return false;
         }
         self.limiter.tokens -= 1.0;
-        self.loading += 1;
-        if base {
-            self.coming.entry(model).or_default().push((at, version));
+        self.loads_in_progress += 1;
+        if is_base {
+            self.incoming.entry(model).or_default().push((at, version));
         }
         true
     }
 
-    /// Orders an unload, unless it would take a model's last replica that this hall must keep.
+    /// Orders an unload, unless it would remove the last ready replica of a model with its home in this hall;
+    /// returns whether it was ordered.
     pub(super) fn unload(&mut self, at: usize, weights: Weights, reason: String) -> bool {
-        let base = weights.adapter.is_none();
+        let is_base = weights.adapter.is_none();
         let model = weights.model.clone();
         let name = self.upstream(at).name.clone();
-        if base && self.takes_last(at, &weights) {
+        if is_base && self.removes_last(at, &weights) {
             return false;
         }
-        if self.order(at, Action::Unload { weights }, reason).is_err() {
+        if self
+            .reserve_order(at, Action::Unload { weights }, reason)
+            .is_err()
+        {
             return false;
         }
-        if base {
-            self.going.insert((model, name));
+        if is_base {
+            self.unloading.insert((model, name));
         }
         true
     }
 
-    /// Whether unloading weights here would leave a model of this home without a ready replica.
-    fn takes_last(&self, at: usize, weights: &Weights) -> bool {
+    /// Whether unloading the weights would leave a model with its home in this hall without a ready replica.
+    fn removes_last(&self, at: usize, weights: &Weights) -> bool {
         let served = self.input.specs.iter().any(|w| w.model == weights.model);
         if !served || !self.is_home(&weights.model) {
             return false;
@@ -361,18 +371,18 @@
         !self.ready(&weights.model).iter().any(other)
     }
 
-    /// Open orders that may be sent again.
+    /// Open orders to send again.
     ///
-    /// An unload is judged anew: what stood by when it was decided may be gone.
+    /// Unloads are checked again, since the other replicas they relied on may be gone.
     fn resends(&self) -> Vec<(Name, Order)> {
-        let fresh: BTreeSet<_> = self.plan.orders.iter().map(|(_, o)| o.fence).collect();
+        let new_fences: BTreeSet<_> = self.plan.orders.iter().map(|(_, o)| o.fence).collect();
         let usable = self.usable();
         let mut resends = Vec::new();
         for entry in self
             .ledger
             .open
             .iter()
-            .filter(|o| !fresh.contains(&o.order.fence))
+            .filter(|o| !new_fences.contains(&o.order.fence))
         {
             let at = usable
                 .iter()
@@ -382,7 +392,7 @@
             };
             let harmful = match &entry.order.action {
                 Action::Unload { weights } if weights.adapter.is_none() => {
-                    self.takes_last(*at, weights)
+                    self.removes_last(*at, weights)
                 }
                 _ => false,
             };
@@ -393,12 +403,12 @@
         resends
     }
 
-    /// Memory that an upstream has free now.
+    /// Memory that is neither used nor reserved on an upstream.
     pub(super) fn free(&self, at: usize) -> Bytes {
         self.ledger.free(self.upstream(at))
     }
 
-    /// Upstreams that may get new weights.
+    /// Upstreams that may get orders.
     pub(super) fn usable(&self) -> Vec<usize> {
         let all = 0..self.input.fleet.upstreams.len();
         all.filter(|at| {
@@ -408,10 +418,10 @@
         .collect()
     }
 
-    /// Whether an upstream holds, or is getting, any version of a model.
-    pub(super) fn has(&self, at: usize, model: &str) -> bool {
+    /// Whether an upstream holds or is to load any version of a model.
+    pub(super) fn has_replica(&self, at: usize, model: &str) -> bool {
         let resident = &self.upstream(at).report.resident;
         resident.iter().any(|r| is_base(&r.weights, model))
-            || self.coming(model).iter().any(|(i, _)| *i == at)
+            || self.incoming(model).iter().any(|(i, _)| *i == at)
     }
 }
