--- a/crates/place/tests/adapters.rs
+++ b/crates/place/tests/adapters.rs
@@ -1,4 +1,4 @@
-//! Adapters are fetched ahead into free places only.
+//! Prefetch of adapters into free adapter slots.
 
 use place::adapters::{Replica, plan};
 use proptest::prelude::*;
@@ -13,14 +13,14 @@
 }
 
 #[test]
-fn adapters_that_are_nowhere_go_to_holders_with_the_most_room() {
+fn missing_adapters_go_to_the_holder_of_their_model_with_the_most_free_slots() {
     let replicas = [replica(&[0], 1), replica(&[0], 3), replica(&[1], 9)];
     let fetches = plan(&replicas, &[3, 0], &[0, 1], 9);
     assert_eq!(fetches, [(1, 0, 1), (1, 0, 2), (1, 0, 3)]);
 }
 
 #[test]
-fn what_is_somewhere_is_not_fetched_again() {
+fn an_adapter_on_some_replica_is_not_fetched_again() {
     let mut held = replica(&[0], 2);
     held.adapters = vec![(0, 1)];
     let fetches = plan(&[held, replica(&[0], 1)], &[2], &[0], 9);
@@ -29,7 +29,7 @@
 
 proptest! {
     #[test]
-    fn no_place_is_given_twice(
+    fn fetches_are_distinct_and_fit_the_free_slots(
         free in proptest::collection::vec(0usize..4, 1..6),
         counts in proptest::collection::vec(0u32..9, 1..4),
     ) {
--- a/crates/place/tests/copies.rs
+++ b/crates/place/tests/copies.rs
@@ -1,4 +1,4 @@
-//! The plan of copies: reachable models first, then demand, then leftover memory.
+//! Plans of model copies: required models first, then demand, then spare memory.
 
 use place::copies::{Model, Replica, Step, plan};
 use proptest::prelude::*;
@@ -31,21 +31,21 @@
     }
 }
 
-fn in_need(part: f64, replica: Replica) -> Replica {
+fn with_capacity(capacity: f64, replica: Replica) -> Replica {
     Replica {
-        degraded_capacity: Some(part),
+        degraded_capacity: Some(capacity),
         ..replica
     }
 }
 
-/// Two models alike, each with one copy; that of the second is on a replica that takes a twentieth of what it could.
+/// Guards against counting a copy on a replica of reduced capacity as a full one.
 #[test]
-fn a_model_whose_only_copy_is_in_need_gets_another() {
+fn a_model_whose_only_copy_is_on_a_degraded_replica_gets_another() {
     let models = [model(0.5), model(0.5)];
-    let sound = replica(&[0], 0.0);
-    let needy = in_need(0.05, replica(&[1], 0.0));
+    let healthy = replica(&[0], 0.0);
+    let degraded = with_capacity(0.05, replica(&[1], 0.0));
     let empty = replica(&[], 40.0);
-    let steps = plan(&[sound, needy, empty], &models, 1, 1);
+    let steps = plan(&[healthy, degraded, empty], &models, 1, 1);
     let load = Step::Load {
         replica: 2,
         model: 1,
@@ -54,18 +54,18 @@
     assert_eq!(steps, [load]);
 }
 
-/// Its only sound copy does not give way, and a copy goes to a sound replica rather than to one in need.
+/// The only copy at full capacity is not evicted, and a new copy goes to a replica of full capacity.
 #[test]
-fn what_a_replica_in_need_serves_counts_as_little_as_it_is() {
+fn a_copy_counts_by_the_capacity_of_its_replica() {
     let models = [model(2.0), model(0.5)];
-    let sound = replica(&[1], 0.0);
-    let needy = in_need(0.05, replica(&[1], 0.0));
+    let healthy = replica(&[1], 0.0);
+    let degraded = with_capacity(0.05, replica(&[1], 0.0));
     let other = replica(&[0], 0.0);
-    assert_eq!(plan(&[sound.clone(), needy, other], &models, 1, 3), []);
+    assert_eq!(plan(&[healthy.clone(), degraded, other], &models, 1, 3), []);
     let models = [model(2.0)];
-    let needy = in_need(0.05, replica(&[], 40.0));
+    let degraded = with_capacity(0.05, replica(&[], 40.0));
     let steps = plan(
-        &[replica(&[0], 0.0), needy, replica(&[], 40.0)],
+        &[replica(&[0], 0.0), degraded, replica(&[], 40.0)],
         &models,
         1,
         1,
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_model_without_a_copy_goes_first() {
+fn a_model_without_a_copy_is_loaded_first() {
     let models = [model(3.0), model(0.0), model(0.0)];
     let replicas = [replica(&[0], 50.0), replica(&[1], 10.0)];
     let steps = plan(&replicas, &models, 1, 1);
@@ -90,46 +90,45 @@
 }
 
 #[test]
-fn demand_that_is_not_covered_takes_the_room_of_what_nobody_asks_for() {
+fn a_model_without_demand_is_evicted_for_unserved_demand() {
     let models = [model(3.0), model(0.0)];
     let replicas = [replica(&[0, 1], 0.0), replica(&[1], 0.0)];
     let steps = plan(&replicas, &models, 1, 4);
-    let out = Step::Unload {
+    let unload = Step::Unload {
         replica: 1,
         models: vec![1],
         replacement: 0,
     };
-    assert_eq!(steps, [out]);
+    assert_eq!(steps, [unload]);
 }
 
-/// nqi-line-grown: with demand for all models beyond their copies, one more copy was worth the same
-/// for each, and the busiest did not get the most. kvikbud-dk: when it got copies by its demand, the
-/// next ones had one or two each, and demand moved to them within seconds.
+/// Guards against equal copies for unequal demand, and against copies in proportion to demand, which leave the
+/// other models too few when demand shifts.
 #[rstest]
-#[case::the_busiest_goes_first(1, 1)]
-#[case::it_has_as_many_as_its_root(2, 1)]
-#[case::it_has_one_more(3, 0)]
+#[case::the_busiest_model_comes_first(1, 1)]
+#[case::it_has_as_many_as_the_root_of_its_demand(2, 1)]
+#[case::it_has_one_more_than_that(3, 0)]
 #[case::it_has_as_many_as_its_demand(4, 0)]
-fn copies_go_by_the_square_root_of_demand(#[case] copies: usize, #[case] expected: usize) {
+fn copies_grow_with_the_square_root_of_demand(#[case] copies: usize, #[case] expected: usize) {
     let models = [model(3.0), model(12.0)];
     let mut replicas = vec![replica(&[1], 10.0); copies];
     replicas.push(replica(&[0], 10.0));
     replicas.push(replica(&[], 50.0));
     let steps = plan(&replicas, &models, 1, 1);
-    let relief = Step::Load {
+    let load = Step::Load {
         replica: copies + 1,
         model: expected,
         from_store: true,
     };
-    assert_eq!(steps, [relief]);
+    assert_eq!(steps, [load]);
 }
 
 #[test]
-fn room_waits_for_the_weight_store_rather_than_for_what_few_need() {
+fn free_memory_is_kept_for_a_load_that_waits_for_the_weight_store() {
     let models = [model(6.0), model(0.0)];
-    let mut known = replica(&[], 50.0);
-    known.cached = vec![1];
-    let replicas = [replica(&[0], 10.0), replica(&[1], 10.0), known];
+    let mut with_cache = replica(&[], 50.0);
+    with_cache.cached = vec![1];
+    let replicas = [replica(&[0], 10.0), replica(&[1], 10.0), with_cache];
     assert!(plan(&replicas, &models, 0, 9).is_empty());
     let steps = plan(&replicas, &models, 1, 1);
     assert!(
@@ -145,27 +144,26 @@
     );
 }
 
-/// kvikbud-dk scale-2: a model that nobody asked for took the place of the busiest in its burst, since
-/// its own worth drowned what was given up.
+/// Guards against evicting the busiest model for one without demand.
 #[test]
-fn a_model_that_is_nowhere_takes_the_place_that_costs_least() {
+fn a_missing_model_displaces_the_copy_with_the_least_loss() {
     let models = [model(1.0), model(0.0), model(0.0)];
-    let mut kept = replica(&[0], 0.0);
-    kept.cached = vec![2];
+    let mut with_cache = replica(&[0], 0.0);
+    with_cache.cached = vec![2];
     let mut busy = replica(&[1], 0.0);
     busy.utilization = 0.9;
-    let replicas = [kept.clone(), kept, busy.clone(), busy];
+    let replicas = [with_cache.clone(), with_cache, busy.clone(), busy];
     let steps = plan(&replicas, &models, 1, 1);
-    let out = Step::Unload {
+    let unload = Step::Unload {
         replica: 2,
         models: vec![1],
         replacement: 2,
     };
-    assert_eq!(steps, [out]);
+    assert_eq!(steps, [unload]);
 }
 
 #[test]
-fn a_copy_goes_to_the_replica_with_least_to_do() {
+fn a_copy_goes_to_the_least_busy_replica() {
     let models = [model(4.0), model(1.0), model(0.2)];
     let replicas = [
         replica(&[1], 50.0),
@@ -173,18 +171,17 @@
         replica(&[0], 10.0),
     ];
     let steps = plan(&replicas, &models, 1, 1);
-    let relief = Step::Load {
+    let load = Step::Load {
         replica: 1,
         model: 0,
         from_store: true,
     };
-    assert_eq!(steps, [relief]);
+    assert_eq!(steps, [load]);
 }
 
-/// nqi-line-grown scale-1: 0.14 s after the first request 99 of 112 replicas were told to give up models
-/// that nobody had asked for yet, and took no other order for 3 s while demand moved.
+/// Guards against unloads on most replicas at once, which then take no other order while demand shifts.
 #[test]
-fn few_replicas_make_room_at_once() {
+fn few_replicas_unload_at_the_same_time() {
     let models: Vec<Model> = (0..24)
         .map(|m| model(if m < 12 { 9.0 } else { 0.0 }))
         .collect();
@@ -197,21 +194,21 @@
         unloads.count()
     };
     assert_eq!(unloads(&replicas), 4);
-    let mut begun = replicas.clone();
-    for replica in &mut begun[..3] {
+    let mut unloading = replicas.clone();
+    for replica in &mut unloading[..3] {
         replica.accepts_orders = false;
         replica.unloading = true;
     }
-    assert_eq!(unloads(&begun), 1);
+    assert_eq!(unloads(&unloading), 1);
 }
 
 #[test]
-fn a_model_that_is_nowhere_does_not_wait_for_others_to_make_room() {
+fn a_missing_model_is_exempt_from_the_limit_on_unloads() {
     let models = [model(9.0), model(0.0), model(0.0)];
-    let mut begun = replica(&[0], 10.0);
-    begun.accepts_orders = false;
-    begun.unloading = true;
-    let replicas = [begun, replica(&[0, 1], 0.0), replica(&[0, 1], 0.0)];
+    let mut unloading = replica(&[0], 10.0);
+    unloading.accepts_orders = false;
+    unloading.unloading = true;
+    let replicas = [unloading, replica(&[0, 1], 0.0), replica(&[0, 1], 0.0)];
     let steps = plan(&replicas, &models, 9, 1);
     assert!(
         matches!(steps[..], [Step::Unload { replacement: 2, .. }]),
@@ -219,39 +216,38 @@
     );
 }
 
-/// kvikbud-dk scale-2: a model without a copy had six replicas make room for it, one each 200 ms, and
-/// two of these gave up the busiest model.
+/// Guards against several replicas making room for the same missing model.
 #[test]
-fn room_is_made_once_for_a_model_that_is_nowhere() {
+fn room_is_made_once_for_a_missing_model() {
     let models = [model(0.1), model(0.1), model(0.0)];
-    let mut begun = replica(&[0], 10.0);
-    begun.accepts_orders = false;
-    begun.unloading = true;
-    begun.incoming = vec![2];
-    let replicas = [begun, replica(&[0, 1], 0.0), replica(&[0, 1], 0.0)];
+    let mut unloading = replica(&[0], 10.0);
+    unloading.accepts_orders = false;
+    unloading.unloading = true;
+    unloading.incoming = vec![2];
+    let replicas = [unloading, replica(&[0, 1], 0.0), replica(&[0, 1], 0.0)];
     assert!(plan(&replicas, &models, 9, 1).is_empty());
 }
 
 #[test]
-fn a_copy_on_its_way_does_not_free_the_last_one_that_is_there() {
+fn an_incoming_copy_does_not_permit_evicting_the_last_loaded_one() {
     let models = [model(9.0), model(0.0)];
-    let mut begun = replica(&[], 10.0);
-    begun.accepts_orders = false;
-    begun.unloading = true;
-    begun.incoming = vec![1];
-    let replicas = [begun, replica(&[1], 0.0)];
+    let mut unloading = replica(&[], 10.0);
+    unloading.accepts_orders = false;
+    unloading.unloading = true;
+    unloading.incoming = vec![1];
+    let replicas = [unloading, replica(&[1], 0.0)];
     assert!(plan(&replicas, &models, 9, 1).is_empty());
 }
 
 #[test]
-fn the_last_copy_stays() {
+fn the_last_copy_is_not_evicted_for_a_further_copy() {
     let models = [model(9.0), model(0.0)];
     let replicas = [replica(&[0], 0.0), replica(&[1], 0.0)];
     assert!(plan(&replicas, &models, 9, 9).is_empty());
 }
 
 #[test]
-fn a_copy_on_a_replica_that_leaves_does_not_count() {
+fn a_copy_on_a_leaving_replica_does_not_count() {
     let models = [model(0.0)];
     let mut leaving = replica(&[0], 0.0);
     leaving.in_service = false;
@@ -261,11 +257,11 @@
 }
 
 #[test]
-fn without_a_load_from_the_store_only_copies_at_hand_are_loaded() {
+fn without_store_loads_only_cached_models_are_loaded() {
     let models = [model(0.0), model(0.0)];
-    let mut known = replica(&[0], 100.0);
-    known.cached = vec![1];
-    let replicas = [known, replica(&[1], 100.0)];
+    let mut with_cache = replica(&[0], 100.0);
+    with_cache.cached = vec![1];
+    let replicas = [with_cache, replica(&[1], 100.0)];
     let steps = plan(&replicas, &models, 0, 9);
     assert!(!steps.is_empty());
     for step in steps {
@@ -283,20 +279,20 @@
 }
 
 proptest! {
-    /// However demand moves, steps taken at their word never exceed memory, nor take a last copy while
-    /// there are places for all models: each replica here has two.
+    /// With any demand, steps never exceed memory, evict no last copy while there are slots for all models
+    /// (two on each replica), and come to an end.
     #[test]
-    fn plans_are_safe_and_settle(
+    fn plans_are_safe_and_converge(
         demands in proptest::collection::vec(0.0f64..6.0, 2..8),
         count in 2usize..7,
     ) {
         let models: Vec<Model> = demands.into_iter().map(model).collect();
         let mut replicas: Vec<Replica> = (0..count).map(|_| replica(&[], 100.0)).collect();
-        let mut quiet = false;
+        let mut settled = false;
         for _ in 0..80 {
-            let had: Vec<bool> = reachable(&replicas, models.len());
+            let before: Vec<bool> = loaded_models(&replicas, models.len());
             let steps = plan(&replicas, &models, 3, count);
-            quiet = steps.is_empty();
+            settled = steps.is_empty();
             for step in steps {
                 match step {
                     Step::Load { replica, model, .. } => {
@@ -311,16 +307,16 @@
                     }
                 }
             }
-            let has = reachable(&replicas, models.len());
-            for (had, has) in had.iter().zip(has).filter(|_| models.len() <= 2 * count) {
-                prop_assert!(!had || has, "a model lost its last copy");
+            let after = loaded_models(&replicas, models.len());
+            for (before, after) in before.iter().zip(after).filter(|_| models.len() <= 2 * count) {
+                prop_assert!(!before || after, "a model lost its last copy");
             }
         }
-        prop_assert!(quiet, "the plan goes to and fro");
+        prop_assert!(settled, "the plan does not converge");
     }
 }
 
-fn reachable(replicas: &[Replica], models: usize) -> Vec<bool> {
+fn loaded_models(replicas: &[Replica], models: usize) -> Vec<bool> {
     let holds = |m| replicas.iter().any(|r| r.held.contains(&m));
     (0..models).map(holds).collect()
 }
--- a/crates/place/tests/homes.rs
+++ b/crates/place/tests/homes.rs
@@ -1,4 +1,4 @@
-//! Two halls that each believe the other keeps a model: the homes value lets only one let go.
+//! Homes of models: of two halls that each assume the other keeps a model, only one may unload it.
 
 use place::homes::{Hall, Homes};
 use place::ledger::Ledger;
@@ -52,14 +52,14 @@
     }
 }
 
-/// One tick of a hall that believes only `believed` to exist, with a bundle of `wants`.
-fn tick(hall: &str, believed: &str, homes: &Homes, specs: &[Spec]) -> Plan {
+/// Runs one tick of a hall whose host list shows only the hall `listed`.
+fn tick(hall: &str, listed: &str, homes: &Homes, specs: &[Spec]) -> Plan {
     let name: Name = hall.into();
     let halls = [Hall {
-        name: believed.into(),
+        name: listed.into(),
         memory: GB(10),
     }];
-    // `y` is in demand and too large to stand beside `x`.
+    // `y` is in demand and does not fit beside `x`.
     let demand = BTreeMap::from([(
         "y".into(),
         Demand {
@@ -93,24 +93,24 @@
     plan.orders.iter().filter(unload).count()
 }
 
-/// Bundle in which another model of this hall needs the room that `x` takes.
+/// Specs in which `y` needs the memory that `x` takes.
 fn specs() -> [Spec; 2] {
     [spec("x", 6), spec("y", 8)]
 }
 
 #[test]
-fn without_homes_both_halls_would_let_go() {
-    // Each hall believes that the other keeps `x`, and is told of no homes it belongs to.
+fn without_homes_both_halls_would_unload_the_last_replica() {
+    // Each hall assumes that another keeps `x` and is not a home of it.
     let mut homes = Homes::default();
     homes.join(&"x".into(), &"elsewhere".into());
     homes.join(&"y".into(), &"a".into());
     homes.join(&"y".into(), &"b".into());
-    let lets_go = |hall, other| unloads(&tick(hall, other, &homes, &specs())) > 0;
-    assert!(lets_go("a", "b") && lets_go("b", "a"));
+    let unloads_x = |hall, other| unloads(&tick(hall, other, &homes, &specs())) > 0;
+    assert!(unloads_x("a", "b") && unloads_x("b", "a"));
 }
 
 #[test]
-fn a_home_keeps_its_last_replica_whatever_it_believes() {
+fn a_home_keeps_its_last_replica_whatever_its_host_list_shows() {
     let mut homes = Homes::default();
     homes.join(&"x".into(), &"a".into());
     homes.join(&"y".into(), &"a".into());
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn every_model_is_assigned_even_when_the_halls_are_too_small() {
+fn every_model_is_assigned_even_if_the_halls_are_too_small() {
     let models: Vec<_> = (0..9)
         .map(|i| spec(&format!("m{i}"), 9).requirement())
         .collect();
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn a_hall_joins_once_it_holds_a_model_that_nobody_keeps() {
+fn a_hall_joins_the_homes_of_a_ready_model_without_a_home() {
     let plan = tick("a", "a", &Homes::default(), &[spec("x", 6)]);
     assert_eq!(plan.joins, [Name::from("x")]);
 }
--- a/crates/place/tests/safety.rs
+++ b/crates/place/tests/safety.rs
@@ -1,11 +1,9 @@
-//! Safety of placement under random interleavings: two planners that pause, race and are taken
-//! over; orders lost, late, doubled and reordered; engines that restart; writes of the ledger
-//! whose answers are lost and that land later; bundles rolled meanwhile.
+//! Safety of placement under random interleavings of two planners, lost, delayed, duplicated and reordered
+//! orders, engine restarts, ledger writes without an answer, and changes of the bundle.
 //!
-//! The invariants are checked after every step on the engines' true state: memory is never
-//! overcommitted (the engines here obey anything), and a served model that was ready somewhere
-//! loses its last ready replica only by a restart. Each guard is taken out in turn, to show that
-//! the check then fails.
+//! After every step the actual state of the engines must show no overcommitted memory, and no model that lost
+//! its last ready replica other than by a restart. Each guard is also disabled in turn, and a run must then
+//! fail.
 
 mod world;
 
@@ -15,7 +13,7 @@
 /// Steps of one run.
 const STEPS: usize = 400;
 
-/// Runs in CI; `COVEFORD_SEEDS` asks for more.
+/// Default number of runs; `COVEFORD_SEEDS` overrides it.
 const SEEDS: u64 = 300;
 
 fn seeds() -> u64 {
@@ -23,48 +21,48 @@
     more.and_then(|n| n.parse().ok()).unwrap_or(SEEDS)
 }
 
-/// First violation of a run, if there is one.
+/// Returns the first violation in a run.
 fn run(seed: u64, guards: Guards) -> Option<String> {
     let mut world = World::new(seed, guards);
     for step in 0..STEPS {
         world.step();
-        if let Some(broken) = world.broken() {
-            return Some(format!("seed {seed}, step {step}: {broken}"));
+        if let Some(violation) = world.violation() {
+            return Some(format!("seed {seed}, step {step}: {violation}"));
         }
     }
     None
 }
 
 #[test]
-fn nothing_is_overcommitted_and_nothing_becomes_unreachable() {
+fn memory_is_never_overcommitted_and_ready_models_stay_ready() {
     let mut orders = 0;
     let mut loads = 0;
     for seed in 0..seeds() {
         let mut world = World::new(seed, Guards::ALL);
         for step in 0..STEPS {
             world.step();
-            let broken = world.broken();
+            let violation = world.violation();
             let trace = || world.trace.join("\n");
-            assert_eq!(broken, None, "seed {seed}, step {step}\n{}", trace());
+            assert_eq!(violation, None, "seed {seed}, step {step}\n{}", trace());
         }
         orders += world.orders_sent;
-        loads += world.loads_landed;
+        loads += world.loads_completed;
     }
-    // The runs must have done something for their silence to mean anything.
+    // Guards against runs that pass because nothing happens in them.
     assert!(orders > 20 * seeds(), "{orders} orders were sent");
-    assert!(loads > 5 * seeds(), "{loads} loads landed");
+    assert!(loads > 5 * seeds(), "{loads} loads completed");
 }
 
 #[rstest]
-#[case::orders_are_reserved_before_they_are_sent(Guards { reserve: false, ..Guards::ALL })]
-#[case::an_unanswered_order_stays_in_doubt(Guards { doubt: false, ..Guards::ALL })]
-#[case::an_order_dies_with_its_incarnation(Guards { bound: false, ..Guards::ALL })]
-#[case::an_older_report_is_not_acted_on(Guards { seen: false, ..Guards::ALL })]
-#[case::the_ledger_is_written_by_compare_and_swap(Guards { swap: false, ..Guards::ALL })]
-#[case::fencing_engines_refuse_old_orders(Guards { fences: false, ..Guards::ALL })]
-#[case::a_lost_write_is_settled_before_sending(Guards { settle: false, ..Guards::ALL })]
+#[case::orders_are_reserved_before_they_are_sent(Guards { reservation: false, ..Guards::ALL })]
+#[case::an_unanswered_order_stays_in_doubt(Guards { in_doubt: false, ..Guards::ALL })]
+#[case::an_order_reaches_only_its_incarnation(Guards { incarnation_binding: false, ..Guards::ALL })]
+#[case::an_older_report_is_ignored(Guards { report_order: false, ..Guards::ALL })]
+#[case::the_ledger_is_written_by_compare_and_swap(Guards { compare_and_swap: false, ..Guards::ALL })]
+#[case::fencing_engines_reject_old_orders(Guards { fencing: false, ..Guards::ALL })]
+#[case::a_write_without_an_answer_is_resolved_before_orders_are_sent(Guards { lost_write_recovery: false, ..Guards::ALL })]
 fn each_guard_matters(#[case] guards: Guards) {
     let found = (0..20 * SEEDS).find_map(|seed| run(seed, guards));
-    let found = found.expect("without the guard some run must break");
+    let found = found.expect("some run must fail without the guard");
     println!("without the guard: {found}");
 }
--- a/crates/place/tests/world/mod.rs
+++ b/crates/place/tests/world/mod.rs
@@ -1,4 +1,4 @@
-//! Engines, planners, a network and a ledger store, stepped at random.
+//! Randomly stepped simulation of engines, planners, a network and a ledger store.
 
 use place::homes::{Hall, Homes};
 use place::ledger::Ledger;
@@ -10,36 +10,43 @@
 use unit::engine::{Action, Fence, Load, Order, OrderStatus, Report, Resident, Role, State};
 use unit::{Bytes, Name, Time};
 
-const ENGINES: usize = 4;
-const PLANNERS: usize = 2;
-const MODELS: usize = 5;
-const MEMORY: u64 = 20;
+const ENGINE_COUNT: usize = 4;
+const PLANNER_COUNT: usize = 2;
+const MODEL_COUNT: usize = 5;
+const MEMORY_GB: u64 = 20;
 
-/// Guards that a run works under.
+/// Safety mechanisms, each of which a run can disable.
 #[derive(Debug, Clone, Copy)]
 pub struct Guards {
-    pub reserve: bool,
-    pub doubt: bool,
-    pub bound: bool,
-    pub seen: bool,
-    pub swap: bool,
-    pub fences: bool,
-    pub settle: bool,
+    /// Orders are reserved in the ledger before they are sent.
+    pub reservation: bool,
+    /// Unanswered orders stay in the ledger.
+    pub in_doubt: bool,
+    /// Orders reach only the incarnation they were sent to.
+    pub incarnation_binding: bool,
+    /// Reports older than one that resolved an order are ignored.
+    pub report_order: bool,
+    /// The ledger is written by compare-and-swap.
+    pub compare_and_swap: bool,
+    /// Engines reject orders by fence and incarnation.
+    pub fencing: bool,
+    /// Orders are not sent after a ledger write without an answer.
+    pub lost_write_recovery: bool,
 }
 
 impl Guards {
     pub const ALL: Guards = Guards {
-        reserve: true,
-        doubt: true,
-        bound: true,
-        seen: true,
-        swap: true,
-        fences: true,
-        settle: true,
+        reservation: true,
+        in_doubt: true,
+        incarnation_binding: true,
+        report_order: true,
+        compare_and_swap: true,
+        fencing: true,
+        lost_write_recovery: true,
     };
 }
 
-/// Engine that obeys every order that reaches it, also one it has no memory for.
+/// Engine that carries out every order it does not reject, even without memory for it.
 struct Engine {
     name: Name,
     fencing: bool,
@@ -55,7 +62,7 @@
             incarnation: self.incarnation,
             number: self.reports.len() as u64,
             fence: self.fence,
-            memory: Bytes::from_gb(MEMORY),
+            memory: Bytes::from_gb(MEMORY_GB),
             resident: self.resident.clone(),
             load: Load::default(),
             batch: 8,
@@ -64,13 +71,13 @@
         }
     }
 
-    fn changed(&mut self) {
+    fn publish_report(&mut self) {
         let report = self.report();
         self.reports.push(report);
     }
 
-    fn obey(&mut self, order: &Order, guards: Guards) -> OrderStatus {
-        if self.fencing && guards.fences {
+    fn handle(&mut self, order: &Order, guards: Guards) -> OrderStatus {
+        if self.fencing && guards.fencing {
             if order.incarnation != self.incarnation {
                 return OrderStatus::WrongIncarnation;
             }
@@ -81,7 +88,7 @@
         if self.fencing {
             self.fence = self.fence.max(order.fence);
         }
-        let obeyed = match &order.action {
+        let status = match &order.action {
             Action::Load { weights, bytes } => {
                 if !self.resident.iter().any(|r| r.weights == *weights) {
                     self.resident.push(Resident {
@@ -104,32 +111,32 @@
             }
             Action::SetRole { .. } => OrderStatus::Accepted,
         };
-        self.changed();
-        obeyed
+        self.publish_report();
+        status
     }
 }
 
-/// Connection of a planner to one incarnation of an engine, with the report last read over it.
+/// Connection of a planner to one incarnation of an engine, with the last report read over it.
 #[derive(Clone)]
-struct Line {
+struct Connection {
     incarnation: u64,
     report: Report,
 }
 
 struct Planner {
     ledger: Ledger,
-    /// Revision of the ledger as this planner knows it; none when it must read it first.
+    /// Last known revision of the ledger; none if it must be read first.
     revision: Option<u64>,
-    /// Whether what it knows is not written yet.
+    /// Whether the ledger has unwritten changes.
     changed: bool,
-    lines: Vec<Option<Line>>,
+    connections: Vec<Option<Connection>>,
     outbox: Vec<(usize, u64, Order)>,
     writes: u64,
     limiter: LoadLimiter,
 }
 
-/// Order on its way.
-struct Flight {
+/// Order in transit.
+struct InFlight {
     engine: usize,
     incarnation: u64,
     order: Order,
@@ -142,24 +149,24 @@
     now: u64,
     engines: Vec<Engine>,
     planners: Vec<Planner>,
-    flights: Vec<Flight>,
+    in_flight: Vec<InFlight>,
     ledger: Ledger,
     revision: u64,
-    /// Writes whose answers were lost and that may land yet.
-    late: Vec<(u64, Ledger)>,
+    /// Ledger writes without an answer that may still take effect.
+    late_writes: Vec<(u64, Ledger)>,
     homes: Homes,
     specs: Vec<Spec>,
     demand: BTreeMap<Name, Demand>,
-    lost: Option<String>,
-    /// When each order was decided, by its fence.
-    decided: BTreeMap<Fence, u64>,
-    /// When a replica of each model was last taken by a restart.
-    taken: BTreeMap<Name, u64>,
-    /// When the unload that last took effect on each model was decided.
-    unloaded: BTreeMap<Name, u64>,
+    lost_model: Option<String>,
+    /// Time at which each order was planned, by fence.
+    decided_at: BTreeMap<Fence, u64>,
+    /// Time of the last restart that removed a replica of each model.
+    restarted_at: BTreeMap<Name, u64>,
+    /// Time at which the last accepted unload of each model was planned.
+    unload_decided_at: BTreeMap<Name, u64>,
     pub orders_sent: u64,
-    pub loads_landed: u64,
-    /// What happened, for reading a violation.
+    pub loads_completed: u64,
+    /// Events of the run, printed with a violation.
     pub trace: Vec<String>,
 }
 
@@ -167,24 +174,24 @@
     pub fn new(seed: u64, guards: Guards) -> World {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let fencing = rng.random_range(0..3);
-        let engines = (0..ENGINES).map(|i| {
+        let engines = (0..ENGINE_COUNT).map(|i| {
             let mut engine = Engine {
                 name: format!("e{i}").into(),
-                // All fence, none fences, or every other one does.
+                // All, none, or every other engine is fencing.
                 fencing: fencing == 0 || (fencing == 2 && i % 2 == 0),
                 incarnation: 1,
                 fence: Fence::default(),
                 resident: Vec::new(),
                 reports: Vec::new(),
             };
-            engine.changed();
+            engine.publish_report();
             engine
         });
-        let planners = (0..PLANNERS).map(|_| Planner {
+        let planners = (0..PLANNER_COUNT).map(|_| Planner {
             ledger: Ledger::default(),
             revision: None,
             changed: false,
-            lines: vec![None; ENGINES],
+            connections: vec![None; ENGINE_COUNT],
             outbox: Vec::new(),
             writes: 0,
             limiter: LoadLimiter::new(1e6, 1_000, 1),
@@ -194,23 +201,23 @@
             planners: planners.collect(),
             guards,
             now: 1,
-            flights: Vec::new(),
+            in_flight: Vec::new(),
             ledger: Ledger::default(),
             revision: 0,
-            late: Vec::new(),
+            late_writes: Vec::new(),
             homes: Homes::default(),
             specs: Vec::new(),
             demand: BTreeMap::new(),
-            lost: None,
-            decided: BTreeMap::new(),
-            taken: BTreeMap::new(),
-            unloaded: BTreeMap::new(),
+            lost_model: None,
+            decided_at: BTreeMap::new(),
+            restarted_at: BTreeMap::new(),
+            unload_decided_at: BTreeMap::new(),
             orders_sent: 0,
-            loads_landed: 0,
+            loads_completed: 0,
             trace: Vec::new(),
             rng,
         };
-        world.specs = (0..MODELS).map(|i| world.spec(i)).collect();
+        world.specs = (0..MODEL_COUNT).map(|i| world.spec(i)).collect();
         world
     }
 
@@ -229,57 +236,58 @@
         self.rng.random_range(0..n)
     }
 
-    /// One step of one of the actors, chosen at random.
+    /// Performs one random step.
     pub fn step(&mut self) {
         self.now += 100_000;
         let ready = self.ready();
         let restarted = match self.pick(20) {
             0..=5 => self.tick(),
             6..=8 => self.send(),
-            9..=11 => self.deliver(),
+            9..=11 => self.deliver_any(),
             12..=14 => self.progress(),
             15 => self.take_over(),
-            16 => self.land_late(),
-            17 => self.roll(),
-            18 => self.lose_or_double(),
+            16 => self.land_late_write(),
+            17 => self.change_bundle_or_demand(),
+            18 => self.drop_or_duplicate(),
             _ => self.restart(),
         };
         if !restarted {
             let after = self.ready();
             let mut gone = ready.into_iter().filter(|m| !after.contains(m));
             let gone = gone.find(|m| !self.is_excused(m));
-            self.lost = gone.map(|m| format!("{m} lost its last ready replica without a restart"));
+            self.lost_model =
+                gone.map(|m| format!("{m} lost its last ready replica without a restart"));
         }
     }
 
-    /// Whether another replica was taken by a restart while the unload was on its way.
+    /// Whether a restart removed another replica of the model after its last accepted unload was planned.
     fn is_excused(&self, model: &Name) -> bool {
-        let decided = self.unloaded.get(model);
-        let taken = self.taken.get(model);
-        taken.is_some_and(|taken| decided.is_some_and(|decided| taken >= decided))
+        let decided_at = self.unload_decided_at.get(model);
+        let restarted_at = self.restarted_at.get(model);
+        restarted_at.is_some_and(|restarted| decided_at.is_some_and(|decided| restarted >= decided))
     }
 
-    /// Models that are ready somewhere, in truth.
+    /// Models that are ready on some engine.
     fn ready(&self) -> BTreeSet<Name> {
         let resident = self.engines.iter().flat_map(|e| &e.resident);
         let ready = resident.filter(|r| r.state == State::Ready);
         ready.map(|r| r.weights.model.clone()).collect()
     }
 
-    /// What is broken now, if anything is.
-    pub fn broken(&self) -> Option<String> {
+    /// Describes a violated invariant, if there is one.
+    pub fn violation(&self) -> Option<String> {
         for engine in &self.engines {
-            let taken: Bytes = engine.resident.iter().map(|r| r.bytes).sum();
-            if taken > Bytes::from_gb(MEMORY) {
-                return Some(format!("{} holds {taken} of {MEMORY} GB", engine.name));
+            let used: Bytes = engine.resident.iter().map(|r| r.bytes).sum();
+            if used > Bytes::from_gb(MEMORY_GB) {
+                return Some(format!("{} holds {used} of {MEMORY_GB} GB", engine.name));
             }
         }
-        self.lost.clone()
+        self.lost_model.clone()
     }
 
-    /// A planner finds the lease free, or believes so, and takes the ledger over.
+    /// A planner that believes the lease is free takes the ledger over.
     fn take_over(&mut self) -> bool {
-        let p = self.pick(PLANNERS);
+        let p = self.pick(PLANNER_COUNT);
         let mut ledger = self.ledger.clone();
         let revision = self.revision;
         ledger.take_over();
@@ -290,7 +298,7 @@
         false
     }
 
-    /// Writes a planner's ledger; tells whether it is known to have taken effect.
+    /// Writes a planner's ledger; returns whether the planner considers it written.
     fn write(&mut self, p: usize) -> bool {
         self.planners[p].writes += 1;
         let writer: Name = format!("p{p}:{}", self.planners[p].writes).into();
@@ -299,14 +307,14 @@
             return false;
         };
         let ledger = self.planners[p].ledger.clone();
-        let dice = self.pick(10);
-        if dice == 0 {
-            // Its answer is lost, and it lands later or never.
-            self.late.push((expected, ledger));
+        let draw = self.pick(10);
+        if draw == 0 {
+            // The answer is lost; the write takes effect later or never.
+            self.late_writes.push((expected, ledger));
             self.planners[p].revision = None;
-            return !self.guards.settle;
+            return !self.guards.lost_write_recovery;
         }
-        if self.guards.swap && expected != self.revision {
+        if self.guards.compare_and_swap && expected != self.revision {
             self.planners[p].revision = None;
             return false;
         }
@@ -322,12 +330,12 @@
         true
     }
 
-    fn land_late(&mut self) -> bool {
-        if self.late.is_empty() {
+    fn land_late_write(&mut self) -> bool {
+        if self.late_writes.is_empty() {
             return false;
         }
-        let i = self.pick(self.late.len());
-        let (expected, ledger) = self.late.swap_remove(i);
+        let i = self.pick(self.late_writes.len());
+        let (expected, ledger) = self.late_writes.swap_remove(i);
         if expected == self.revision {
             self.trace.push(format!(
                 "late write lands: term {} open {:?}",
@@ -339,9 +347,9 @@
         false
     }
 
-    /// A planner that believes in its lease plans once.
+    /// A planner that believes it holds the lease runs one tick.
     fn tick(&mut self) -> bool {
-        let p = self.pick(PLANNERS);
+        let p = self.pick(PLANNER_COUNT);
         if self.planners[p].revision.is_none() {
             return self.take_over();
         }
@@ -350,7 +358,7 @@
         let hall: Name = "hall".into();
         let halls = [Hall {
             name: hall.clone(),
-            memory: Bytes::from_gb(MEMORY * ENGINES as u64),
+            memory: Bytes::from_gb(MEMORY_GB * ENGINE_COUNT as u64),
         }];
         let homes = self.homes.clone();
         let input = Input {
@@ -368,15 +376,15 @@
         };
         let planner = &mut self.planners[p];
         let before = planner.ledger.open.clone();
-        if !self.guards.reserve {
+        if !self.guards.reservation {
             planner.ledger.open.clear();
         }
-        if !self.guards.seen {
+        if !self.guards.report_order {
             planner.ledger.seen.clear();
         }
         let planned = plan(&input, &mut planner.ledger, &mut planner.limiter);
         for (_, order) in &planned.orders {
-            self.decided.insert(order.fence, self.now);
+            self.decided_at.insert(order.fence, self.now);
         }
         planner.changed |= planner.ledger.open != before;
         if planner.changed && !self.write(p) {
@@ -385,7 +393,7 @@
         for model in &planned.joins {
             self.homes.join(model, &hall);
         }
-        self.queue(
+        self.enqueue(
             p,
             planned.orders.into_iter().chain(planned.resends).collect(),
         );
@@ -393,47 +401,47 @@
     }
 
     /// Puts orders into a planner's outbox.
-    fn queue(&mut self, p: usize, orders: Vec<(Name, Order)>) {
+    fn enqueue(&mut self, p: usize, orders: Vec<(Name, Order)>) {
         for (name, order) in orders {
             let at = self.engines.iter().position(|e| e.name == name);
             let at = at.expect("orders go to known engines");
-            if let Some(line) = &self.planners[p].lines[at] {
-                let incarnation = line.incarnation;
+            if let Some(connection) = &self.planners[p].connections[at] {
+                let incarnation = connection.incarnation;
                 self.planners[p].outbox.push((at, incarnation, order));
             }
         }
     }
 
-    /// A planner reads reports: lagged, never older than those it read over the same line.
+    /// A planner reads delayed reports, never older than those already read over the same connection.
     fn read_reports(&mut self, p: usize) {
-        for e in 0..ENGINES {
-            let alive = self.engines[e].incarnation;
-            let kept = self.planners[p].lines[e].clone();
-            let oldest = match kept {
-                Some(line) if line.incarnation == alive => line.report.number,
+        for e in 0..ENGINE_COUNT {
+            let current = self.engines[e].incarnation;
+            let connection = self.planners[p].connections[e].clone();
+            let oldest = match connection {
+                Some(connection) if connection.incarnation == current => connection.report.number,
                 _ => 0,
             };
-            let shown: Vec<&Report> = self.engines[e]
+            let visible: Vec<&Report> = self.engines[e]
                 .reports
                 .iter()
-                .filter(|r| r.incarnation == alive && r.number >= oldest)
+                .filter(|r| r.incarnation == current && r.number >= oldest)
                 .collect();
-            let from = shown.len().saturating_sub(4);
-            let i = self.rng.random_range(from..shown.len());
-            let report = shown[i].clone();
-            self.planners[p].lines[e] = Some(Line {
-                incarnation: alive,
+            let from = visible.len().saturating_sub(4);
+            let i = self.rng.random_range(from..visible.len());
+            let report = visible[i].clone();
+            self.planners[p].connections[e] = Some(Connection {
+                incarnation: current,
                 report,
             });
         }
     }
 
     fn fleet(&self, p: usize) -> Fleet {
-        let lines = self.planners[p].lines.iter().zip(&self.engines);
-        let upstreams = lines.filter_map(|(line, engine)| {
-            line.as_ref().map(|line| Upstream {
+        let connections = self.planners[p].connections.iter().zip(&self.engines);
+        let upstreams = connections.filter_map(|(connection, engine)| {
+            connection.as_ref().map(|connection| Upstream {
                 name: engine.name.clone(),
-                report: line.report.clone(),
+                report: connection.report.clone(),
                 leaving: false,
                 fencing: engine.fencing,
                 unreachable: false,
@@ -444,39 +452,39 @@
         }
     }
 
-    /// A planner, perhaps long paused, sends the next of its orders.
+    /// A planner sends the next order in its outbox, possibly long after planning it.
     fn send(&mut self) -> bool {
-        let p = self.pick(PLANNERS);
+        let p = self.pick(PLANNER_COUNT);
         if self.planners[p].outbox.is_empty() {
             return false;
         }
         let (engine, incarnation, order) = self.planners[p].outbox.remove(0);
         self.orders_sent += 1;
-        self.flights.push(Flight {
+        self.in_flight.push(InFlight {
             engine,
             incarnation,
             order,
             planner: p,
         });
-        let last = self.flights.len() - 1;
+        let last = self.in_flight.len() - 1;
         match self.pick(3) {
-            // Answered at once.
-            0 => self.arrive(last, true),
-            // Its answer will never come; the order itself may.
-            1 => self.unanswered(last),
-            // Still waited for.
+            // Delivered and answered.
+            0 => self.deliver(last, true),
+            // No answer; the order may still arrive.
+            1 => self.time_out(last),
+            // Still in transit.
             _ => {}
         }
         false
     }
 
-    fn unanswered(&mut self, i: usize) {
-        let flight = &self.flights[i];
-        let (p, fence, e) = (flight.planner, flight.order.fence, flight.engine);
+    fn time_out(&mut self, i: usize) {
+        let sent = &self.in_flight[i];
+        let (p, fence, e) = (sent.planner, sent.order.fence, sent.engine);
         let name = self.engines[e].name.clone();
         let fleet = self.fleet(p);
         let planner = &mut self.planners[p];
-        if !self.guards.doubt {
+        if !self.guards.in_doubt {
             planner.ledger.open.retain(|o| o.order.fence != fence);
             planner.changed = true;
             return;
@@ -486,80 +494,79 @@
         }
     }
 
-    /// An order arrives; tells its planner what came of it when `answered`.
-    fn arrive(&mut self, i: usize, answered: bool) {
-        let flight = self.flights.swap_remove(i);
-        let engine = &mut self.engines[flight.engine];
-        if self.guards.bound && flight.incarnation != engine.incarnation {
+    /// Delivers an order, and its answer to the planner if `answered`.
+    fn deliver(&mut self, i: usize, answered: bool) {
+        let sent = self.in_flight.swap_remove(i);
+        let engine = &mut self.engines[sent.engine];
+        if self.guards.incarnation_binding && sent.incarnation != engine.incarnation {
             return;
         }
-        let obeyed = engine.obey(&flight.order, self.guards);
+        let status = engine.handle(&sent.order, self.guards);
         self.trace.push(format!(
-            "{} obeys {:?}: {obeyed:?}, answered {answered}",
-            engine.name, flight.order
+            "{} handles {:?}: {status:?}, answered {answered}",
+            engine.name, sent.order
         ));
-        if let (Action::Unload { weights }, OrderStatus::Accepted) = (&flight.order.action, obeyed)
-        {
-            let decided = self.decided.get(&flight.order.fence).copied();
-            self.unloaded
-                .insert(weights.model.clone(), decided.unwrap_or(0));
+        if let (Action::Unload { weights }, OrderStatus::Accepted) = (&sent.order.action, status) {
+            let decided_at = self.decided_at.get(&sent.order.fence).copied();
+            self.unload_decided_at
+                .insert(weights.model.clone(), decided_at.unwrap_or(0));
         }
         let name = engine.name.clone();
         if answered {
-            let planner = &mut self.planners[flight.planner];
-            let fence = flight.order.fence;
-            planner.changed |= planner.ledger.record_answer(&name, fence, obeyed);
+            let planner = &mut self.planners[sent.planner];
+            let fence = sent.order.fence;
+            planner.changed |= planner.ledger.record_answer(&name, fence, status);
         }
     }
 
-    /// Some order on its way arrives, in any order.
-    fn deliver(&mut self) -> bool {
-        if !self.flights.is_empty() {
-            let i = self.pick(self.flights.len());
-            self.arrive(i, false);
+    /// Delivers a random order in transit.
+    fn deliver_any(&mut self) -> bool {
+        if !self.in_flight.is_empty() {
+            let i = self.pick(self.in_flight.len());
+            self.deliver(i, false);
         }
         false
     }
 
-    fn lose_or_double(&mut self) -> bool {
-        if self.flights.is_empty() {
+    fn drop_or_duplicate(&mut self) -> bool {
+        if self.in_flight.is_empty() {
             return false;
         }
-        let i = self.pick(self.flights.len());
-        let flight = &self.flights[i];
-        let fencing = self.engines[flight.engine].fencing;
-        // A copy can only be made where copies can be told apart.
+        let i = self.pick(self.in_flight.len());
+        let sent = &self.in_flight[i];
+        let fencing = self.engines[sent.engine].fencing;
+        // Orders are sent again only to fencing engines.
         if fencing && self.pick(2) == 0 {
-            let flight = &self.flights[i];
-            let copy = Flight {
-                engine: flight.engine,
-                incarnation: flight.incarnation,
-                order: flight.order.clone(),
-                planner: flight.planner,
+            let sent = &self.in_flight[i];
+            let copy = InFlight {
+                engine: sent.engine,
+                incarnation: sent.incarnation,
+                order: sent.order.clone(),
+                planner: sent.planner,
             };
-            self.flights.push(copy);
+            self.in_flight.push(copy);
         } else {
-            self.flights.swap_remove(i);
+            self.in_flight.swap_remove(i);
         }
         false
     }
 
-    /// An engine gets on with its loads and unloads.
+    /// An engine completes its loads and unloads.
     fn progress(&mut self) -> bool {
-        let e = self.pick(ENGINES);
+        let e = self.pick(ENGINE_COUNT);
         let engine = &mut self.engines[e];
-        let mut landed = 0;
+        let mut completed = 0;
         for resident in &mut engine.resident {
             if resident.state == State::Loading {
                 resident.state = State::Ready;
-                landed += 1;
+                completed += 1;
             }
         }
         engine.resident.retain(|r| r.state != State::Unloading);
-        engine.changed();
+        engine.publish_report();
         self.trace
             .push(format!("{} holds {:?}", engine.name, engine.resident));
-        self.loads_landed += landed;
+        self.loads_completed += completed;
         false
     }
 
@@ -567,25 +574,26 @@
         if self.pick(4) != 0 {
             return false;
         }
-        let e = self.pick(ENGINES);
+        let e = self.pick(ENGINE_COUNT);
         let engine = &mut self.engines[e];
         for resident in &engine.resident {
-            self.taken.insert(resident.weights.model.clone(), self.now);
+            self.restarted_at
+                .insert(resident.weights.model.clone(), self.now);
         }
         self.trace.push(format!("{} restarts", engine.name));
         engine.incarnation += 1;
         engine.fence = Fence::default();
         engine.resident.clear();
-        engine.changed();
+        engine.publish_report();
         true
     }
 
-    /// A bundle is rolled: a model gets another version or size, or demand moves.
-    fn roll(&mut self) -> bool {
-        let i = self.pick(MODELS);
+    /// Changes the demand for a model, and possibly its version, size and minimum replicas.
+    fn change_bundle_or_demand(&mut self) -> bool {
+        let i = self.pick(MODEL_COUNT);
         if self.pick(2) == 0 {
             let mut spec = self.spec(i);
-            // Another size is another version's: weights of one name have one size.
+            // A version has one size, so another size needs another version.
             spec.version = format!("{}", self.now).into();
             self.specs[i] = spec;
         }
