--- a/crates/backing/src/hosts.rs
+++ b/crates/backing/src/hosts.rs
@@ -1,4 +1,4 @@
-//! Host list: live and leaving hosts, with a lag.
+//! Client of the host list, which shows live and leaving hosts with a delay.
 
 use conn::{Error, Pool};
 use parking_lot::Mutex;
@@ -9,27 +9,27 @@
 use std::time::Duration;
 use unit::{Bytes, Name};
 
-/// Path of the list.
+/// Path of the endpoint.
 pub const PATH: &str = "/v1/hosts";
 
-/// Longest list that is read, in bytes: about 40,000 hosts.
+/// Maximum response size in bytes, enough for about 40,000 hosts.
 const MAX_RESPONSE_BYTES: usize = 8_000_000;
 
-/// What runs on a host.
+/// Process that runs on a host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Kind {
-    /// A coveford daemon.
+    /// Coveford daemon.
     Daemon {
-        /// Where it answers callers.
+        /// Address for requests of callers.
         callers: SocketAddr,
     },
-    /// A model engine.
+    /// Model engine.
     Engine {
         /// Accelerator memory.
         memory: Bytes,
     },
-    /// A plain service.
+    /// Plain service.
     Service {
         /// Its name in bundles.
         service: Name,
@@ -39,43 +39,43 @@
 /// Host in the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Host {
-    /// Name, unique over the fleet.
+    /// Name, unique in the fleet.
     pub name: Name,
-    /// Where it answers other processes.
+    /// Address for other processes of the fleet.
     pub addr: SocketAddr,
-    /// Data hall it stands in.
+    /// Data hall it is in.
     pub hall: Name,
     /// Whether it has been told to leave.
     pub leaving: bool,
-    /// What runs on it.
+    /// Process that runs on it.
     #[serde(flatten)]
     pub kind: Kind,
 }
 
-/// What changed in the list after a version.
+/// Changes to the list since a version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Changes {
-    /// Version that the list has now.
+    /// Current version of the list.
     pub version: u64,
-    /// Whether `changed` is the whole list: the version asked about is not known any more.
+    /// Whether `changed` is the whole list, because the requested version is no longer known.
     pub whole: bool,
-    /// Hosts that are new or differ.
+    /// New and changed hosts.
     pub changed: Vec<Host>,
-    /// Names of hosts that are gone.
+    /// Names of removed hosts.
     pub gone: Vec<Name>,
 }
 
-/// List as last read.
+/// List as of the last read.
 #[derive(Debug, Default)]
-struct Known {
+struct Cache {
     version: u64,
     hosts: BTreeMap<Name, Host>,
 }
 
-impl Known {
-    /// Takes changes over; tells whether there were any.
+impl Cache {
+    /// Applies changes; returns whether there were any.
     fn apply(&mut self, changes: Changes) -> bool {
-        let news = changes.whole || !changes.changed.is_empty() || !changes.gone.is_empty();
+        let has_changes = changes.whole || !changes.changed.is_empty() || !changes.gone.is_empty();
         if changes.whole {
             self.hosts.clear();
         }
@@ -86,47 +86,47 @@
             self.hosts.insert(host.name.clone(), host);
         }
         self.version = changes.version;
-        news
+        has_changes
     }
 }
 
-/// Client of the list; clones share what was read.
+/// Client of the list. Clones share the list as last read.
 #[derive(Clone)]
 pub struct Hosts {
     addr: SocketAddr,
     pool: Pool,
-    limit: Duration,
-    known: Arc<Mutex<Known>>,
+    timeout: Duration,
+    cache: Arc<Mutex<Cache>>,
 }
 
-/// Makes a client that gives each call `limit` to be answered.
-pub fn open(addr: SocketAddr, limit: Duration) -> Hosts {
+/// Creates a client whose calls time out after `timeout`.
+pub fn open(addr: SocketAddr, timeout: Duration) -> Hosts {
     Hosts {
         addr,
         pool: Pool::default(),
-        limit,
-        known: Arc::default(),
+        timeout,
+        cache: Arc::default(),
     }
 }
 
 impl Hosts {
-    /// Reads what changed since the last read; gives the whole list if anything did.
+    /// Reads the changes since the last read; returns the whole list if there were any.
     pub async fn poll(&self) -> Result<Option<Vec<Host>>, Error> {
-        let after = self.known.lock().version;
+        let after = self.cache.lock().version;
         let path = format!("{PATH}?after={after}");
         let changes: Changes = self
             .pool
-            .json::<(), _>(self.addr, &path, None, self.limit, MAX_RESPONSE_BYTES)
+            .json::<(), _>(self.addr, &path, None, self.timeout, MAX_RESPONSE_BYTES)
             .await?;
-        let mut known = self.known.lock();
-        let news = known.apply(changes);
-        Ok(news.then(|| known.hosts.values().cloned().collect()))
+        let mut cache = self.cache.lock();
+        let has_changes = cache.apply(changes);
+        Ok(has_changes.then(|| cache.hosts.values().cloned().collect()))
     }
 
     /// Reads the list.
     pub async fn list(&self) -> Result<Vec<Host>, Error> {
         self.poll().await?;
-        Ok(self.known.lock().hosts.values().cloned().collect())
+        Ok(self.cache.lock().hosts.values().cloned().collect())
     }
 }
 
@@ -147,8 +147,8 @@
     }
 
     #[test]
-    fn changes_are_taken_over_and_a_whole_list_replaces_all() {
-        let mut known = Known::default();
+    fn changes_are_merged_and_a_whole_list_replaces_all() {
+        let mut cache = Cache::default();
         let changes = |version, whole, changed, gone| Changes {
             version,
             whole,
@@ -156,14 +156,14 @@
             gone,
         };
         let first = vec![host("x", false), host("y", false)];
-        assert!(known.apply(changes(1, true, first, Vec::new())));
-        assert!(!known.apply(changes(1, false, Vec::new(), Vec::new())));
-        assert!(known.apply(changes(2, false, vec![host("x", true)], vec!["y".into()])));
+        assert!(cache.apply(changes(1, true, first, Vec::new())));
+        assert!(!cache.apply(changes(1, false, Vec::new(), Vec::new())));
+        assert!(cache.apply(changes(2, false, vec![host("x", true)], vec!["y".into()])));
         assert_eq!(
-            known.hosts.values().cloned().collect::<Vec<_>>(),
+            cache.hosts.values().cloned().collect::<Vec<_>>(),
             [host("x", true)]
         );
-        assert!(known.apply(changes(9, true, vec![host("z", false)], Vec::new())));
-        assert_eq!(known.hosts.len(), 1);
+        assert!(cache.apply(changes(9, true, vec![host("z", false)], Vec::new())));
+        assert_eq!(cache.hosts.len(), 1);
     }
 }
--- a/crates/backing/src/keys.rs
+++ b/crates/backing/src/keys.rs
@@ -1,43 +1,43 @@
-//! Keys under which coveford keeps what must last.
+//! Keys of persistent data in the key-value service.
 
-/// Head: the bundle in force.
+/// Key of the head, the bundle in force.
 pub const HEAD: &str = "coveford/head";
 
-/// Halls that keep each model reachable.
+/// Key of the home halls of each model.
 pub const HOMES: &str = "coveford/homes";
 
-/// Beginning of the keys of drafts.
+/// Key prefix of drafts.
 pub const DRAFTS: &str = "coveford/draft/";
 
-/// Beginning of the keys of past heads.
+/// Key prefix of past heads.
 pub const HISTORY: &str = "coveford/history/";
 
-/// Part of a bundle.
+/// Key of a part of a bundle.
 pub fn part(hash: &str) -> String {
     format!("coveford/part/{hash}")
 }
 
-/// Draft of a bundle.
+/// Key of a draft.
 pub fn draft(id: &str) -> String {
     format!("{DRAFTS}{id}")
 }
 
-/// Past head; numbers sort as text.
+/// Key of a past head; keys sort by sequence.
 pub fn history(sequence: u64) -> String {
     format!("{HISTORY}{sequence:012}")
 }
 
-/// Lease of a hall's planner.
+/// Key of the lease of a hall's planner.
 pub fn lease(hall: &str) -> String {
     format!("coveford/hall/{hall}/lease")
 }
 
-/// Ledger of a hall.
+/// Key of the ledger of a hall.
 pub fn ledger(hall: &str) -> String {
     format!("coveford/hall/{hall}/ledger")
 }
 
-/// Claim on a caller's idempotency key, by the hash of both.
+/// Key of the claim on an idempotency key, by the hash of caller and idempotency key.
 pub fn claim(hash: &str) -> String {
     format!("coveford/claim/{hash}")
 }
--- a/crates/backing/src/kv.rs
+++ b/crates/backing/src/kv.rs
@@ -1,7 +1,7 @@
-//! Key-value service: compare-and-swap, leases, watches.
+//! Client of the key-value service: compare-and-swap, leases, watches.
 //!
-//! A write whose answer is lost may still take effect; [`Kv::compare_and_swap`] reports
-//! that as [`Error::Indeterminate`], never as a refusal.
+//! A write whose answer is lost may still take effect. [`Kv::compare_and_swap`] then returns
+//! [`Error::Indeterminate`], never a conflict.
 
 use conn::Pool;
 use serde::{Deserialize, Serialize};
@@ -12,19 +12,19 @@
 use std::time::Duration;
 use unit::Name;
 
-/// Path of the service's only endpoint.
+/// Path of the endpoint.
 pub const PATH: &str = "/v1/kv";
 
-/// Longest value the service holds, in bytes.
+/// Maximum size of a value in bytes.
 pub const MAX_VALUE_BYTES: usize = 1_000_000;
 
-/// Longest answer that is read: a full page of values.
+/// Maximum response size in bytes.
 const MAX_RESPONSE_BYTES: usize = 4 * MAX_VALUE_BYTES;
 
-/// Longest time a watch waits on the service.
+/// Maximum time that a watch waits.
 pub const MAX_WATCH: Duration = Duration::from_secs(30);
 
-/// Call on the service.
+/// Call to the service.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(tag = "call", rename_all = "snake_case")]
 pub enum Call {
@@ -33,32 +33,32 @@
         /// Its key.
         key: Name,
     },
-    /// Reads all values whose keys begin so.
+    /// Reads all values whose keys begin with a prefix.
     List {
-        /// Beginning of the keys.
+        /// Prefix of the keys.
         prefix: Name,
     },
-    /// Writes a value if its revision is still the expected one.
+    /// Writes a value if its revision is the expected one.
     Swap {
         /// Its key.
         key: Name,
-        /// Revision it must have; 0 when it must be absent.
+        /// Expected revision; 0 if the value must be absent.
         expected: u64,
-        /// New value; none removes it.
+        /// New value; none removes the value.
         value: Option<Name>,
-        /// Lease with which the value ends.
+        /// Lease whose end removes the value.
         lease: Option<u64>,
     },
-    /// Waits until a value's revision is past the given one.
+    /// Waits until a value's revision is greater than the given one.
     Watch {
         /// Its key.
         key: Name,
         /// Revision already known.
         after: u64,
-        /// Longest wait in milliseconds.
+        /// Maximum wait in milliseconds.
         wait_ms: u64,
     },
-    /// Makes a lease.
+    /// Grants a lease.
     Grant {
         /// Time to live in milliseconds.
         ttl_ms: u64,
@@ -75,14 +75,14 @@
     },
 }
 
-/// Value and the revision of its last write.
+/// Value with its key and the revision of its last write.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Versioned {
     /// Its key.
     pub key: Name,
-    /// Text.
+    /// Its text.
     pub value: Name,
-    /// Revision of the write, from 1, growing over the whole service.
+    /// Revision of the last write; revisions start at 1 and increase over the whole service.
     pub revision: u64,
 }
 
@@ -90,36 +90,36 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(tag = "answer", rename_all = "snake_case")]
 pub enum Answer {
-    /// Value of a get or watch; none when absent or unchanged.
+    /// Answer to a get or watch.
     Value {
-        /// What stands there.
+        /// Value; none if it is absent or did not change.
         found: Option<Versioned>,
     },
-    /// Values of a list.
+    /// Answer to a list.
     Values {
-        /// What stands there.
+        /// Values whose keys have the prefix.
         found: Vec<Versioned>,
     },
     /// A write took effect.
     Written {
-        /// Its revision.
+        /// Revision of the write.
         revision: u64,
     },
-    /// A write was refused since the revision was not the expected one.
+    /// A write had no effect because the revision was not the expected one.
     Conflict {
-        /// What stands there instead.
+        /// Current value.
         found: Option<Versioned>,
     },
-    /// A lease was made or extended.
+    /// A lease was granted or extended.
     Leased {
         /// The lease.
         lease: u64,
     },
-    /// The lease is unknown or has lapsed.
+    /// The lease is unknown or has expired.
     Lapsed,
-    /// The service refuses: over its rate, too large, or down.
+    /// The call is refused: over the rate limit, too large, or the service is down.
     Refused {
-        /// Why, for people.
+        /// Reason, for display.
         reason: String,
     },
 }
@@ -127,91 +127,93 @@
 /// Outcome of a compare-and-swap that was answered.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SwapOutcome {
-    /// It took effect, at that revision.
+    /// The write took effect at this revision.
     Written(u64),
-    /// It did not; this stands there.
+    /// The write had no effect; this is the current value.
     Conflict(Option<Versioned>),
 }
 
-/// Why a call has no answer.
+/// Failure of a call.
 #[derive(Debug, Snafu)]
 pub enum Error {
     /// The call had no effect.
-    #[snafu(display("The key-value service cannot be used now: {reason}"))]
+    #[snafu(display("The key-value service is unavailable: {reason}"))]
     Unavailable {
-        /// Why.
+        /// Cause.
         reason: String,
     },
-    /// The call may have taken effect, now or later.
+    /// The call may have taken effect or may still do so.
     #[snafu(display(
-        "The key-value service gave no answer; the call may take effect yet: {reason}"
+        "The key-value service did not answer; the call may still take effect: {reason}"
     ))]
     Indeterminate {
-        /// Why.
+        /// Cause.
         reason: String,
     },
-    /// The lease is unknown or has lapsed.
-    #[snafu(display("The lease has lapsed."))]
+    /// The lease is unknown or has expired.
+    #[snafu(display("The lease has expired."))]
     Lapsed,
 }
 
-/// Count of calls by kind.
+/// Number of calls by kind.
 #[derive(Debug, Default)]
 pub struct CallCounts {
-    /// Reads, lists and watches.
+    /// Gets, lists and watches.
     pub reads: AtomicU64,
-    /// Writes.
+    /// Compare-and-swap writes.
     pub writes: AtomicU64,
-    /// Calls about leases.
+    /// Grants, renewals and revocations of leases.
     pub leases: AtomicU64,
 }
 
-/// Client of the service; clones share connections and counts.
+/// Client of the service. Clones share connections and counters.
 #[derive(Clone)]
 pub struct Kv {
     addrs: Arc<[SocketAddr]>,
     pool: Pool,
-    limit: Duration,
+    timeout: Duration,
     calls: Arc<CallCounts>,
 }
 
-/// Makes a client that gives each call `limit` to be answered.
-pub fn open(addrs: &[SocketAddr], limit: Duration) -> Kv {
+/// Creates a client whose calls time out after `timeout`. The addresses are tried in order.
+pub fn open(addrs: &[SocketAddr], timeout: Duration) -> Kv {
     Kv {
         addrs: addrs.into(),
         pool: Pool::default(),
-        limit,
+        timeout,
         calls: Arc::default(),
     }
 }
 
 impl Kv {
-    /// Counts of the calls made so far.
+    /// Numbers of calls made so far.
     pub fn calls(&self) -> &CallCounts {
         &self.calls
     }
 
-    async fn call(&self, call: &Call, limit: Duration) -> Result<Answer, Error> {
+    /// Sends a call to the first address that answers. The next one is tried only if the call is known to have
+    /// had no effect.
+    async fn call(&self, call: &Call, timeout: Duration) -> Result<Answer, Error> {
         let counter = match call {
             Call::Get { .. } | Call::List { .. } | Call::Watch { .. } => &self.calls.reads,
             Call::Swap { .. } => &self.calls.writes,
             Call::Grant { .. } | Call::Renew { .. } | Call::Revoke { .. } => &self.calls.leases,
         };
         counter.fetch_add(1, Ordering::Relaxed);
-        let mut last = Error::Unavailable {
-            reason: "no address is set".into(),
+        let mut last_error = Error::Unavailable {
+            reason: "no address is configured".into(),
         };
         for addr in self.addrs.iter() {
             match self
                 .pool
-                .json(*addr, PATH, Some(call), limit, MAX_RESPONSE_BYTES)
+                .json(*addr, PATH, Some(call), timeout, MAX_RESPONSE_BYTES)
                 .await
             {
-                Ok(Answer::Refused { reason }) => last = Error::Unavailable { reason },
+                Ok(Answer::Refused { reason }) => last_error = Error::Unavailable { reason },
                 Ok(Answer::Lapsed) => return Err(Error::Lapsed),
                 Ok(answer) => return Ok(answer),
                 Err(e) if e.proves_unsent() => {
-                    last = Error::Unavailable {
+                    last_error = Error::Unavailable {
                         reason: e.to_string(),
                     }
                 }
@@ -222,15 +224,15 @@
                 }
             }
         }
-        Err(last)
+        Err(last_error)
     }
 
     /// Reads a value.
     pub async fn get(&self, key: &str) -> Result<Option<Versioned>, Error> {
         let call = Call::Get { key: key.into() };
-        match self.call(&call, self.limit).await? {
+        match self.call(&call, self.timeout).await? {
             Answer::Value { found } => Ok(found),
-            other => Err(odd(&other)),
+            other => Err(unexpected_response(&other)),
         }
     }
 
@@ -239,13 +241,14 @@
         let call = Call::List {
             prefix: prefix.into(),
         };
-        match self.call(&call, self.limit).await? {
+        match self.call(&call, self.timeout).await? {
             Answer::Values { found } => Ok(found),
-            other => Err(odd(&other)),
+            other => Err(unexpected_response(&other)),
         }
     }
 
-    /// Writes a value if its revision is `expected` (0: absent).
+    /// Writes a value if its revision is `expected`, or if it is absent and `expected` is 0. The value none
+    /// removes it.
     pub async fn compare_and_swap(
         &self,
         key: &str,
@@ -259,14 +262,14 @@
             value: value.map(Name::from),
             lease,
         };
-        match self.call(&call, self.limit).await? {
+        match self.call(&call, self.timeout).await? {
             Answer::Written { revision } => Ok(SwapOutcome::Written(revision)),
             Answer::Conflict { found } => Ok(SwapOutcome::Conflict(found)),
-            other => Err(odd(&other)),
+            other => Err(unexpected_response(&other)),
         }
     }
 
-    /// Waits until the value's revision is past `after`; none when it did not change.
+    /// Waits until the value's revision is greater than `after`; none if it did not change in time.
     pub async fn watch(
         &self,
         key: &str,
@@ -278,40 +281,40 @@
             after,
             wait_ms: wait.as_millis() as u64,
         };
-        match self.call(&call, wait + self.limit).await? {
+        match self.call(&call, wait + self.timeout).await? {
             Answer::Value { found } => Ok(found),
-            other => Err(odd(&other)),
+            other => Err(unexpected_response(&other)),
         }
     }
 
-    /// Makes a lease.
+    /// Grants a lease.
     pub async fn grant(&self, ttl: Duration) -> Result<u64, Error> {
         let call = Call::Grant {
             ttl_ms: ttl.as_millis() as u64,
         };
-        self.leased(call).await
+        self.lease_call(call).await
     }
 
-    /// Extends a lease.
+    /// Extends a lease by its time to live.
     pub async fn renew(&self, lease: u64) -> Result<u64, Error> {
-        self.leased(Call::Renew { lease }).await
+        self.lease_call(Call::Renew { lease }).await
     }
 
-    /// Ends a lease.
+    /// Ends a lease and removes its values.
     pub async fn revoke(&self, lease: u64) -> Result<(), Error> {
-        self.leased(Call::Revoke { lease }).await.map(|_| ())
+        self.lease_call(Call::Revoke { lease }).await.map(|_| ())
     }
 
-    async fn leased(&self, call: Call) -> Result<u64, Error> {
-        match self.call(&call, self.limit).await? {
+    async fn lease_call(&self, call: Call) -> Result<u64, Error> {
+        match self.call(&call, self.timeout).await? {
             Answer::Leased { lease } => Ok(lease),
-            other => Err(odd(&other)),
+            other => Err(unexpected_response(&other)),
         }
     }
 }
 
-fn odd(answer: &Answer) -> Error {
+fn unexpected_response(answer: &Answer) -> Error {
     Error::Indeterminate {
-        reason: format!("an answer of another kind: {answer:?}"),
+        reason: format!("unexpected answer: {answer:?}"),
     }
 }
--- a/crates/backing/src/lib.rs
+++ b/crates/backing/src/lib.rs
@@ -1,4 +1,6 @@
-//! Clients of the platform's three services; each format is known to one module only.
+//! Clients of the key-value service and the host list, and the capacity of the weight store.
+//!
+//! Each wire format is confined to one module.
 
 pub mod hosts;
 pub mod keys;
