--- a/crates/bundle/src/diff.rs
+++ b/crates/bundle/src/diff.rs
@@ -1,4 +1,4 @@
-//! What a change of bundle means: what is added, removed and changed, and the loads it asks for.
+//! Comparison of two bundles: additions, removals and changes, and the loads they require.
 
 use crate::intent::Intent;
 use serde::{Deserialize, Serialize};
@@ -11,28 +11,28 @@
 pub struct Change {
     /// Kind of section, such as `model`.
     pub kind: Name,
-    /// Name of what differs.
+    /// Name of the section; empty for a section without a name.
     pub name: Name,
-    /// What happens to it, as a full sentence.
+    /// Description of the change, as a predicate of the section.
     pub text: String,
 }
 
-/// Meaning of a change of bundle.
+/// Differences between two bundles, with their effect on replicas.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Diff {
-    /// Differences by kind and name.
+    /// Changed sections.
     pub changes: Vec<Change>,
-    /// Replicas that must be loaded at least.
+    /// Minimum number of replicas to load.
     pub loads: u32,
-    /// Replicas that may be unloaded at least.
+    /// Minimum number of replicas to unload.
     pub unloads: u32,
-    /// Memory that the floors need more than before (old versions stay until the new are ready).
+    /// Memory of the replicas to load. Old versions stay loaded until the new ones are ready.
     pub memory_added: Bytes,
-    /// Memory that the floors need less than before, once settled.
+    /// Memory of the replicas to unload.
     pub memory_freed: Bytes,
 }
 
-/// Compares two bundles by meaning.
+/// Compares the parsed content of two bundles.
 pub fn diff(old: &Intent, new: &Intent) -> Diff {
     let mut diff = Diff::default();
     compare_models(old, new, &mut diff);
@@ -40,23 +40,23 @@
     compare(&mut diff, "class", &old.classes, &new.classes);
     compare(&mut diff, "caller", &old.callers, &new.callers);
     compare(&mut diff, "service", &old.services, &new.services);
-    whole(&mut diff, "weights", &old.weights, &new.weights);
-    whole(&mut diff, "limits", &old.limits, &new.limits);
-    whole(&mut diff, "upstreams", &old.upstreams, &new.upstreams);
-    whole(&mut diff, "revoked", &old.revoked, &new.revoked);
+    compare_section(&mut diff, "weights", &old.weights, &new.weights);
+    compare_section(&mut diff, "limits", &old.limits, &new.limits);
+    compare_section(&mut diff, "upstreams", &old.upstreams, &new.upstreams);
+    compare_section(&mut diff, "revoked", &old.revoked, &new.revoked);
     diff
 }
 
 fn compare_models(old: &Intent, new: &Intent, diff: &mut Diff) {
     for (name, model) in &new.models {
-        let cost = Bytes(model.memory.0 * u64::from(model.least));
-        let before = old.models.get(name);
-        let replaced = before.is_none_or(|b| b.version != model.version);
+        let memory = Bytes(model.memory.0 * u64::from(model.least));
+        let previous = old.models.get(name);
+        let replaced = previous.is_none_or(|b| b.version != model.version);
         if replaced {
             diff.loads += model.least;
-            diff.memory_added += cost;
+            diff.memory_added += memory;
         }
-        match before {
+        match previous {
             None => diff.note(
                 "model",
                 name,
@@ -83,7 +83,7 @@
             diff.note(
                 "model",
                 name,
-                "is served no more: its replicas will be unloaded.".into(),
+                "is removed: its replicas will be unloaded.".into(),
             );
         }
     }
@@ -98,18 +98,20 @@
     for (name, value) in new {
         match old.get(name) {
             None => diff.note(kind, name, "is new.".into()),
-            Some(before) if before != value => {
-                diff.note(kind, name, format!("changes from {before:?} to {value:?}."))
-            }
+            Some(previous) if previous != value => diff.note(
+                kind,
+                name,
+                format!("changes from {previous:?} to {value:?}."),
+            ),
             Some(_) => {}
         }
     }
     for name in old.keys().filter(|name| !new.contains_key(*name)) {
-        diff.note(kind, name, "is gone.".into());
+        diff.note(kind, name, "is removed.".into());
     }
 }
 
-fn whole<T: PartialEq + Debug>(diff: &mut Diff, kind: &str, old: &T, new: &T) {
+fn compare_section<T: PartialEq + Debug>(diff: &mut Diff, kind: &str, old: &T, new: &T) {
     if old != new {
         diff.note(kind, "", format!("changes from {old:?} to {new:?}."));
     }
--- a/crates/bundle/src/head.rs
+++ b/crates/bundle/src/head.rs
@@ -1,4 +1,4 @@
-//! Drafts of a bundle and the head that is in force.
+//! Drafts of bundles, and the head, which is the bundle in force.
 
 use crate::key::{OperatorSignature, Purpose, Trust};
 use crate::part::{self, Ref};
@@ -10,95 +10,95 @@
 /// Proposed bundle that waits for approvals.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Draft {
-    /// Identity, also the nonce by which a roll finds its own write.
+    /// Unique id; by it a roll recognizes its own write when the answer was lost.
     pub id: Name,
-    /// Sequence that this draft replaces.
+    /// Sequence of the bundle that this draft replaces.
     pub replaces: u64,
-    /// Title for people.
+    /// Title, for display.
     pub title: Name,
-    /// Parts of its content.
+    /// References to the parts of its content.
     pub parts: Vec<Ref>,
-    /// Proposer's signature.
+    /// Signature of the proposer.
     pub proposal: OperatorSignature,
-    /// Signatures of those who approved.
+    /// Signatures of the approvers.
     pub approvals: Vec<OperatorSignature>,
 }
 
-/// Bundle in force: a draft at a sequence.
+/// Bundle in force: a draft with its sequence.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
-    /// Number of this bundle; each roll adds one.
+    /// Sequence of this bundle, one higher with each roll.
     pub sequence: u64,
-    /// Operators' wall clock at the roll, in milliseconds since 1970; used for the spread lag only.
+    /// Wall clock at the roll in milliseconds since 1970; used only to measure the propagation delay.
     pub rolled_ms: u64,
-    /// What was rolled.
+    /// Draft that was rolled.
     pub draft: Draft,
 }
 
-/// Why a head or draft is not to be put in force.
+/// Why a head or draft must not be put in force.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// The sequence does not follow the one it replaces.
+    /// The sequence does not follow the one that is replaced.
     #[snafu(display(
         "Bundle {sequence} claims to replace {replaces}; it must replace the one right before it."
     ))]
     Sequence {
-        /// Its own.
+        /// Sequence of the head.
         sequence: u64,
-        /// The one it claims to replace.
+        /// Sequence that the draft replaces.
         replaces: u64,
     },
-    /// The proposer's signature does not verify.
+    /// The proposal is not signed with a trusted key.
     #[snafu(display(
         "The proposal of '{operator}' is not signed with a key that this process trusts."
     ))]
     Proposal {
-        /// Who claims to have proposed it.
+        /// Claimed proposer.
         operator: Name,
     },
-    /// There are too few valid approvals.
+    /// There are not enough valid approvals.
     #[snafu(display(
         "Draft {id} has {valid} valid approvals of operators other than '{proposer}'; {needed} are needed."
     ))]
     Approvals {
-        /// The draft.
+        /// Id of the draft.
         id: Name,
-        /// Who proposed it.
+        /// Proposer.
         proposer: Name,
-        /// Valid ones.
+        /// Number of valid approvals.
         valid: usize,
-        /// Needed ones.
+        /// Number of required approvals.
         needed: usize,
     },
 }
 
 impl Draft {
-    /// Hash that names the whole content.
+    /// Hash of the whole content.
     pub fn content_hash(&self) -> Name {
         part::content_hash(&self.parts)
     }
 
-    /// Operators whose approvals are valid; never the proposer.
+    /// Operators with a valid approval, other than the proposer.
     pub fn valid_approvals(&self, trust: &Trust, revoked: &BTreeSet<Name>) -> BTreeSet<Name> {
-        let root = self.content_hash();
+        let content_hash = self.content_hash();
         self.approvals
             .iter()
             .filter(|a| a.operator != self.proposal.operator)
-            .filter(|a| trust.verifies(a, Purpose::Approve, &root, self.replaces, revoked))
+            .filter(|a| trust.verifies(a, Purpose::Approve, &content_hash, self.replaces, revoked))
             .map(|a| a.operator.clone())
             .collect()
     }
 
-    /// Checks the proposer's signature and the number of approvals.
+    /// Checks the proposer's signature and the number of valid approvals.
     pub fn verify(&self, trust: &Trust, revoked: &BTreeSet<Name>) -> Result<(), Error> {
-        let proposed = trust.verifies(
+        let is_proposed = trust.verifies(
             &self.proposal,
             Purpose::Propose,
             &self.content_hash(),
             self.replaces,
             revoked,
         );
-        if !proposed {
+        if !is_proposed {
             return Err(Error::Proposal {
                 operator: self.proposal.operator.clone(),
             });
@@ -116,21 +116,21 @@
     }
 }
 
-/// What a head changes against an earlier one; the signatures are over the whole.
+/// Difference between a head and an earlier one. The signatures in it cover the complete content.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
     /// Sequence of the earlier head.
     pub base: u64,
-    /// The new head, with only those parts that differ.
+    /// New head, with only the parts that differ.
     pub head: Head,
-    /// Groups that are gone.
+    /// Groups that the new head no longer has.
     pub gone: Vec<Name>,
 }
 
 impl Delta {
-    /// Compares two heads.
+    /// Computes the difference between two heads.
     pub fn between(old: &Head, new: &Head) -> Delta {
-        let group = |parts: &[Ref], group: &Name| parts.iter().any(|p| p.group == *group);
+        let has_group = |parts: &[Ref], group: &Name| parts.iter().any(|p| p.group == *group);
         let mut head = new.clone();
         head.draft
             .parts
@@ -139,11 +139,11 @@
         Delta {
             base: old.sequence,
             head,
-            gone: gone.filter(|g| !group(&new.draft.parts, g)).collect(),
+            gone: gone.filter(|g| !has_group(&new.draft.parts, g)).collect(),
         }
     }
 
-    /// The new head, made from the earlier one; whether it is right, its signatures tell.
+    /// Reconstructs the new head from the earlier one. The caller must verify its signatures.
     pub fn apply(self, old: &Head) -> Head {
         let mut head = self.head;
         let changed = std::mem::take(&mut head.draft.parts);
@@ -159,7 +159,7 @@
 }
 
 impl Head {
-    /// Checks that this head may be put in force after `revoked` keys were withdrawn.
+    /// Checks the sequence and signatures of this head. Signatures by `revoked` keys do not count.
     pub fn verify(&self, trust: &Trust, revoked: &BTreeSet<Name>) -> Result<(), Error> {
         if self.draft.replaces + 1 != self.sequence {
             return Err(Error::Sequence {
@@ -199,7 +199,7 @@
     }
 
     #[test]
-    fn a_delta_makes_the_new_head_again() {
+    fn applying_a_delta_reconstructs_the_new_head() {
         let old = head(1, &[("a", "1"), ("b", "1"), ("c", "1")]);
         let new = head(2, &[("a", "1"), ("aa", "1"), ("c", "2")]);
         let delta = Delta::between(&old, &new);
--- a/crates/bundle/src/ini.rs
+++ b/crates/bundle/src/ini.rs
@@ -1,4 +1,4 @@
-//! INI documents with the line of each entry, and typed reading of their fields.
+//! INI documents with line numbers, and typed access to their fields.
 
 use ini_core::{Item, Parser};
 use std::collections::HashSet;
@@ -10,12 +10,12 @@
 /// INI document.
 #[derive(Debug, Clone, Default)]
 pub struct Document {
-    /// Its sections in order.
+    /// Sections in order.
     pub sections: Vec<Section>,
 }
 
 impl Document {
-    /// The first section of a kind, or an empty one whose reading reports what is missing.
+    /// Returns the first section of a kind, or else an empty one, so that its missing keys are reported.
     pub fn section(&self, kind: &str) -> Section {
         let found = self.sections.iter().find(|s| &*s.kind == kind);
         found.cloned().unwrap_or_else(|| Section {
@@ -32,33 +32,33 @@
 pub struct Section {
     /// First word of the header.
     pub kind: Name,
-    /// The rest of the header; empty for a section without a name.
+    /// Rest of the header; empty for a section without a name.
     pub name: Name,
-    /// Line of the header, from 1.
+    /// Line number of the header, from 1.
     pub line: u32,
-    /// Its entries in order.
+    /// Entries in order.
     pub entries: Vec<Entry>,
 }
 
 /// Line `key = value`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Entry {
-    /// Key without blanks around it.
+    /// Key without surrounding whitespace.
     pub key: Name,
-    /// Value without blanks around it.
+    /// Value without surrounding whitespace.
     pub value: Name,
-    /// Line, from 1.
+    /// Line number, from 1.
     pub line: u32,
 }
 
-/// Something wrong in a file, with its place.
+/// Error in a file, with its location.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Problem {
-    /// File as the user named it.
+    /// Name of the file as given by the user.
     pub file: Name,
-    /// Line, from 1.
+    /// Line number, from 1.
     pub line: u32,
-    /// What is wrong and what is allowed, as a full sentence.
+    /// What is wrong and what is allowed.
     pub text: String,
 }
 
@@ -68,13 +68,13 @@
     }
 }
 
-/// Problems as indented text, one a line.
+/// Formats problems as indented lines.
 pub fn format_problems(problems: &[Problem]) -> String {
     let lines: Vec<String> = problems.iter().map(|p| format!("  {p}")).collect();
     lines.join("\n")
 }
 
-/// Collects what is wrong in one file.
+/// Collects the problems of one file.
 #[derive(Debug)]
 pub struct Problems {
     file: Name,
@@ -82,7 +82,7 @@
 }
 
 impl Problems {
-    /// Starts a list for the file of that name.
+    /// Creates an empty collection for a file name.
     pub fn new(file: &str) -> Problems {
         Problems {
             file: file.into(),
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Notes a problem.
+    /// Adds a problem.
     pub fn add(&mut self, line: u32, text: impl Into<String>) {
         self.found.push(Problem {
             file: self.file.clone(),
@@ -99,7 +99,7 @@
         });
     }
 
-    /// The value when nothing was wrong, else all that was, by line.
+    /// Returns the value if there are no problems, else the problems sorted by line.
     pub fn into_result<T>(mut self, value: T) -> Result<T, Vec<Problem>> {
         if self.found.is_empty() {
             return Ok(value);
@@ -109,7 +109,7 @@
     }
 }
 
-/// Reads a document; malformed lines are noted as problems.
+/// Parses a document. Malformed lines are added to `problems`.
 pub fn parse(text: &str, problems: &mut Problems) -> Document {
     let mut document = Document::default();
     let mut parser = Parser::new(text).comment_char(b'#').auto_trim(true);
@@ -128,7 +128,7 @@
                 }),
                 None => problems.add(
                     line,
-                    format!("'{key}' stands before any section; put it below a [section]."),
+                    format!("'{key}' is outside any section; move it below a [section] header."),
                 ),
             },
             Item::Property(key, None) => problems.add(
@@ -156,15 +156,15 @@
     }
 }
 
-/// Typed reading of one section; keys never asked for are reported as unknown.
+/// Typed access to the fields of one section. Each key that is read becomes a known key.
 pub struct Fields<'a> {
     section: &'a Section,
     problems: &'a mut Problems,
-    asked: Vec<&'static str>,
+    known: Vec<&'static str>,
 }
 
 impl<'a> Fields<'a> {
-    /// Starts reading a section; a key that stands twice is reported.
+    /// Wraps a section and reports duplicate keys.
     pub fn new(section: &'a Section, problems: &'a mut Problems) -> Fields<'a> {
         let mut seen = HashSet::new();
         for entry in &section.entries {
@@ -178,26 +178,26 @@
         Fields {
             section,
             problems,
-            asked: Vec::new(),
+            known: Vec::new(),
         }
     }
 
-    /// The entry of a key, if it stands there.
+    /// Returns the entry of a key, if there is one.
     pub fn entry(&mut self, key: &'static str) -> Option<&'a Entry> {
-        if !self.asked.contains(&key) {
-            self.asked.push(key);
+        if !self.known.contains(&key) {
+            self.known.push(key);
         }
         self.section.entries.iter().find(|e| &*e.key == key)
     }
 
-    /// Notes a problem with a key's value, at its line or else at the section's.
+    /// Reports a problem with a key, at its line or, if it is missing, at the section header.
     pub fn report(&mut self, key: &'static str, text: impl fmt::Display) {
         let entry = self.section.entries.iter().find(|e| &*e.key == key);
         let line = entry.map_or(self.section.line, |e| e.line);
         self.problems.add(line, format!("{key}: {text}"));
     }
 
-    /// Text of a key, if it stands there and is not empty.
+    /// Returns the value of a key, if there is one. An empty value is reported.
     pub fn text(&mut self, key: &'static str) -> Option<Name> {
         let entry = self.entry(key)?;
         if entry.value.is_empty() {
@@ -207,7 +207,7 @@
         Some(entry.value.clone())
     }
 
-    /// Text of a key that must stand there.
+    /// Returns the value of a key; a missing or empty one is reported.
     pub fn required(&mut self, key: &'static str) -> Option<Name> {
         if self.entry(key).is_none() {
             let line = self.section.line;
@@ -218,7 +218,7 @@
         self.text(key)
     }
 
-    /// Comma-separated list; empty when the key is missing.
+    /// Parses a comma-separated list; a missing key gives an empty one.
     pub fn list(&mut self, key: &'static str) -> Vec<Name> {
         let Some(text) = self.text(key) else {
             return Vec::new();
@@ -230,7 +230,7 @@
             .collect()
     }
 
-    /// Value of a key within a range, or the default.
+    /// Parses the value of a key within a range; gives the default if it is missing or invalid.
     pub fn value<T>(&mut self, key: &'static str, default: T, allowed: RangeInclusive<T>) -> T
     where
         T: FromStr + PartialOrd + fmt::Display + Copy,
@@ -238,7 +238,7 @@
         self.optional(key, allowed).unwrap_or(default)
     }
 
-    /// Value of a key within a range, if one is given.
+    /// Parses the value of a key within a range, if there is one. An invalid value is reported.
     pub fn optional<T>(&mut self, key: &'static str, allowed: RangeInclusive<T>) -> Option<T>
     where
         T: FromStr + PartialOrd + fmt::Display + Copy,
@@ -257,7 +257,7 @@
         }
     }
 
-    /// Value of any readable type that must stand there.
+    /// Parses the value of a required key; a missing or invalid one is reported.
     pub fn parsed<T>(&mut self, key: &'static str) -> Option<T>
     where
         T: FromStr,
@@ -273,7 +273,7 @@
         }
     }
 
-    /// `yes` or `no`, or the default.
+    /// Parses `yes` or `no`; gives the default if the key is missing or invalid.
     pub fn flag(&mut self, key: &'static str, default: bool) -> bool {
         let Some(text) = self.text(key) else {
             return default;
@@ -288,11 +288,11 @@
         }
     }
 
-    /// Reports each key that was never asked for.
+    /// Reports each key that has not been read as unknown.
     pub fn finish(self) {
         for entry in &self.section.entries {
-            if !self.asked.contains(&&*entry.key) {
-                let known = self.asked.join(", ");
+            if !self.known.contains(&&*entry.key) {
+                let known = self.known.join(", ");
                 self.problems.add(
                     entry.line,
                     format!(
@@ -305,7 +305,7 @@
     }
 }
 
-/// Header of a section as it stands between the brackets.
+/// Header of a section, without the brackets.
 pub fn header(section: &Section) -> String {
     match &*section.name {
         "" => section.kind.to_string(),
--- a/crates/bundle/src/intent.rs
+++ b/crates/bundle/src/intent.rs
@@ -1,23 +1,23 @@
-//! What a bundle asks for, typed.
+//! Typed content of a bundle.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use unit::{Bytes, Name, Span};
 
-/// Whole content of a bundle.
+/// Content of a bundle.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Intent {
-    /// Title for people.
+    /// Title, for display.
     pub title: Name,
-    /// What a placement is worth.
+    /// Weights of the placement objective.
     pub weights: Weights,
-    /// Bounds that hold for all callers.
+    /// Limits for all callers.
     pub limits: Limits,
-    /// Upstreams that check fences, and adapters' space.
+    /// Properties of upstreams.
     pub upstreams: Upstreams,
-    /// Public keys (hex) whose approvals count no more.
+    /// Public keys (hex) whose signatures no longer count.
     pub revoked: BTreeSet<Name>,
-    /// Classes by name.
+    /// Request classes by name.
     pub classes: BTreeMap<Name, Class>,
     /// Models by name.
     pub models: BTreeMap<Name, Model>,
@@ -29,10 +29,10 @@
     pub services: BTreeMap<Name, Service>,
 }
 
-/// Weight of attainment against moves in placement.
+/// Weights of the placement objective.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Weights {
-    /// Worth of one request a second that meets its target.
+    /// Value of one request that meets its target.
     pub attainment: f64,
     /// Cost of one move.
     pub moves: f64,
@@ -47,14 +47,14 @@
     }
 }
 
-/// Bounds on what callers send and wait for.
+/// Limits on requests.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limits {
-    /// Longest request body.
+    /// Maximum size of a request body.
     pub body: Bytes,
-    /// Requests that may wait at one daemon.
+    /// Maximum number of requests queued at one daemon.
     pub queue: u32,
-    /// Share of recent successes that may be spent on retries, in percent.
+    /// Retry budget, in percent of recent successful requests.
     pub retry_percent: u32,
 }
 
@@ -68,15 +68,15 @@
     }
 }
 
-/// What is known of upstreams beyond the host list.
+/// Properties of upstreams that the host list does not show.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Upstreams {
-    /// Names (or prefixes ending in `*`) of upstreams that check fences.
+    /// Names, or prefixes ending in `*`, of upstreams that reject orders by their fence.
     pub fencing: Vec<Name>,
 }
 
 impl Upstreams {
-    /// Whether the upstream of that name checks who gives it an order.
+    /// Whether an upstream rejects orders by their fence.
     pub fn checks_fences(&self, upstream: &str) -> bool {
         self.fencing
             .iter()
@@ -84,16 +84,16 @@
     }
 }
 
-/// Requests of one kind: their targets and their rank.
+/// Class of requests: latency targets and priority.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
-    /// Rank in queues; a higher one goes first.
+    /// Priority in queues; higher goes first.
     pub priority: u8,
-    /// Target for the first token, or for a plain answer.
+    /// Target time to the first token, or to the response of a plain service.
     pub first_token: Span,
-    /// Target between tokens.
+    /// Target time between tokens.
     pub between_tokens: Span,
-    /// Time after which nobody needs the answer.
+    /// Time after which the response is no longer needed.
     pub deadline: Span,
 }
 
@@ -104,50 +104,50 @@
     pub version: Name,
     /// Accelerator memory of one replica.
     pub memory: Bytes,
-    /// Class of requests that name none.
+    /// Class of requests that do not name one.
     pub class: Name,
-    /// Least number of replicas in the whole fleet.
+    /// Minimum number of replicas in the whole fleet.
     pub least: u32,
-    /// Whether its requests may never be repeated.
+    /// Whether its requests must not be retried.
     pub unrepeatable: bool,
 }
 
-/// Adapter on a model; callers use its name as a model's.
+/// Adapter of a model. Callers use its name like that of a model.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Adapter {
     /// Model it belongs to.
     pub model: Name,
-    /// Accelerator memory it takes besides the model's.
+    /// Accelerator memory in addition to the model's.
     pub memory: Bytes,
 }
 
-/// Caller: one of the organisations or programs that send requests.
+/// Organization or program that sends requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Caller {
     /// SHA-256 hashes (hex) of its bearer keys.
     pub keys: Vec<Name>,
-    /// Weight of its share under overload.
+    /// Weight of its fair share under overload.
     pub weight: u32,
-    /// Classes its requests may name; without one they have the model's own.
+    /// Classes its requests may name; others have the class of their model.
     pub classes: Vec<Name>,
-    /// Models it may use, or prefixes ending in `*`.
+    /// Names, or prefixes ending in `*`, of the models and adapters it may use.
     pub models: Vec<Name>,
 }
 
-/// Plain service beside the engines.
+/// Plain service, which is not a model engine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
-    /// Path prefix under which callers reach it.
+    /// Path prefix of its requests.
     pub path: Name,
     /// Class of its requests.
     pub class: Name,
-    /// Routes that may not be repeated.
+    /// Routes whose requests must not be retried.
     pub unrepeatable: Vec<Route>,
-    /// Status by which the service states that it did not run a request.
+    /// Status with which the service indicates that it has not processed a request.
     pub refusal_status: Option<u16>,
 }
 
-/// Method and path prefix.
+/// Pattern of methods and paths.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Route {
     /// HTTP method, or `*` for any.
@@ -156,7 +156,7 @@
     pub path: Name,
 }
 
-/// Whether a name fits a pattern: equal, or beginning with it before a `*`.
+/// Whether a name matches a pattern: a name, or a prefix followed by `*`.
 pub fn matches(pattern: &str, name: &str) -> bool {
     match pattern.strip_suffix('*') {
         Some(prefix) => name.starts_with(prefix),
@@ -164,19 +164,19 @@
     }
 }
 
-/// What a model name of a request stands for.
+/// Model, and adapter if any, that a request addresses.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Target<'a> {
-    /// The model that answers.
+    /// Name of the model.
     pub model: &'a Name,
-    /// Its adapter, when the request named one.
+    /// Name of the adapter, if the request named one.
     pub adapter: Option<&'a Name>,
-    /// The model's entry.
+    /// Entry of the model.
     pub entry: &'a Model,
 }
 
 impl Intent {
-    /// Finds the model or adapter of a name that a request gave.
+    /// Finds a model or adapter by name.
     pub fn target(&self, name: &str) -> Option<Target<'_>> {
         if let Some((model, entry)) = self.models.get_key_value(name) {
             return Some(Target {
@@ -194,14 +194,14 @@
         })
     }
 
-    /// Finds the caller that holds a key of that hash (hex).
+    /// Finds the caller of a bearer key by the key's hash (hex).
     pub fn caller(&self, hash: &str) -> Option<(&Name, &Caller)> {
         self.callers
             .iter()
             .find(|(_, caller)| caller.keys.iter().any(|k| &**k == hash))
     }
 
-    /// Finds the service of a path: the one with the longest prefix.
+    /// Finds the service with the longest matching path prefix.
     pub fn service(&self, path: &str) -> Option<(&Name, &Service)> {
         self.services
             .iter()
@@ -218,7 +218,7 @@
 }
 
 impl Service {
-    /// Whether a request to that path (below the service's prefix) may be repeated.
+    /// Whether a request may be retried; `path` is relative to the service's prefix.
     pub fn is_repeatable(&self, method: &str, path: &str) -> bool {
         !self.unrepeatable.iter().any(|route| {
             (&*route.method == "*" || &*route.method == method) && matches(&route.path, path)
--- a/crates/bundle/src/key.rs
+++ b/crates/bundle/src/key.rs
@@ -1,16 +1,16 @@
-//! Operators' keys and approvals.
+//! Operators' keys and signatures.
 
 use ed25519_dalek::{Signature, Signer, SigningKey, VerifyingKey};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use unit::Name;
 
-/// What a signature says about a bundle.
+/// What a signature is given for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Purpose {
-    /// "I propose this content."
+    /// Proposal of a bundle.
     Propose,
-    /// "I approve this content."
+    /// Approval of a proposed bundle.
     Approve,
 }
 
@@ -23,40 +23,40 @@
     pub signature: Name,
 }
 
-/// Operators that a daemon or tool trusts.
+/// Trusted operators, and the number of approvals a bundle needs.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Trust {
     /// Public keys (hex) by operator.
     pub operators: BTreeMap<Name, Name>,
-    /// Approvals a bundle needs, the proposer's own not counted.
+    /// Number of approvals that a bundle needs from operators other than the proposer.
     pub required_approvals: usize,
 }
 
-/// Bytes that are signed: the act, the content and the sequence it replaces.
-fn statement(purpose: Purpose, root: &str, replaces: u64) -> Vec<u8> {
+/// Signed bytes: the purpose, the hash of the content and the sequence it replaces.
+fn statement(purpose: Purpose, content_hash: &str, replaces: u64) -> Vec<u8> {
     let word = match purpose {
         Purpose::Propose => "propose",
         Purpose::Approve => "approve",
     };
-    format!("coveford bundle v1\n{word}\n{root}\n{replaces}\n").into_bytes()
+    format!("coveford bundle v1\n{word}\n{content_hash}\n{replaces}\n").into_bytes()
 }
 
-/// Signs an act on content.
+/// Signs content for a purpose.
 pub fn sign(
     key: &SigningKey,
     operator: &Name,
     purpose: Purpose,
-    root: &str,
+    content_hash: &str,
     replaces: u64,
 ) -> OperatorSignature {
-    let signature = key.sign(&statement(purpose, root, replaces));
+    let signature = key.sign(&statement(purpose, content_hash, replaces));
     OperatorSignature {
         operator: operator.clone(),
         signature: hex::encode(signature.to_bytes()).into(),
     }
 }
 
-/// Reads a signing key from hex.
+/// Parses a signing key in hex.
 pub fn parse_signing_key(text: &str) -> Option<SigningKey> {
     let bytes = hex::decode(text.trim()).ok()?;
     Some(SigningKey::from_bytes(&bytes.try_into().ok()?))
@@ -67,19 +67,19 @@
     hex::encode(key.verifying_key().to_bytes()).into()
 }
 
-/// Reads a public key from hex.
+/// Parses a public key in hex.
 pub fn parse_public_key(text: &str) -> Option<VerifyingKey> {
     let bytes: [u8; 32] = hex::decode(text).ok()?.try_into().ok()?;
     VerifyingKey::from_bytes(&bytes).ok()
 }
 
 impl Trust {
-    /// Whether a signature is that of its operator, whose key still counts.
+    /// Whether a signature is valid and its operator's key is trusted and not revoked.
     pub fn verifies(
         &self,
         signed: &OperatorSignature,
         purpose: Purpose,
-        root: &str,
+        content_hash: &str,
         replaces: u64,
         revoked: &BTreeSet<Name>,
     ) -> bool {
@@ -94,7 +94,7 @@
             .and_then(|bytes| Signature::from_slice(&bytes).ok());
         match (parse_public_key(public), signature) {
             (Some(key), Some(signature)) => key
-                .verify_strict(&statement(purpose, root, replaces), &signature)
+                .verify_strict(&statement(purpose, content_hash, replaces), &signature)
                 .is_ok(),
             _ => false,
         }
--- a/crates/bundle/src/lib.rs
+++ b/crates/bundle/src/lib.rs
@@ -1,4 +1,4 @@
-//! Bundles of intent: read, checked, compared, cut into parts, signed.
+//! Bundles of intended state: parsing, validation, comparison, content-hashed parts and signatures.
 
 pub mod diff;
 pub mod head;
--- a/crates/bundle/src/parse.rs
+++ b/crates/bundle/src/parse.rs
@@ -1,17 +1,17 @@
-//! Reading an intent out of an INI document, with every problem at once.
+//! Parsing and validation of bundles; all problems are reported at once.
 
 use crate::ini::{self, Fields, Problem, Problems, Section};
 use crate::intent::*;
 use std::collections::{BTreeMap, HashMap};
 use unit::{Bytes, Name, Span};
 
-/// Kinds of section a bundle may have.
-const KINDS: &str = "bundle, weights, limits, upstreams, revoked, class NAME, model NAME, adapter NAME, caller NAME, service NAME";
+/// Section headers that a bundle may have.
+const SECTION_KINDS: &str = "bundle, weights, limits, upstreams, revoked, class NAME, model NAME, adapter NAME, caller NAME, service NAME";
 
-/// Largest weight of a caller or of an aim.
-const MOST_WEIGHT: u32 = 1_000;
+/// Maximum weight of a caller or of a term of the placement objective.
+const MAX_WEIGHT: u32 = 1_000;
 
-/// Reads and checks a whole bundle.
+/// Parses and validates a bundle.
 pub fn parse(file: &str, text: &str) -> Result<Intent, Vec<Problem>> {
     let mut problems = Problems::new(file);
     let document = ini::parse(text, &mut problems);
@@ -64,7 +64,7 @@
         other => {
             problems.add(
                 section.line,
-                format!("[{other}] is not a section of a bundle; known are: {KINDS}."),
+                format!("[{other}] is not a section of a bundle; known are: {SECTION_KINDS}."),
             );
             return;
         }
@@ -78,17 +78,17 @@
     }
 }
 
-/// Whether a text may name something in a bundle.
+/// Whether a text is a valid name of a section.
 fn is_name(text: &str) -> bool {
     let allowed = |c: char| c.is_ascii_alphanumeric() || "-_./".contains(c);
     !text.is_empty() && text.len() <= 128 && text.chars().all(allowed)
 }
 
 fn parse_weights(fields: &mut Fields) -> Weights {
-    let most = f64::from(MOST_WEIGHT);
+    let max = f64::from(MAX_WEIGHT);
     Weights {
-        attainment: fields.value("attainment", 1.0, 0.0..=most),
-        moves: fields.value("moves", 1.0, 0.0..=most),
+        attainment: fields.value("attainment", 1.0, 0.0..=max),
+        moves: fields.value("moves", 1.0, 0.0..=max),
     }
 }
 
@@ -102,19 +102,19 @@
 }
 
 fn parse_class(fields: &mut Fields) -> Option<Class> {
-    let least = Span::from_ms(1);
-    let most = Span::from_secs(3_600);
-    let between = Span::from_ms(100);
-    let deadline = Span::from_secs(60);
+    let min = Span::from_ms(1);
+    let max = Span::from_secs(3_600);
+    let default_between_tokens = Span::from_ms(100);
+    let default_deadline = Span::from_secs(60);
     let class = Class {
         priority: fields.value("priority", 5, 0..=9),
         first_token: fields.parsed("first_token")?,
-        between_tokens: fields.value("between_tokens", between, least..=most),
-        deadline: fields.value("deadline", deadline, least..=most),
+        between_tokens: fields.value("between_tokens", default_between_tokens, min..=max),
+        deadline: fields.value("deadline", default_deadline, min..=max),
     };
     if class.first_token > class.deadline {
         let text = format!(
-            "{} lies after the deadline of {}; make it shorter.",
+            "{} exceeds the deadline of {}; make it shorter.",
             class.first_token, class.deadline
         );
         fields.report("first_token", text);
@@ -161,12 +161,12 @@
         fields.report("keys", "a caller needs at least one key's hash.");
     }
     let models = match fields.list("models") {
-        none if none.is_empty() => vec!["*".into()],
-        some => some,
+        models if models.is_empty() => vec!["*".into()],
+        models => models,
     };
     Some(Caller {
         keys: keys.iter().map(|k| k.to_lowercase().into()).collect(),
-        weight: fields.value("weight", 1, 1..=MOST_WEIGHT),
+        weight: fields.value("weight", 1, 1..=MAX_WEIGHT),
         classes: fields.list("classes"),
         models,
     })
@@ -180,7 +180,7 @@
         if reserved || !path.starts_with('/') || !path.ends_with('/') {
             fields.report(
                 "path",
-                format!("'{path}' must begin and end with '/' and not lie below /v1/."),
+                format!("'{path}' must begin and end with '/' and must not be below /v1/."),
             );
         }
     }
@@ -220,7 +220,7 @@
     if !lines.contains_key("bundle") {
         problems.add(1, "[bundle] with a title is missing; add it.");
     }
-    let mut needs_class = |line: u32, class: &Name| {
+    let mut require_class = |line: u32, class: &Name| {
         if !intent.classes.contains_key(class) {
             problems.add(
                 line,
@@ -229,14 +229,14 @@
         }
     };
     for (name, model) in &intent.models {
-        needs_class(line("model", name), &model.class);
+        require_class(line("model", name), &model.class);
     }
     for (name, service) in &intent.services {
-        needs_class(line("service", name), &service.class);
+        require_class(line("service", name), &service.class);
     }
     for (name, caller) in &intent.callers {
         for class in &caller.classes {
-            needs_class(line("caller", name), class);
+            require_class(line("caller", name), class);
         }
     }
     for (name, adapter) in &intent.adapters {
@@ -261,10 +261,10 @@
 }
 
 fn check_shared_keys(intent: &Intent, line: &dyn Fn(&str, &Name) -> u32, problems: &mut Problems) {
-    let mut holders: HashMap<&Name, &Name> = HashMap::new();
+    let mut owners: HashMap<&Name, &Name> = HashMap::new();
     for (name, caller) in &intent.callers {
         for key in &caller.keys {
-            if let Some(other) = holders.insert(key, name) {
+            if let Some(other) = owners.insert(key, name) {
                 problems.add(
                     line("caller", name),
                     format!(
--- a/crates/bundle/src/part.rs
+++ b/crates/bundle/src/part.rs
@@ -1,4 +1,4 @@
-//! Content-hashed parts, so that a small change moves a small part.
+//! Content-hashed parts of a bundle, so that a small change transfers little data.
 
 use crate::ini::{self, Problem, Problems, Section};
 use crate::intent::Intent;
@@ -8,28 +8,25 @@
 use std::fmt::Write;
 use unit::Name;
 
-/// Buckets that the sections of one kind are spread over.
-///
-/// At 1,700 models a bucket holds about 27 models or 4 KB: a change of one
-/// model moves that much and a list of some 130 hashes.
+/// Number of parts that the named sections of one kind are distributed over.
 const BUCKETS: u8 = 64;
 
-/// Longest part in bytes; the key-value service holds values up to a megabyte.
-pub const MOST_BYTES: usize = 900_000;
+/// Maximum size of a part in bytes, below the maximum value size of the key-value service.
+pub const MAX_BYTES: usize = 900_000;
 
 /// Reference to a part by the hash of its content.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ref {
-    /// Group of sections it holds, such as `model-17`.
+    /// Group of sections that the part holds, such as `model-17`.
     pub group: Name,
-    /// SHA-256 of its text, in hex.
+    /// SHA-256 of the text of the part, in hex.
     pub hash: Name,
 }
 
 /// Part of a bundle: canonical INI text.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Part {
-    /// Where it belongs.
+    /// Group and hash.
     pub reference: Ref,
     /// Its text.
     pub text: Name,
@@ -40,7 +37,7 @@
     hex::encode(Sha256::digest(bytes)).into()
 }
 
-/// Hash over the list of parts: it names the whole content.
+/// Hash over the groups and hashes of all parts, which identifies the content of a bundle.
 pub fn content_hash(parts: &[Ref]) -> Name {
     let mut list = String::new();
     for part in parts {
@@ -49,7 +46,7 @@
     hash(list.as_bytes())
 }
 
-/// Cuts the text of a checked bundle into parts.
+/// Splits the text of a bundle into parts. An invalid bundle gives its problems.
 pub fn split(file: &str, text: &str) -> Result<Vec<Part>, Vec<Problem>> {
     crate::parse(file, text)?;
     let mut problems = Problems::new(file);
@@ -76,6 +73,7 @@
     problems.into_result(parts.collect())
 }
 
+/// Group that a section belongs to.
 fn group(section: &Section) -> Name {
     match &*section.name {
         "" => "general".into(),
@@ -86,6 +84,7 @@
     }
 }
 
+/// Canonical text of a section: entries sorted by key.
 fn canonical(section: &Section) -> String {
     let mut entries: Vec<_> = section.entries.iter().collect();
     entries.sort_by(|a, b| a.key.cmp(&b.key));
@@ -96,12 +95,12 @@
     text
 }
 
-/// Joins the texts of parts and reads them as one bundle.
+/// Parses the texts of all parts as one bundle.
 pub fn parse<'a>(texts: impl Iterator<Item = &'a str>) -> Result<Intent, Vec<Problem>> {
     crate::parse("bundle", &concat(texts))
 }
 
-/// Joins the texts of parts into one document.
+/// Concatenates the texts of parts into one document.
 pub fn concat<'a>(texts: impl Iterator<Item = &'a str>) -> String {
     texts.collect::<Vec<_>>().join("\n")
 }
