--- a/crates/unit/src/bytes.rs
+++ b/crates/unit/src/bytes.rs
@@ -1,4 +1,4 @@
-//! Amounts of memory.
+//! Memory sizes.
 
 use crate::{ParseError, split_unit};
 use serde::{Deserialize, Serialize};
@@ -7,7 +7,7 @@
 use std::ops::{Add, AddAssign};
 use std::str::FromStr;
 
-/// Amount of memory in bytes.
+/// Memory size in bytes. Addition saturates.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -18,17 +18,16 @@
 const GB: u64 = 1_000 * MB;
 
 impl Bytes {
-    /// Makes an amount from gigabytes (10^9 bytes).
+    /// Converts from gigabytes (10^9 bytes).
     pub const fn from_gb(gb: u64) -> Self {
         Bytes(gb * GB)
     }
 
-    /// Makes an amount from megabytes (10^6 bytes).
+    /// Converts from megabytes (10^6 bytes).
     pub const fn from_mb(mb: u64) -> Self {
         Bytes(mb * MB)
     }
 
-    /// Difference that stops at zero.
     pub const fn saturating_sub(self, other: Bytes) -> Bytes {
         Bytes(self.0.saturating_sub(other.0))
     }
@@ -92,7 +91,7 @@
     use super::*;
 
     #[test]
-    fn reads_and_shows_amounts() {
+    fn parses_and_formats_sizes() {
         assert_eq!("24GB".parse(), Ok(Bytes::from_gb(24)));
         assert_eq!("300 MB".parse(), Ok(Bytes::from_mb(300)));
         assert_eq!(Bytes::from_mb(1500).to_string(), "1.5 GB");
--- a/crates/unit/src/engine.rs
+++ b/crates/unit/src/engine.rs
@@ -1,162 +1,147 @@
-//! What is known of model engines and asked of them, whatever their format.
+//! State that model engines report and orders that they accept, independent of the engine's own format.
 
 use crate::{Bytes, Name};
 use serde::{Deserialize, Serialize};
 
-/// Load figures that ride on answers.
+/// Load reported along with an engine's responses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests in the batch.
+    /// Requests in the running batch.
     pub running: u32,
-    /// Requests that wait.
+    /// Requests in the engine's queue.
     pub waiting: u32,
 }
 
-/// Why an engine refuses.
+/// Reason for which an engine refuses a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalReason {
-    /// It is leaving.
+    /// The engine is draining.
     Leaving,
-    /// It has no room in its queue.
+    /// Its queue is full.
     Full,
-    /// It does not hold that model, version or adapter ready.
+    /// The model, version or adapter is not loaded.
     #[serde(rename = "absent")]
     NotLoaded,
-    /// It knows nothing of the stream that should be resumed.
+    /// The stream to be resumed does not exist there.
     #[serde(rename = "unknown")]
     UnknownStream,
 }
 
-/// Name of weights that take memory: a model's version, or an adapter on it.
+/// Identity of loadable weights: a version of a model, or an adapter for it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Weights {
-    /// The model.
     pub model: Name,
-    /// The model's version.
     pub version: Name,
-    /// The adapter, when it is one.
+    /// Set for the weights of an adapter.
     pub adapter: Option<Name>,
 }
 
-/// State of weights at an engine.
+/// Load state of weights at an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// On the way from the weight store; takes its memory already.
+    /// Being fetched from the weight store; its memory is already reserved.
     Loading,
-    /// Ready to answer.
+    /// Ready to serve requests.
     Ready,
-    /// Ending its last requests; takes its memory still.
+    /// Finishing its last requests; still occupies its memory.
     Unloading,
 }
 
-/// Weights that take memory at an engine.
+/// Weights that occupy memory at an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resident {
-    /// Which.
     pub weights: Weights,
-    /// Memory they take.
+    /// Memory occupied.
     pub bytes: Bytes,
-    /// Their state.
     pub state: State,
 }
 
-/// What an engine does for requests.
+/// Phases of inference that an engine runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Prompts and generation.
+    /// Prefill and decode.
     #[default]
     Both,
-    /// Prompts only; exports its cache.
+    /// Prefill only; exports its KV cache.
     Prefill,
-    /// Generation only; imports caches.
+    /// Decode only; imports KV caches.
     Decode,
 }
 
-/// Number by which orders are fenced; compared by term, then number.
+/// Fencing token of an order; ordered by term, then number.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 pub struct Fence {
-    /// Planner's term.
+    /// Term of the planner that issued the order.
     pub term: u64,
-    /// Order's number.
+    /// Number of the order within the term.
     pub number: u64,
 }
 
-/// Lagged report of an engine.
+/// Periodic status report of an engine; may be out of date when it is read.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Identity of the engine's process; another after each restart.
+    /// Identity of the engine's process; changes with each restart.
     pub incarnation: u64,
-    /// Number of the report in this incarnation, growing.
+    /// Sequence number of the report, increasing within an incarnation.
     pub number: u64,
-    /// Highest fence it has seen; stays at zero when it checks none.
+    /// Highest fencing token seen; zero if the engine does not check them.
     pub fence: Fence,
-    /// Accelerator memory.
+    /// Total accelerator memory.
     pub memory: Bytes,
-    /// Weights that take memory.
+    /// Weights that occupy memory.
     pub resident: Vec<Resident>,
-    /// Load.
     pub load: Load,
-    /// Most requests in a batch.
+    /// Maximum batch size.
     pub batch: u32,
-    /// Its role.
     pub role: Role,
-    /// Whether it is leaving.
+    /// Whether the engine is draining.
     pub leaving: bool,
 }
 
-/// What an order asks for.
+/// Action requested by an order.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(tag = "do", rename_all = "snake_case")]
 pub enum Action {
-    /// Load weights.
+    /// Loads weights.
     Load {
-        /// Which.
         weights: Weights,
-        /// Memory they take.
+        /// Memory required.
         bytes: Bytes,
     },
-    /// Unload weights once their requests have ended.
-    Unload {
-        /// Which.
-        weights: Weights,
-    },
-    /// Change role.
+    /// Unloads weights once their requests have completed.
+    Unload { weights: Weights },
+    /// Changes the engine's role.
     #[serde(rename = "turn")]
-    SetRole {
-        /// The new one.
-        role: Role,
-    },
+    SetRole { role: Role },
 }
 
-/// Order to an engine.
+/// Order from the planner to an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Its fence.
     pub fence: Fence,
-    /// Incarnation it is meant for; another one refuses it.
+    /// Target incarnation; any other refuses the order.
     pub incarnation: u64,
-    /// What to do.
     pub action: Action,
 }
 
-/// Answer to an order.
+/// Response of an engine to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderStatus {
-    /// It will be done, or was already.
+    /// It will be carried out, or already was.
     #[serde(rename = "taken")]
     Accepted,
-    /// A later order was seen before.
+    /// An order with a higher fencing token was seen before.
     Stale,
-    /// It was meant for another incarnation.
+    /// It targets another incarnation.
     #[serde(rename = "other")]
     WrongIncarnation,
-    /// It cannot be done: no memory, or unknown weights.
+    /// It cannot be carried out: not enough memory, or unknown weights.
     #[serde(rename = "unable")]
     Infeasible,
 }
--- a/crates/unit/src/fingerprint.rs
+++ b/crates/unit/src/fingerprint.rs
@@ -1,18 +1,17 @@
-//! What makes two requests the same, whatever identity each was given.
+//! Content-based identity of requests.
 
 use crate::rendezvous;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Fingerprint of a request: equal for requests with the same host, path, account and body.
+/// 64-bit hash over a request's host, path, account and body; requests with equal content share it.
 ///
-/// 64 bits: among the some thousands that are remembered at a time, two requests share one with a chance of
-/// less than one in a million millions.
+/// Among the few thousand fingerprints kept at a time, the probability of a collision is below 10^-12.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint(pub u64);
 
 impl Fingerprint {
-    /// Fingerprint of a request of an account, if it has one, to a host and a path.
+    /// Hashes a request; `account` is `None` for requests without a client account.
     pub fn of(host: &str, path: &str, account: Option<&str>, body: &[u8]) -> Fingerprint {
         let parts = [
             host.as_bytes(),
--- a/crates/unit/src/lib.rs
+++ b/crates/unit/src/lib.rs
@@ -16,7 +16,7 @@
 /// Shared immutable name of a model, caller, host, hall or upstream.
 pub type Name = Arc<str>;
 
-/// Reason why a quantity could not be read, as a full sentence.
+/// Reason for which a quantity could not be parsed, as a full sentence.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ParseError(pub String);
 
--- a/crates/unit/src/rendezvous.rs
+++ b/crates/unit/src/rendezvous.rs
@@ -1,11 +1,11 @@
-//! Rendezvous hashing: which names stand first for a key, without agreement.
+//! Rendezvous (highest random weight) hashing: every process ranks names for a key alike without coordination.
 
 /// FNV-1a offset basis, 64 bits.
 const BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 /// FNV-1a prime, 64 bits.
 const PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// Hash that is the same in every process and version (FNV-1a with a final mix).
+/// Stable hash, equal in all processes and versions: FNV-1a followed by the SplitMix64 finalizer.
 pub fn hash(bytes: &[u8]) -> u64 {
     let mut state = BASIS;
     for byte in bytes {
@@ -15,7 +15,7 @@
     mix(state)
 }
 
-/// Finalizer of SplitMix64: spreads each bit of the input over the output.
+/// SplitMix64 finalizer.
 fn mix(mut x: u64) -> u64 {
     x ^= x >> 30;
     x = x.wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -24,16 +24,16 @@
     x ^ (x >> 31)
 }
 
-/// Weight of a name for a key; the highest stands first.
+/// Weight of a name for a key; higher weights rank first.
 pub fn weight(key: u64, name: &str) -> u64 {
     mix(key ^ hash(name.as_bytes()))
 }
 
-/// The `most` names that stand first for a key, in order.
-pub fn top<T: AsRef<str>>(key: u64, names: &[T], most: usize) -> Vec<&T> {
+/// The `count` highest-ranked names for a key, in descending order.
+pub fn top<T: AsRef<str>>(key: u64, names: &[T], count: usize) -> Vec<&T> {
     let mut ranked: Vec<&T> = names.iter().collect();
     ranked.sort_by_key(|name| std::cmp::Reverse(weight(key, name.as_ref())));
-    ranked.truncate(most);
+    ranked.truncate(count);
     ranked
 }
 
@@ -42,7 +42,7 @@
     use super::*;
 
     #[test]
-    fn losing_a_name_moves_only_its_keys() {
+    fn removing_a_name_moves_only_its_keys() {
         let all: Vec<String> = (0..10).map(|i| format!("host-{i}")).collect();
         let fewer: Vec<String> = all[..9].to_vec();
         for key in 0..1_000 {
@@ -54,7 +54,7 @@
     }
 
     #[test]
-    fn keys_spread_evenly() {
+    fn keys_are_distributed_evenly() {
         let all: Vec<String> = (0..10).map(|i| format!("host-{i}")).collect();
         let mut counts = [0; 10];
         for key in 0..10_000 {
--- a/crates/unit/src/time.rs
+++ b/crates/unit/src/time.rs
@@ -1,4 +1,4 @@
-//! Points in time and lengths of time.
+//! Points in time and durations.
 
 use crate::{ParseError, split_unit};
 use serde::{Deserialize, Serialize};
@@ -7,60 +7,55 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// Point in time: microseconds on the reader's own monotonic clock.
+/// Point in time, in microseconds on the local monotonic clock; not comparable between hosts.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 pub struct Time(pub u64);
 
-/// Length of time in microseconds.
+/// Duration in microseconds. Addition saturates.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 pub struct Span(pub u64);
 
 impl Time {
-    /// Time passed since an earlier point, zero if that point lies ahead.
+    /// Duration since `earlier`; zero if that lies in the future.
     pub const fn since(self, earlier: Time) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
 }
 
 impl Span {
-    /// No time at all.
     pub const ZERO: Span = Span(0);
 
-    /// Makes a span from milliseconds.
     pub const fn from_ms(ms: u64) -> Span {
         Span(ms * 1_000)
     }
 
-    /// Makes a span from seconds.
     pub const fn from_secs(secs: u64) -> Span {
         Span(secs * 1_000_000)
     }
 
-    /// Makes a span from seconds with a fraction; what is longer than can be told is the longest.
+    /// Converts from fractional seconds, saturating at the bounds of the type.
     pub fn from_secs_f64(secs: f64) -> Span {
         Span((secs * 1e6) as u64)
     }
 
-    /// The span in seconds, with its fraction.
+    /// Fractional seconds.
     pub fn secs(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
-    /// The span in milliseconds, with its fraction.
+    /// Fractional milliseconds.
     pub fn ms(self) -> f64 {
         self.0 as f64 / 1e3
     }
 
-    /// The span as the standard library has it.
     pub const fn std(self) -> Duration {
         Duration::from_micros(self.0)
     }
 
-    /// Difference that stops at zero.
     pub const fn saturating_sub(self, other: Span) -> Span {
         Span(self.0.saturating_sub(other.0))
     }
@@ -144,7 +139,7 @@
     use super::*;
 
     #[test]
-    fn reads_and_shows_spans() {
+    fn parses_and_formats_spans() {
         assert_eq!("1600ms".parse(), Ok(Span::from_ms(1600)));
         assert_eq!("2 min".parse(), Ok(Span::from_secs(120)));
         assert_eq!(Span::from_ms(1600).to_string(), "1.60 s");
@@ -152,7 +147,7 @@
     }
 
     #[test]
-    fn differences_stop_at_zero() {
+    fn differences_saturate_at_zero() {
         assert_eq!(Time(5).since(Time(9)), Span::ZERO);
     }
 }
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,36 +1,37 @@
-//! Sealing of frames: version, MessagePack, HMAC-SHA256 under the daemons' shared key.
+//! Encoding of frames: version byte, HMAC-SHA256 under the daemons' shared key, MessagePack body.
 
 use crate::frame::Frame;
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
 use snafu::Snafu;
 
-/// Version of the protocol; the first byte of a message.
+/// Protocol version, the first byte of a message.
 const VERSION: u8 = 1;
 
-/// Length of the seal in bytes.
-const SEAL: usize = 32;
+/// Length of the MAC in bytes.
+const MAC_LEN: usize = 32;
 
-/// Longest message: a head with all parts of a bundle of 1,700 models fits many times.
+/// Maximum message size; well above a head with all parts of a bundle of 1,700 models.
 pub const MAX_MESSAGE_BYTES: usize = 4_000_000;
 
-/// Shortest key in bytes: as long as the hash.
-const LEAST_KEY: usize = 32;
+/// Minimum key length in bytes, equal to the output size of the hash.
+const MIN_KEY_LEN: usize = 32;
 
-/// Key that all daemons of a fleet share, from their settings.
+/// Key shared by all daemons of a fleet, from their settings.
 #[derive(Clone)]
 pub struct Key(Vec<u8>);
 
 impl Key {
-    /// Takes a key of at least 32 bytes.
+    /// Returns `None` if the key is shorter than 32 bytes.
     pub fn new(bytes: Vec<u8>) -> Option<Key> {
-        (bytes.len() >= LEAST_KEY).then_some(Key(bytes))
+        (bytes.len() >= MIN_KEY_LEN).then_some(Key(bytes))
     }
 
-    fn mac(&self, asked: &[u8], body: &[u8]) -> Hmac<Sha256> {
-        let mut mac = Hmac::<Sha256>::new_from_slice(&self.0).expect("HMAC takes any key length");
-        mac.update(&(asked.len() as u64).to_be_bytes());
-        mac.update(asked);
+    fn mac(&self, request: &[u8], body: &[u8]) -> Hmac<Sha256> {
+        let mut mac =
+            Hmac::<Sha256>::new_from_slice(&self.0).expect("HMAC accepts keys of any length");
+        mac.update(&(request.len() as u64).to_be_bytes());
+        mac.update(request);
         mac.update(body);
         mac
     }
@@ -42,48 +43,37 @@
     }
 }
 
-/// Why a message is not taken.
+/// Reason for which a message is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// It is longer than allowed.
+    /// Larger than [`MAX_MESSAGE_BYTES`].
     #[snafu(display("The message has {length} bytes; at most {MAX_MESSAGE_BYTES} are allowed."))]
-    Oversized {
-        /// Its length.
-        length: usize,
-    },
-    /// It is too short to be one.
-    #[snafu(display("The message has {length} bytes and is cut short."))]
-    Truncated {
-        /// Its length.
-        length: usize,
-    },
-    /// It speaks another version.
+    Oversized { length: usize },
+    /// Too short to hold a header and a body.
+    #[snafu(display("The message is truncated: it has {length} bytes."))]
+    Truncated { length: usize },
+    /// Other protocol version.
     #[snafu(display(
-        "The message speaks version {version}; this process speaks version {VERSION}."
+        "The message uses protocol version {version}; this process uses version {VERSION}."
     ))]
-    Version {
-        /// Its version.
-        version: u8,
-    },
-    /// Its seal does not fit.
+    Version { version: u8 },
+    /// The MAC does not match: other key, other request or altered message.
     #[snafu(display(
-        "The message is not sealed with this fleet's key; check [wire] key on both hosts."
+        "The message is not authenticated with this fleet's key; check [wire] key on both hosts."
     ))]
     Unauthenticated,
-    /// Its content is no frame.
+    /// The body is not a valid frame.
     #[snafu(display("The message cannot be read: {reason}."))]
-    Unreadable {
-        /// Why.
-        reason: String,
-    },
+    Unreadable { reason: String },
 }
 
-/// Seals a frame; an answer is bound to the message it answers, `asked` (empty for a request).
-pub fn encode(key: &Key, asked: &[u8], frame: &Frame) -> Result<Vec<u8>, Error> {
+/// Encodes a frame. The MAC of a response covers the message that it responds to, `request`, which is empty for a
+/// request itself.
+pub fn encode(key: &Key, request: &[u8], frame: &Frame) -> Result<Vec<u8>, Error> {
     let body = rmp_serde::to_vec(frame).map_err(unreadable)?;
-    let mut message = Vec::with_capacity(1 + SEAL + body.len());
+    let mut message = Vec::with_capacity(1 + MAC_LEN + body.len());
     message.push(VERSION);
-    message.extend_from_slice(&key.mac(asked, &body).finalize().into_bytes());
+    message.extend_from_slice(&key.mac(request, &body).finalize().into_bytes());
     message.extend_from_slice(&body);
     if message.len() > MAX_MESSAGE_BYTES {
         return Err(Error::Oversized {
@@ -93,13 +83,13 @@
     Ok(message)
 }
 
-/// Opens a sealed frame.
-pub fn decode(key: &Key, asked: &[u8], message: &[u8]) -> Result<Frame, Error> {
+/// Verifies and decodes a message; `request` is as for [`encode`].
+pub fn decode(key: &Key, request: &[u8], message: &[u8]) -> Result<Frame, Error> {
     let length = message.len();
     if length > MAX_MESSAGE_BYTES {
         return Err(Error::Oversized { length });
     }
-    if length <= 1 + SEAL {
+    if length <= 1 + MAC_LEN {
         return Err(Error::Truncated { length });
     }
     if message[0] != VERSION {
@@ -107,15 +97,15 @@
             version: message[0],
         });
     }
-    let (tag, body) = message[1..].split_at(SEAL);
-    key.mac(asked, body)
-        .verify_slice(tag)
+    let (mac, body) = message[1..].split_at(MAC_LEN);
+    key.mac(request, body)
+        .verify_slice(mac)
         .map_err(|_| Error::Unauthenticated)?;
     rmp_serde::from_slice(body).map_err(unreadable)
 }
 
-fn unreadable(why: impl std::fmt::Display) -> Error {
+fn unreadable(error: impl std::fmt::Display) -> Error {
     Error::Unreadable {
-        reason: why.to_string(),
+        reason: error.to_string(),
     }
 }
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,68 +1,68 @@
-//! Messages between daemons.
+//! Messages between daemons. Variants are encoded by name, fields by position.
 
 use serde::{Deserialize, Serialize};
 use unit::{Name, Span};
 
-/// One message; a request or its answer.
+/// Request or response.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// Asks for a head past `after`, waiting at most `wait_ms` for one.
+    /// Long poll for a bundle head newer than `after`.
     Follow {
-        /// Sequence already in force at the asker.
+        /// Sequence active at the requester.
         after: u64,
-        /// Longest wait in milliseconds.
+        /// Maximum wait in milliseconds.
         wait_ms: u64,
     },
-    /// Head in force at the answerer, as JSON; none when not past the asked one.
+    /// Response to `Follow` with the whole head.
     Head {
-        /// Sequence in force at the answerer; 0 before the first.
+        /// Sequence active at the responder; 0 before the first bundle.
         sequence: u64,
-        /// The head.
+        /// Active head as JSON; none if it is not newer than the requested sequence.
         head: Option<Name>,
     },
-    /// What the head in force at the answerer changes against the asker's, as JSON.
+    /// Response to `Follow` with the difference to the requester's head.
     Delta {
-        /// Sequence in force at the answerer.
+        /// Sequence active at the responder.
         sequence: u64,
-        /// The changes.
+        /// Difference as JSON.
         delta: Name,
     },
-    /// Asks for parts by hash.
+    /// Requests bundle parts by hash.
     Fetch {
-        /// Hashes in hex.
+        /// Hex-encoded hashes.
         hashes: Vec<Name>,
     },
-    /// Texts of the asked parts that the answerer holds.
+    /// Response to `Fetch` with the requested parts that the responder has.
     Parts {
-        /// Texts; the asker checks their hashes.
+        /// Contents of the parts; the requester verifies their hashes.
         texts: Vec<Name>,
     },
-    /// Asks for the demand seen at a daemon in its last window.
+    /// Requests the recent demand at a daemon.
     #[serde(rename = "AskDemand")]
     GetDemand,
-    /// Demand seen at a daemon.
+    /// Response to `GetDemand`.
     Demands {
-        /// By model.
+        /// One entry per model.
         demands: Vec<Demand>,
     },
-    /// Asks for the loads of upstreams that a daemon has seen itself.
+    /// Requests the upstream loads that a daemon has observed itself.
     #[serde(rename = "AskLoads")]
     GetLoads,
-    /// Loads of upstreams.
+    /// Response to `GetLoads`.
     Loads {
-        /// By upstream.
+        /// One entry per upstream.
         loads: Vec<Load>,
     },
-    /// Asks a daemon to drain and end, as SIGTERM does.
+    /// Requests that a daemon drain and exit, as on SIGTERM.
     Drain,
-    /// The daemon drains.
+    /// Response to `Drain`: the daemon is draining.
     Draining {
         /// Requests in flight.
         in_flight: u64,
     },
-    /// The answerer cannot serve the message.
+    /// The responder cannot serve the request.
     Refused {
-        /// Why, as a full sentence.
+        /// Reason, as a full sentence.
         reason: String,
     },
 }
@@ -70,25 +70,23 @@
 /// Demand for one model at one daemon.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Demand {
-    /// The model.
     pub model: Name,
-    /// Requests a second that arrived, smoothed.
+    /// Smoothed arrival rate in requests per second.
     pub rate: f64,
-    /// Share of them that met their targets, smoothed.
+    /// Smoothed fraction of requests that met their latency targets.
     pub attainment: f64,
-    /// Requests that wait now.
+    /// Requests currently queued.
     pub waiting: u32,
 }
 
-/// Load of one upstream.
+/// Load of one upstream, as last reported to the sender.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Load {
-    /// The upstream.
     pub upstream: Name,
     /// Age of the report at the sender.
     pub age: Span,
-    /// Requests that run there.
+    /// Requests running at the upstream.
     pub running: u32,
-    /// Requests that wait there.
+    /// Requests queued at the upstream.
     pub waiting: u32,
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,4 +1,4 @@
-//! Inner protocol between coveford's own processes: frames in MessagePack, sealed with a shared key.
+//! Internal protocol between coveford daemons: MessagePack frames authenticated with a shared key.
 
 mod codec;
 mod frame;
@@ -6,5 +6,5 @@
 pub use codec::{Error, Key, MAX_MESSAGE_BYTES, decode, encode};
 pub use frame::{Demand, Frame, Load};
 
-/// Path at which a daemon takes frames.
+/// HTTP path at which a daemon accepts frames.
 pub const PATH: &str = "/wire";
--- a/crates/wire/tests/codec.rs
+++ b/crates/wire/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Any bytes are refused, any frame comes back as it was, answers fit their questions only.
+//! Frames survive a round trip; altered, unauthenticated or arbitrary input is rejected without a panic.
 
 use proptest::prelude::*;
 use wire::{Error, Frame, Key, decode, encode};
@@ -19,33 +19,33 @@
 
 proptest! {
     #[test]
-    fn a_frame_comes_back(frame in frame()) {
-        let sealed = encode(&key(1), b"", &frame).unwrap();
-        prop_assert_eq!(decode(&key(1), b"", &sealed), Ok(frame));
+    fn frames_round_trip(frame in frame()) {
+        let encoded = encode(&key(1), b"", &frame).unwrap();
+        prop_assert_eq!(decode(&key(1), b"", &encoded), Ok(frame));
     }
 
     #[test]
-    fn bytes_are_refused_without_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_bytes_are_rejected_without_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         prop_assert!(decode(&key(1), b"", &bytes).is_err());
     }
 
     #[test]
-    fn a_changed_byte_is_seen(frame in frame(), at in any::<prop::sample::Index>(), by in 1u8..) {
-        let mut sealed = encode(&key(1), b"", &frame).unwrap();
-        let at = at.index(sealed.len());
-        sealed[at] ^= by;
-        prop_assert!(decode(&key(1), b"", &sealed).is_err());
+    fn a_changed_byte_is_detected(frame in frame(), at in any::<prop::sample::Index>(), by in 1u8..) {
+        let mut encoded = encode(&key(1), b"", &frame).unwrap();
+        let at = at.index(encoded.len());
+        encoded[at] ^= by;
+        prop_assert!(decode(&key(1), b"", &encoded).is_err());
     }
 
     #[test]
-    fn another_key_or_question_does_not_open(frame in frame()) {
-        let sealed = encode(&key(1), b"one question", &frame).unwrap();
-        prop_assert_eq!(decode(&key(2), b"one question", &sealed), Err(Error::Unauthenticated));
-        prop_assert_eq!(decode(&key(1), b"another", &sealed), Err(Error::Unauthenticated));
+    fn another_key_or_request_fails_authentication(frame in frame()) {
+        let encoded = encode(&key(1), b"one question", &frame).unwrap();
+        prop_assert_eq!(decode(&key(2), b"one question", &encoded), Err(Error::Unauthenticated));
+        prop_assert_eq!(decode(&key(1), b"another", &encoded), Err(Error::Unauthenticated));
     }
 }
 
 #[test]
-fn short_keys_are_refused() {
+fn short_keys_are_rejected() {
     assert!(Key::new(vec![1; 31]).is_none());
 }
