--- a/crates/route/src/backoff.rs
+++ b/crates/route/src/backoff.rs
@@ -1,80 +1,79 @@
-//! Time for which a replica wants nothing from one host, and the host's return to it.
+//! Backoff that a replica requests from one host, and the ramp-up of the host's traffic afterwards.
 //!
-//! The first requests after it are few: 1, then 2, then 4 a step, so that a replica that is not well yet is not met by all
-//! that waited for it.
+//! The ramp-up allows 1, 2 and 4 requests in its steps, so that a replica that is still recovering is not hit by all
+//! queued requests at once.
 
 use unit::{Span, Time};
 
-/// Length of each step of the return.
-const STEP: Span = Span::from_ms(300);
+/// Duration of each ramp-up step.
+const RAMP_STEP: Span = Span::from_ms(300);
 
-/// Steps of the return; after them the replica is used as before.
-const STEPS: u32 = 3;
+/// Number of ramp-up steps.
+const RAMP_STEPS: u32 = 3;
 
-/// Rest that a replica asked one host for.
+/// Backoff from one replica, with the ramp-up that follows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Backoff {
-    /// When it ends.
+    /// End of the backoff and start of the ramp-up.
     until: Time,
-    /// Requests that were sent since then.
+    /// Requests sent during the ramp-up.
     sent: u32,
-    /// Requests of the host that wait for their turn.
+    /// Requests of this host queued for the replica.
     waiting: u32,
 }
 
 impl Backoff {
-    /// Rest of a time from now on.
-    pub fn new(time: Span, now: Time) -> Backoff {
+    pub fn new(duration: Span, now: Time) -> Backoff {
         Backoff {
-            until: now + time,
+            until: now + duration,
             sent: 0,
             waiting: 0,
         }
     }
 
-    /// Takes in that the replica asks again. A longer time that was asked for before holds on, and the return begins anew.
-    pub fn extend(&mut self, time: Span, now: Time) {
+    /// Applies a further request to back off: the later end counts, and the ramp-up starts over.
+    pub fn extend(&mut self, duration: Span, now: Time) {
         *self = Backoff {
             waiting: self.waiting,
-            ..Backoff::new(time.max(self.remaining(now)), now)
+            ..Backoff::new(duration.max(self.remaining(now)), now)
         };
     }
 
-    /// Time that is left of it.
+    /// Time until the ramp-up starts; zero once it has.
     pub fn remaining(&self, now: Time) -> Span {
         self.until.since(now)
     }
 
-    /// Whether the replica is used as before.
+    /// Whether the ramp-up has finished.
     pub fn is_over(&self, now: Time) -> bool {
-        now >= self.until + STEP * f64::from(STEPS)
+        now >= self.until + RAMP_STEP * f64::from(RAMP_STEPS)
     }
 
-    /// Time until a request would have its turn behind those that wait; none if one may be sent now.
+    /// Time after which a request could be sent behind those already queued; `None` if one may be sent now.
     pub fn wait(&self, now: Time) -> Option<Span> {
-        let is_closed = now < self.opens_at(self.sent);
-        is_closed.then(|| {
+        let is_blocked = now < self.opens_at(self.sent);
+        is_blocked.then(|| {
             self.opens_at(self.sent.saturating_add(self.waiting))
                 .since(now)
         })
     }
 
-    /// When a request may be sent behind so many since the end.
-    fn opens_at(&self, before: u32) -> Time {
-        // Requests that may be sent by the end of each step: 1, 3, 7.
-        let step = (0..STEPS).find(|step| before < (2 << step) - 1);
-        self.until + STEP * f64::from(step.unwrap_or(STEPS))
+    /// Time from which the request after the first `preceding` ones of the ramp-up may be sent.
+    fn opens_at(&self, preceding: u32) -> Time {
+        // Cumulative limit per step: 1, 3, 7.
+        let step = (0..RAMP_STEPS).find(|step| preceding < (2 << step) - 1);
+        self.until + RAMP_STEP * f64::from(step.unwrap_or(RAMP_STEPS))
     }
 
-    /// Counts a request in that waits for its turn, or out.
-    pub fn count_waiting(&mut self, waits: bool) {
-        self.waiting = match waits {
+    /// Adds a queued request to the count, or removes one.
+    pub fn count_waiting(&mut self, is_waiting: bool) {
+        self.waiting = match is_waiting {
             true => self.waiting.saturating_add(1),
             false => self.waiting.saturating_sub(1),
         };
     }
 
-    /// Notes that a request is sent.
+    /// Counts a sent request towards the ramp-up.
     pub fn record_sent(&mut self, now: Time) {
         if now >= self.until {
             self.sent = self.sent.saturating_add(1);
--- a/crates/route/src/batch.rs
+++ b/crates/route/src/batch.rs
@@ -1,155 +1,152 @@
-//! Choice among replicas that run many requests in one batch, and whether a request is admitted.
+//! Selection among replicas with continuous batching, and the admission criteria for a request.
 //!
-//! Cost = expected time to the first token there, from the prompts that wait before it, the free
-//! places of the batch and the prompt's parts that are kept; with small charges for places that are
-//! taken and for another hall.
+//! The cost of a replica is the expected time to first token (TTFT), from queued prefill work, free batch slots and the
+//! cached part of the prompt, plus penalties for occupied slots, stalling streams, failures and another hall.
 
 use rand::{Rng, RngExt};
 use unit::Span;
 
-/// Charge for a replica in another hall: bytes between halls are paid for.
-const OTHER_HALL: Span = Span::from_ms(4);
+/// Cost of a replica in another hall, since traffic between halls is billed.
+const CROSS_HALL_PENALTY: Span = Span::from_ms(4);
 
-/// Charge for a replica whose streams all pause too long: about what one more prompt costs there.
-const LAGGING: Span = Span::from_ms(150);
+/// Cost of a replica whose streams all stall; roughly the prefill time of one prompt.
+const STALL_PENALTY: Span = Span::from_ms(150);
 
-/// Charge for a replica whose places are all taken, beside the wait for one: what is known of it is
-/// some 50 ms old, and each prompt that is read there holds up all streams that run. It grows with
-/// the square of the share of places taken. About the time to read one prompt of 1,200 tokens.
-const TAKEN: Span = Span::from_ms(60);
+/// Cost of a replica with all slots occupied, in addition to the wait for one; scales with the square of the slot
+/// utilization. Load data is about 50 ms old, and each prefill delays all streams running at the replica.
+const UTILIZATION_PENALTY: Span = Span::from_ms(60);
 
-/// Share of failures above which a replica is chosen only when no other is left.
-const FAILING: f64 = 0.3;
+/// Failure rate from which a replica is chosen only if all others fail as often.
+const MAX_FAILURE_RATE: f64 = 0.3;
 
-/// Part of a cost that is added to it for a replica whose answers all fail.
-const FAILING_CHARGE: f64 = 4.0;
+/// Relative cost increase of a replica whose responses all fail.
+const FAILURE_PENALTY: f64 = 4.0;
 
-/// Replica that could take the request.
+/// Replica that could serve the request.
 #[derive(Debug, Clone, Copy)]
 pub struct Candidate {
-    /// Requests that it runs at once.
+    /// Maximum batch size.
     pub slots: u32,
-    /// Requests in flight there, as far as they are known here.
+    /// Known requests in flight at the replica.
     pub in_flight: f64,
-    /// Time to read the prompts sent there that are as urgent or more, and not read yet.
+    /// Prefill time of the queued prompts of equal or higher priority.
     pub prefill_ahead: Span,
-    /// Time to read all prompts sent there and not read yet.
+    /// Prefill time of all queued prompts.
     pub prefill_backlog: Span,
-    /// Time to read what it does not keep of this prompt.
+    /// Prefill time of the part of this prompt that is not cached.
     pub prefill: Span,
-    /// Tokens that the requests in flight there need at the most.
+    /// Upper bound of the tokens needed by the requests in flight.
     pub reserved_tokens: f64,
-    /// Tokens that its memory holds; 0 when it is not limited.
+    /// Tokens that fit into its memory; 0 if unlimited.
     pub token_capacity: f64,
-    /// Time of one request there from its first token to its last.
+    /// Time of one request from its first token to its last.
     pub decode: Span,
-    /// Whether it stands in this host's hall.
+    /// Whether it is in this host's hall.
     pub same_hall: bool,
-    /// Smoothed share of its answers that failed.
+    /// Smoothed fraction of responses that failed.
     pub failure_rate: f64,
-    /// Smoothed mark of long pauses in its streams, from 0 to 1: it is slow, or has too much to do.
+    /// Smoothed rate of stalls in its streams, from 0 to 1; high on slow or overloaded replicas.
     pub stall_rate: f64,
 }
 
-/// What is asked of a replica.
+/// Requirements of one request.
 #[derive(Debug, Clone, Copy)]
 pub struct Request {
-    /// Tokens that prompt and answer need together.
+    /// Tokens of prompt and output together.
     pub tokens: f64,
-    /// Time of reading that a replica may have before it at once, so that the streams which run
-    /// there make no longer pauses than they may; none when there is no such bound.
+    /// Maximum prefill work pending at a replica, so that its running streams do not stall; `None` for no limit.
     pub prefill_limit: Option<Span>,
-    /// Width of the random part of a cost, so that hosts with equal tables do not choose alike: about
-    /// the work that other hosts may have sent since the tables were told.
+    /// Upper bound of the random addend of the cost. It keeps hosts with identical load data from choosing the same
+    /// replica, and should match the work that other hosts can have sent since that data was exchanged.
     pub jitter: Span,
 }
 
 impl Candidate {
-    /// Expected time to the first token.
-    pub fn ttft(&self, ask: &Request) -> Span {
-        self.prefill_ahead + self.prefill + self.slot_wait(ask)
+    /// Expected time to first token.
+    pub fn ttft(&self, request: &Request) -> Span {
+        self.prefill_ahead + self.prefill + self.slot_wait(request)
     }
 
-    /// Time until the batch and the memory have room.
-    fn slot_wait(&self, ask: &Request) -> Span {
+    /// Expected wait for a batch slot and for memory.
+    fn slot_wait(&self, request: &Request) -> Span {
         let slots = f64::from(self.slots.max(1));
-        let beyond = (self.in_flight + 1.0 - slots).max(0.0);
-        let places = self.decode * (beyond / slots);
+        let excess = (self.in_flight + 1.0 - slots).max(0.0);
+        let slot_wait = self.decode * (excess / slots);
         if self.token_capacity <= 0.0 {
-            return places;
+            return slot_wait;
         }
-        let over = (self.reserved_tokens + ask.tokens - self.token_capacity).max(0.0);
-        places.max(self.decode * (over / self.token_capacity))
+        let excess = (self.reserved_tokens + request.tokens - self.token_capacity).max(0.0);
+        slot_wait.max(self.decode * (excess / self.token_capacity))
     }
 
-    /// Whether a place of the batch is free, so that a request would not wait for one.
+    /// Whether a request would get a batch slot without waiting.
     pub fn has_free_slot(&self) -> bool {
         self.in_flight + 1.0 <= f64::from(self.slots)
     }
 
-    /// Whether a request would neither wait for a place there nor hold up those that run.
-    pub fn is_available(&self, ask: &Request) -> bool {
-        self.fits_prefill_limit(ask) && self.has_free_slot()
+    /// Whether the request would start at once without stalling running streams.
+    pub fn is_available(&self, request: &Request) -> bool {
+        self.fits_prefill_limit(request) && self.has_free_slot()
     }
 
-    /// Whether the prompt can be read there now without a long pause for those that run.
-    pub fn fits_prefill_limit(&self, ask: &Request) -> bool {
-        let fits = |pace| self.prefill_backlog + self.prefill <= pace;
-        self.prefill_backlog == Span::ZERO || ask.prefill_limit.is_none_or(fits)
+    /// Whether the pending prefill work, including this prompt, is within the limit. A replica without pending work
+    /// accepts a prompt of any length.
+    pub fn fits_prefill_limit(&self, request: &Request) -> bool {
+        let fits = |limit| self.prefill_backlog + self.prefill <= limit;
+        self.prefill_backlog == Span::ZERO || request.prefill_limit.is_none_or(fits)
     }
 
-    /// Whether what is to be read there already holds up those that run for as long as it may, however
-    /// long the prompt of the request itself is.
-    pub fn exceeds_prefill_limit(&self, ask: &Request) -> bool {
-        ask.prefill_limit
-            .is_some_and(|pace| self.prefill_backlog > pace)
+    /// Whether the pending prefill work exceeds the limit even without this prompt.
+    pub fn exceeds_prefill_limit(&self, request: &Request) -> bool {
+        request
+            .prefill_limit
+            .is_some_and(|limit| self.prefill_backlog > limit)
     }
 
-    /// Cost of sending the request there.
-    fn cost(&self, ask: &Request, rng: &mut impl Rng) -> Span {
+    fn cost(&self, request: &Request, rng: &mut impl Rng) -> Span {
         let distance = match self.same_hall {
             true => Span::ZERO,
-            false => OTHER_HALL,
+            false => CROSS_HALL_PENALTY,
         };
-        let late = match self.fits_prefill_limit(ask) {
+        let overload = match self.fits_prefill_limit(request) {
             true => Span::ZERO,
             false => self.prefill_backlog,
         };
-        let jitter = Span(rng.random_range(0..=ask.jitter.0));
-        let lagging = LAGGING * self.stall_rate;
-        let taken = (self.in_flight / f64::from(self.slots.max(1))).min(1.0);
-        let taken = TAKEN * (taken * taken);
-        let failing = 1.0 + FAILING_CHARGE * self.failure_rate;
-        (self.ttft(ask) + late + taken + lagging + distance + jitter) * failing
+        let jitter = Span(rng.random_range(0..=request.jitter.0));
+        let stall = STALL_PENALTY * self.stall_rate;
+        let used = (self.in_flight / f64::from(self.slots.max(1))).min(1.0);
+        let used = UTILIZATION_PENALTY * (used * used);
+        let failure = 1.0 + FAILURE_PENALTY * self.failure_rate;
+        (self.ttft(request) + overload + used + stall + distance + jitter) * failure
     }
 }
 
-/// Part of its target that a refused request should wait yet when its client comes back.
-const BACK_WITHIN: f64 = 0.5;
+/// Remaining wait, as a fraction of the TTFT target, at which a refused client should retry.
+const RETRY_AT_WAIT: f64 = 0.5;
 
-/// Time after which the client of a request that would wait too long may come back: when that wait
-/// has mostly passed, but not before one more copy of its model is there, if one is on its way.
-pub fn retry_after(expected: Span, target: Span, coming: Option<Span>) -> Span {
-    let passed = expected.saturating_sub(target * BACK_WITHIN);
-    passed.max(coming.unwrap_or(Span::ZERO))
+/// `Retry-After` for a request whose expected TTFT is too long: the time until the wait is mostly over, but not before
+/// a further copy of the model is loaded, if one is expected after `eta`.
+pub fn retry_after(expected: Span, target: Span, eta: Option<Span>) -> Span {
+    let delay = expected.saturating_sub(target * RETRY_AT_WAIT);
+    delay.max(eta.unwrap_or(Span::ZERO))
 }
 
-/// Index of the cheapest candidate, and its expected time to the first token.
+/// Returns the index of the cheapest candidate and its expected TTFT.
 pub fn choose(
-    ask: &Request,
+    request: &Request,
     candidates: &[Candidate],
     rng: &mut impl Rng,
 ) -> Option<(usize, Span)> {
-    let sound = candidates.iter().any(|c| c.failure_rate < FAILING);
+    let any_healthy = candidates.iter().any(|c| c.failure_rate < MAX_FAILURE_RATE);
     let mut best: Option<(usize, Span)> = None;
     for (i, candidate) in candidates.iter().enumerate() {
-        if sound && candidate.failure_rate >= FAILING {
+        if any_healthy && candidate.failure_rate >= MAX_FAILURE_RATE {
             continue;
         }
-        let cost = candidate.cost(ask, rng);
+        let cost = candidate.cost(request, rng);
         if best.is_none_or(|(_, least)| cost < least) {
             best = Some((i, cost));
         }
     }
-    best.map(|(i, _)| (i, candidates[i].ttft(ask)))
+    best.map(|(i, _)| (i, candidates[i].ttft(request)))
 }
--- a/crates/route/src/breaker.rs
+++ b/crates/route/src/breaker.rs
@@ -1,75 +1,73 @@
-//! Ejection of failing upstreams, and probing them back.
+//! Circuit breaker: takes failing upstreams open of routing and probes them before they return.
 
 use unit::{Span, Time};
 
-/// Failures in a row that eject an upstream.
-const FAILURES: u32 = 3;
+/// Consecutive failures that open the breaker.
+const FAILURE_THRESHOLD: u32 = 3;
 
-/// First time out; it doubles with each ejection in a row.
-const FIRST_OUT: Span = Span::from_ms(500);
+/// First open interval; doubles each time that the breaker opens again without a success in between.
+const BASE_OPEN: Span = Span::from_ms(500);
 
-/// Longest time out.
-const LONGEST_OUT: Span = Span::from_secs(15);
+const MAX_OPEN: Span = Span::from_secs(15);
 
-/// Health of one upstream, as seen by one daemon.
+/// Circuit breaker of one upstream at one daemon.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Breaker {
     failures: u32,
-    ejections: u32,
-    out_until: Option<Time>,
+    openings: u32,
+    open_until: Option<Time>,
     probing: bool,
 }
 
-/// What a health means for routing.
+/// State of a breaker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
-    /// Takes requests.
+    /// Requests pass.
     Closed,
-    /// Its time out is over: one request may try it.
+    /// The open interval is over: one request may probe the upstream.
     HalfOpen,
-    /// Takes none, until that time.
+    /// No requests pass until the given time.
     Open(Time),
 }
 
 impl Breaker {
-    /// State at a time.
     pub fn state(&self, now: Time) -> State {
-        match self.out_until {
+        match self.open_until {
             None => State::Closed,
             Some(until) if now >= until && !self.probing => State::HalfOpen,
             Some(until) => State::Open(until),
         }
     }
 
-    /// Notes that a request was sent there.
+    /// Records a sent request, which becomes the probe of a half-open breaker.
     pub fn record_sent(&mut self, now: Time) {
         if self.state(now) == State::HalfOpen {
             self.probing = true;
         }
     }
 
-    /// Notes an answer.
+    /// Records a success, which closes the breaker.
     pub fn record_success(&mut self) {
         *self = Breaker::default();
     }
 
-    /// Notes that a request ended without a verdict on the upstream, such as a caller's leaving.
+    /// Records a request that ended without telling anything about the upstream, such as a disconnect of the caller.
     pub fn record_inconclusive(&mut self) {
         self.probing = false;
     }
 
-    /// Notes a failure; tells whether it ejected the upstream.
+    /// Records a failure; returns whether it opened the breaker.
     pub fn record_failure(&mut self, now: Time) -> bool {
         self.failures += 1;
-        let due = self.probing || self.failures >= FAILURES;
+        let opens = self.probing || self.failures >= FAILURE_THRESHOLD;
         self.probing = false;
-        if !due || self.out_until.is_some_and(|until| now < until) {
+        if !opens || self.open_until.is_some_and(|until| now < until) {
             return false;
         }
-        let factor = f64::from(1 << self.ejections.min(6));
-        let out = (FIRST_OUT * factor).min(LONGEST_OUT);
-        self.out_until = Some(now + out);
-        self.ejections += 1;
+        let factor = f64::from(1 << self.openings.min(6));
+        let open = (BASE_OPEN * factor).min(MAX_OPEN);
+        self.open_until = Some(now + open);
+        self.openings += 1;
         true
     }
 }
@@ -79,23 +77,23 @@
     use super::*;
 
     #[test]
-    fn ejects_probes_and_returns() {
-        let mut health = Breaker::default();
+    fn opens_probes_and_closes() {
+        let mut breaker = Breaker::default();
         let at = |ms: u64| Time(ms * 1_000);
-        assert!(!health.record_failure(at(0)));
-        assert!(!health.record_failure(at(1)));
-        assert!(health.record_failure(at(2)));
-        assert_eq!(health.state(at(3)), State::Open(at(502)));
-        assert_eq!(health.state(at(600)), State::HalfOpen);
-        health.record_sent(at(600));
+        assert!(!breaker.record_failure(at(0)));
+        assert!(!breaker.record_failure(at(1)));
+        assert!(breaker.record_failure(at(2)));
+        assert_eq!(breaker.state(at(3)), State::Open(at(502)));
+        assert_eq!(breaker.state(at(600)), State::HalfOpen);
+        breaker.record_sent(at(600));
         assert!(
-            matches!(health.state(at(600)), State::Open(_)),
+            matches!(breaker.state(at(600)), State::Open(_)),
             "one probe at a time"
         );
-        assert!(health.record_failure(at(700)));
-        assert_eq!(health.state(at(1_600)), State::Open(at(1_700)));
-        health.record_sent(at(1_700));
-        health.record_success();
-        assert_eq!(health.state(at(1_701)), State::Closed);
+        assert!(breaker.record_failure(at(700)));
+        assert_eq!(breaker.state(at(1_600)), State::Open(at(1_700)));
+        breaker.record_sent(at(1_700));
+        breaker.record_success();
+        assert_eq!(breaker.state(at(1_701)), State::Closed);
     }
 }
--- a/crates/route/src/budget.rs
+++ b/crates/route/src/budget.rs
@@ -1,35 +1,37 @@
-//! Retry budget: retries are a share of recent successes, so that an outage cannot multiply load.
+//! Retry budget: each success earns a fraction of a retry, so that retries cannot multiply the load of an outage.
 
-/// Retries that may be saved up; a burst of failures spends no more than this.
-const MOST_SAVED: f64 = 20.0;
+/// Maximum balance, and so the maximum number of retries in a burst of failures.
+const MAX_BALANCE: f64 = 20.0;
 
-/// Retries that a caller with no successes yet may spend.
-const START: f64 = 3.0;
+/// Balance of a caller without any success yet.
+const INITIAL_BALANCE: f64 = 3.0;
 
-/// Budget of one caller.
+/// Retry budget of one caller.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Budget {
-    saved: f64,
+    balance: f64,
 }
 
 impl Default for Budget {
     fn default() -> Self {
-        Budget { saved: START }
+        Budget {
+            balance: INITIAL_BALANCE,
+        }
     }
 }
 
 impl Budget {
-    /// Notes a success, which earns `percent` hundredths of a retry.
+    /// Records a success, which earns `percent` hundredths of a retry.
     pub fn earn(&mut self, percent: u32) {
-        self.saved = (self.saved + f64::from(percent) / 100.0).min(MOST_SAVED);
+        self.balance = (self.balance + f64::from(percent) / 100.0).min(MAX_BALANCE);
     }
 
-    /// Spends one retry if there is one.
+    /// Spends one retry; returns false if the balance is less than one.
     pub fn spend(&mut self) -> bool {
-        if self.saved < 1.0 {
+        if self.balance < 1.0 {
             return false;
         }
-        self.saved -= 1.0;
+        self.balance -= 1.0;
         true
     }
 }
@@ -45,6 +47,6 @@
             budget.earn(20);
         }
         let spent = (0..1_000).filter(|_| budget.spend()).count();
-        assert_eq!(spent, MOST_SAVED as usize);
+        assert_eq!(spent, MAX_BALANCE as usize);
     }
 }
--- a/crates/route/src/concurrency.rs
+++ b/crates/route/src/concurrency.rs
@@ -1,40 +1,40 @@
-//! Adaptive limit of requests in flight to one upstream: additive increase, multiplicative decrease.
+//! Adaptive concurrency limit per upstream: additive increase, multiplicative decrease (AIMD).
 
 use unit::{Span, Time};
 
-/// Factor by which the limit shrinks when the measured delay is over its target.
-const CUT: f64 = 0.8;
+/// Multiplicative decrease, applied when the delay exceeds its target.
+const DECREASE_FACTOR: f64 = 0.8;
 
-/// Least time between two cuts, so that one congestion is answered once.
-const CUT_EVERY: Span = Span::from_ms(500);
+/// Minimum time between two decreases, so that one congestion event causes only one.
+const DECREASE_INTERVAL: Span = Span::from_ms(500);
 
-/// Limit never falls below this; a lone request must always get through.
-const LEAST: f64 = 2.0;
+/// Minimum limit, so that a single request can always pass.
+const MIN_LIMIT: f64 = 2.0;
 
-/// Limit of one upstream, as seen by one daemon.
+/// Concurrency limit of one upstream at one daemon.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Limit {
     current: f64,
-    most: f64,
-    last_cut: Time,
+    max: f64,
+    last_decrease: Time,
 }
 
 impl Limit {
-    /// Starts at `start` and never passes `most`.
-    pub fn new(start: u32, most: u32) -> Limit {
+    /// Starts at `initial` and never exceeds `max`.
+    pub fn new(initial: u32, max: u32) -> Limit {
         Limit {
-            current: f64::from(start).max(LEAST),
-            most: f64::from(most).max(LEAST),
-            last_cut: Time(0),
+            current: f64::from(initial).max(MIN_LIMIT),
+            max: f64::from(max).max(MIN_LIMIT),
+            last_decrease: Time(0),
         }
     }
 
-    /// Requests that may be in flight now.
+    /// Requests that may be in flight.
     pub fn allowed(&self) -> u32 {
         self.current as u32
     }
 
-    /// Learns from a request that used the limit: its delay and what it should have been.
+    /// Adjusts the limit after a request, by its delay and the target for it.
     pub fn observe(&mut self, now: Time, in_flight: u32, delay: Span, target: Span) {
         if delay > target {
             self.decrease(now);
@@ -42,17 +42,17 @@
         }
         let used = f64::from(in_flight) * 2.0 >= self.current;
         if used {
-            self.current = (self.current + 1.0 / self.current).min(self.most);
+            self.current = (self.current + 1.0 / self.current).min(self.max);
         }
     }
 
-    /// Shrinks after a refusal for want of room.
+    /// Decreases the limit, also when the upstream refused a request as overloaded.
     pub fn decrease(&mut self, now: Time) {
-        if now.since(self.last_cut) < CUT_EVERY {
+        if now.since(self.last_decrease) < DECREASE_INTERVAL {
             return;
         }
-        self.last_cut = now;
-        self.current = (self.current * CUT).max(LEAST);
+        self.last_decrease = now;
+        self.current = (self.current * DECREASE_FACTOR).max(MIN_LIMIT);
     }
 }
 
@@ -61,7 +61,7 @@
     use super::*;
 
     #[test]
-    fn one_congestion_cuts_once() {
+    fn one_congestion_event_decreases_once() {
         let mut limit = Limit::new(100, 200);
         let (now, slow, target) = (Time(10_000_000), Span::from_secs(2), Span::from_secs(1));
         for _ in 0..50 {
@@ -71,7 +71,7 @@
     }
 
     #[test]
-    fn grows_only_when_used() {
+    fn grows_only_when_utilized() {
         let mut limit = Limit::new(10, 20);
         let (fast, target) = (Span::from_ms(1), Span::from_secs(1));
         for _ in 0..1_000 {
--- a/crates/route/src/demand.rs
+++ b/crates/route/src/demand.rs
@@ -1,11 +1,11 @@
-//! Demand for one model, smoothed over time.
+//! Smoothed demand for one model.
 
 use unit::{Span, Time};
 
-/// Time over which arrivals are smoothed; placement smooths again over minutes.
-const SMOOTHED_OVER: Span = Span::from_secs(10);
+/// Time constant of the smoothing of arrivals; placement smooths again over minutes.
+const TIME_CONSTANT: Span = Span::from_secs(10);
 
-/// Exponentially smoothed rate of arrivals and of targets met.
+/// Exponentially smoothed arrival rate and attainment of latency targets.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Demand {
     rate: f64,
@@ -14,7 +14,6 @@
 }
 
 impl Demand {
-    /// Starts with no demand at `now`.
     pub fn new(now: Time) -> Demand {
         Demand {
             rate: 0.0,
@@ -24,30 +23,29 @@
     }
 
     fn decay(&mut self, now: Time) {
-        let factor = (-now.since(self.last).secs() / SMOOTHED_OVER.secs()).exp();
+        let factor = (-now.since(self.last).secs() / TIME_CONSTANT.secs()).exp();
         self.rate *= factor;
         self.last = self.last.max(now);
     }
 
-    /// Notes an arrival.
     pub fn record_arrival(&mut self, now: Time) {
         self.decay(now);
-        self.rate += 1.0 / SMOOTHED_OVER.secs();
+        self.rate += 1.0 / TIME_CONSTANT.secs();
     }
 
-    /// Notes an end and whether its targets were met.
+    /// Records a completed request and whether it met its targets.
     pub fn record_completion(&mut self, met: bool) {
-        // A weight of 1/20: some twenty requests make up the figure.
+        // Moving average over about 20 requests.
         self.attainment += (f64::from(u8::from(met)) - self.attainment) / 20.0;
     }
 
-    /// Requests a second.
+    /// Arrivals per second.
     pub fn rate(&mut self, now: Time) -> f64 {
         self.decay(now);
         self.rate
     }
 
-    /// Share of requests that met their targets.
+    /// Fraction of requests that met their targets.
     pub fn attainment(&self) -> f64 {
         self.attainment
     }
@@ -58,7 +56,7 @@
     use super::*;
 
     #[test]
-    fn follows_a_steady_rate() {
+    fn converges_to_a_steady_rate() {
         let mut demand = Demand::new(Time(0));
         for i in 0..10_000 {
             demand.record_arrival(Time(i * 10_000));
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,7 +1,6 @@
-//! Pure decisions on requests: tables in, choice and reason out.
+//! Routing, queueing and rate limiting of requests as pure logic.
 //!
-//! Nothing here awaits, logs or reads a clock; the time and a seeded generator
-//! are arguments.
+//! No I/O, logging or clock access: the current time and a seeded random generator are arguments.
 
 pub mod backoff;
 pub mod batch;
--- a/crates/route/src/retry.rs
+++ b/crates/route/src/retry.rs
@@ -1,31 +1,30 @@
-//! What follows a failed attempt.
+//! Retry policy after a failed attempt.
 //!
-//! A request that may not be repeated is attempted again only while it is
-//! proven that no attempt ran. A stream is resumed where it runs, or, when the
-//! request may be repeated, continued elsewhere from the text so far.
+//! A request that is not repeatable is retried only if no attempt can have run. An interrupted stream is resumed at
+//! the same upstream or, if the request is repeatable, continued at another one from the text generated so far.
 
 use serde::{Deserialize, Serialize};
 use unit::Time;
 
-/// Attempts at one request, resumptions not counted.
-const MOST_ATTEMPTS: u32 = 4;
+/// Maximum number of attempts per request, not counting resumptions.
+const MAX_ATTEMPTS: u32 = 4;
 
-/// Resumptions of one attempt's stream.
-const MOST_RESUMES: u32 = 2;
+/// Maximum number of resumptions per attempt.
+const MAX_RESUMES: u32 = 2;
 
-/// What the caller is told of a request.
+/// Outcome of a request as reported to the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The whole answer was given.
+    /// The complete response was delivered.
     Complete,
-    /// Proven not to have run.
+    /// The request did certainly not run.
     NotRun,
-    /// It may have run; its answer is lost.
+    /// The request may have run; its response is lost.
     Unknown,
 }
 
 impl Outcome {
-    /// What is true of a request that has no answer.
+    /// Outcome of a request without a response.
     pub fn without_answer(may_have_run: bool) -> Outcome {
         match may_have_run {
             true => Outcome::Unknown,
@@ -33,7 +32,7 @@
         }
     }
 
-    /// The word in the outcome header.
+    /// Value of the outcome header.
     pub fn as_str(self) -> &'static str {
         match self {
             Outcome::Complete => "complete",
@@ -43,65 +42,65 @@
     }
 }
 
-/// How an attempt ended.
+/// How an attempt failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
-    /// Nothing was sent, or the upstream documented that it ran nothing.
+    /// Nothing was sent, or the upstream confirmed that the request did not run.
     NotRun,
-    /// It was sent, and its answer broke off or never came.
+    /// The request was sent, and its response is incomplete or missing.
     Lost,
-    /// The upstream knows nothing of the stream that was to be resumed.
+    /// The stream to be resumed does not exist at the upstream.
     UnknownStream,
 }
 
-/// What is known of a request when an attempt has failed.
+/// State of a request after a failed attempt.
 #[derive(Debug, Clone, Copy)]
 pub struct Context {
-    /// Whether the request may be repeated.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
     /// Attempts so far.
     pub attempts: u32,
-    /// Resumptions of the last attempt so far.
+    /// Resumptions of the last attempt.
     pub resumes: u32,
-    /// Whether an earlier attempt, or this one, may have run.
+    /// Whether any attempt may have run.
     pub may_have_run: bool,
-    /// When nobody needs the answer any more.
+    /// Time after which the response is of no use.
     pub deadline: Time,
 }
 
-/// What to do next.
+/// Next step for the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
-    /// Resume the attempt's stream at the same upstream.
+    /// Resume the stream at the same upstream.
     Resume,
-    /// Make another attempt, elsewhere if possible, if the retry budget allows.
+    /// Retry, preferably at another upstream, if the retry budget allows.
     Retry,
-    /// Tell the caller.
+    /// Report the outcome to the caller.
     GiveUp(Outcome),
 }
 
-/// Decides what follows a failed attempt.
-pub fn decide(known: &Context, end: Failure, now: Time) -> Action {
-    let ran = known.may_have_run || end != Failure::NotRun;
-    let verdict = Outcome::without_answer(ran);
-    if now >= known.deadline {
-        return Action::GiveUp(verdict);
+/// Decides how to proceed after a failed attempt.
+pub fn decide(context: &Context, failure: Failure, now: Time) -> Action {
+    let ran = context.may_have_run || failure != Failure::NotRun;
+    let outcome = Outcome::without_answer(ran);
+    if now >= context.deadline {
+        return Action::GiveUp(outcome);
     }
-    if end == Failure::Lost && known.resumes < MOST_RESUMES {
+    if failure == Failure::Lost && context.resumes < MAX_RESUMES {
         return Action::Resume;
     }
-    let may = known.repeatable || !ran;
-    if may && known.attempts < MOST_ATTEMPTS {
+    let may_retry = context.repeatable || !ran;
+    if may_retry && context.attempts < MAX_ATTEMPTS {
         return Action::Retry;
     }
-    Action::GiveUp(verdict)
+    Action::GiveUp(outcome)
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    const KNOWN: Context = Context {
+    const CONTEXT: Context = Context {
         repeatable: false,
         attempts: 1,
         resumes: 0,
@@ -110,28 +109,28 @@
     };
 
     #[test]
-    fn unrepeatable_is_attempted_again_only_when_nothing_ran() {
-        assert_eq!(decide(&KNOWN, Failure::NotRun, Time(1)), Action::Retry);
+    fn unrepeatable_requests_are_retried_only_if_nothing_ran() {
+        assert_eq!(decide(&CONTEXT, Failure::NotRun, Time(1)), Action::Retry);
         let ran = Context {
             may_have_run: true,
-            ..KNOWN
+            ..CONTEXT
         };
         assert_eq!(
             decide(&ran, Failure::NotRun, Time(1)),
             Action::GiveUp(Outcome::Unknown)
         );
         assert_eq!(
-            decide(&KNOWN, Failure::UnknownStream, Time(1)),
+            decide(&CONTEXT, Failure::UnknownStream, Time(1)),
             Action::GiveUp(Outcome::Unknown)
         );
     }
 
     #[test]
-    fn a_lost_stream_is_resumed_then_given_up_or_continued() {
-        assert_eq!(decide(&KNOWN, Failure::Lost, Time(1)), Action::Resume);
+    fn a_lost_stream_is_resumed_then_given_up_or_retried() {
+        assert_eq!(decide(&CONTEXT, Failure::Lost, Time(1)), Action::Resume);
         let resumed = Context {
-            resumes: MOST_RESUMES,
-            ..KNOWN
+            resumes: MAX_RESUMES,
+            ..CONTEXT
         };
         assert_eq!(
             decide(&resumed, Failure::Lost, Time(1)),
@@ -145,13 +144,13 @@
     }
 
     #[test]
-    fn nothing_follows_the_deadline() {
+    fn nothing_is_retried_past_the_deadline() {
         assert_eq!(
-            decide(&KNOWN, Failure::NotRun, Time(10)),
+            decide(&CONTEXT, Failure::NotRun, Time(10)),
             Action::GiveUp(Outcome::NotRun)
         );
         assert_eq!(
-            decide(&KNOWN, Failure::Lost, Time(10)),
+            decide(&CONTEXT, Failure::Lost, Time(10)),
             Action::GiveUp(Outcome::Unknown)
         );
     }
--- a/crates/route/src/service_time.rs
+++ b/crates/route/src/service_time.rs
@@ -1,40 +1,38 @@
-//! Time that one request takes of an upstream, apart from its waiting there.
+//! Service time of an upstream, without the wait in its queue.
 
 use unit::Span;
 
-/// Weight of the newest sample.
-const NEWEST: f64 = 0.1;
+/// Weight of the newest sample in the moving average.
+const SMOOTHING: f64 = 0.1;
 
-/// Factor by which the least first-token delay is forgotten with each sample, so that a change of
-/// model or prompt is followed.
-const FORGET: f64 = 1.02;
+/// Growth of the minimum TTFT with each sample, so that it follows changes of models or prompts.
+const MIN_GROWTH: f64 = 1.02;
 
-/// Smoothed service time: generation, plus the least delay to the first token.
+/// Smoothed decode time plus the minimum recent TTFT.
 ///
-/// The delay to the first token holds the wait in the upstream's queue; its least value over
-/// recent requests is what the prompt alone takes. Without this an overloaded upstream would seem
-/// to need ever more capacity for each request.
+/// TTFT includes the wait in the upstream's queue; its recent minimum approximates the prefill time. With the average
+/// instead, an overloaded upstream would appear to need ever more capacity per request.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ServiceTime {
-    generation: Span,
-    first: Span,
+    decode: Span,
+    min_ttft: Span,
 }
 
 impl ServiceTime {
-    /// Learns from a whole answer: its delay to the first token, and its whole time.
-    pub fn record(&mut self, first: Span, whole: Span) {
-        let generation = whole.saturating_sub(first);
-        if self.generation == Span::ZERO && self.first == Span::ZERO {
-            (self.generation, self.first) = (generation, first);
+    /// Records a complete response by its TTFT and total time.
+    pub fn record(&mut self, ttft: Span, total: Span) {
+        let decode = total.saturating_sub(ttft);
+        if self.decode == Span::ZERO && self.min_ttft == Span::ZERO {
+            (self.decode, self.min_ttft) = (decode, ttft);
             return;
         }
-        self.generation = self.generation * (1.0 - NEWEST) + generation * NEWEST;
-        self.first = first.min(self.first * FORGET);
+        self.decode = self.decode * (1.0 - SMOOTHING) + decode * SMOOTHING;
+        self.min_ttft = ttft.min(self.min_ttft * MIN_GROWTH);
     }
 
-    /// The service time; zero when not known.
+    /// Estimated service time; zero before the first sample.
     pub fn estimate(&self) -> Span {
-        self.generation + self.first
+        self.decode + self.min_ttft
     }
 }
 
@@ -43,7 +41,7 @@
     use super::*;
 
     #[test]
-    fn waiting_does_not_count_as_service() {
+    fn queueing_does_not_count_as_service_time() {
         let mut service = ServiceTime::default();
         service.record(Span::from_ms(300), Span::from_ms(1_300));
         for _ in 0..10 {
--- a/crates/route/src/windowed_budget.rs
+++ b/crates/route/src/windowed_budget.rs
@@ -1,85 +1,88 @@
-//! Retry budget over a sliding window: a share of the requests, plus a slack.
+//! Retry budget over a sliding window: a fraction of the requests, plus a fixed slack.
 //!
-//! The budget is one for all hosts; each spends the part that its own requests earn, and an equal
-//! part of the slack. What it knows of the number of hosts may be stale, so it errs low.
+//! The budget is shared by all hosts. Each host spends the part earned by its own requests and an equal part of the
+//! slack. The known number of hosts may be out of date, so the budget is not used up entirely.
 
 use std::collections::VecDeque;
 use unit::{Span, Time};
 
-/// Steps into which the window is cut.
-const STEPS: u64 = 10;
+/// Number of buckets in the window.
+const BUCKETS: u64 = 10;
 
-/// Part of the allowance that is spent; the rest covers hosts that are not known yet.
-const SPENT_PART: f64 = 0.5;
+/// Fraction of the budget that is spent; the rest covers hosts that are not known yet.
+const SPENT_FRACTION: f64 = 0.5;
 
-/// Sliding counts of requests and retries of one service at one host.
+/// Retry budget of one service at one host.
 #[derive(Debug, Clone)]
 pub struct WindowedBudget {
     share: f64,
     slack: f64,
     length: Span,
-    steps: VecDeque<Step>,
+    buckets: VecDeque<Bucket>,
 }
 
-/// Counts of one step of the window.
+/// Counts of one bucket of the window.
 #[derive(Debug, Clone, Copy)]
-struct Step {
+struct Bucket {
     start: Time,
     requests: u32,
     retries: u32,
 }
 
 impl WindowedBudget {
-    /// Makes an empty window: `share` of the requests in `length`, and `slack` over all hosts.
+    /// Allows retries of `share` of the requests in a window of `length`, plus `slack` retries over all hosts.
     pub fn new(share: f64, slack: f64, length: Span) -> WindowedBudget {
         WindowedBudget {
             share,
             slack,
             length,
-            steps: VecDeque::new(),
+            buckets: VecDeque::new(),
         }
     }
 
-    /// The step that holds now; those that have left the window are forgotten.
-    fn step(&mut self, now: Time) -> &mut Step {
+    /// Removes expired buckets and returns the current one.
+    fn current(&mut self, now: Time) -> &mut Bucket {
         let length = self.length;
         while self
-            .steps
+            .buckets
             .front()
-            .is_some_and(|s| now.since(s.start) > length)
+            .is_some_and(|b| now.since(b.start) > length)
         {
-            self.steps.pop_front();
+            self.buckets.pop_front();
         }
-        let step = Span(length.0 / STEPS);
-        if self.steps.back().is_none_or(|s| now.since(s.start) >= step) {
-            self.steps.push_back(Step {
+        let bucket = Span(length.0 / BUCKETS);
+        if self
+            .buckets
+            .back()
+            .is_none_or(|b| now.since(b.start) >= bucket)
+        {
+            self.buckets.push_back(Bucket {
                 start: now,
                 requests: 0,
                 retries: 0,
             });
         }
-        self.steps
+        self.buckets
             .back_mut()
-            .expect("a step was pushed if none was there")
+            .expect("a bucket was pushed if there was none")
     }
 
-    /// Notes a request.
     pub fn record_request(&mut self, now: Time) {
-        self.step(now).requests += 1;
+        self.current(now).requests += 1;
     }
 
-    /// Spends a retry if the budget of one host among `hosts` has one. A host that does not know how
-    /// many there are has no part of the slack: after a loss of power all of them start at once.
+    /// Spends a retry if this host's part of the budget allows one. A host that does not know the number of hosts gets
+    /// no part of the slack, since after a power failure all hosts start at once.
     pub fn spend(&mut self, now: Time, hosts: Option<usize>) -> bool {
-        self.step(now);
-        let requests: u32 = self.steps.iter().map(|s| s.requests).sum();
-        let retries: u32 = self.steps.iter().map(|s| s.retries).sum();
+        self.current(now);
+        let requests: u32 = self.buckets.iter().map(|b| b.requests).sum();
+        let retries: u32 = self.buckets.iter().map(|b| b.retries).sum();
         let slack = hosts.map_or(0.0, |hosts| self.slack / hosts.max(1) as f64);
-        let allowed = (f64::from(requests) * self.share + slack) * SPENT_PART;
+        let allowed = (f64::from(requests) * self.share + slack) * SPENT_FRACTION;
         if f64::from(retries) + 1.0 > allowed {
             return false;
         }
-        self.step(now).retries += 1;
+        self.current(now).retries += 1;
         true
     }
 }
