--- a/crates/route/src/breaker.rs
+++ b/crates/route/src/breaker.rs
@@ -1,4 +1,4 @@
-//! Circuit breaker: takes failing upstreams open of routing and probes them before they return.
+//! Circuit breaker: takes failing upstreams out of routing and probes them before they return.
 
 use unit::{Span, Time};
 
@@ -6,9 +6,9 @@
 const FAILURE_THRESHOLD: u32 = 3;
 
 /// First open interval; doubles each time that the breaker opens again without a success in between.
-const BASE_OPEN: Span = Span::from_ms(500);
+const BASE_OPEN_INTERVAL: Span = Span::from_ms(500);
 
-const MAX_OPEN: Span = Span::from_secs(15);
+const MAX_OPEN_INTERVAL: Span = Span::from_secs(15);
 
 /// Circuit breaker of one upstream at one daemon.
 #[derive(Debug, Clone, Default, PartialEq)]
@@ -65,7 +65,7 @@
             return false;
         }
         let factor = f64::from(1 << self.openings.min(6));
-        let open = (BASE_OPEN * factor).min(MAX_OPEN);
+        let open = (BASE_OPEN_INTERVAL * factor).min(MAX_OPEN_INTERVAL);
         self.open_until = Some(now + open);
         self.openings += 1;
         true
--- a/crates/route/src/choose.rs
+++ b/crates/route/src/choose.rs
@@ -1,189 +1,183 @@
-//! Choice of an upstream for one request.
+//! Selection of an upstream for one request.
 //!
-//! Cost = expected wait + prefill that the prefix cache does not cover +
-//! distance. A few candidates are sampled, so that many daemons acting on the
-//! same stale report do not all choose the same one.
+//! Cost = expected wait + prefill not covered by the prefix cache + network distance. Only a few random candidates are
+//! compared, so that daemons with the same outdated reports do not all choose the same upstream.
 
 use crate::breaker::State;
 use rand::{Rng, RngExt};
 use serde::{Deserialize, Serialize};
 use unit::{Name, Span, Time, rendezvous};
 
-/// Candidates sampled besides the one the prefix points to.
+/// Random candidates compared, in addition to the one with prefix affinity.
 const SAMPLES: usize = 3;
 
-/// Candidates sampled because a cache event says that they hold the prefix.
-const SAMPLED_CACHED: usize = 2;
+/// Additional candidates that have the prefix cached according to cache events.
+const CACHED_SAMPLES: usize = 2;
 
-/// Age at which a report's figure has lost about two thirds of its weight.
-const TRUST: Span = Span::from_secs(5);
+/// Time constant of the decay of a report's weight with age.
+const REPORT_DECAY: Span = Span::from_secs(5);
 
-/// Least share of candidates that ejection leaves, in percent.
-const FLOOR_PERCENT: usize = 50;
+/// Percentage of candidates that must be healthy; below it, open breakers are ignored.
+const MIN_HEALTHY_PERCENT: usize = 50;
 
-/// Load over the mean, in percent, at which the prefix's own candidate is passed over.
-const BOUND_PERCENT: f64 = 150.0;
+/// Load in percent of the mean above which prefix affinity is ignored (consistent hashing with bounded loads).
+const AFFINITY_LOAD_PERCENT: f64 = 150.0;
 
-/// Expected time of one request when nothing is known of an upstream.
-const UNKNOWN_SERVICE: Span = Span::from_ms(500);
+/// Assumed service time of an upstream without measurements.
+const DEFAULT_SERVICE_TIME: Span = Span::from_ms(500);
 
-/// Replica that could take the request.
+/// Upstream that could serve the request.
 #[derive(Debug, Clone)]
 pub struct Candidate<'a> {
-    /// The upstream.
     pub upstream: &'a Name,
-    /// Delay to it, one way.
+    /// One-way network delay.
     pub distance: Span,
-    /// Requests running or waiting there, by its last report.
+    /// Requests running or queued there, from its last report.
     pub reported: u32,
-    /// Age of that report, with the report's own lag.
+    /// Age of that report, including its delay before it was received.
     pub age: Span,
-    /// Requests this daemon sent there since that report and that have not ended.
+    /// Requests of this daemon sent since that report and still in flight.
     pub sent_since: u32,
-    /// Requests it runs at once.
+    /// Maximum batch size.
     pub batch: u32,
-    /// Smoothed time of one request there; zero when not known.
+    /// Smoothed service time of one request; zero if unknown.
     pub service_time: Span,
     /// Requests of this daemon in flight there.
     pub in_flight: u32,
-    /// Requests of this daemon that may be in flight there.
+    /// Concurrency limit of this daemon for the upstream.
     pub limit: u32,
-    /// Whether it takes requests.
     pub breaker: State,
-    /// Whether a cache event says that it holds the prefix.
+    /// Whether cache events say that the prefix is cached there.
     pub cached: bool,
 }
 
-/// Request to be placed.
+/// Request to be routed.
 #[derive(Debug, Clone, Copy)]
 pub struct Request {
-    /// Hash of its prefix, if it has one worth keeping together.
+    /// Hash of the prompt prefix; `None` for no affinity.
     pub prefix: Option<u64>,
-    /// Time its prompt takes when nothing is cached.
+    /// Prefill time of the prompt without a cache.
     pub prefill: Span,
-    /// Upstream that failed it before.
+    /// Hash of the upstream that failed the last attempt.
     pub avoid: Option<u64>,
 }
 
-/// Why a candidate was not taken.
+/// Reason for which a candidate was not chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Exclusion {
-    /// Another had a lower cost.
+    /// Another candidate had a lower cost.
     #[serde(rename = "Dearer")]
     Costlier,
-    /// It was not among the sampled.
+    /// It was not sampled.
     NotSampled,
-    /// It has failed too often.
+    /// Its circuit breaker is eligible.
     Ejected,
-    /// This daemon has as many requests there as it may.
+    /// This daemon's concurrency limit for it is reached.
     Full,
-    /// It failed this very request before.
+    /// It failed an earlier attempt of this request.
     Failed,
 }
 
-/// Candidate as it was weighed.
+/// Evaluation of one candidate.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evaluation {
-    /// The upstream.
     pub upstream: Name,
-    /// Expected wait.
     pub wait: Span,
-    /// Prefill not covered by its cache.
+    /// Prefill time not covered by the cache.
     pub prefill: Span,
-    /// Distance.
+    /// One-way network delay.
     pub distance: Span,
-    /// Why it was not taken; none for the chosen.
+    /// `None` for the chosen candidate.
     #[serde(rename = "passed")]
     pub exclusion: Option<Exclusion>,
 }
 
 impl Evaluation {
-    /// Whole cost.
+    /// Total cost.
     pub fn cost(&self) -> Span {
         self.wait + self.prefill + self.distance
     }
 }
 
-/// Outcome of a choice.
+/// Result of a selection.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Selection {
-    /// That candidate, by index.
+    /// Index of the chosen candidate.
     Take(usize),
-    /// Each candidate has as many requests as it may; wait.
+    /// No candidate is eligible at the moment; the request should be queued.
     Full,
-    /// There is no candidate at all.
+    /// There are no candidates.
     NoCandidate,
 }
 
-/// Chooses a candidate.
-pub fn choose(ask: &Request, candidates: &[Candidate], rng: &mut impl Rng) -> Selection {
+/// Selects the cheapest of the sampled candidates.
+pub fn choose(request: &Request, candidates: &[Candidate], rng: &mut impl Rng) -> Selection {
     if candidates.is_empty() {
         return Selection::NoCandidate;
     }
-    let open = eligible(ask, candidates);
-    if open.is_empty() {
+    let eligible = eligible(request, candidates);
+    if eligible.is_empty() {
         return Selection::Full;
     }
     let mean = mean_reported(candidates);
-    let holder = holder(ask, candidates, &open);
-    let cached = open.iter().copied().filter(|i| candidates[*i].cached);
-    let sampled = sample(&open, holder, cached, rng);
+    let preferred = preferred(request, candidates, &eligible);
+    let cached = eligible.iter().copied().filter(|i| candidates[*i].cached);
+    let sampled = sample(&eligible, preferred, cached, rng);
     let best = sampled
         .into_iter()
-        .min_by_key(|i| cost(ask, &candidates[*i], mean, holder == Some(*i)));
+        .min_by_key(|i| cost(request, &candidates[*i], mean, preferred == Some(*i)));
     best.map_or(Selection::Full, Selection::Take)
 }
 
-/// Explains a choice: every candidate with its cost and why it was passed over.
-pub fn evaluate(ask: &Request, candidates: &[Candidate], taken: usize) -> Vec<Evaluation> {
-    let open = eligible(ask, candidates);
+/// Explains a selection: the cost of every candidate and why it was not chosen.
+pub fn evaluate(request: &Request, candidates: &[Candidate], taken: usize) -> Vec<Evaluation> {
+    let eligible = eligible(request, candidates);
     let mean = mean_reported(candidates);
-    let holder = holder(ask, candidates, &open);
-    let chosen = cost(ask, &candidates[taken], mean, holder == Some(taken));
-    let weigh = |(i, c): (usize, &Candidate)| {
-        let holds = holder == Some(i);
-        let dearer = cost(ask, c, mean, holds) >= chosen;
-        let passed = match () {
+    let preferred = preferred(request, candidates, &eligible);
+    let chosen = cost(request, &candidates[taken], mean, preferred == Some(taken));
+    let evaluation = |(i, c): (usize, &Candidate)| {
+        let is_preferred = preferred == Some(i);
+        let costlier = cost(request, c, mean, is_preferred) >= chosen;
+        let exclusion = match () {
             _ if i == taken => None,
-            _ if open.contains(&i) && dearer => Some(Exclusion::Costlier),
-            _ if open.contains(&i) => Some(Exclusion::NotSampled),
+            _ if eligible.contains(&i) && costlier => Some(Exclusion::Costlier),
+            _ if eligible.contains(&i) => Some(Exclusion::NotSampled),
             _ if c.in_flight >= c.limit => Some(Exclusion::Full),
-            _ if failed_before(ask, c) => Some(Exclusion::Failed),
+            _ if failed_before(request, c) => Some(Exclusion::Failed),
             _ => Some(Exclusion::Ejected),
         };
         Evaluation {
             upstream: c.upstream.clone(),
             wait: wait(c, mean),
-            prefill: prefill(ask, c, holds),
+            prefill: prefill(request, c, is_preferred),
             distance: c.distance,
-            exclusion: passed,
+            exclusion,
         }
     };
-    candidates.iter().enumerate().map(weigh).collect()
+    candidates.iter().enumerate().map(evaluation).collect()
 }
 
-fn failed_before(ask: &Request, candidate: &Candidate) -> bool {
-    ask.avoid == Some(rendezvous::hash(candidate.upstream.as_bytes()))
+fn failed_before(request: &Request, candidate: &Candidate) -> bool {
+    request.avoid == Some(rendezvous::hash(candidate.upstream.as_bytes()))
 }
 
-/// Candidates that may be taken: with room, healthy, not the one that just failed.
+/// Indices of the candidates below their limit whose breaker is not open and that did not fail the last attempt.
 ///
-/// When ejection would leave too few, the ejected serve too: better a doubtful
-/// upstream than none.
-fn eligible(ask: &Request, candidates: &[Candidate]) -> Vec<usize> {
-    let healthy = |c: &Candidate| !matches!(c.breaker, State::Open(_));
-    let alive = candidates.iter().filter(|c| healthy(c)).count();
-    let enough = alive * 100 >= candidates.len() * FLOOR_PERCENT;
-    let fit = |avoid: bool, i: &usize| {
+/// If too few are healthy, breakers are ignored; if only the upstream that failed before is left, it is eligible again.
+fn eligible(request: &Request, candidates: &[Candidate]) -> Vec<usize> {
+    let is_healthy = |c: &Candidate| !matches!(c.breaker, State::Open(_));
+    let healthy_count = candidates.iter().filter(|c| is_healthy(c)).count();
+    let enough = healthy_count * 100 >= candidates.len() * MIN_HEALTHY_PERCENT;
+    let is_eligible = |avoid: bool, i: &usize| {
         let c = &candidates[*i];
-        c.in_flight < c.limit && (!enough || healthy(c)) && !(avoid && failed_before(ask, c))
+        c.in_flight < c.limit && (!enough || is_healthy(c)) && !(avoid && failed_before(request, c))
     };
     let all = 0..candidates.len();
-    let open: Vec<usize> = all.clone().filter(|i| fit(true, i)).collect();
-    if open.is_empty() && ask.avoid.is_some() {
-        return all.filter(|i| fit(false, i)).collect();
+    let eligible: Vec<usize> = all.clone().filter(|i| is_eligible(true, i)).collect();
+    if eligible.is_empty() && request.avoid.is_some() {
+        return all.filter(|i| is_eligible(false, i)).collect();
     }
-    open
+    eligible
 }
 
 fn mean_reported(candidates: &[Candidate]) -> f64 {
@@ -191,65 +185,66 @@
     sum / candidates.len() as f64
 }
 
-/// Requests at an upstream now: the report, less sure with age, and our own since.
+/// Estimated requests at an upstream: the reported number, weighted towards the mean as the report ages, plus this
+/// daemon's requests since the report.
 fn occupancy(candidate: &Candidate, mean: f64) -> f64 {
-    let trust = (-candidate.age.secs() / TRUST.secs()).exp();
-    let reported = f64::from(candidate.reported) * trust + mean * (1.0 - trust);
+    let weight = (-candidate.age.secs() / REPORT_DECAY.secs()).exp();
+    let reported = f64::from(candidate.reported) * weight + mean * (1.0 - weight);
     reported + f64::from(candidate.sent_since)
 }
 
-/// Expected wait: a share of the batch slows all of it, what is beyond it queues.
+/// Expected wait: requests within the batch slow each other down, those beyond it are queued.
 fn wait(candidate: &Candidate, mean: f64) -> Span {
     let service = match candidate.service_time {
-        Span::ZERO => UNKNOWN_SERVICE,
+        Span::ZERO => DEFAULT_SERVICE_TIME,
         known => known,
     };
     let batch = f64::from(candidate.batch.max(1));
     let filled = occupancy(candidate, mean) / batch;
-    let beyond = (filled - 1.0).max(0.0);
-    service * (filled.min(1.0) * 0.5 + beyond)
+    let excess = (filled - 1.0).max(0.0);
+    service * (filled.min(1.0) * 0.5 + excess)
 }
 
-fn prefill(ask: &Request, candidate: &Candidate, holds: bool) -> Span {
-    if holds || candidate.cached {
+fn prefill(request: &Request, candidate: &Candidate, is_preferred: bool) -> Span {
+    if is_preferred || candidate.cached {
         return Span::ZERO;
     }
-    ask.prefill
+    request.prefill
 }
 
-fn cost(ask: &Request, candidate: &Candidate, mean: f64, holds: bool) -> Span {
-    wait(candidate, mean) + prefill(ask, candidate, holds) + candidate.distance
+fn cost(request: &Request, candidate: &Candidate, mean: f64, is_preferred: bool) -> Span {
+    wait(candidate, mean) + prefill(request, candidate, is_preferred) + candidate.distance
 }
 
-/// Candidate that the prefix points to, unless it is loaded beyond the bound.
-fn holder(ask: &Request, candidates: &[Candidate], open: &[usize]) -> Option<usize> {
-    let prefix = ask.prefix?;
+/// Candidate with affinity to the prefix by rendezvous hashing, among those with acceptable load.
+fn preferred(request: &Request, candidates: &[Candidate], eligible: &[usize]) -> Option<usize> {
+    let prefix = request.prefix?;
     let load = |c: &Candidate| f64::from(c.reported + c.sent_since + 1);
-    let mean = open.iter().map(|i| load(&candidates[*i])).sum::<f64>() / open.len() as f64;
-    let within = |i: &&usize| load(&candidates[**i]) * 100.0 <= mean * BOUND_PERCENT;
+    let mean = eligible.iter().map(|i| load(&candidates[*i])).sum::<f64>() / eligible.len() as f64;
+    let within = |i: &&usize| load(&candidates[**i]) * 100.0 <= mean * AFFINITY_LOAD_PERCENT;
     let rank = |i: &&usize| rendezvous::weight(prefix, candidates[**i].upstream);
-    open.iter().filter(within).max_by_key(rank).copied()
+    eligible.iter().filter(within).max_by_key(rank).copied()
 }
 
 fn sample(
-    open: &[usize],
-    holder: Option<usize>,
+    eligible: &[usize],
+    preferred: Option<usize>,
     cached: impl Iterator<Item = usize>,
     rng: &mut impl Rng,
 ) -> Vec<usize> {
-    let mut sampled: Vec<usize> = open.to_vec();
-    let most = SAMPLES.min(sampled.len());
-    for i in 0..most {
+    let mut sampled: Vec<usize> = eligible.to_vec();
+    let count = SAMPLES.min(sampled.len());
+    for i in 0..count {
         let j = rng.random_range(i..sampled.len());
         sampled.swap(i, j);
     }
-    sampled.truncate(most);
-    sampled.extend(holder);
-    sampled.extend(cached.take(SAMPLED_CACHED));
+    sampled.truncate(count);
+    sampled.extend(preferred);
+    sampled.extend(cached.take(CACHED_SAMPLES));
     sampled
 }
 
-/// Age of a report that came `received`, was `lag` old then, at `now`.
+/// Age at `now` of a report that arrived at `received` with an age of `lag`.
 pub fn report_age(now: Time, received: Time, lag: Span) -> Span {
     now.since(received) + lag
 }
--- a/crates/route/src/queue.rs
+++ b/crates/route/src/queue.rs
@@ -1,82 +1,80 @@
-//! Requests that wait at a daemon for room at an upstream.
+//! Queue of requests waiting for capacity at an upstream.
 //!
-//! Order: priority raised by age, then the caller that is furthest below its
-//! fair share, then the earliest deadline. A full queue sheds the lowest,
-//! and of equals that of the caller which holds most of the queue for its weight.
+//! Order: priority with aging, then weighted fair sharing between callers, then the earliest deadline. A full queue
+//! sheds the request with the lowest priority, and among equals one of the caller with the most queued requests
+//! relative to its weight.
 
 use crate::demand::Demand;
 use std::collections::HashMap;
 use unit::{Name, Span, Time};
 
-/// Waiting time that raises a request by one priority, so that nothing starves.
-const AGE_STEP: Span = Span::from_secs(5);
+/// Waiting time that raises a request by one priority level, to prevent starvation.
+const AGING_INTERVAL: Span = Span::from_secs(5);
 
-/// Requests a second below which a queue's speed says nothing of the wait to come.
-const LEAST_RATE: f64 = 1.0;
+/// Dequeue rate per second below which no wait is estimated.
+const MIN_DEQUEUE_RATE: f64 = 1.0;
 
-/// Request that waits.
+/// Queued request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Ticket<T> {
-    /// Who sent it.
     pub caller: Name,
-    /// Weight of the caller's share.
+    /// Weight of the caller in fair sharing.
     pub weight: u32,
-    /// Rank of its class.
+    /// Higher is more urgent.
     pub priority: u8,
-    /// When it came.
     pub arrived: Time,
-    /// When nobody needs it any more.
+    /// Time after which the request is dropped.
     pub deadline: Time,
-    /// What the owner needs to go on with it.
+    /// Data of the queue's owner.
     pub payload: T,
 }
 
-/// Why a request was shed.
+/// Reason for which a request was shed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Rejection {
-    /// The queue is full of requests that go before it.
+    /// The queue is full of requests that come first.
     Full,
-    /// Its deadline has passed.
+    /// The deadline has passed.
     Expired,
 }
 
-/// Bounded queue.
+/// Bounded priority queue with weighted fair sharing between callers.
 #[derive(Debug)]
 pub struct Queue<T> {
     capacity: usize,
     tickets: Vec<Ticket<T>>,
+    /// Virtual time of each caller: dequeued requests divided by weight.
     served: HashMap<Name, f64>,
+    /// Virtual time at which new callers start.
     floor: f64,
-    drained: Demand,
+    /// Rate of dequeued requests.
+    dequeued: Demand,
 }
 
-/// Rank of the request that goes first, for comparing queues.
+/// Rank of the first request, for comparison between queues.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Head {
-    /// Priority raised by age.
+    /// Priority with aging.
     pub rank: u64,
-    /// Its deadline.
     pub deadline: Time,
 }
 
 impl<T> Queue<T> {
-    /// Makes a queue for `most` requests.
-    pub fn new(most: usize) -> Queue<T> {
+    pub fn new(capacity: usize) -> Queue<T> {
         Queue {
-            capacity: most,
+            capacity,
             tickets: Vec::new(),
             served: HashMap::new(),
             floor: 0.0,
-            drained: Demand::new(Time(0)),
+            dequeued: Demand::new(Time(0)),
         }
     }
 
-    /// The request that goes first.
+    /// The request that would be dequeued next.
     pub fn peek(&self, now: Time) -> Option<&Ticket<T>> {
         self.first(now).map(|first| &self.tickets[first])
     }
 
-    /// Rank of the request that goes first.
     pub fn head(&self, now: Time) -> Option<Head> {
         let first = self.peek(now)?;
         Some(Head {
@@ -89,71 +87,68 @@
         (0..self.tickets.len()).min_by(|a, b| self.order(now, *a, *b))
     }
 
-    /// Time that a newcomer of that priority would wait, from how fast the queue drained lately.
-    ///
-    /// None while too little has drained to tell.
+    /// Expected wait of a new request with that priority, from the recent dequeue rate; `None` if the rate is too low
+    /// for an estimate.
     pub fn expected_wait(&mut self, now: Time, priority: u8) -> Option<Span> {
-        let rate = self.drained.rate(now);
-        if rate < LEAST_RATE {
+        let rate = self.dequeued.rate(now);
+        if rate < MIN_DEQUEUE_RATE {
             return None;
         }
-        let before = self
+        let ahead = self
             .tickets
             .iter()
             .filter(|t| rank(t, now) >= u64::from(priority))
             .count();
-        Some(Span((before as f64 / rate * 1e6) as u64))
+        Some(Span((ahead as f64 / rate * 1e6) as u64))
     }
 
-    /// Requests that wait.
     pub fn len(&self) -> usize {
         self.tickets.len()
     }
 
-    /// Whether none waits.
     pub fn is_empty(&self) -> bool {
         self.tickets.is_empty()
     }
 
-    /// Changes the bound; requests that wait already stay.
-    pub fn set_capacity(&mut self, most: usize) {
-        self.capacity = most;
+    /// Changes the capacity; requests already queued stay.
+    pub fn set_capacity(&mut self, capacity: usize) {
+        self.capacity = capacity;
     }
 
-    /// Takes a request in; gives back the one that had to go, which may be itself.
+    /// Adds a request; returns the one that was shed if the queue was full, which may be the new one.
     pub fn push(&mut self, now: Time, ticket: Ticket<T>) -> Option<Ticket<T>> {
         self.tickets.push(ticket);
         if self.tickets.len() <= self.capacity {
             return None;
         }
-        let held = self.held();
+        let usage = self.usage();
         let lowest = (0..self.tickets.len()).min_by(|a, b| {
             let (a, b) = (&self.tickets[*a], &self.tickets[*b]);
-            let (held_a, held_b) = (held[&a.caller], held[&b.caller]);
+            let (usage_a, usage_b) = (usage[&a.caller], usage[&b.caller]);
             rank(a, now)
                 .cmp(&rank(b, now))
-                .then(held_b.total_cmp(&held_a))
+                .then(usage_b.total_cmp(&usage_a))
                 .then(b.arrived.cmp(&a.arrived))
         })?;
         Some(self.tickets.swap_remove(lowest))
     }
 
-    /// Room that each caller holds here, over its weight.
-    fn held(&self) -> HashMap<Name, f64> {
-        let mut held = HashMap::new();
+    /// Queued requests of each caller divided by its weight.
+    fn usage(&self) -> HashMap<Name, f64> {
+        let mut usage = HashMap::new();
         for ticket in &self.tickets {
             let share = 1.0 / f64::from(ticket.weight.max(1));
-            *held.entry(ticket.caller.clone()).or_insert(0.0) += share;
+            *usage.entry(ticket.caller.clone()).or_insert(0.0) += share;
         }
-        held
+        usage
     }
 
-    /// Takes out the request that goes first.
+    /// Removes the first request.
     pub fn pop(&mut self, now: Time) -> Option<Ticket<T>> {
         let first = self.first(now)?;
         let ticket = self.tickets.swap_remove(first);
         self.charge(&ticket);
-        self.drained.record_arrival(now);
+        self.dequeued.record_arrival(now);
         Some(ticket)
     }
 
@@ -161,13 +156,16 @@
         let (a, b) = (&self.tickets[a], &self.tickets[b]);
         rank(b, now)
             .cmp(&rank(a, now))
-            .then(self.share(&a.caller).total_cmp(&self.share(&b.caller)))
+            .then(
+                self.virtual_time(&a.caller)
+                    .total_cmp(&self.virtual_time(&b.caller)),
+            )
             .then(a.deadline.cmp(&b.deadline))
             .then(a.arrived.cmp(&b.arrived))
     }
 
-    /// Service a caller has had over its weight; a newcomer starts at the floor.
-    fn share(&self, caller: &Name) -> f64 {
+    /// Virtual time of a caller, at least the floor.
+    fn virtual_time(&self, caller: &Name) -> f64 {
         self.served
             .get(caller)
             .copied()
@@ -175,37 +173,38 @@
             .max(self.floor)
     }
 
+    /// Advances the virtual time of the request's caller.
     fn charge(&mut self, ticket: &Ticket<T>) {
-        let share = self.share(&ticket.caller);
-        self.floor = self.floor.max(share.min(self.least_waiting_share()));
-        let after = share + 1.0 / f64::from(ticket.weight.max(1));
+        let before = self.virtual_time(&ticket.caller);
+        self.floor = self.floor.max(before.min(self.min_virtual_time()));
+        let after = before + 1.0 / f64::from(ticket.weight.max(1));
         self.served.insert(ticket.caller.clone(), after);
     }
 
-    fn least_waiting_share(&self) -> f64 {
+    fn min_virtual_time(&self) -> f64 {
         self.tickets
             .iter()
-            .map(|t| self.share(&t.caller))
+            .map(|t| self.virtual_time(&t.caller))
             .fold(f64::INFINITY, f64::min)
     }
 
-    /// Takes out every request whose deadline has passed, or that `gone` names.
-    pub fn expire(&mut self, now: Time, gone: impl Fn(&T) -> bool) -> Vec<Ticket<T>> {
+    /// Removes and returns the requests whose deadline has passed or that `is_gone` selects.
+    pub fn expire(&mut self, now: Time, is_gone: impl Fn(&T) -> bool) -> Vec<Ticket<T>> {
         self.tickets
-            .extract_if(.., |t| now >= t.deadline || gone(&t.payload))
+            .extract_if(.., |t| now >= t.deadline || is_gone(&t.payload))
             .collect()
     }
 
-    /// Earliest deadline of those that wait.
+    /// Earliest deadline in the queue.
     pub fn next_deadline(&self) -> Option<Time> {
         self.tickets.iter().map(|t| t.deadline).min()
     }
 }
 
-/// Priority raised by waiting time.
+/// Priority with aging.
 fn rank<T>(ticket: &Ticket<T>, now: Time) -> u64 {
-    let aged = now.since(ticket.arrived).0 / AGE_STEP.0;
-    u64::from(ticket.priority) + aged
+    let age = now.since(ticket.arrived).0 / AGING_INTERVAL.0;
+    u64::from(ticket.priority) + age
 }
 
 #[cfg(test)]
@@ -224,7 +223,7 @@
     }
 
     #[test]
-    fn priority_goes_first_but_age_raises() {
+    fn higher_priority_comes_first_unless_aging_outweighs_it() {
         let mut queue = Queue::new(10);
         queue.push(Time(0), ticket("a", 1, 0));
         let now = Time(0) + Span::from_secs(21);
@@ -232,32 +231,32 @@
         assert_eq!(
             &*queue.pop(now).unwrap().caller,
             "a",
-            "four steps of age pass three ranks"
+            "four aging intervals outweigh three priority levels"
         );
         queue.push(now, ticket("a", 1, now.0));
         assert_eq!(&*queue.pop(now).unwrap().caller, "b");
     }
 
     #[test]
-    fn a_full_queue_sheds_the_lowest_newest() {
+    fn a_full_queue_sheds_the_newest_of_the_lowest_priority() {
         let mut queue = Queue::new(2);
         assert_eq!(queue.push(Time(0), ticket("a", 5, 0)), None);
         assert_eq!(queue.push(Time(1), ticket("b", 1, 1)), None);
         let shed = queue.push(Time(2), ticket("c", 3, 2)).unwrap();
         assert_eq!(&*shed.caller, "b");
         let shed = queue.push(Time(3), ticket("d", 3, 3)).unwrap();
-        assert_eq!(&*shed.caller, "d", "of equals the newest goes");
+        assert_eq!(&*shed.caller, "d", "among equals the newest is shed");
     }
 
     #[test]
-    fn of_equals_the_caller_that_holds_most_is_shed() {
+    fn among_equals_the_caller_with_most_requests_is_shed() {
         let mut queue = Queue::new(6);
         for i in 0..6 {
             queue.push(Time(i), ticket("early", 3, i));
         }
         for i in 6..9 {
             let shed = queue.push(Time(i), ticket("late", 3, i)).unwrap();
-            assert_eq!(&*shed.caller, "early", "until both hold the same");
+            assert_eq!(&*shed.caller, "early", "until both have as many");
         }
         let mut light = ticket("late", 3, 9);
         light.weight = 1;
@@ -265,7 +264,7 @@
     }
 
     #[test]
-    fn shares_follow_weights() {
+    fn callers_are_served_by_weight() {
         let mut queue = Queue::new(1_000);
         for i in 0..400 {
             let mut heavy = ticket("heavy", 5, i);
@@ -279,7 +278,7 @@
     }
 
     #[test]
-    fn a_newcomer_does_not_catch_up_on_the_past() {
+    fn a_new_caller_gets_no_credit_for_the_past() {
         let mut queue = Queue::new(1_000);
         for i in 0..300 {
             queue.push(Time(i), ticket("old", 5, i));
