--- a/crates/route/src/quarantine.rs
+++ b/crates/route/src/quarantine.rs
@@ -1,11 +1,10 @@
-//! Requests that end the replicas that run them: suspected by what was in flight at falls, tried alone, kept out.
+//! Quarantine of requests that crash the replicas that run them.
 //!
-//! A fall tells little by itself: up to a whole batch was in flight there, and all but one of them are innocent. So a
-//! request that was in flight at one fall is only remembered. From the second on it is suspected, and runs on trial: one
-//! trial at a time over all hosts, so that no two suspects are ever in flight together. A suspect whose trial
-//! ends its replica as well is kept out; one that ends well anywhere is cleared, since a request that ends
-//! replicas never ends well. What is asked for often ends well somewhere within a fraction of a second, and
-//! so stays served however often it runs beside such a request.
+//! A single crash proves little, since a whole batch may have been in flight and usually only one request caused it. A
+//! request that was in flight at one crash is only recorded. From the second crash on it is suspected and runs only on
+//! trial: one trial at a time over all hosts, so that no two suspects are in flight together. A suspect whose trial
+//! crashes the replica too is quarantined. A suspect that succeeds anywhere is cleared, since a request that crashes
+//! replicas never succeeds; frequent requests succeed somewhere within a fraction of a second and thus stay served.
 
 mod incidents;
 mod record;
@@ -16,211 +15,215 @@
 use std::collections::{HashMap, HashSet, VecDeque};
 use unit::{Fingerprint, Span, Time};
 
-/// Falls from which a request runs on trial only. With one, a whole batch would wait for trials at each fall.
+/// Crashes from which a request is suspected. With one, a whole batch would have to run on trial after each crash.
 pub const SUSPICION_THRESHOLD: usize = 2;
 
-/// Falls, one of them on trial, from which a request is kept out.
+/// Crashes, at least one of them on trial, from which a request is quarantined.
 pub const QUARANTINE_THRESHOLD: usize = 3;
 
-/// Time for which a request is kept out after its last fall: then it has one trial, in which it may end one replica
-/// more an hour, and an engine that was mended meanwhile serves it again.
+/// Duration of the quarantine after the last crash. The request then gets one trial, so that it can crash at most one
+/// replica per hour and is served again once the engine is fixed.
 pub const QUARANTINE_DURATION: Span = Span::from_secs(3_600);
 
-/// Time for which a fall is remembered against the requests that were in flight.
-const REMEMBERED: Span = Span::from_secs(600);
+/// Time for which the crashes of a request that is not quarantined are kept.
+const RECORD_RETENTION: Span = Span::from_secs(600);
 
-/// Time after which a trial whose host says nothing is over: longer than clients wait for most answers.
-const TRIAL: Span = Span::from_secs(15);
+/// Time after which a trial ends if its host does not report a result; longer than most client timeouts.
+const TRIAL_TIMEOUT: Span = Span::from_secs(15);
 
-/// Time after a trial that broke off until the next one of the same request: by then it is known whether the
-/// replica has fallen.
-const TRIAL_SETTLES: Span = Span::from_ms(1_000);
+/// Delay between an interrupted trial and the next one of the same request, in which a crash is detected.
+const RETRIAL_DELAY: Span = Span::from_ms(1_000);
 
-/// Time after the end of a trial in which a fall still counts as its own: the fall is known a moment after the trial.
-const FALL_FOLLOWS: Span = Span::from_secs(5);
+/// Time after the end of a trial in which a crash is still attributed to it, since crashes are detected with a delay.
+const CRASH_DETECTION_DELAY: Span = Span::from_secs(5);
 
-/// Trials that broke off, where no fall was found, that count as one fall on trial.
-const BROKEN_TRIALS: u32 = 3;
+/// Interrupted trials without a detected crash from which a request is quarantined.
+const MAX_INTERRUPTED_TRIALS: u32 = 3;
 
-/// Requests remembered at once; at 100 bytes each these are 0.4 MB. The one whose last fall is oldest gives way.
-const MOST_RECORDS: usize = 4_096;
+/// Maximum number of tracked requests, about 0.4 MB. Beyond it the least incriminated ones are evicted.
+const MAX_RECORDS: usize = 4_096;
 
-/// Falls whose requests are remembered at once; they tell what else may have caused one.
-const MOST_FALLS: usize = 128;
+/// Maximum number of crashes for which the requests in flight are kept.
+const MAX_CRASHES: usize = 128;
 
-/// Requests listed at once, the newest ones: at 12 bytes each they fit one datagram.
+/// Maximum number of suspects listed, the most recent first, so that the list fits into one datagram.
 pub const MAX_SUSPECTS: usize = 64;
 
-/// Identity of one fall: the replica and its incarnation.
+/// Identity of one crash, derived from the replica and its incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Crash(pub u64);
 
-/// Who asks for a trial: the same one may ask again, since an answer may be lost.
+/// Identity of one request asking for a trial, so that it can ask again if the response was lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestId(pub u64);
 
-/// What is held of a request.
+/// Quarantine status of a request, from the mildest to the strictest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Status {
-    /// Nothing: it runs as any other.
+    /// Runs without restriction.
     Clear,
-    /// It runs on trial only.
+    /// Runs on trial only.
     Suspected,
-    /// It does not run.
+    /// Does not run.
     Quarantined,
 }
 
-/// What a host may do with a request.
+/// Permission of a host to send a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Permit {
-    /// Send it as any other.
+    /// Send it without restriction.
     Free,
-    /// Send it once, and tell how that ended.
+    /// Send it once and report the result.
     Trial,
-    /// Not send it now: another trial is under way.
+    /// Do not send it yet: another trial is in progress.
     Wait,
-    /// Not send it for that long.
+    /// Do not send it for the given time.
     Quarantined(Span),
 }
 
-/// How a trial ended that did not end well.
+/// Result of a trial that did not succeed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TrialOutcome {
-    /// It broke off; the replica may have fallen.
+    /// The response was interrupted; the replica may have crashed.
     Interrupted,
-    /// It told nothing: it was refused, or its client left.
+    /// The request was refused, or its client disconnected.
     Inconclusive,
 }
 
-/// Request that is suspected or kept out.
+/// Suspected or quarantined request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Suspect {
-    /// The request.
     pub fingerprint: Fingerprint,
-    /// Whether it is kept out; it is suspected otherwise.
+    /// Otherwise it is only suspected.
     pub is_quarantined: bool,
-    /// Its first fall that counts.
+    /// Time of the first crash counted against it.
     pub since: Time,
 }
 
-/// Trial under way.
+/// Trial in progress.
 #[derive(Debug)]
 struct Trial {
-    print: Fingerprint,
-    ticket: RequestId,
+    fingerprint: Fingerprint,
+    request_id: RequestId,
     until: Time,
 }
 
-/// What is known of requests and falls.
+/// Tracks crashes, the requests in flight at them, and trials.
 #[derive(Debug, Default)]
 pub struct Tracker {
     records: HashMap<Fingerprint, Record>,
-    /// Requests that are suspected or kept out.
-    held: HashSet<Fingerprint>,
-    /// Requests that were in flight at the last falls, oldest first.
-    falls: VecDeque<(Crash, Vec<Fingerprint>)>,
+    /// Suspected and quarantined requests.
+    suspects: HashSet<Fingerprint>,
+    /// Requests in flight at the most recent crashes, oldest first.
+    crashes: VecDeque<(Crash, Vec<Fingerprint>)>,
     trial: Option<Trial>,
 }
 
 impl Tracker {
-    /// Notes requests that were in flight where a replica fell; gives those whose standing has changed. The same fall
-    /// may be told often, and by several hosts.
+    /// Records requests that were in flight at a crash and returns those whose status changed. The same crash may be
+    /// reported repeatedly and by several hosts.
     pub fn record_crash(
         &mut self,
-        fall: Crash,
-        aboard: &[Fingerprint],
+        crash: Crash,
+        in_flight: &[Fingerprint],
         now: Time,
     ) -> Vec<Fingerprint> {
-        self.note_aboard(fall, aboard);
-        let before: Vec<Status> = aboard.iter().map(|p| self.status(*p, now)).collect();
-        for print in aboard {
-            let record = self.records.entry(*print).or_insert(Record::new(now));
-            record.fell(fall, now);
+        self.add_in_flight(crash, in_flight);
+        let before: Vec<Status> = in_flight.iter().map(|p| self.status(*p, now)).collect();
+        for fingerprint in in_flight {
+            let record = self.records.entry(*fingerprint).or_insert(Record::new(now));
+            record.record_crash(crash, now);
             if record.is_suspected() {
-                self.held.insert(*print);
+                self.suspects.insert(*fingerprint);
             }
         }
         let mut changed = Vec::new();
-        for (print, before) in aboard.iter().zip(before) {
-            if self.status(*print, now) != before {
-                changed.push(*print);
+        for (fingerprint, before) in in_flight.iter().zip(before) {
+            if self.status(*fingerprint, now) != before {
+                changed.push(*fingerprint);
             }
         }
-        // A trial is over with the fall that it brought, also where its host cannot say so.
-        for print in &changed {
-            self.release(*print);
+        // A crash ends the trial that caused it, even if the host of the trial cannot report that.
+        for fingerprint in &changed {
+            self.end_trial(*fingerprint);
         }
-        self.bound(now);
+        self.evict(now);
         changed
     }
 
-    /// Notes that a run of a request has ended well; tells whether that clears it.
-    pub fn record_success(&mut self, print: Fingerprint) -> bool {
-        self.release(print);
-        let Some(record) = self.records.get_mut(&print) else {
+    /// Records that the request succeeded; returns whether that cleared it.
+    pub fn record_success(&mut self, fingerprint: Fingerprint) -> bool {
+        self.end_trial(fingerprint);
+        let Some(record) = self.records.get_mut(&fingerprint) else {
             return false;
         };
-        record.forgive();
-        self.held.remove(&print)
+        record.clear();
+        self.suspects.remove(&fingerprint)
     }
 
-    /// What is held of a request.
-    pub fn status(&self, print: Fingerprint, now: Time) -> Status {
-        let record = self.records.get(&print);
-        let is_contested = |fall| self.is_contested(fall, print);
-        record.map_or(Status::Clear, |r| r.standing(now, is_contested))
+    pub fn status(&self, fingerprint: Fingerprint, now: Time) -> Status {
+        let record = self.records.get(&fingerprint);
+        let has_other_suspect = |crash| self.has_other_suspect(crash, fingerprint);
+        record.map_or(Status::Clear, |r| r.status(now, has_other_suspect))
     }
 
-    /// Whether something else that is suspected was in flight at a fall as well.
-    fn is_contested(&self, fall: Crash, print: Fingerprint) -> bool {
-        let known = self.falls.iter().find(|(known, _)| *known == fall);
-        let aboard = known.map_or(&[][..], |(_, aboard)| aboard);
+    /// Whether another suspect was in flight at the crash too.
+    fn has_other_suspect(&self, crash: Crash, fingerprint: Fingerprint) -> bool {
+        let known = self.crashes.iter().find(|(known, _)| *known == crash);
+        let in_flight = known.map_or(&[][..], |(_, in_flight)| in_flight);
         let is_suspected =
             |other: &Fingerprint| self.records.get(other).is_some_and(Record::is_suspected);
-        aboard
+        in_flight
             .iter()
-            .any(|other| *other != print && is_suspected(other))
+            .any(|other| *other != fingerprint && is_suspected(other))
     }
 
-    /// Adds requests to those that were in flight at a fall.
-    fn note_aboard(&mut self, fall: Crash, aboard: &[Fingerprint]) {
-        let known = self.falls.iter_mut().find(|(known, _)| *known == fall);
+    /// Adds requests to those in flight at a crash.
+    fn add_in_flight(&mut self, crash: Crash, in_flight: &[Fingerprint]) {
+        let known = self.crashes.iter_mut().find(|(known, _)| *known == crash);
         match known {
             Some((_, all)) => {
-                let new = aboard.iter().filter(|print| !all.contains(print));
+                let new = in_flight
+                    .iter()
+                    .filter(|fingerprint| !all.contains(fingerprint));
                 let new: Vec<Fingerprint> = new.copied().collect();
                 all.extend(new);
             }
-            None => self.falls.push_back((fall, aboard.to_vec())),
+            None => self.crashes.push_back((crash, in_flight.to_vec())),
         }
-        if self.falls.len() > MOST_FALLS {
-            self.falls.pop_front();
+        if self.crashes.len() > MAX_CRASHES {
+            self.crashes.pop_front();
         }
     }
 
-    /// What may be done with a request; begins its trial where that is the answer.
-    pub fn request_permit(&mut self, print: Fingerprint, ticket: RequestId, now: Time) -> Permit {
-        let standing = self.status(print, now);
-        let Some(record) = self.records.get_mut(&print) else {
+    /// Decides what a host may do with a request. `Permit::Trial` starts the trial.
+    pub fn request_permit(
+        &mut self,
+        fingerprint: Fingerprint,
+        request_id: RequestId,
+        now: Time,
+    ) -> Permit {
+        let status = self.status(fingerprint, now);
+        let Some(record) = self.records.get_mut(&fingerprint) else {
             return Permit::Free;
         };
-        match standing {
+        match status {
             Status::Clear => Permit::Free,
-            Status::Quarantined => Permit::Quarantined(record.kept_out_for(now)),
+            Status::Quarantined => Permit::Quarantined(record.quarantine_remaining(now)),
             Status::Suspected => match &self.trial {
                 Some(trial) if now < trial.until => {
-                    match (trial.print, trial.ticket) == (print, ticket) {
+                    match (trial.fingerprint, trial.request_id) == (fingerprint, request_id) {
                         true => Permit::Trial,
                         false => Permit::Wait,
                     }
                 }
-                _ if !record.may_be_tried(now) => Permit::Wait,
+                _ if !record.may_start_trial(now) => Permit::Wait,
                 _ => {
-                    let until = now + TRIAL;
-                    record.tried(until);
+                    let until = now + TRIAL_TIMEOUT;
+                    record.start_trial(until);
                     self.trial = Some(Trial {
-                        print,
-                        ticket,
+                        fingerprint,
+                        request_id,
                         until,
                     });
                     Permit::Trial
@@ -229,94 +232,102 @@
         }
     }
 
-    /// Notes that a trial has ended, and not well; tells whether the standing of its request has changed.
-    pub fn record_trial(&mut self, print: Fingerprint, how: TrialOutcome, now: Time) -> bool {
-        self.release(print);
-        let before = self.status(print, now);
-        if let Some(record) = self.records.get_mut(&print) {
-            record.trial_ended(how, now);
+    /// Records a trial that did not succeed; returns whether the status of the request changed.
+    pub fn record_trial(
+        &mut self,
+        fingerprint: Fingerprint,
+        outcome: TrialOutcome,
+        now: Time,
+    ) -> bool {
+        self.end_trial(fingerprint);
+        let before = self.status(fingerprint, now);
+        if let Some(record) = self.records.get_mut(&fingerprint) {
+            record.record_trial(outcome, now);
         }
-        self.status(print, now) != before
+        self.status(fingerprint, now) != before
     }
 
-    /// Takes over that a request is suspected or kept out, by the word of an earlier leader.
-    pub fn restore(&mut self, print: Fingerprint, is_out: bool, now: Time) {
-        let record = self.records.entry(print).or_insert(Record::new(now));
-        record.restore(is_out, now);
-        self.held.insert(print);
-        self.bound(now);
+    /// Restores a suspected or quarantined request from the list of a previous leader.
+    pub fn restore(&mut self, fingerprint: Fingerprint, is_quarantined: bool, now: Time) {
+        let record = self.records.entry(fingerprint).or_insert(Record::new(now));
+        record.restore(is_quarantined, now);
+        self.suspects.insert(fingerprint);
+        self.evict(now);
     }
 
-    /// Forgets that a request was suspected or kept out.
-    pub fn lift(&mut self, print: Fingerprint) {
-        self.release(print);
-        self.held.remove(&print);
-        if let Some(record) = self.records.get_mut(&print) {
-            record.forgive();
+    /// Clears a request.
+    pub fn lift(&mut self, fingerprint: Fingerprint) {
+        self.end_trial(fingerprint);
+        self.suspects.remove(&fingerprint);
+        if let Some(record) = self.records.get_mut(&fingerprint) {
+            record.clear();
         }
     }
 
-    /// Whether any request is suspected or kept out.
+    /// Whether any request is suspected or quarantined.
     pub fn has_suspects(&self) -> bool {
-        !self.held.is_empty()
+        !self.suspects.is_empty()
     }
 
-    /// Requests that are suspected or kept out, the newest first.
+    /// Suspected and quarantined requests, the most recent first, at most [`MAX_SUSPECTS`].
     pub fn suspects(&mut self, now: Time) -> Vec<Suspect> {
-        self.forget(now);
-        let listed = self.held.iter().filter_map(|print| {
-            let record = self.records.get(print)?;
-            let listed = Suspect {
-                fingerprint: *print,
-                is_quarantined: self.status(*print, now) == Status::Quarantined,
+        self.expire(now);
+        let suspects = self.suspects.iter().filter_map(|fingerprint| {
+            let record = self.records.get(fingerprint)?;
+            let suspect = Suspect {
+                fingerprint: *fingerprint,
+                is_quarantined: self.status(*fingerprint, now) == Status::Quarantined,
                 since: record.first,
             };
-            Some((record.last, listed))
+            Some((record.last, suspect))
         });
-        let mut listed: Vec<_> = listed.collect();
-        listed.sort_by_key(|(last, listed)| (std::cmp::Reverse(*last), listed.fingerprint));
-        listed.truncate(MAX_SUSPECTS);
-        listed.into_iter().map(|(_, listed)| listed).collect()
+        let mut suspects: Vec<_> = suspects.collect();
+        suspects.sort_by_key(|(last, suspect)| (std::cmp::Reverse(*last), suspect.fingerprint));
+        suspects.truncate(MAX_SUSPECTS);
+        suspects.into_iter().map(|(_, suspect)| suspect).collect()
     }
 
-    /// Requests that are remembered.
+    /// Number of tracked requests.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether no request is remembered.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Ends the trial of a request, if it is under way.
-    fn release(&mut self, print: Fingerprint) {
-        if self.trial.as_ref().is_some_and(|t| t.print == print) {
+    /// Ends the trial of a request, if one is in progress.
+    fn end_trial(&mut self, fingerprint: Fingerprint) {
+        if self
+            .trial
+            .as_ref()
+            .is_some_and(|t| t.fingerprint == fingerprint)
+        {
             self.trial = None;
         }
     }
 
-    /// Forgets records whose falls are too old to count.
-    fn forget(&mut self, now: Time) {
-        self.records.retain(|_, record| !record.is_over(now));
-        self.held.retain(|print| self.records.contains_key(print));
+    /// Removes expired records.
+    fn expire(&mut self, now: Time) {
+        self.records.retain(|_, record| !record.is_expired(now));
+        self.suspects
+            .retain(|fingerprint| self.records.contains_key(fingerprint));
     }
 
-    /// Forgets the records whose last fall is oldest, beyond the most that are kept: a quarter at a time, so that
-    /// the next ones cost nothing.
-    fn bound(&mut self, now: Time) {
-        if self.records.len() <= MOST_RECORDS {
+    /// Evicts a quarter of the records if there are too many, so that eviction is rare.
+    fn evict(&mut self, now: Time) {
+        if self.records.len() <= MAX_RECORDS {
             return;
         }
-        self.forget(now);
-        if self.records.len() <= MOST_RECORDS {
+        self.expire(now);
+        if self.records.len() <= MAX_RECORDS {
             return;
         }
-        let mut ages: Vec<_> = self.records.iter().map(|(p, r)| (r.rank(), *p)).collect();
-        ages.sort_unstable();
-        for (_, print) in ages.into_iter().take(MOST_RECORDS / 4) {
-            self.records.remove(&print);
-            self.held.remove(&print);
+        let mut ranks: Vec<_> = self.records.iter().map(|(p, r)| (r.rank(), *p)).collect();
+        ranks.sort_unstable();
+        for (_, fingerprint) in ranks.into_iter().take(MAX_RECORDS / 4) {
+            self.records.remove(&fingerprint);
+            self.suspects.remove(&fingerprint);
         }
     }
 }
--- a/crates/route/src/quarantine/incidents.rs
+++ b/crates/route/src/quarantine/incidents.rs
@@ -1,123 +1,141 @@
-//! Which requests broke together at a replica, and whether it had fallen.
+//! Groups interrupted requests by replica and detects whether the replica crashed.
 //!
-//! A broken answer alone says little: a connection may have been reset, and a replica may fail some of its
-//! requests. It was a fall if the replica then refuses connections, or starts again. All that break at one
-//! incarnation belong to one fall.
+//! An interrupted response alone proves little: a connection may have been reset, or the replica may have failed single
+//! requests. It counts as a crash if the replica then refuses connections or has restarted. All interruptions at one
+//! incarnation belong to the same crash.
 
 use super::Crash;
 use std::collections::HashMap;
 use unit::{Fingerprint, Name, Span, Time, rendezvous};
 
-/// Time for which a break is remembered, until it is known whether the replica fell: it is back within seconds.
-const DOUBTED: Span = Span::from_secs(10);
+/// Time for which an unconfirmed incident is kept; a crashed replica restarts within seconds.
+const UNCONFIRMED_RETENTION: Span = Span::from_secs(10);
 
-/// Time for which a fall is told to each next leader.
-const TOLD: Span = Span::from_secs(60);
+/// Time for which a crash is reported to each new leader.
+const CONFIRMED_RETENTION: Span = Span::from_secs(60);
 
-/// Times that a fall is told to the same leader: a datagram may be lost.
-const TELLINGS: u32 = 3;
+/// Number of times that a crash is reported to the same leader, since datagrams may be lost.
+const MAX_REPORTS: u32 = 3;
 
-/// Replicas whose breaks are remembered at once.
-const MOST_GROUPS: usize = 256;
+/// Maximum number of incidents kept.
+const MAX_INCIDENTS: usize = 256;
 
-/// Requests remembered of one replica, which runs some tens at once.
-const MOST_ABOARD: usize = 128;
+/// Maximum number of requests kept per incident.
+const MAX_IN_FLIGHT: usize = 128;
 
-/// Incarnation of a replica: its identity, and its start where that is told.
+/// Instance of a replica: its identity and, if known, its incarnation.
 pub type Instance = (Name, Option<u64>);
 
-/// Requests that broke at one incarnation of a replica.
+/// Requests interrupted at one replica instance.
 #[derive(Debug, Clone)]
 pub struct Incident {
-    /// The fall, if it was one.
+    /// Identity of the crash, if it is confirmed.
     pub crash: Crash,
-    /// The requests.
+    /// Interrupted requests.
     pub in_flight: Vec<Fingerprint>,
-    /// When the first one broke.
+    /// Time of the first interruption.
     pub at: Time,
-    /// Whether the replica had fallen.
-    is_fall: bool,
-    /// Leader that was told last, by its term, and how often.
-    told: (u64, u32),
+    /// Whether the crash is confirmed.
+    is_crash: bool,
+    /// Term of the leader that the crash was last reported to, and the number of reports.
+    reported: (u64, u32),
 }
 
-/// Breaks at replicas, by incarnation.
+/// Incidents by replica instance.
 #[derive(Debug, Default)]
 pub struct Incidents {
-    groups: HashMap<Instance, Incident>,
+    incidents: HashMap<Instance, Incident>,
 }
 
 impl Incidents {
-    /// Notes that a request broke at a replica; tells whether it is the first, so that the replica is to be looked at.
-    pub fn record_failure(&mut self, start: &Instance, print: Fingerprint, now: Time) -> bool {
-        self.forget(now);
-        if self.groups.len() >= MOST_GROUPS && !self.groups.contains_key(start) {
+    /// Records an interrupted request; returns whether it is the first at this instance, so that the replica should be
+    /// probed.
+    pub fn record_failure(
+        &mut self,
+        instance: &Instance,
+        fingerprint: Fingerprint,
+        now: Time,
+    ) -> bool {
+        self.expire(now);
+        if self.incidents.len() >= MAX_INCIDENTS && !self.incidents.contains_key(instance) {
             return false;
         }
-        let is_first = !self.groups.contains_key(start);
-        let group = self.groups.entry(start.clone()).or_insert(Incident {
-            crash: identity(start),
+        let is_first = !self.incidents.contains_key(instance);
+        let incident = self.incidents.entry(instance.clone()).or_insert(Incident {
+            crash: identity(instance),
             in_flight: Vec::new(),
             at: now,
-            is_fall: false,
-            told: (0, 0),
+            is_crash: false,
+            reported: (0, 0),
         });
-        if group.in_flight.len() < MOST_ABOARD && !group.in_flight.contains(&print) {
-            group.in_flight.push(print);
-            // What was told lacks this one.
-            group.told = (0, 0);
+        if incident.in_flight.len() < MAX_IN_FLIGHT && !incident.in_flight.contains(&fingerprint) {
+            incident.in_flight.push(fingerprint);
+            // Earlier reports lack this request.
+            incident.reported = (0, 0);
         }
         is_first
     }
 
-    /// Notes that a replica was down after the breaks, or has started again; gives the fall, unless it was known.
-    pub fn confirm_crash(&mut self, start: &Instance) -> Option<Incident> {
-        let group = self.groups.get_mut(start).filter(|group| !group.is_fall)?;
-        group.is_fall = true;
-        Some(group.clone())
+    /// Confirms that the instance crashed; returns the incident unless it was already confirmed.
+    pub fn confirm_crash(&mut self, instance: &Instance) -> Option<Incident> {
+        let incident = self
+            .incidents
+            .get_mut(instance)
+            .filter(|incident| !incident.is_crash)?;
+        incident.is_crash = true;
+        Some(incident.clone())
     }
 
-    /// Notes which incarnation of a replica there is now, or that there is none; gives the falls that this proves.
+    /// Confirms the crashes of all former instances of a replica, given the present one, and returns their incidents.
     pub fn confirm_replaced(&mut self, replica: &str, present: Option<&Instance>) -> Vec<Incident> {
-        let starts = self.groups.keys();
-        let former = starts.filter(|start| *start.0 == *replica && Some(*start) != present);
+        let instances = self.incidents.keys();
+        let former =
+            instances.filter(|instance| *instance.0 == *replica && Some(*instance) != present);
         let former: Vec<Instance> = former.cloned().collect();
         former
             .iter()
-            .filter_map(|start| self.confirm_crash(start))
+            .filter_map(|instance| self.confirm_crash(instance))
             .collect()
     }
 
-    /// Falls to tell the leader of a term, which has not heard them often enough.
+    /// Crashes that are to be reported to the leader of the given term.
     pub fn due_reports(&mut self, term: u64, now: Time) -> Vec<Incident> {
-        self.forget(now);
+        self.expire(now);
         let mut due = Vec::new();
-        for group in self.groups.values_mut().filter(|group| group.is_fall) {
-            if group.told.0 != term {
-                group.told = (term, 0);
+        for incident in self
+            .incidents
+            .values_mut()
+            .filter(|incident| incident.is_crash)
+        {
+            if incident.reported.0 != term {
+                incident.reported = (term, 0);
             }
-            if group.told.1 < TELLINGS {
-                group.told.1 += 1;
-                due.push(group.clone());
+            if incident.reported.1 < MAX_REPORTS {
+                incident.reported.1 += 1;
+                due.push(incident.clone());
             }
         }
         due
     }
 
-    /// Whether a replica has fallen a moment ago, or may have.
+    /// Whether there are any recent incidents, confirmed or not.
     pub fn has_recent(&self) -> bool {
-        !self.groups.is_empty()
+        !self.incidents.is_empty()
     }
 
-    fn forget(&mut self, now: Time) {
-        self.groups.retain(|_, group| {
-            let kept = if group.is_fall { TOLD } else { DOUBTED };
-            now.since(group.at) < kept
+    fn expire(&mut self, now: Time) {
+        self.incidents.retain(|_, incident| {
+            let retention = if incident.is_crash {
+                CONFIRMED_RETENTION
+            } else {
+                UNCONFIRMED_RETENTION
+            };
+            now.since(incident.at) < retention
         });
     }
 }
 
-/// Identity of the fall of an incarnation, which all hosts name alike.
-fn identity((replica, start): &Instance) -> Crash {
-    Crash(rendezvous::weight(start.unwrap_or(0), replica))
+/// Identity of the crash of an instance, equal on all hosts.
+fn identity((replica, instance): &Instance) -> Crash {
+    Crash(rendezvous::weight(instance.unwrap_or(0), replica))
 }
--- a/crates/route/src/quarantine/record.rs
+++ b/crates/route/src/quarantine/record.rs
@@ -1,63 +1,66 @@
-//! What is remembered of one request.
+//! Crashes and trials of one tracked request.
 
 use super::{
-    BROKEN_TRIALS, Crash, FALL_FOLLOWS, QUARANTINE_DURATION, QUARANTINE_THRESHOLD, REMEMBERED,
-    SUSPICION_THRESHOLD, Status, TRIAL_SETTLES, TrialOutcome,
+    CRASH_DETECTION_DELAY, Crash, MAX_INTERRUPTED_TRIALS, QUARANTINE_DURATION,
+    QUARANTINE_THRESHOLD, RECORD_RETENTION, RETRIAL_DELAY, SUSPICION_THRESHOLD, Status,
+    TrialOutcome,
 };
 use unit::{Span, Time};
 
-/// Falls remembered of one request, the newest ones.
-const MOST_FALLS: usize = 8;
+/// Maximum number of crashes kept per request, the most recent ones.
+const MAX_CRASHES: usize = 8;
 
-/// Falls on trial that prove a request guilty, whatever else was in flight: two suspects have no trials together.
-const PROVING_TRIALS: usize = 2;
+/// Crashes on trial that prove a request guilty even if other suspects were in flight, since trials never overlap.
+const PROOF_TRIALS: usize = 2;
 
-/// Falls of one request, and its trials.
+/// Crashes and trials of one request.
 #[derive(Debug)]
 pub(super) struct Record {
-    /// Falls that count, oldest first.
+    /// Crashes counted against the request, oldest first.
     counted: Vec<Crash>,
-    /// Falls that no longer count, since a run has ended well after them: they may be told again.
-    forgiven: Vec<Crash>,
-    /// First fall that counts.
+    /// Crashes that no longer count because the request succeeded after them; kept since they may be reported again.
+    cleared: Vec<Crash>,
+    /// Time of the first counted crash.
     pub(super) first: Time,
-    /// Last fall.
+    /// Time of the last counted crash.
     pub(super) last: Time,
-    /// Until when a fall counts as one on trial.
-    on_trial_until: Option<Time>,
-    /// When the next trial may begin.
+    /// Time until which a crash is attributed to the trial.
+    trial_until: Option<Time>,
+    /// Earliest start of the next trial.
     next_trial: Time,
-    /// Trials that broke off where no fall was found yet.
-    broken: u32,
-    /// Falls on trial, of those that count.
-    on_trial: Vec<Crash>,
-    /// Whether it is proved in another way: by an earlier leader, or by trials that always break off.
-    is_proved: bool,
+    /// Interrupted trials without a detected crash.
+    interrupted_trials: u32,
+    /// Counted crashes that happened on trial.
+    trial_crashes: Vec<Crash>,
+    /// Whether the request is proven guilty by other means: by a previous leader or by repeatedly interrupted trials.
+    is_proven: bool,
 }
 
 impl Record {
     pub(super) fn new(now: Time) -> Record {
         Record {
             counted: Vec::new(),
-            forgiven: Vec::new(),
+            cleared: Vec::new(),
             first: now,
             last: now,
-            on_trial_until: None,
+            trial_until: None,
             next_trial: Time(0),
-            broken: 0,
-            on_trial: Vec::new(),
-            is_proved: false,
+            interrupted_trials: 0,
+            trial_crashes: Vec::new(),
+            is_proven: false,
         }
     }
 
-    /// What is held of it; `is_contested` tells whether something else that is suspected was in flight at a fall, and may
-    /// have caused it.
-    pub(super) fn standing(&self, now: Time, is_contested: impl Fn(Crash) -> bool) -> Status {
-        let fell_on_trial = self.on_trial.len() >= PROVING_TRIALS
-            || self.on_trial.iter().any(|fall| !is_contested(*fall));
-        let is_proved = self.is_proved || fell_on_trial;
-        let is_proved = is_proved && self.counted.len() >= QUARANTINE_THRESHOLD;
-        if is_proved && now.since(self.last) < QUARANTINE_DURATION {
+    /// `has_other_suspect` tells whether another suspect was in flight at a crash and may have caused it.
+    pub(super) fn status(&self, now: Time, has_other_suspect: impl Fn(Crash) -> bool) -> Status {
+        let crashed_on_trial = self.trial_crashes.len() >= PROOF_TRIALS
+            || self
+                .trial_crashes
+                .iter()
+                .any(|crash| !has_other_suspect(*crash));
+        let is_proven = self.is_proven || crashed_on_trial;
+        let is_proven = is_proven && self.counted.len() >= QUARANTINE_THRESHOLD;
+        if is_proven && now.since(self.last) < QUARANTINE_DURATION {
             Status::Quarantined
         } else if self.is_suspected() {
             Status::Suspected
@@ -66,61 +69,60 @@
         }
     }
 
-    /// Time for which it is still kept out.
-    pub(super) fn kept_out_for(&self, now: Time) -> Span {
+    /// Remaining time of the quarantine.
+    pub(super) fn quarantine_remaining(&self, now: Time) -> Span {
         QUARANTINE_DURATION.saturating_sub(now.since(self.last))
     }
 
-    pub(super) fn fell(&mut self, fall: Crash, now: Time) {
-        if self.counted.contains(&fall) || self.forgiven.contains(&fall) {
+    pub(super) fn record_crash(&mut self, crash: Crash, now: Time) {
+        if self.counted.contains(&crash) || self.cleared.contains(&crash) {
             return;
         }
         if self.counted.is_empty() {
             self.first = now;
         }
-        push(&mut self.counted, fall);
+        push_bounded(&mut self.counted, crash);
         self.last = now;
-        self.broken = 0;
-        if self.on_trial_until.is_some_and(|until| now < until) {
-            push(&mut self.on_trial, fall);
+        self.interrupted_trials = 0;
+        if self.trial_until.is_some_and(|until| now < until) {
+            push_bounded(&mut self.trial_crashes, crash);
         }
     }
 
-    /// Whether it is suspected at the least.
+    /// Whether the request is suspected or quarantined.
     pub(super) fn is_suspected(&self) -> bool {
         self.counted.len() >= SUSPICION_THRESHOLD
     }
 
-    /// Whether a trial may begin.
-    pub(super) fn may_be_tried(&self, now: Time) -> bool {
+    pub(super) fn may_start_trial(&self, now: Time) -> bool {
         now >= self.next_trial
     }
 
-    pub(super) fn tried(&mut self, until: Time) {
-        self.on_trial_until = Some(until + FALL_FOLLOWS);
+    pub(super) fn start_trial(&mut self, until: Time) {
+        self.trial_until = Some(until + CRASH_DETECTION_DELAY);
     }
 
-    pub(super) fn trial_ended(&mut self, how: TrialOutcome, now: Time) {
-        if self.on_trial_until.is_none() {
+    pub(super) fn record_trial(&mut self, outcome: TrialOutcome, now: Time) {
+        if self.trial_until.is_none() {
             return;
         }
-        self.on_trial_until = Some(now + FALL_FOLLOWS);
-        if how == TrialOutcome::Inconclusive {
+        self.trial_until = Some(now + CRASH_DETECTION_DELAY);
+        if outcome == TrialOutcome::Inconclusive {
             return;
         }
-        self.next_trial = now + TRIAL_SETTLES;
-        self.broken += 1;
-        if self.broken >= BROKEN_TRIALS {
-            self.is_proved = true;
+        self.next_trial = now + RETRIAL_DELAY;
+        self.interrupted_trials += 1;
+        if self.interrupted_trials >= MAX_INTERRUPTED_TRIALS {
+            self.is_proven = true;
             self.last = now;
-            // Falls that were not found: what breaks off in each trial is not served either.
-            self.fill(QUARANTINE_THRESHOLD);
+            // The crashes were not detected, but a request whose trials are always interrupted is quarantined too.
+            self.pad_crashes(QUARANTINE_THRESHOLD);
         }
     }
 
-    /// Takes over what an earlier leader held of it.
-    pub(super) fn restore(&mut self, is_out: bool, now: Time) {
-        let falls = if is_out {
+    /// Restores the status from the list of a previous leader.
+    pub(super) fn restore(&mut self, is_quarantined: bool, now: Time) {
+        let crashes = if is_quarantined {
             QUARANTINE_THRESHOLD
         } else {
             SUSPICION_THRESHOLD
@@ -129,49 +131,48 @@
             self.first = now;
             self.last = now;
         }
-        self.fill(falls);
-        self.is_proved |= is_out;
+        self.pad_crashes(crashes);
+        self.is_proven |= is_quarantined;
     }
 
-    /// Counts so many falls at least, where it is not known which they were.
-    fn fill(&mut self, falls: usize) {
-        for unknown in self.counted.len()..falls {
-            self.counted.push(Crash(unknown as u64));
+    /// Adds placeholder crashes up to the given number.
+    fn pad_crashes(&mut self, crashes: usize) {
+        for placeholder in self.counted.len()..crashes {
+            self.counted.push(Crash(placeholder as u64));
         }
     }
 
-    /// Lets what was counted so far count no more.
-    pub(super) fn forgive(&mut self) {
-        for fall in std::mem::take(&mut self.counted) {
-            push(&mut self.forgiven, fall);
+    /// Clears the request: crashes so far no longer count.
+    pub(super) fn clear(&mut self) {
+        for crash in std::mem::take(&mut self.counted) {
+            push_bounded(&mut self.cleared, crash);
         }
-        self.on_trial_until = None;
-        self.broken = 0;
-        self.on_trial.clear();
-        self.is_proved = false;
+        self.trial_until = None;
+        self.interrupted_trials = 0;
+        self.trial_crashes.clear();
+        self.is_proven = false;
     }
 
-    /// Whether it can be forgotten.
-    pub(super) fn is_over(&self, now: Time) -> bool {
-        let kept = match self.is_proved || !self.on_trial.is_empty() {
-            true => QUARANTINE_DURATION + REMEMBERED,
-            false => REMEMBERED,
+    pub(super) fn is_expired(&self, now: Time) -> bool {
+        let retention = match self.is_proven || !self.trial_crashes.is_empty() {
+            true => QUARANTINE_DURATION + RECORD_RETENTION,
+            false => RECORD_RETENTION,
         };
-        now.since(self.last) >= kept
+        now.since(self.last) >= retention
     }
 
-    /// What gives way first where there are too many: what is not proved, and among these the oldest.
+    /// Eviction order, lowest first: requests without a crash on trial, then those with fewer crashes, then the oldest.
     pub(super) fn rank(&self) -> (bool, usize, Time) {
-        let falls = self.counted.len().min(SUSPICION_THRESHOLD);
-        let fell_on_trial = self.is_proved || !self.on_trial.is_empty();
-        (fell_on_trial, falls, self.last)
+        let crashes = self.counted.len().min(SUSPICION_THRESHOLD);
+        let crashed_on_trial = self.is_proven || !self.trial_crashes.is_empty();
+        (crashed_on_trial, crashes, self.last)
     }
 }
 
-/// Adds a fall, and forgets the oldest beyond the most.
-fn push(falls: &mut Vec<Crash>, fall: Crash) {
-    if falls.len() >= MOST_FALLS {
-        falls.remove(0);
+/// Appends a crash, dropping the oldest beyond the maximum.
+fn push_bounded(crashes: &mut Vec<Crash>, crash: Crash) {
+    if crashes.len() >= MAX_CRASHES {
+        crashes.remove(0);
     }
-    falls.push(fall);
+    crashes.push(crash);
 }
