--- a/crates/route/src/quarantine.rs
+++ b/crates/route/src/quarantine.rs
@@ -40,7 +40,7 @@
 /// Interrupted trials without a detected crash from which a request is quarantined.
 const MAX_INTERRUPTED_TRIALS: u32 = 3;
 
-/// Maximum number of tracked requests, about 0.4 MB. Beyond it the least incriminated ones are evicted.
+/// Maximum number of tracked requests, about 0.4 MB. Beyond it those with the least evidence are evicted.
 const MAX_RECORDS: usize = 4_096;
 
 /// Maximum number of crashes for which the requests in flight are kept.
--- a/crates/route/src/quota.rs
+++ b/crates/route/src/quota.rs
@@ -1,16 +1,15 @@
-//! Limits held over all hosts, of what client accounts may use and of what replicas in need take: no network, no
-//! clock.
+//! Distributed rate limits over all hosts, for client accounts and for replicas that advertise a limit.
 //!
-//! One host, the one that leads, runs the [`Limiter`]: a token bucket for each account and for each replica in need,
-//! which every host asks before it lets a request in, or sends one there. A [`Notice`] is what a replica said of its
-//! limit, an [`Outlook`] what a host may expect before it asks. Its state is lost with it, so that a new limiter starts with buckets
-//! that are overdrawn as far as they may be: rate and burst then hold over any number of successors, and
-//! nothing has to be handed over.
+//! The leader runs the [`Limiter`] with one token bucket per account and per limited replica. Every host acquires units
+//! from it before it admits a request of an account or sends one to such a replica. An [`Advertisement`] is the limit
+//! that a replica reported, an [`Estimate`] a host's local view of the bucket before it asks. The state of a limiter is
+//! not handed over: a new one starts with fully overdrawn buckets, so that rate and burst hold across any number of
+//! leader changes.
 //!
-//! A host that gets no answer goes on by its [`Share`] of what the limiter gave out lately, for
-//! [`ALONE_FOR`] at the most. Shares of all hosts add up to one, so together they stay within
-//! [`ALONE_PART`] of the rate; a host that has just started has no share. The limiter sets aside the
-//! shares of hosts that it does not hear.
+//! A host that gets no answer falls back to its [`Share`] of the units granted recently, for up to
+//! [`FALLBACK_DURATION`]. The shares of all hosts add up to one, so that together they stay within
+//! [`FALLBACK_FRACTION`] of the rate; a host that has just started has no share. The limiter reserves the shares of
+//! hosts from which it gets no heartbeats.
 
 mod advertisement;
 mod estimate;
@@ -26,65 +25,63 @@
 
 use unit::Span;
 
-/// Time for which a host without an answer goes on by its share: the lease of a leader that died, and
-/// the election of the next one.
+/// Time for which a host without an answer may use its share; covers the lease of a failed leader and the election of
+/// the next one.
 pub const FALLBACK_DURATION: Span = Span::from_ms(5_000);
 
-/// Part of an account's rate that all hosts use together by their shares. The burst may have been used
-/// just before, and the hosts do not fall silent at the same moment: `tests/quota.rs` plays both.
+/// Fraction of the rate that all hosts together use through their shares. It is below one since the burst may have been
+/// used just before and the hosts do not lose contact at the same time; simulated in `tests/quota.rs`.
 pub const FALLBACK_FRACTION: f64 = 0.65;
 
-/// Age up to which units of a request that did not run are given back. What is given back lets as much
-/// run later, so a window may hold what the account gains in this time beyond its limit.
+/// Age up to which units of a request that did not run are refunded. Refunds are spent later, so that a window may
+/// exceed the limit by what accrues in this time.
 pub const REFUND_WINDOW: Span = Span::from_ms(500);
 
-/// Rate and burst over all hosts: of an account in its own units, or of a replica in requests.
+/// Rate and burst over all hosts, in the units of an account or in requests for a replica.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limit {
-    /// Units a second.
+    /// Units per second.
     pub rate: f64,
-    /// Units on top of that.
+    /// Bucket size in units.
     pub burst: f64,
 }
 
-/// What a host is told with units that it is given; it knows its share by that.
+/// State of a bucket after a grant, from which a host derives its share.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Usage {
-    /// Units that all hosts were given in the last window, these included.
+    /// Units granted to all hosts in the last window, including this grant.
     pub granted: f64,
-    /// Units that could be given out at once.
+    /// Units left in the bucket; negative if overdrawn.
     pub available: f64,
 }
 
-/// What a host is told that asked for more than there is.
+/// Refusal of an acquisition for lack of units.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Refusal {
-    /// Time after which there will be enough.
+    /// Time after which enough units are expected.
     pub retry_after: Span,
-    /// Units that are there.
+    /// Units left in the bucket; negative if overdrawn.
     pub available: f64,
 }
 
-/// What may be used beyond the limits, in any window.
+/// Permitted excess over the limits in any window.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Tolerance {
-    /// Length of the window.
     pub window: Span,
-    /// Part of the limit by which it may be exceeded.
+    /// Fraction of the limit.
     pub overage: f64,
-    /// Units on top of that.
+    /// Units in addition to the overage.
     pub slack: f64,
 }
 
-/// Part of the slack by which a bucket may be overdrawn; the rest is for shares. The smallest accounts send
-/// a request a second that is half a second's rate, some of them together.
-const OVERDRAFT_PART: f64 = 0.5;
+/// Fraction of the slack by which a bucket may be overdrawn; the rest is for shares. Small accounts need an overdraft,
+/// since a single request can take half a second's worth of their rate.
+const OVERDRAFT_FRACTION: f64 = 0.5;
 
-/// Overage that answers on their way, units given back and shares need together. Where less is allowed,
-/// as much less is given out.
-const NEEDED_OVERAGE: f64 = 0.1;
+/// Overage consumed by answers in transit, refunds and shares. If the tolerance allows less, limits are reduced accordingly.
+const REQUIRED_OVERAGE: f64 = 0.1;
 
-/// Tolerance of the limits that replicas name, in requests.
+/// Tolerance for limits advertised by replicas, in requests.
 pub const REPLICA_TOLERANCE: Tolerance = Tolerance {
     window: Span::from_ms(4_000),
     overage: 0.5,
@@ -92,17 +89,17 @@
 };
 
 impl Tolerance {
-    /// Units by which a bucket may be overdrawn.
+    /// Maximum overdraft of a bucket in units.
     fn overdraft(&self) -> f64 {
-        self.slack * OVERDRAFT_PART
+        self.slack * OVERDRAFT_FRACTION
     }
 
-    /// Limit by which units are given out, for what an account may use.
+    /// Limit that is enforced, so that the actual use stays within the given one.
     fn effective_limit(&self, limit: Limit) -> Limit {
-        let part = ((1.0 + self.overage) / (1.0 + NEEDED_OVERAGE)).min(1.0);
+        let factor = ((1.0 + self.overage) / (1.0 + REQUIRED_OVERAGE)).min(1.0);
         Limit {
-            rate: limit.rate * part,
-            burst: limit.burst * part,
+            rate: limit.rate * factor,
+            burst: limit.burst * factor,
         }
     }
 }
--- a/crates/route/src/quota/advertisement.rs
+++ b/crates/route/src/quota/advertisement.rs
@@ -1,34 +1,34 @@
-//! What a replica last said of how many requests a second it takes from all hosts together.
+//! Rate limit that a replica advertises, in requests per second from all hosts together.
 //!
-//! Each answer says it anew, to the host that gets the answer; hosts tell each other, and [`Notice::join`] brings
-//! what they heard together in any order.
+//! Each response of the replica carries the limit to the host that receives it. Hosts exchange what they received;
+//! [`Advertisement::merge`] gives the same result in any order.
 
 use super::Limit;
 use unit::{Span, Time};
 
-/// Time for which a limit still holds after the first answer that names none. One that comes back in it has
-/// never been over, so that nothing is sent beyond it in between.
+/// Time for which a limit still applies after the first response without one. A limit that is advertised again within
+/// it has applied throughout.
 pub const WITHDRAWAL_GRACE: Span = Span::from_ms(1_000);
 
-/// Time by which one and the same naming may seem newer after other hosts passed it on.
-const ECHO: Span = Span::from_ms(250);
+/// Maximum amount by which the same advertisement may appear newer after it was relayed by other hosts.
+const MAX_RELAY_SKEW: Span = Span::from_ms(250);
 
-/// Rate that goes to a replica which names less: only an answer can say that its need is over.
-const LEAST_RATE: f64 = 0.25;
+/// Minimum rate sent to a limited replica, since only its responses can withdraw the limit.
+const MIN_RATE: f64 = 0.25;
 
-/// What a replica last said.
+/// Limit last advertised by a replica.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Advertisement {
-    /// Requests a second, as it named them last.
+    /// Requests per second.
     pub rate: f64,
-    /// When it did.
+    /// Time of the last response with a limit.
     pub advertised_at: Time,
-    /// When the first answer after that came which named none.
+    /// Time of the first response without a limit after that.
     pub withdrawn_at: Option<Time>,
 }
 
 impl Advertisement {
-    /// Makes one of an answer that has just come and names a rate.
+    /// Creates an advertisement from a response received at `now`.
     pub fn new(rate: f64, now: Time) -> Advertisement {
         Advertisement {
             rate,
@@ -37,40 +37,40 @@
         }
     }
 
-    /// Takes in an answer that names none.
+    /// Records a response without a limit.
     pub fn withdraw(&mut self, now: Time) {
         if now > self.advertised_at {
             self.withdrawn_at.get_or_insert(now);
         }
     }
 
-    /// Whether the limit holds no longer.
+    /// Whether the limit no longer applies.
     pub fn is_expired(&self, now: Time) -> bool {
         self.withdrawn_at
             .is_some_and(|at| now.since(at) >= WITHDRAWAL_GRACE)
     }
 
-    /// Limit by which requests are given out by a host that may give so great a part of it.
-    pub fn limit(&self, part: f64) -> Limit {
+    /// Limit to be enforced by a limiter that may grant the given fraction of the rate.
+    pub fn limit(&self, fraction: f64) -> Limit {
         Limit {
-            rate: (self.rate * part).max(LEAST_RATE),
+            rate: (self.rate * fraction).max(MIN_RATE),
             burst: 0.0,
         }
     }
 
-    /// Takes in what another host heard; tells whether that says anything else.
-    pub fn merge(&mut self, told: &Advertisement) -> bool {
+    /// Merges an advertisement received by another host; returns whether the rate or the withdrawal changed.
+    pub fn merge(&mut self, other: &Advertisement) -> bool {
         let before = *self;
-        let echo = match told.rate == self.rate {
-            true => ECHO,
+        let skew = match other.rate == self.rate {
+            true => MAX_RELAY_SKEW,
             false => Span::ZERO,
         };
-        if told.advertised_at > self.advertised_at + echo {
-            self.rate = told.rate;
-            self.advertised_at = told.advertised_at;
+        if other.advertised_at > self.advertised_at + skew {
+            self.rate = other.rate;
+            self.advertised_at = other.advertised_at;
         }
         let since = |at: &Time| *at > self.advertised_at;
-        let unnamed = [before.withdrawn_at, told.withdrawn_at]
+        let unnamed = [before.withdrawn_at, other.withdrawn_at]
             .into_iter()
             .flatten();
         self.withdrawn_at = unnamed.filter(since).min();
--- a/crates/route/src/quota/estimate.rs
+++ b/crates/route/src/quota/estimate.rs
@@ -1,73 +1,72 @@
-//! What a host may expect of a limit before it asks for a part of it.
+//! Local estimate of a bucket at the limiter.
 
 use super::{Limit, Refusal, Tolerance};
 use unit::{Span, Time};
 
-/// Time after a refusal in which nothing is asked for again, however little was missing.
-const PAUSE: Span = Span::from_ms(5);
+/// Minimum time after a refusal before units are requested again.
+const MIN_PAUSE: Span = Span::from_ms(5);
 
-/// Units that were there when the host that gives out was last asked, carried on at the limit's pace.
+/// Upper bound of the units available at the limiter: the last reported number plus what has accrued since.
 ///
-/// Other hosts take some of them meanwhile, so that there are at most as many: a request that finds too few here
-/// need not be asked for.
+/// Other hosts acquire units in the meantime, so that a request for which the estimate is too low need not ask.
 #[derive(Debug, Clone, Copy)]
 pub struct Estimate {
-    left: f64,
+    available: f64,
     at: Time,
-    /// Until when nothing is asked for.
-    closed_until: Time,
-    /// When there will be enough for what was refused last, and stands in line.
-    line: Time,
+    /// Time until which no units are requested.
+    paused_until: Time,
+    /// Time at which enough units are expected for the request that was refused last.
+    queued_until: Time,
 }
 
 impl Estimate {
-    /// What is known after a question was answered with so many units left.
-    pub fn new(left: f64, now: Time) -> Estimate {
+    /// Estimate after an answer with the given number of units left.
+    pub fn new(available: f64, now: Time) -> Estimate {
         Estimate {
-            left,
+            available,
             at: now,
-            closed_until: now,
-            line: now,
+            paused_until: now,
+            queued_until: now,
         }
     }
 
-    /// What is known after a question was refused.
-    pub fn after_refusal(over: Refusal, now: Time) -> Estimate {
+    /// Estimate after a refusal.
+    pub fn after_refusal(refusal: Refusal, now: Time) -> Estimate {
         Estimate {
-            closed_until: now + PAUSE,
-            line: now + over.retry_after,
-            ..Estimate::new(over.available, now)
+            paused_until: now + MIN_PAUSE,
+            queued_until: now + refusal.retry_after,
+            ..Estimate::new(refusal.available, now)
         }
     }
 
-    /// What is to be believed while nobody answers and this host has no part of its own.
+    /// Estimate when the limiter does not answer and this host has no share: the bucket counts as fully overdrawn.
     pub fn without_answer(tolerance: Tolerance, now: Time) -> Estimate {
         Estimate {
-            closed_until: now + PAUSE,
+            paused_until: now + MIN_PAUSE,
             ..Estimate::new(-tolerance.overdraft(), now)
         }
     }
 
-    /// Takes units off that are being asked for.
+    /// Deducts units that are being requested.
     pub fn deduct(&mut self, units: f64, limit: Limit, now: Time) {
-        self.left = self.left_at(limit, now) - units;
+        self.available = self.available_at(limit, now) - units;
         self.at = now;
     }
 
-    /// Time until there may be so many units; zero when they may be there now.
+    /// Time until the given number of units may be available; zero if they may be available now.
     pub fn wait(&self, needed: f64, tolerance: Tolerance, limit: Limit, now: Time) -> Span {
-        let missing = needed - tolerance.overdraft() - self.left_at(limit, now);
-        let gathered = Span::from_secs_f64(missing.max(0.0) / limit.rate);
-        gathered.max(self.closed_until.since(now))
+        let missing = needed - tolerance.overdraft() - self.available_at(limit, now);
+        let accrual = Span::from_secs_f64(missing.max(0.0) / limit.rate);
+        accrual.max(self.paused_until.since(now))
     }
 
-    /// Time until those have their turn that were refused before, and stand in line.
+    /// Time until requests that were refused before are expected to be served.
     pub fn queue_wait(&self, now: Time) -> Span {
-        self.line.since(now)
+        self.queued_until.since(now)
     }
 
-    fn left_at(&self, limit: Limit, now: Time) -> f64 {
-        let gained = now.since(self.at).secs() * limit.rate;
-        (self.left + gained).min(limit.burst)
+    fn available_at(&self, limit: Limit, now: Time) -> f64 {
+        let accrued = now.since(self.at).secs() * limit.rate;
+        (self.available + accrued).min(limit.burst)
     }
 }
--- a/crates/route/src/quota/limiter.rs
+++ b/crates/route/src/quota/limiter.rs
@@ -1,4 +1,4 @@
-//! The one place that gives out what accounts may use, and what replicas in need take.
+//! Token buckets of the leader, from which all hosts acquire units.
 
 use super::{
     FALLBACK_DURATION, FALLBACK_FRACTION, Limit, REFUND_WINDOW, Refusal, SlidingSum, Tolerance,
@@ -8,72 +8,71 @@
 use std::hash::Hash;
 use unit::{Name, Span, Time};
 
-/// Part of the rate that a new limiter leaves for [`ALONE_FOR`] to hosts that it has not heard of and that
-/// may go on by their shares.
-const LEFT_TO_UNHEARD: f64 = 0.15;
+/// Fraction of the rate that a new limiter reserves for [`FALLBACK_DURATION`] for hosts that it does not know yet and
+/// that may be using their shares.
+const UNKNOWN_HOSTS_RESERVE: f64 = 0.15;
 
-/// Silence after which a host counts as one that goes on by its share: hosts tell what they have in
-/// flight at least three times in a second.
-const SILENT_AFTER: Span = Span::from_ms(700);
+/// Time without a heartbeat after which a host is assumed to use its share; hosts report their load at least three times
+/// per second.
+const HEARTBEAT_TIMEOUT: Span = Span::from_ms(700);
 
-/// Time after which is looked again which hosts are silent.
-const LOOK: Span = Span::from_ms(100);
+/// Interval of the check for silent hosts.
+const SILENCE_CHECK_INTERVAL: Span = Span::from_ms(100);
 
-/// Time over which refused requests count as a queue before the next one that is told when to come back.
-const QUEUE: Span = Span::from_ms(1_000);
+/// Window in which refused requests count as queued when a retry delay is computed.
+const REFUSAL_WINDOW: Span = Span::from_ms(1_000);
 
-/// Longest time after which what is over a limit is told to come back.
-const LONGEST_WAIT: Span = Span::from_secs(10);
+/// Maximum retry delay.
+const MAX_RETRY_AFTER: Span = Span::from_secs(10);
 
-/// Time without any question after which a bucket is forgotten; it is full long before.
-const FORGOTTEN_AFTER: Span = Span::from_secs(60);
+/// Idle time after which a bucket is evicted; it is full long before.
+const BUCKET_RETENTION: Span = Span::from_secs(60);
 
-/// Pause between two looks for what is to be forgotten.
-const FORGET_EACH: Span = Span::from_secs(5);
+/// Interval of the eviction of idle buckets.
+const EVICTION_INTERVAL: Span = Span::from_secs(5);
 
-/// Token buckets of all subjects: client accounts by name, or incarnations of replicas.
+/// Token buckets by subject: client accounts by name, or incarnations of replicas.
 #[derive(Debug)]
 pub struct Limiter<K> {
     tolerance: Tolerance,
-    /// When it began.
+    /// Start of the limiter.
     since: Time,
     buckets: HashMap<K, Bucket>,
-    /// When buckets were last looked through for those to be forgotten.
-    looked: Time,
+    /// Time of the last eviction.
+    last_eviction: Time,
     hosts: Hosts,
 }
 
-/// Bucket of one subject, and who used it.
+/// Token bucket of one subject and its recent use.
 #[derive(Debug)]
 struct Bucket {
-    /// Units that may be given out now; below nothing when it is overdrawn.
+    /// Available units; negative if overdrawn.
     level: f64,
-    /// When the level was brought up to date.
+    /// Time of the last refill.
     at: Time,
-    /// What each host was given.
+    /// Units granted to each host.
     hosts: HashMap<Name, SlidingSum>,
-    /// Since when each host was in touch when it last told what it used alone.
+    /// Start of the contact with each host at its last report of local use.
     reported: HashMap<Name, Time>,
-    /// What all were given.
-    given: SlidingSum,
-    /// What was refused lately.
+    /// Units granted to all hosts.
+    granted: SlidingSum,
+    /// Units refused recently.
     refused: SlidingSum,
 }
 
-/// Units that a host asks for, gives back or has used.
+/// Units that a host acquires, refunds or reports as used.
 #[derive(Debug)]
 pub struct Units<'a, K> {
-    /// Whose limit it is.
+    /// Account or replica that the limit belongs to.
     pub subject: &'a K,
-    /// The limit, as it was last heard of.
+    /// Most recently known limit.
     pub limit: Limit,
-    /// The host.
     pub host: &'a Name,
-    /// How many.
+    /// Number of units.
     pub count: f64,
-    /// Units that are to be left for what is more urgent.
+    /// Units that must remain available for more urgent requests.
     pub reserved: f64,
-    /// Whether what is refused comes again for the same units, since nothing else can take it.
+    /// Whether the host will ask again after a refusal because it has no alternative.
     pub will_retry: bool,
 }
 
@@ -86,133 +85,138 @@
 impl<K> Copy for Units<'_, K> {}
 
 impl<K: Eq + Hash + Clone> Limiter<K> {
-    /// Makes one with overdrawn buckets: what a predecessor gave out last is not known.
+    /// Starts with fully overdrawn buckets, since the recent grants of a previous limiter are unknown.
     pub fn new(tolerance: Tolerance, now: Time) -> Limiter<K> {
         Limiter {
             tolerance,
             since: now,
             buckets: HashMap::new(),
-            looked: now,
+            last_eviction: now,
             hosts: Hosts::default(),
         }
     }
 
-    /// Notes that a host is in touch.
     pub fn record_heartbeat(&mut self, host: &Name, now: Time) {
-        self.hosts.heard(host, now);
+        self.hosts.record_heartbeat(host, now);
     }
 
-    /// Gives out units, or tells the time after which there will be enough.
+    /// Grants units, or refuses with the time after which enough are expected.
     pub fn acquire(&mut self, units: Units<K>, now: Time) -> Result<Usage, Refusal> {
         self.record_heartbeat(units.host, now);
         let window = self.tolerance.window;
         let overdraft = self.tolerance.overdraft();
         let limit = self.tolerance.effective_limit(units.limit);
         let bucket = self.bucket(units.subject, limit, now);
-        // What never fits into a window would leave a debt for longer than one.
+        // A request that exceeds the limit of a whole window would leave the bucket overdrawn for longer than that.
         if units.count > limit.rate * window.secs() + limit.burst {
             return Err(Refusal {
-                retry_after: LONGEST_WAIT,
+                retry_after: MAX_RETRY_AFTER,
                 available: bucket.level,
             });
         }
-        // A request that is larger than a full bucket is let in by a full one.
+        // A request larger than the bucket is granted by a full bucket.
         let needed = (units.count + units.reserved).min(limit.burst + overdraft);
         let missing = needed - overdraft - bucket.level;
         if missing > 0.0 {
-            let queue = bucket.refused.sum(now);
+            let queued = bucket.refused.sum(now);
             if units.will_retry {
                 bucket.refused.add(units.count, now);
             }
-            let wait = Span::from_secs_f64((missing + queue) / limit.rate);
+            let wait = Span::from_secs_f64((missing + queued) / limit.rate);
             return Err(Refusal {
-                retry_after: wait.min(LONGEST_WAIT),
+                retry_after: wait.min(MAX_RETRY_AFTER),
                 available: bucket.level,
             });
         }
         bucket.level -= units.count;
-        bucket.given.add(units.count, now);
-        let ledger = bucket.hosts.entry(units.host.clone());
-        let ledger = ledger.or_insert_with(|| SlidingSum::new(window));
-        ledger.add(units.count, now);
+        bucket.granted.add(units.count, now);
+        let host_sum = bucket.hosts.entry(units.host.clone());
+        let host_sum = host_sum.or_insert_with(|| SlidingSum::new(window));
+        host_sum.add(units.count, now);
         Ok(Usage {
-            granted: bucket.given.sum(now),
+            granted: bucket.granted.sum(now),
             available: bucket.level,
         })
     }
 
-    /// Takes back units that were given out at `given` and not used, if that was a moment ago.
-    pub fn refund(&mut self, units: Units<K>, given: Time, now: Time) {
-        if now.since(given) > REFUND_WINDOW {
+    /// Refunds unused units that were granted at `granted_at`, unless that is longer than [`REFUND_WINDOW`] ago.
+    pub fn refund(&mut self, units: Units<K>, granted_at: Time, now: Time) {
+        if now.since(granted_at) > REFUND_WINDOW {
             return;
         }
         let limit = self.tolerance.effective_limit(units.limit);
         let bucket = self.bucket(units.subject, limit, now);
         bucket.level = (bucket.level + units.count).min(limit.burst);
-        bucket.given.remove(units.count, given);
-        if let Some(ledger) = bucket.hosts.get_mut(units.host) {
-            ledger.remove(units.count, given);
+        bucket.granted.remove(units.count, granted_at);
+        if let Some(host_sum) = bucket.hosts.get_mut(units.host) {
+            host_sum.remove(units.count, granted_at);
         }
     }
 
-    /// Takes in what a host has used by its share since it was answered last. While the host was silent its
-    /// share was set aside, and before this limiter began nothing was given out: that is not counted again.
+    /// Deducts what a host used from its share since its last answer.
+    ///
+    /// Not deducted for a host that was silent, since its share was reserved then, nor for use before this limiter
+    /// started, since nothing was granted then.
     pub fn record_local_use(&mut self, units: Units<K>, now: Time) {
         self.record_heartbeat(units.host, now);
-        let since = self.hosts.in_touch_since(units.host);
+        let contact = self.hosts.contact_since(units.host);
         let limit = self.tolerance.effective_limit(units.limit);
         let bucket = self.bucket(units.subject, limit, now);
-        let before = bucket.reported.insert(units.host.clone(), since);
-        if before == Some(since) {
+        let before = bucket.reported.insert(units.host.clone(), contact);
+        if before == Some(contact) {
             bucket.level -= units.count;
         }
     }
 
-    /// Units given out to a subject in the last window.
+    /// Units granted for a subject in the last window.
     pub fn granted(&self, subject: &K, now: Time) -> f64 {
         let bucket = self.buckets.get(subject);
-        bucket.map_or(0.0, |b| b.given.sum(now))
+        bucket.map_or(0.0, |b| b.granted.sum(now))
     }
 
-    /// The bucket with its level brought up to date.
+    /// Refills and returns the bucket of a subject.
     fn bucket(&mut self, subject: &K, limit: Limit, now: Time) -> &mut Bucket {
         let window = self.tolerance.window;
-        self.hosts.look(window, now);
-        self.forget(now);
+        self.hosts.update_silent(window, now);
+        self.evict(now);
         if !self.buckets.contains_key(subject) {
             let new = Bucket::new(&self.tolerance, self.since);
             self.buckets.insert(subject.clone(), new);
         }
-        let bucket = self.buckets.get_mut(subject).expect("it was just put in");
-        let set_aside = bucket.share_of(&self.hosts.silent) * FALLBACK_FRACTION;
-        let set_aside = match now.since(self.since) < FALLBACK_DURATION {
-            true => set_aside.max(LEFT_TO_UNHEARD),
-            false => set_aside,
+        let bucket = self
+            .buckets
+            .get_mut(subject)
+            .expect("the bucket was just inserted");
+        let reserved = bucket.silent_share(&self.hosts.silent) * FALLBACK_FRACTION;
+        let reserved = match now.since(self.since) < FALLBACK_DURATION {
+            true => reserved.max(UNKNOWN_HOSTS_RESERVE),
+            false => reserved,
         };
-        let gained = now.since(bucket.at).secs() * limit.rate * (1.0 - set_aside);
-        bucket.level = (bucket.level + gained).min(limit.burst);
+        let accrued = now.since(bucket.at).secs() * limit.rate * (1.0 - reserved);
+        bucket.level = (bucket.level + accrued).min(limit.burst);
         bucket.at = now;
         bucket
     }
 
-    /// Forgets the buckets that nobody has asked about for long, and in the others the hosts that were given nothing
-    /// for so long that they have no share any more.
-    fn forget(&mut self, now: Time) {
-        if now.since(self.looked) < FORGET_EACH {
+    /// Evicts idle buckets, and from the others the hosts without grants that are recent enough for a share.
+    fn evict(&mut self, now: Time) {
+        if now.since(self.last_eviction) < EVICTION_INTERVAL {
             return;
         }
-        self.looked = now;
-        let kept = self.tolerance.window + self.tolerance.window + FALLBACK_DURATION;
-        let is_kept = |bucket: &Bucket| now.since(bucket.at) < FORGOTTEN_AFTER;
-        self.buckets.retain(|_, bucket| is_kept(bucket));
+        self.last_eviction = now;
+        let retention = self.tolerance.window + self.tolerance.window + FALLBACK_DURATION;
+        let is_retained = |bucket: &Bucket| now.since(bucket.at) < BUCKET_RETENTION;
+        self.buckets.retain(|_, bucket| is_retained(bucket));
         for bucket in self.buckets.values_mut() {
-            bucket.hosts.retain(|_, given| !given.is_idle(kept, now));
+            bucket
+                .hosts
+                .retain(|_, granted| !granted.is_idle(retention, now));
             let hosts = &bucket.hosts;
             bucket.reported.retain(|host, _| hosts.contains_key(host));
         }
     }
 
-    /// Hosts of which something is kept for a subject.
+    /// Number of hosts tracked for a subject.
     pub fn host_count(&self, subject: &K) -> usize {
         let bucket = self.buckets.get(subject);
         bucket.map_or(0, |b| b.hosts.len().max(b.reported.len()))
@@ -220,7 +224,7 @@
 }
 
 impl Bucket {
-    /// A bucket of which a predecessor may have given out all it could until `since`.
+    /// Creates a fully overdrawn bucket that is refilled from `since`.
     fn new(tolerance: &Tolerance, since: Time) -> Bucket {
         let window = tolerance.window;
         Bucket {
@@ -228,72 +232,73 @@
             at: since,
             hosts: HashMap::new(),
             reported: HashMap::new(),
-            given: SlidingSum::new(window),
-            refused: SlidingSum::new(QUEUE),
+            granted: SlidingSum::new(window),
+            refused: SlidingSum::new(REFUSAL_WINDOW),
         }
     }
 
-    /// Share of hosts that fell silent, in what all were given when each was last heard.
-    fn share_of(&self, silent: &HashMap<Name, Time>) -> f64 {
+    /// Combined share of the given silent hosts, each as of its last heartbeat.
+    fn silent_share(&self, silent: &HashMap<Name, Time>) -> f64 {
         let share = |(host, at): (&Name, &Time)| {
-            let used = self.hosts.get(host)?.sum(*at);
-            (used > 0.0).then(|| used / self.given.sum(*at).max(used))
+            let granted = self.hosts.get(host)?.sum(*at);
+            (granted > 0.0).then(|| granted / self.granted.sum(*at).max(granted))
         };
         silent.iter().filter_map(share).sum::<f64>().min(1.0)
     }
 }
 
-/// When each host was last heard.
+/// Heartbeats of hosts.
 #[derive(Debug, Default)]
 struct Hosts {
-    heard: HashMap<Name, Heard>,
-    /// Hosts that fell silent and may go on by their shares, and when they were last heard.
+    heartbeats: HashMap<Name, Heartbeats>,
+    /// Silent hosts that may be using their shares, with the time of their last heartbeat.
     silent: HashMap<Name, Time>,
-    /// When that was last looked for.
-    looked: Time,
+    /// Time of the last check for silent hosts.
+    last_check: Time,
 }
 
-/// When a host was heard.
+/// Heartbeats of one host.
 #[derive(Debug, Clone, Copy)]
-struct Heard {
+struct Heartbeats {
     last: Time,
-    /// When it was heard first, or again after a silence.
+    /// Time of the first heartbeat, or of the first one after a silence.
     since: Time,
 }
 
 impl Hosts {
-    fn heard(&mut self, host: &Name, now: Time) {
+    fn record_heartbeat(&mut self, host: &Name, now: Time) {
         self.silent.remove(host);
-        let first = Heard {
+        let first = Heartbeats {
             last: now,
             since: now,
         };
-        match self.heard.get_mut(host) {
-            Some(heard) if now.since(heard.last) > SILENT_AFTER => *heard = first,
-            Some(heard) => heard.last = now,
+        match self.heartbeats.get_mut(host) {
+            Some(known) if now.since(known.last) > HEARTBEAT_TIMEOUT => *known = first,
+            Some(known) => known.last = now,
             None => {
-                self.heard.insert(host.clone(), first);
+                self.heartbeats.insert(host.clone(), first);
             }
         }
     }
 
-    /// Since when a host is in touch.
-    fn in_touch_since(&self, host: &Name) -> Time {
-        self.heard.get(host).map_or(Time(0), |heard| heard.since)
+    /// Start of the current contact with a host.
+    fn contact_since(&self, host: &Name) -> Time {
+        self.heartbeats.get(host).map_or(Time(0), |h| h.since)
     }
 
-    /// Finds the hosts that are silent, and forgets those that were so for a window after their shares ended.
-    fn look(&mut self, window: Span, now: Time) {
-        if now.since(self.looked) < LOOK {
+    /// Updates the silent hosts, and evicts those whose shares ended more than a window ago.
+    fn update_silent(&mut self, window: Span, now: Time) {
+        if now.since(self.last_check) < SILENCE_CHECK_INTERVAL {
             return;
         }
-        self.looked = now;
-        let kept = SILENT_AFTER + FALLBACK_DURATION + window;
-        self.heard.retain(|_, heard| now.since(heard.last) < kept);
-        let last = self.heard.iter().map(|(host, heard)| (host, heard.last));
-        let is_alone =
-            |at: Time| (SILENT_AFTER..FALLBACK_DURATION + SILENT_AFTER).contains(&now.since(at));
-        let silent = last.filter(|(_, at)| is_alone(*at));
+        self.last_check = now;
+        let retention = HEARTBEAT_TIMEOUT + FALLBACK_DURATION + window;
+        self.heartbeats.retain(|_, h| now.since(h.last) < retention);
+        let last = self.heartbeats.iter().map(|(host, h)| (host, h.last));
+        let is_in_fallback = |at: Time| {
+            (HEARTBEAT_TIMEOUT..FALLBACK_DURATION + HEARTBEAT_TIMEOUT).contains(&now.since(at))
+        };
+        let silent = last.filter(|(_, at)| is_in_fallback(*at));
         self.silent = silent.map(|(host, at)| (host.clone(), at)).collect();
     }
 }
--- a/crates/route/src/quota/sliding_sum.rs
+++ b/crates/route/src/quota/sliding_sum.rs
@@ -1,62 +1,64 @@
-//! What was used in a sliding window.
+//! Sum over a sliding window.
 
 use std::collections::VecDeque;
 use unit::{Span, Time};
 
-/// Steps into which the window is cut.
-const STEPS: u64 = 16;
+/// Number of buckets in the window.
+const BUCKETS: u64 = 16;
 
-/// Sum of units over a sliding window.
+/// Sum of units over a sliding window, in buckets of 1/16 of its length.
 #[derive(Debug, Clone)]
 pub struct SlidingSum {
     window: Span,
-    /// Begin of each step, and the units of it.
-    steps: VecDeque<(Time, f64)>,
+    /// Start and units of each bucket.
+    buckets: VecDeque<(Time, f64)>,
 }
 
 impl SlidingSum {
-    /// Makes an empty one.
     pub fn new(window: Span) -> SlidingSum {
         SlidingSum {
             window,
-            steps: VecDeque::new(),
+            buckets: VecDeque::new(),
         }
     }
 
-    /// Adds units that are used now.
     pub fn add(&mut self, units: f64, now: Time) {
         let window = self.window;
-        // A window that ended a while ago can still be looked at.
-        let is_old = |(begin, _): &(Time, f64)| now.since(*begin) >= window + window;
-        while self.steps.front().is_some_and(is_old) {
-            self.steps.pop_front();
+        // Kept for two windows, since `sum` may be called for a time in the past.
+        let is_expired = |(start, _): &(Time, f64)| now.since(*start) >= window + window;
+        while self.buckets.front().is_some_and(is_expired) {
+            self.buckets.pop_front();
         }
-        let step = Span(window.0 / STEPS);
-        match self.steps.back_mut() {
-            Some((begin, sum)) if now.since(*begin) < step => *sum += units,
-            _ => self.steps.push_back((now, units)),
+        let bucket = Span(window.0 / BUCKETS);
+        match self.buckets.back_mut() {
+            Some((start, sum)) if now.since(*start) < bucket => *sum += units,
+            _ => self.buckets.push_back((now, units)),
         }
     }
 
-    /// Takes units out that were added at `at` and not used.
+    /// Subtracts units that were added at `at`.
     pub fn remove(&mut self, units: f64, at: Time) {
-        let step = self.steps.iter_mut().rev().find(|(begin, _)| *begin <= at);
-        if let Some((_, sum)) = step {
+        let bucket = self
+            .buckets
+            .iter_mut()
+            .rev()
+            .find(|(start, _)| *start <= at);
+        if let Some((_, sum)) = bucket {
             *sum = (*sum - units).max(0.0);
         }
     }
 
-    /// Whether nothing was added for so long.
+    /// Whether nothing was added within the given span.
     pub fn is_idle(&self, span: Span, now: Time) -> bool {
-        let last = self.steps.back();
-        last.is_none_or(|(begin, _)| now.since(*begin) >= span)
+        let last = self.buckets.back();
+        last.is_none_or(|(start, _)| now.since(*start) >= span)
     }
 
-    /// Units used in the window that ends at a time.
+    /// Units in the window that ends at the given time.
     pub fn sum(&self, now: Time) -> f64 {
         let window = self.window;
-        let in_window = |(begin, _): &&(Time, f64)| *begin <= now && now.since(*begin) < window;
-        self.steps
+        let in_window = |(start, _): &&(Time, f64)| *start <= now && now.since(*start) < window;
+        self.buckets
             .iter()
             .filter(in_window)
             .map(|(_, sum)| sum)
