--- a/crates/route/tests/replica_limits.rs
+++ b/crates/route/tests/replica_limits.rs
@@ -1,8 +1,7 @@
-//! Limits that replicas name, over all hosts, played in virtual time: hosts hear of a limit in answers and from each other,
-//! begin, are cut off and stand still, while the host that gives out dies and is replaced or cannot renew its term.
+//! Rate limits advertised by replicas, enforced over many hosts and simulated in virtual time with partitions, restarts,
+//! message loss, leader changes and a leader that cannot renew its term.
 //!
-//! The pattern is that of a replica in need of a service: it names 0 to 12 requests a second, another number from one moment to
-//! the next, while many hosts have more requests for it than it takes.
+//! Guards against a replica receiving more requests than it advertised, and against limits that are not used.
 
 use proptest::prelude::*;
 use rand::rngs::SmallRng;
@@ -15,221 +14,244 @@
 const STEP_MS: u64 = 5;
 const LENGTH_MS: u64 = 30_000;
 
-/// When the replica names a limit for the first time.
-const NAMED_MS: u64 = 4_000;
+/// Time at which the replica first advertises a limit.
+const ADVERTISED_MS: u64 = 4_000;
 
-/// Time after that from which all hosts must know.
-const BOUND_MS: u64 = 3_000;
+/// Time within which all hosts must know the limit.
+const PROPAGATION_MS: u64 = 3_000;
 
-/// Time after which a host that has passed on an answer with a limit is bound by it.
-const TOLD_MS: u64 = 500;
+/// Time within which a host must enforce a limit that it received itself.
+const ENFORCEMENT_MS: u64 = 500;
 
 const WINDOW_MS: u64 = 4_000;
 
-/// Time without anybody who gives out after one died: the lease, and the election.
-const GAP_MS: std::ops::Range<u64> = 3_000..4_500;
+/// Time without a limiter after a failure: lease and election.
+const FAILOVER_MS: std::ops::Range<u64> = 3_000..4_500;
 
-/// Pause between two tellings of all that is known.
-const ROUND_MS: u64 = 250;
+/// Interval of the exchange of limits.
+const EXCHANGE_MS: u64 = 250;
 
-/// Who decides which host sends a request to the replica.
+/// Distribution of the limit over hosts.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Way {
-    /// The leader gives each request out; hosts go on by shares without it.
+enum Distribution {
+    /// Hosts acquire each request from the leader and fall back to shares without it.
     Leader,
-    /// Each host has an equal part, of the limit over the hosts that it knows of.
-    EqualParts,
-    /// One host sends all to the replica; others pass requests on to it. The next one takes over when it is silent.
-    OneHost,
+    /// Each host uses the limit divided by the number of hosts.
+    EqualShares,
+    /// A single host sends all requests to the replica, and another takes over when it fails.
+    SingleHost,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Load {
     hosts: usize,
-    /// Requests a second for the replica's model at all hosts.
+    /// Requests per second for the replica at all hosts.
     demand: f64,
 }
 
-/// What goes wrong.
+/// Injected faults.
 #[derive(Debug, Clone, Copy, Default)]
-struct Trouble {
-    /// Part of the hosts that are cut off from the one that gives out, at some moment, for how long in ms.
-    cut: f64,
-    cut_ms: u64,
-    /// Part of the datagrams that are lost.
-    lost: f64,
-    /// Times that the one that gives out dies.
-    deaths: u32,
-    /// Hosts that are restarted.
+struct Faults {
+    /// Fraction of the hosts that are partitioned from the limiter at a random time.
+    partitioned: f64,
+    partition_ms: u64,
+    /// Fraction of lost datagrams.
+    loss: f64,
+    /// Number of limiter failures.
+    failovers: u32,
+    /// Number of host restarts.
     restarts: u32,
-    /// Time for which the one that gives out cannot renew its term, in ms; another one begins in the middle of it.
-    doubt_ms: u64,
-    /// Part of the grants that are not used, and given back.
-    unsent: f64,
+    /// Time in ms for which the leader cannot renew its term; a second leader starts halfway through.
+    term_loss_ms: u64,
+    /// Fraction of grants that are not used and refunded.
+    unused: f64,
 }
 
 struct Host {
     name: Name,
-    notice: Option<Advertisement>,
-    outlook: Option<Estimate>,
+    advertisement: Option<Advertisement>,
+    estimate: Option<Estimate>,
     share: Share,
-    /// Its own bucket, in the way of equal parts.
-    part: f64,
-    cut_until: u64,
-    /// When it first passed on an answer that named a limit.
-    told: Option<u64>,
+    /// Time of the last request, for `EqualShares`.
+    last_sent_ms: f64,
+    partitioned_until: u64,
+    /// Time at which it first received a limit itself.
+    received_at: Option<u64>,
     rank: u8,
 }
 
 #[derive(Debug, Clone, Copy)]
 enum Event {
-    Arrives { host: usize },
-    Answers { host: usize, rate: Option<f64> },
-    Heard { from: usize, notice: Advertisement },
-    Told { host: usize, notice: Advertisement },
-    Back { host: usize, given: u64 },
+    Arrival {
+        host: usize,
+    },
+    Response {
+        host: usize,
+        rate: Option<f64>,
+    },
+    Report {
+        from: usize,
+        advertisement: Advertisement,
+    },
+    Broadcast {
+        host: usize,
+        advertisement: Advertisement,
+    },
+    Refund {
+        host: usize,
+        granted_at: u64,
+    },
 }
 
-/// What a replica takes, from when on; none where it names nothing.
-type Named = Vec<(u64, Option<f64>)>;
+/// Limits advertised by the replica, with their start; `None` for no limit.
+type Schedule = Vec<(u64, Option<f64>)>;
 
-fn named_at(named: &Named, ms: u64) -> Option<f64> {
-    let at = named.iter().rev().find(|(from, _)| *from <= ms);
+fn advertised_at(schedule: &Schedule, ms: u64) -> Option<f64> {
+    let at = schedule.iter().rev().find(|(from, _)| *from <= ms);
     at.and_then(|(_, rate)| *rate)
 }
 
 #[derive(Default)]
 struct Outcome {
-    /// When requests of hosts that were told arrived.
-    arrived: Vec<u64>,
-    /// When any arrived.
+    /// Arrival times of requests from hosts that must enforce the limit.
+    enforced: Vec<u64>,
+    /// Arrival times of all requests.
     all: Vec<u64>,
-    asked: u64,
-    questions: u64,
+    requested: u64,
+    acquisitions: u64,
 }
 
 fn at(ms: u64) -> Time {
     Time(3_600_000_000) + Span::from_ms(ms)
 }
 
-/// One history, and what is to happen in it yet.
-struct Play {
-    way: Way,
+/// Simulation with its pending events.
+struct Simulation {
+    distribution: Distribution,
     load: Load,
-    trouble: Trouble,
-    named: Named,
+    faults: Faults,
+    schedule: Schedule,
     rng: SmallRng,
     hosts: Vec<Host>,
     limiter: Option<Limiter<u32>>,
-    /// One that cannot renew its term and gives out a half, to the hosts that do not know the next one.
-    in_doubt: Option<Limiter<u32>>,
-    doubt_until: u64,
-    returns_at: u64,
-    leader_notice: Option<Advertisement>,
+    /// Limiter of the leader that cannot renew its term; grants half of the limit to hosts that do not know its successor.
+    expiring_limiter: Option<Limiter<u32>>,
+    term_loss_until: u64,
+    recovers_at: u64,
+    leader_advertisement: Option<Advertisement>,
     events: BTreeMap<(u64, u64), Event>,
-    number: u64,
+    event_count: u64,
     outcome: Outcome,
 }
 
 const REPLICA: u32 = 7;
 
-impl Play {
-    fn new(way: Way, load: Load, trouble: Trouble, named: Named, seed: u64) -> Play {
+impl Simulation {
+    fn new(
+        distribution: Distribution,
+        load: Load,
+        faults: Faults,
+        schedule: Schedule,
+        seed: u64,
+    ) -> Simulation {
         let host = |i| Host {
             name: format!("h{i}").into(),
-            notice: None,
-            outlook: None,
+            advertisement: None,
+            estimate: None,
             share: Share::new(REPLICA_TOLERANCE),
-            part: 0.0,
-            cut_until: 0,
-            told: None,
+            last_sent_ms: 0.0,
+            partitioned_until: 0,
+            received_at: None,
             rank: (i % 4) as u8,
         };
-        Play {
-            way,
+        Simulation {
+            distribution,
             load,
-            trouble,
-            named,
+            faults,
+            schedule,
             rng: SmallRng::seed_from_u64(seed),
             hosts: (0..load.hosts).map(host).collect(),
             limiter: Some(Limiter::new(REPLICA_TOLERANCE, at(0))),
-            in_doubt: None,
-            doubt_until: 0,
-            returns_at: 0,
-            leader_notice: None,
+            expiring_limiter: None,
+            term_loss_until: 0,
+            recovers_at: 0,
+            leader_advertisement: None,
             events: BTreeMap::new(),
-            number: 0,
+            event_count: 0,
             outcome: Outcome::default(),
         }
     }
 
-    fn after(&mut self, ms: u64, delay: std::ops::Range<u64>, event: Event) {
+    fn schedule_event(&mut self, ms: u64, delay: std::ops::Range<u64>, event: Event) {
         let due = ms + self.rng.random_range(delay);
-        self.number += 1;
-        self.events.insert((due, self.number), event);
+        self.event_count += 1;
+        self.events.insert((due, self.event_count), event);
     }
 
-    fn play(mut self) -> Outcome {
-        let mut moments = |count: u32| -> Vec<u64> {
-            let moment = |_| self.rng.random_range(2_000..LENGTH_MS - 6_000);
-            (0..count).map(moment).collect()
+    fn run(mut self) -> Outcome {
+        let mut random_times = |count: u32| -> Vec<u64> {
+            let random_time = |_| self.rng.random_range(2_000..LENGTH_MS - 6_000);
+            (0..count).map(random_time).collect()
         };
-        let (deaths, restarts) = (moments(self.trouble.deaths), moments(self.trouble.restarts));
-        let (cut_at, doubt_at) = (moments(1)[0], moments(1)[0]);
+        let (failovers, restarts) = (
+            random_times(self.faults.failovers),
+            random_times(self.faults.restarts),
+        );
+        let (partition_at, term_loss_at) = (random_times(1)[0], random_times(1)[0]);
         for ms in (0..LENGTH_MS).step_by(STEP_MS as usize) {
             let happens = |at: u64| (ms..ms + STEP_MS).contains(&at);
-            if deaths.iter().any(|m| happens(*m)) {
+            if failovers.iter().any(|m| happens(*m)) {
                 self.limiter = None;
-                self.returns_at = ms + self.rng.random_range(GAP_MS);
+                self.recovers_at = ms + self.rng.random_range(FAILOVER_MS);
             }
-            if self.trouble.doubt_ms > 0 && happens(doubt_at) {
-                self.in_doubt = self.limiter.take();
-                self.doubt_until = ms + self.trouble.doubt_ms;
-                self.returns_at = ms + self.trouble.doubt_ms / 2;
+            if self.faults.term_loss_ms > 0 && happens(term_loss_at) {
+                self.expiring_limiter = self.limiter.take();
+                self.term_loss_until = ms + self.faults.term_loss_ms;
+                self.recovers_at = ms + self.faults.term_loss_ms / 2;
             }
-            if ms >= self.doubt_until {
-                self.in_doubt = None;
+            if ms >= self.term_loss_until {
+                self.expiring_limiter = None;
             }
-            if self.limiter.is_none() && ms >= self.returns_at {
+            if self.limiter.is_none() && ms >= self.recovers_at {
                 self.limiter = Some(Limiter::new(REPLICA_TOLERANCE, at(ms)));
             }
-            if happens(cut_at) {
+            if happens(partition_at) {
                 for host in &mut self.hosts {
-                    if self.rng.random_bool(self.trouble.cut) {
-                        host.cut_until = ms + self.trouble.cut_ms;
+                    if self.rng.random_bool(self.faults.partitioned) {
+                        host.partitioned_until = ms + self.faults.partition_ms;
                     }
                 }
             }
             for _ in restarts.iter().filter(|m| happens(**m)) {
                 let index = self.rng.random_range(0..self.hosts.len());
                 let host = &mut self.hosts[index];
-                (host.notice, host.outlook, host.told) = (None, None, None);
+                (host.advertisement, host.estimate, host.received_at) = (None, None, None);
                 host.share = Share::new(REPLICA_TOLERANCE);
-                host.part = 0.0;
+                host.last_sent_ms = 0.0;
             }
             while let Some(entry) = self.events.first_entry().filter(|e| e.key().0 <= ms) {
                 let event = entry.remove();
                 self.handle(event, ms);
             }
-            if ms % ROUND_MS == 0 {
-                self.round(ms);
+            if ms % EXCHANGE_MS == 0 {
+                self.exchange(ms);
             }
             self.requests(ms);
         }
         self.outcome
     }
 
-    fn lost(&mut self) -> bool {
-        self.trouble.lost > 0.0 && self.rng.random_bool(self.trouble.lost)
+    fn is_lost(&mut self) -> bool {
+        self.faults.loss > 0.0 && self.rng.random_bool(self.faults.loss)
     }
 
-    /// Whether a host reaches the one that gives out.
+    /// Whether a host can reach the limiter.
     fn reaches(&self, host: usize, ms: u64) -> bool {
-        ms >= self.hosts[host].cut_until
+        ms >= self.hosts[host].partitioned_until
     }
 
-    /// Hosts tell what they heard, and the one that gives out tells all.
-    fn round(&mut self, ms: u64) {
+    /// Hosts send their limits to the leader, which broadcasts the merged ones.
+    fn exchange(&mut self, ms: u64) {
         for index in 0..self.hosts.len() {
             if !self.reaches(index, ms) {
                 continue;
@@ -237,139 +259,172 @@
             if let Some(limiter) = &mut self.limiter {
                 limiter.record_heartbeat(&self.hosts[index].name, at(ms));
             }
-            if let Some(notice) = self.hosts[index].notice
-                && self.hosts[index].told.is_some()
-                && !self.lost()
+            if let Some(advertisement) = self.hosts[index].advertisement
+                && self.hosts[index].received_at.is_some()
+                && !self.is_lost()
             {
-                self.after(
+                self.schedule_event(
                     ms,
                     1..30,
-                    Event::Heard {
+                    Event::Report {
                         from: index,
-                        notice,
+                        advertisement,
                     },
                 );
             }
         }
-        self.tell(ms);
+        self.broadcast(ms);
     }
 
-    fn tell(&mut self, ms: u64) {
-        let Some(notice) = self.leader_notice.filter(|_| self.limiter.is_some()) else {
+    fn broadcast(&mut self, ms: u64) {
+        let Some(advertisement) = self.leader_advertisement.filter(|_| self.limiter.is_some())
+        else {
             return;
         };
         for host in 0..self.hosts.len() {
-            if self.reaches(host, ms) && !self.lost() {
-                self.after(ms, 1..30, Event::Told { host, notice });
+            if self.reaches(host, ms) && !self.is_lost() {
+                self.schedule_event(
+                    ms,
+                    1..30,
+                    Event::Broadcast {
+                        host,
+                        advertisement,
+                    },
+                );
             }
         }
     }
 
     fn handle(&mut self, event: Event, ms: u64) {
         match event {
-            Event::Arrives { host } => {
+            Event::Arrival { host } => {
                 self.outcome.all.push(ms);
-                let is_told = |at: u64| at + TOLD_MS <= ms;
-                if self.hosts[host].told.is_some_and(is_told) {
-                    self.outcome.arrived.push(ms);
+                let must_enforce = |at: u64| at + ENFORCEMENT_MS <= ms;
+                if self.hosts[host].received_at.is_some_and(must_enforce) {
+                    self.outcome.enforced.push(ms);
                 }
-                let rate = named_at(&self.named, ms);
-                self.after(ms, 1..150, Event::Answers { host, rate });
+                let rate = advertised_at(&self.schedule, ms);
+                self.schedule_event(ms, 1..150, Event::Response { host, rate });
             }
-            Event::Answers { host, rate } => {
-                let known = &mut self.hosts[host].notice;
+            Event::Response { host, rate } => {
+                let known = &mut self.hosts[host].advertisement;
                 match rate {
                     Some(rate) => {
                         *known = Some(Advertisement::new(rate, at(ms)));
-                        self.hosts[host].told.get_or_insert(ms);
+                        self.hosts[host].received_at.get_or_insert(ms);
                     }
                     None => {
-                        if let Some(notice) = known {
-                            notice.withdraw(at(ms));
+                        if let Some(advertisement) = known {
+                            advertisement.withdraw(at(ms));
                         }
                     }
                 }
-                if let Some(notice) = self.hosts[host].notice
+                if let Some(advertisement) = self.hosts[host].advertisement
                     && self.reaches(host, ms)
-                    && !self.lost()
+                    && !self.is_lost()
                 {
-                    self.after(ms, 1..30, Event::Heard { from: host, notice });
+                    self.schedule_event(
+                        ms,
+                        1..30,
+                        Event::Report {
+                            from: host,
+                            advertisement,
+                        },
+                    );
                 }
             }
-            Event::Heard { from, notice } => {
+            Event::Report {
+                from,
+                advertisement,
+            } => {
                 if self.reaches(from, ms) && self.limiter.is_some() {
-                    let is_news = match &mut self.leader_notice {
-                        Some(known) => known.merge(&notice),
+                    let changed = match &mut self.leader_advertisement {
+                        Some(known) => known.merge(&advertisement),
                         none => {
-                            *none = Some(notice);
+                            *none = Some(advertisement);
                             true
                         }
                     };
-                    if is_news {
-                        self.tell(ms);
+                    if changed {
+                        self.broadcast(ms);
                     }
                 }
             }
-            Event::Told { host, notice } => match &mut self.hosts[host].notice {
+            Event::Broadcast {
+                host,
+                advertisement,
+            } => match &mut self.hosts[host].advertisement {
                 Some(known) => {
-                    known.merge(&notice);
+                    known.merge(&advertisement);
                 }
-                none => *none = Some(notice),
+                none => *none = Some(advertisement),
             },
-            Event::Back { host, given } => {
-                self.hosts[host].share.refund(1.0, at(given));
-                let (Some(notice), true) = (self.hosts[host].notice, self.reaches(host, ms)) else {
+            Event::Refund { host, granted_at } => {
+                self.hosts[host].share.refund(1.0, at(granted_at));
+                let (Some(advertisement), true) =
+                    (self.hosts[host].advertisement, self.reaches(host, ms))
+                else {
                     return;
                 };
                 if let Some(limiter) = &mut self.limiter {
-                    let units = units(&self.hosts[host].name, &notice, 1.0, 1.0);
-                    limiter.refund(units, at(given), at(ms));
+                    let units = units(&self.hosts[host].name, &advertisement, 1.0, 1.0);
+                    limiter.refund(units, at(granted_at), at(ms));
                 }
             }
         }
     }
 
-    /// Requests that come in a step.
+    /// Generates the requests of one step.
     fn requests(&mut self, ms: u64) {
         let mut expected = self.load.demand * STEP_MS as f64 / 1e3;
         while expected > 0.0 && self.rng.random_bool(expected.min(1.0)) {
             expected -= 1.0;
             let host = self.rng.random_range(0..self.hosts.len());
-            self.outcome.asked += 1;
+            self.outcome.requested += 1;
             if self.may_send(host, ms) {
-                if self.rng.random_bool(self.trouble.unsent) {
-                    self.after(ms, 5..450, Event::Back { host, given: ms });
+                if self.rng.random_bool(self.faults.unused) {
+                    self.schedule_event(
+                        ms,
+                        5..450,
+                        Event::Refund {
+                            host,
+                            granted_at: ms,
+                        },
+                    );
                 } else {
-                    self.after(ms, 1..40, Event::Arrives { host });
+                    self.schedule_event(ms, 1..40, Event::Arrival { host });
                 }
             }
         }
     }
 
-    /// Whether a request of a host goes to the replica.
+    /// Whether a host may send a request to the replica.
     fn may_send(&mut self, index: usize, ms: u64) -> bool {
         let now = at(ms);
-        let notice = self.hosts[index].notice;
-        let Some(notice) = notice.filter(|notice| !notice.is_expired(now)) else {
+        let advertisement = self.hosts[index].advertisement;
+        let Some(advertisement) =
+            advertisement.filter(|advertisement| !advertisement.is_expired(now))
+        else {
             return true;
         };
-        match self.way {
-            Way::Leader => self.ask(index, &notice, ms),
-            Way::EqualParts => {
-                let rate = notice.limit(1.0).rate / self.hosts.len() as f64;
+        match self.distribution {
+            Distribution::Leader => self.acquire(index, &advertisement, ms),
+            Distribution::EqualShares => {
+                let rate = advertisement.limit(1.0).rate / self.hosts.len() as f64;
                 let host = &mut self.hosts[index];
-                let since = ms.saturating_sub(host.told.unwrap_or(ms).max(host.part as u64));
+                let since =
+                    ms.saturating_sub(host.received_at.unwrap_or(ms).max(host.last_sent_ms as u64));
                 let may = since as f64 / 1e3 * rate >= 1.0;
                 if may {
-                    host.part = ms as f64;
+                    host.last_sent_ms = ms as f64;
                 }
                 may
             }
-            // The same bucket, which no lost datagram and no cut keeps from its requests: the best that one host can do.
-            Way::OneHost => match &mut self.limiter {
+            // Without message loss and partitions, as the best case of this distribution.
+            Distribution::SingleHost => match &mut self.limiter {
                 Some(limiter) => {
-                    self.outcome.questions += 1;
-                    let units = units(&self.hosts[0].name, &notice, 1.0, 1.0);
+                    self.outcome.acquisitions += 1;
+                    let units = units(&self.hosts[0].name, &advertisement, 1.0, 1.0);
                     limiter.acquire(units, now).is_ok()
                 }
                 None => false,
@@ -377,57 +432,67 @@
         }
     }
 
-    fn ask(&mut self, index: usize, notice: &Advertisement, ms: u64) -> bool {
+    fn acquire(&mut self, index: usize, advertisement: &Advertisement, ms: u64) -> bool {
         let now = at(ms);
-        let kept = 0.3 * f64::from(self.hosts[index].rank + 1);
-        let limit = notice.limit(1.0);
-        let outlook = self.hosts[index].outlook;
-        if outlook.is_some_and(|o| o.wait(1.0 + kept, REPLICA_TOLERANCE, limit, now) > Span::ZERO) {
+        let reserved = 0.3 * f64::from(self.hosts[index].rank + 1);
+        let limit = advertisement.limit(1.0);
+        let estimate = self.hosts[index].estimate;
+        if estimate
+            .is_some_and(|e| e.wait(1.0 + reserved, REPLICA_TOLERANCE, limit, now) > Span::ZERO)
+        {
             return false;
         }
-        let arrives = self.reaches(index, ms) && !self.lost();
-        let knows_next = self.rng.random_bool(0.5) || self.in_doubt.is_none();
-        let answer_lost = self.lost();
-        let leader_notice = self.leader_notice.unwrap_or(*notice);
+        let arrives = self.reaches(index, ms) && !self.is_lost();
+        let knows_successor = self.rng.random_bool(0.5) || self.expiring_limiter.is_none();
+        let answer_is_lost = self.is_lost();
+        let leader_advertisement = self.leader_advertisement.unwrap_or(*advertisement);
         let host = &mut self.hosts[index];
-        let giver = match knows_next {
+        let limiter = match knows_successor {
             true => self.limiter.as_mut().map(|l| (l, 1.0)),
-            false => self.in_doubt.as_mut().map(|l| (l, 0.5)),
+            false => self.expiring_limiter.as_mut().map(|l| (l, 0.5)),
         };
-        let untold = host.share.unreported();
-        let answer = giver.filter(|_| arrives).map(|(limiter, part)| {
-            self.outcome.questions += 1;
-            limiter.record_local_use(units(&host.name, &leader_notice, part, untold), now);
-            let one = Units {
-                reserved: kept,
-                ..units(&host.name, &leader_notice, part, 1.0)
+        let unreported = host.share.unreported();
+        let answer = limiter.filter(|_| arrives).map(|(limiter, fraction)| {
+            self.outcome.acquisitions += 1;
+            limiter.record_local_use(
+                units(&host.name, &leader_advertisement, fraction, unreported),
+                now,
+            );
+            let units = Units {
+                reserved,
+                ..units(&host.name, &leader_advertisement, fraction, 1.0)
             };
-            limiter.acquire(one, now)
+            limiter.acquire(units, now)
         });
-        match answer.filter(|_| !answer_lost) {
-            Some(Ok(given)) => {
-                host.share.record_answer(now, untold);
-                host.share.record_grant(1.0, given, now);
-                host.outlook = Some(Estimate::new(given.available, now));
+        match answer.filter(|_| !answer_is_lost) {
+            Some(Ok(usage)) => {
+                host.share.record_answer(now, unreported);
+                host.share.record_grant(1.0, usage, now);
+                host.estimate = Some(Estimate::new(usage.available, now));
                 true
             }
-            Some(Err(over)) => {
-                host.share.record_answer(now, untold);
-                host.outlook = Some(Estimate::after_refusal(over, now));
+            Some(Err(refusal)) => {
+                host.share.record_answer(now, unreported);
+                host.estimate = Some(Estimate::after_refusal(refusal, now));
                 false
             }
             None => {
-                host.outlook = Some(Estimate::without_answer(REPLICA_TOLERANCE, now));
+                host.estimate = Some(Estimate::without_answer(REPLICA_TOLERANCE, now));
                 host.share.acquire_local(limit, 1.0, now).is_ok()
             }
         }
     }
 }
 
-fn units<'a>(host: &'a Name, notice: &Advertisement, part: f64, count: f64) -> Units<'a, u32> {
+fn units<'a>(
+    host: &'a Name,
+    advertisement: &Advertisement,
+    fraction: f64,
+    count: f64,
+) -> Units<'a, u32> {
     Units {
         subject: &REPLICA,
-        limit: notice.limit(part),
+        limit: advertisement.limit(fraction),
         host,
         count,
         reserved: 0.0,
@@ -435,30 +500,34 @@
     }
 }
 
-/// The most that may arrive in the window that ends at a moment: by the greatest limit that was named in it, or up to a bound
-/// before; none where it named nothing for a while in that time.
-fn allowed(named: &Named, ms: u64) -> Option<f64> {
-    let from = ms.saturating_sub(WINDOW_MS + BOUND_MS);
-    let mut rates = (from..=ms).step_by(10).map(|at| named_at(named, at));
-    let greatest = rates.try_fold(0.0f64, |most, rate| Some(most.max(rate?)))?;
-    Some(greatest * 4.0 * 1.5 + 5.0)
+/// Maximum number of arrivals in the window that ends at `ms`, from the highest limit in the window and the propagation
+/// time before it; `None` if no limit was advertised for part of that time.
+fn allowed(schedule: &Schedule, ms: u64) -> Option<f64> {
+    let from = ms.saturating_sub(WINDOW_MS + PROPAGATION_MS);
+    let mut rates = (from..=ms)
+        .step_by(10)
+        .map(|at| advertised_at(schedule, at));
+    let max_rate = rates.try_fold(0.0f64, |max, rate| Some(max.max(rate?)))?;
+    Some(max_rate * 4.0 * 1.5 + 5.0)
 }
 
-/// Requests that arrived in the window that ends with the one of that index.
-fn in_window(arrived: &[u64], index: usize) -> usize {
-    let end = arrived[index];
-    let since = arrived[..=index].iter().rev();
+/// Number of arrivals in the window that ends with the given one.
+fn in_window(arrivals: &[u64], index: usize) -> usize {
+    let end = arrivals[index];
+    let since = arrivals[..=index].iter().rev();
     since.take_while(|at| **at + WINDOW_MS > end).count()
 }
 
-fn holds(outcome: &Outcome, named: &Named) -> Result<(), String> {
-    for (index, end) in outcome.arrived.iter().enumerate() {
-        let Some(allowed) = allowed(named, *end) else {
+fn check_limits(outcome: &Outcome, schedule: &Schedule) -> Result<(), String> {
+    for (index, end) in outcome.enforced.iter().enumerate() {
+        let Some(allowed) = allowed(schedule, *end) else {
             continue;
         };
-        let count = in_window(&outcome.arrived, index);
+        let count = in_window(&outcome.enforced, index);
         if count as f64 > allowed {
-            return Err(format!("{count} of {allowed} in the window to {end} ms"));
+            return Err(format!(
+                "{count} requests in the window ending at {end} ms, allowed {allowed}"
+            ));
         }
     }
     Ok(())
@@ -471,128 +540,129 @@
 }
 
 prop_compose! {
-    fn trouble()(
-        cut in prop_oneof![Just(0.0), 0.0f64..0.9],
-        cut_ms in 500u64..12_000,
-        lost in prop_oneof![Just(0.0), 0.0f64..0.4],
-        deaths in 0u32..3,
+    fn faults()(
+        partitioned in prop_oneof![Just(0.0), 0.0f64..0.9],
+        partition_ms in 500u64..12_000,
+        loss in prop_oneof![Just(0.0), 0.0f64..0.4],
+        failovers in 0u32..3,
         restarts in 0u32..8,
-        doubt_ms in prop_oneof![Just(0u64), 2_000u64..12_000],
-        unsent in prop_oneof![Just(0.0), 0.0f64..0.4],
-    ) -> Trouble {
-        Trouble { cut, cut_ms, lost, deaths, restarts, doubt_ms, unsent }
+        term_loss_ms in prop_oneof![Just(0u64), 2_000u64..12_000],
+        unused in prop_oneof![Just(0.0), 0.0f64..0.4],
+    ) -> Faults {
+        Faults { partitioned, partition_ms, loss, failovers, restarts, term_loss_ms, unused }
     }
 }
 
 prop_compose! {
-    /// Limits that rise and fall, end, and come back within a second or later.
-    fn named()(
+    /// Limits that change, are withdrawn, and are advertised again within a second or later.
+    fn schedule()(
         changes in prop::collection::vec(
             (200u64..6_000, prop_oneof![4 => (0.0f64..12.0).prop_map(Some), 1 => Just(None)]),
             0..6,
         ),
         first in prop_oneof![Just(0.0), 0.0f64..12.0],
-    ) -> Named {
-        let mut named = vec![(NAMED_MS, Some(first))];
-        let mut from = NAMED_MS;
+    ) -> Schedule {
+        let mut schedule = vec![(ADVERTISED_MS, Some(first))];
+        let mut from = ADVERTISED_MS;
         for (after, rate) in changes {
             from += after;
-            named.push((from, rate));
+            schedule.push((from, rate));
         }
-        named
+        schedule
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(200))]
 
-    /// No order of news, deaths, cuts, restarts and changes of a limit lets more reach a replica than it takes.
     #[test]
-    fn a_limited_replica_never_gets_more_than_it_takes(
+    fn no_window_exceeds_the_advertised_limit_under_faults(
         load in load(),
-        trouble in trouble(),
-        named in named(),
+        faults in faults(),
+        schedule in schedule(),
         seed in any::<u64>(),
     ) {
-        let play = Play::new(Way::Leader, load, trouble, named.clone(), seed);
-        prop_assert_eq!(holds(&play.play(), &named), Ok(()));
+        let simulation = Simulation::new(Distribution::Leader, load, faults, schedule.clone(), seed);
+        prop_assert_eq!(check_limits(&simulation.run(), &schedule), Ok(()));
     }
 }
 
-/// Share of the limit that is used from the bound on, in calm.
-fn used(way: Way, hosts: usize, rate: f64, demand: f64, seed: u64) -> f64 {
-    let named = vec![(NAMED_MS, Some(rate))];
+/// Fraction of the limit that is used after propagation, without faults.
+fn used(distribution: Distribution, hosts: usize, rate: f64, demand: f64, seed: u64) -> f64 {
+    let schedule = vec![(ADVERTISED_MS, Some(rate))];
     let load = Load { hosts, demand };
-    let outcome = Play::new(way, load, Trouble::default(), named, seed).play();
-    let from = NAMED_MS + BOUND_MS;
+    let outcome = Simulation::new(distribution, load, Faults::default(), schedule, seed).run();
+    let from = ADVERTISED_MS + PROPAGATION_MS;
     let sent = outcome.all.iter().filter(|at| **at >= from).count();
     sent as f64 / (rate * (LENGTH_MS - from) as f64 / 1e3)
 }
 
-/// Under load half of a limit is used and more, also where an equal part would be one request in five minutes.
+/// Under load at least half of a limit is used, even with far more hosts than requests per second.
 #[rstest]
 #[case::few_hosts(3, 1.3)]
-#[case::today(9, 1.0)]
-#[case::many(70, 1.0)]
-#[case::the_most(300, 1.0)]
-#[case::a_larger_limit(300, 10.0)]
-fn what_a_limit_allows_is_used(#[case] hosts: usize, #[case] rate: f64) {
-    let mean = (0..10).map(|seed| used(Way::Leader, hosts, rate, rate * 3.0, seed));
+#[case::several_hosts(9, 1.0)]
+#[case::many_hosts(70, 1.0)]
+#[case::max_hosts(300, 1.0)]
+#[case::higher_limit(300, 10.0)]
+fn a_limit_is_used_under_load(#[case] hosts: usize, #[case] rate: f64) {
+    let mean = (0..10).map(|seed| used(Distribution::Leader, hosts, rate, rate * 3.0, seed));
     let mean = mean.sum::<f64>() / 10.0;
-    assert!(mean >= 0.5, "{mean} of the limit was used");
+    assert!(mean >= 0.5, "only {mean} of the limit was used");
 }
 
-/// What urgent requests use of a limit, others do not wait for: the least urgent get next to nothing while there are more urgent
-/// ones than it takes, and all of it when there are none.
+/// The least urgent requests get almost nothing while more urgent ones use up the limit, and all of it otherwise.
 #[test]
-fn the_more_urgent_go_first() {
+fn more_urgent_requests_come_first() {
     let (host, subject): (Name, u32) = ("h".into(), REPLICA);
-    let notice = Advertisement::new(2.0, at(0));
+    let advertisement = Advertisement::new(2.0, at(0));
     let mut limiter = Limiter::new(REPLICA_TOLERANCE, at(0));
-    let mut give = |kept: f64, ms: u64| {
-        let one = Units {
+    let mut acquire = |reserved: f64, ms: u64| {
+        let units = Units {
             subject: &subject,
-            reserved: kept,
-            ..units(&host, &notice, 1.0, 1.0)
+            reserved,
+            ..units(&host, &advertisement, 1.0, 1.0)
         };
-        limiter.acquire(one, at(ms)).is_ok()
+        limiter.acquire(units, at(ms)).is_ok()
     };
     let (mut urgent, mut later) = (0, 0);
     for ms in (10_000..20_000).step_by(100) {
-        later += u32::from(give(1.2, ms));
-        urgent += u32::from(give(0.3, ms));
+        later += u32::from(acquire(1.2, ms));
+        urgent += u32::from(acquire(0.3, ms));
     }
-    assert!(urgent >= 18 && later <= 2, "{urgent} urgent, {later} later");
-    let alone = (30_000..40_000).step_by(100).filter(|ms| give(1.2, *ms));
-    let alone = alone.count();
-    assert!(alone >= 18, "{alone} of the least urgent");
+    assert!(
+        urgent >= 18 && later <= 2,
+        "{urgent} urgent, {later} less urgent requests"
+    );
+    let served = (30_000..40_000).step_by(100).filter(|ms| acquire(1.2, *ms));
+    let served = served.count();
+    assert!(served >= 18, "only {served} of the least urgent requests");
 }
 
-/// Hundreds of hosts that are given a request each now and then: only those of the last seconds are remembered.
+/// Guards against unbounded growth: only hosts with recent grants are tracked.
 #[test]
-fn a_limiter_remembers_few_hosts_of_a_replica() {
-    let notice = Advertisement::new(1.0, at(0));
+fn a_limiter_tracks_only_recent_hosts() {
+    let advertisement = Advertisement::new(1.0, at(0));
     let mut limiter = Limiter::new(REPLICA_TOLERANCE, at(0));
-    let mut given = 0;
+    let mut grants = 0;
     for second in 1..400 {
         let host: Name = format!("h{second}").into();
         let ms = second * 1_000;
-        limiter.record_local_use(units(&host, &notice, 1.0, 0.0), at(ms));
-        let answer = limiter.acquire(units(&host, &notice, 1.0, 1.0), at(ms));
-        given += u32::from(answer.is_ok());
+        limiter.record_local_use(units(&host, &advertisement, 1.0, 0.0), at(ms));
+        let answer = limiter.acquire(units(&host, &advertisement, 1.0, 1.0), at(ms));
+        grants += u32::from(answer.is_ok());
     }
-    assert!(given > 100, "{given} hosts were given one");
+    assert!(grants > 100, "only {grants} grants");
     let hosts = limiter.host_count(&REPLICA);
-    assert!(hosts <= 20, "{hosts} hosts are remembered");
+    assert!(hosts <= 20, "{hosts} hosts are tracked");
 }
 
-/// The ways that were weighed, beside each other: share of a limit that is used in calm and in the 4 s after the one that gives out
-/// has died, the most that came in the first second and in any window (of what was allowed), and questions a second.
+/// Compares distributions: used fraction of the limit without faults and in the 4 s after a limiter failure, maximum requests
+/// in the first second and in any window relative to the allowed number, and requests to the limiter per second.
 #[test]
-#[ignore = "a comparison, not a check"]
-fn ways_beside_each_other() {
+#[ignore = "prints a comparison without assertions"]
+fn compare_distributions() {
     println!(
-        "hosts limit way          used  spread  after a death  first second  worst window  questions/s"
+        "hosts limit distribution used  stddev  after failure  first second  worst window  requests/s"
     );
     for (hosts, rate) in [
         (9, 1.0),
@@ -602,55 +672,67 @@
         (300, 1.0),
         (300, 10.0),
     ] {
-        for way in [Way::Leader, Way::EqualParts, Way::OneHost] {
-            compare(way, hosts, rate);
+        for distribution in [
+            Distribution::Leader,
+            Distribution::EqualShares,
+            Distribution::SingleHost,
+        ] {
+            compare(distribution, hosts, rate);
         }
     }
 }
 
 const SEEDS: u64 = 20;
 
-fn compare(way: Way, hosts: usize, rate: f64) {
-    let named: Named = vec![(NAMED_MS, Some(rate))];
+fn compare(distribution: Distribution, hosts: usize, rate: f64) {
+    let schedule: Schedule = vec![(ADVERTISED_MS, Some(rate))];
     let load = Load {
         hosts,
         demand: rate * 3.0,
     };
-    let death = Trouble {
-        deaths: 1,
-        ..Trouble::default()
+    let failover = Faults {
+        failovers: 1,
+        ..Faults::default()
     };
     let calm: Vec<f64> = (0..SEEDS)
-        .map(|seed| used(way, hosts, rate, load.demand, seed))
+        .map(|seed| used(distribution, hosts, rate, load.demand, seed))
         .collect();
     let mean = calm.iter().sum::<f64>() / SEEDS as f64;
-    let spread = calm.iter().map(|u| (u - mean).powi(2)).sum::<f64>() / SEEDS as f64;
-    let (mut first, mut worst, mut questions, mut after) = (0, 0.0f64, 0, 0.0);
+    let variance = calm.iter().map(|u| (u - mean).powi(2)).sum::<f64>() / SEEDS as f64;
+    let (mut first, mut worst, mut acquisitions, mut after) = (0, 0.0f64, 0, 0.0);
     for seed in 0..SEEDS {
-        let play = Play::new(way, load, Trouble::default(), named.clone(), seed).play();
-        let in_first = |at: &&u64| (NAMED_MS..NAMED_MS + 1_000).contains(*at);
-        first = first.max(play.all.iter().filter(in_first).count());
-        questions += play.questions;
-        for (index, end) in play.all.iter().enumerate() {
-            if let Some(allowed) = allowed(&named, *end) {
-                worst = worst.max(in_window(&play.all, index) as f64 / allowed);
+        let outcome = Simulation::new(
+            distribution,
+            load,
+            Faults::default(),
+            schedule.clone(),
+            seed,
+        )
+        .run();
+        let in_first = |at: &&u64| (ADVERTISED_MS..ADVERTISED_MS + 1_000).contains(*at);
+        first = first.max(outcome.all.iter().filter(in_first).count());
+        acquisitions += outcome.acquisitions;
+        for (index, end) in outcome.all.iter().enumerate() {
+            if let Some(allowed) = allowed(&schedule, *end) {
+                worst = worst.max(in_window(&outcome.all, index) as f64 / allowed);
             }
         }
-        // The moment of the death is the first that the play draws.
-        let dies = SmallRng::seed_from_u64(seed).random_range(2_000..LENGTH_MS - 6_000);
-        let died = Play::new(way, load, death, named.clone(), seed).play();
-        let from = dies.max(NAMED_MS + BOUND_MS);
-        let later = died
+        // The time of the failure is the first random number that the simulation draws.
+        let failure_at = SmallRng::seed_from_u64(seed).random_range(2_000..LENGTH_MS - 6_000);
+        let failover_outcome =
+            Simulation::new(distribution, load, failover, schedule.clone(), seed).run();
+        let from = failure_at.max(ADVERTISED_MS + PROPAGATION_MS);
+        let later = failover_outcome
             .all
             .iter()
             .filter(|at| (from..from + 4_000).contains(*at));
         after += later.count() as f64 / (rate * 4.0);
     }
-    let per_s = questions as f64 / SEEDS as f64 / ((LENGTH_MS - NAMED_MS) as f64 / 1e3);
+    let per_s = acquisitions as f64 / SEEDS as f64 / ((LENGTH_MS - ADVERTISED_MS) as f64 / 1e3);
     println!(
         "{hosts:5} {rate:5} {:12} {mean:.2}  {:.3}   {:.2}           {first:3}           {worst:.2}          {per_s:.1}",
-        format!("{way:?}"),
-        spread.sqrt(),
+        format!("{distribution:?}"),
+        variance.sqrt(),
         after / SEEDS as f64
     );
 }
