--- a/crates/route/tests/serving.rs
+++ b/crates/route/tests/serving.rs
@@ -1,4 +1,4 @@
-//! Decisions for replicas that batch: choice, pacing, retry budget, routes.
+//! Replica selection, prefill limit, retry budget and route lookup.
 
 use proptest::prelude::*;
 use rand::SeedableRng;
@@ -22,7 +22,7 @@
     stall_rate: 0.0,
 };
 
-const ASK: Request = Request {
+const REQUEST: Request = Request {
     tokens: 1_600.0,
     prefill_limit: Some(Span::from_ms(130)),
     jitter: Span::from_ms(2),
@@ -30,11 +30,11 @@
 
 fn pick(candidates: &[Candidate]) -> usize {
     let mut rng = SmallRng::seed_from_u64(1);
-    choose(&ASK, candidates, &mut rng).unwrap().0
+    choose(&REQUEST, candidates, &mut rng).unwrap().0
 }
 
 #[test]
-fn a_replica_with_prompts_to_read_is_passed_over() {
+fn a_replica_with_pending_prefill_is_not_chosen() {
     let busy = Candidate {
         prefill_ahead: Span::from_ms(90),
         prefill_backlog: Span::from_ms(90),
@@ -42,18 +42,17 @@
     };
     assert_eq!(pick(&[busy, IDLE]), 1);
     assert!(
-        !busy.fits_prefill_limit(&ASK),
-        "90 + 70 ms are more than 130"
+        !busy.fits_prefill_limit(&REQUEST),
+        "90 + 70 ms exceed the limit of 130 ms"
     );
 }
 
-/// ddrct-coveford-grown scale-1: 24% of the streams paused too long, also those of models with twelve
-/// holders and more: all hosts chose the same one until the next sums told them.
+/// Guards against all hosts choosing the same replica until the next load update, which stalls its streams.
 #[test]
-fn hosts_with_the_same_table_spread_over_replicas_that_are_nearly_alike() {
-    let ask = Request {
+fn hosts_with_identical_load_data_spread_over_similar_replicas() {
+    let request = Request {
         jitter: Span::from_ms(40),
-        ..ASK
+        ..REQUEST
     };
     let slightly_better = Candidate {
         prefill: Span::from_ms(65),
@@ -64,19 +63,18 @@
     let mut counts = [0; 5];
     for host in 0..500 {
         let mut rng = SmallRng::seed_from_u64(host);
-        counts[choose(&ask, &candidates, &mut rng).unwrap().0] += 1;
+        counts[choose(&request, &candidates, &mut rng).unwrap().0] += 1;
     }
     assert!(counts.iter().all(|c| *c < 250), "{counts:?}");
     assert!(
         counts[2] > 100,
-        "the better one still gets most: {counts:?}"
+        "the better replica still gets most requests: {counts:?}"
     );
 }
 
-/// nqi-line-grown: replicas with one place left were chosen as often as idle ones, and had 12 to 30
-/// requests for 12 places a moment later.
+/// Guards against nearly full replicas being chosen as often as idle ones and overloaded as a result.
 #[test]
-fn of_two_replicas_without_prompts_to_read_the_emptier_one_is_chosen() {
+fn the_less_utilized_of_two_replicas_is_chosen() {
     let nearly_full = Candidate {
         in_flight: 7.0,
         ..IDLE
@@ -89,32 +87,32 @@
     assert_eq!(
         pick(&[nearly_full, half]),
         1,
-        "though it is in another hall"
+        "despite being in another hall"
     );
     assert_eq!(pick(&[half, nearly_full]), 0);
 }
 
 #[test]
-fn an_idle_replica_takes_a_prompt_of_any_length() {
+fn an_idle_replica_accepts_a_prompt_of_any_length() {
     let long = Candidate {
         prefill: Span::from_ms(400),
         ..IDLE
     };
-    assert!(long.fits_prefill_limit(&ASK));
+    assert!(long.fits_prefill_limit(&REQUEST));
 }
 
 #[test]
-fn a_refused_client_comes_back_when_the_wait_has_passed_or_a_copy_has_come() {
+fn retry_after_covers_the_wait_or_the_arrival_of_a_copy() {
     let ms = Span::from_ms;
     assert_eq!(retry_after(ms(1_300), ms(1_000), None), ms(800));
-    let coming = Some(ms(2_500));
-    assert_eq!(retry_after(ms(1_300), ms(1_000), coming), ms(2_500));
+    let eta = Some(ms(2_500));
+    assert_eq!(retry_after(ms(1_300), ms(1_000), eta), ms(2_500));
     let soon = Some(ms(100));
     assert_eq!(retry_after(ms(1_300), ms(1_000), soon), ms(800));
 }
 
 #[test]
-fn a_replica_takes_a_request_with_a_place_and_no_prompt_to_hold_it_up() {
+fn a_replica_is_available_with_a_free_slot_and_no_pending_prefill() {
     let full = Candidate {
         in_flight: 8.0,
         ..IDLE
@@ -123,11 +121,15 @@
         prefill_backlog: Span::from_ms(90),
         ..IDLE
     };
-    assert!(IDLE.is_available(&ASK) && !full.is_available(&ASK) && !reading.is_available(&ASK));
+    assert!(
+        IDLE.is_available(&REQUEST)
+            && !full.is_available(&REQUEST)
+            && !reading.is_available(&REQUEST)
+    );
 }
 
 #[test]
-fn a_full_batch_or_memory_costs_the_wait() {
+fn a_full_batch_or_memory_increases_ttft() {
     let full = Candidate {
         in_flight: 8.0,
         ..IDLE
@@ -137,21 +139,21 @@
         ..IDLE
     };
     assert!(!full.has_free_slot());
-    assert!(full.ttft(&ASK) > IDLE.ttft(&ASK));
-    assert!(crowded.ttft(&ASK) > IDLE.ttft(&ASK));
+    assert!(full.ttft(&REQUEST) > IDLE.ttft(&REQUEST));
+    assert!(crowded.ttft(&REQUEST) > IDLE.ttft(&REQUEST));
 }
 
 #[test]
-fn a_replica_whose_streams_pause_is_passed_over() {
-    let lagging = Candidate {
+fn a_replica_with_stalling_streams_is_not_chosen() {
+    let stalling = Candidate {
         stall_rate: 0.5,
         ..IDLE
     };
-    assert_eq!(pick(&[lagging, IDLE]), 1);
+    assert_eq!(pick(&[stalling, IDLE]), 1);
 }
 
 #[test]
-fn a_failing_replica_is_taken_only_when_no_other_is_left() {
+fn a_failing_replica_is_chosen_only_as_a_last_resort() {
     let failing = Candidate {
         failure_rate: 0.5,
         ..IDLE
@@ -164,23 +166,22 @@
     assert_eq!(pick(&[failing]), 0);
 }
 
-/// nqi-line-grown, the small twin, trouble-1: all hosts lost power, each took itself for the only one
-/// until a leader told otherwise, and together they spent 347 retries where 309 were allowed.
+/// Guards against each host using the whole slack after a simultaneous restart, while the number of hosts is unknown.
 #[test]
-fn hosts_that_start_together_spend_no_more_than_their_requests_earn() {
+fn hosts_starting_together_stay_within_the_earned_budget() {
     let (hosts, requests, now) = (90, 10, Time(1));
     let new = || WindowedBudget::new(0.2, 300.0, Span::from_secs(10));
-    let mut windows: Vec<WindowedBudget> = (0..hosts).map(|_| new()).collect();
+    let mut budgets: Vec<WindowedBudget> = (0..hosts).map(|_| new()).collect();
     let mut spent = 0;
-    for window in &mut windows {
-        (0..requests).for_each(|_| window.record_request(now));
-        spent += (0..100).filter(|_| window.spend(now, None)).count();
+    for budget in &mut budgets {
+        (0..requests).for_each(|_| budget.record_request(now));
+        spent += (0..100).filter(|_| budget.spend(now, None)).count();
     }
     assert!(spent as f64 <= 0.2 * f64::from(hosts * requests), "{spent}");
 }
 
 proptest! {
-    /// All hosts together keep within the bound, however retries and requests come.
+    /// All hosts together stay within the budget for any sequence of requests and retries.
     #[test]
     fn retries_of_all_hosts_stay_within_the_budget(
         steps in proptest::collection::vec((0usize..4, 0u64..400, any::<bool>()), 1..600),
@@ -204,26 +205,26 @@
             let spent = retries.iter().filter(within).count() as f64;
             let before = |at: &&Time| **at + length >= *start && at.since(*start) <= length;
             let earned = requests.iter().filter(before).count() as f64;
-            prop_assert!(spent <= earned * share + slack, "{} of {}", spent, earned);
+            prop_assert!(spent <= earned * share + slack, "{} retries for {} requests", spent, earned);
         }
     }
 
     #[test]
-    fn weights_split_requests(hash in any::<u64>()) {
+    fn requests_are_split_by_weight(hash in any::<u64>()) {
         let alternatives = [("a", 90), ("b", 10), ("c", 0)];
-        let taken = pick_weighted(&alternatives, hash).unwrap();
-        prop_assert_ne!(*taken, "c");
+        let picked = pick_weighted(&alternatives, hash).unwrap();
+        prop_assert_ne!(*picked, "c");
         let expected = if hash % 100 < 90 { "a" } else { "b" };
-        prop_assert_eq!(*taken, expected);
+        prop_assert_eq!(*picked, expected);
     }
 }
 
 #[test]
-fn the_longest_beginning_of_the_path_wins() {
+fn the_longest_path_prefix_wins() {
     let rows = [("h", "/a/", 1), ("h", "/a/b/", 2), ("g", "/", 3)];
     let rows = rows.map(|(h, p, r)| (h.to_owned(), p.to_owned(), r));
-    let routing = Router::new(rows);
-    let find = |host, path| routing.find(host, path).map(|r| **r);
+    let router = Router::new(rows);
+    let find = |host, path| router.find(host, path).map(|r| **r);
     assert_eq!(find("h", "/a/b/c"), Some(2));
     assert_eq!(find("H:8080", "/a/bc"), Some(1));
     assert_eq!(find("h", "/b/"), None);
