--- a/crates/front/src/message/quarantine.rs
+++ b/crates/front/src/message/quarantine.rs
@@ -74,7 +74,7 @@
     /// The request.
     pub fingerprint: Fingerprint,
     /// Whether it is kept out; it is suspected otherwise.
-    pub is_blocked: bool,
+    pub is_quarantined: bool,
     /// Time since its first fall that counts, in milliseconds: a good end after that clears it.
     pub since_ms: u32,
 }
--- a/crates/front/src/quarantine/registry.rs
+++ b/crates/front/src/quarantine/registry.rs
@@ -152,7 +152,7 @@
         }
         let listed = listed.into_iter().map(|l| QuarantineEntry {
             fingerprint: l.fingerprint,
-            is_blocked: l.is_quarantined,
+            is_quarantined: l.is_quarantined,
             since_ms: u32::try_from(now.since(l.since).0 / 1_000).unwrap_or(u32::MAX),
         });
         let listing = QuarantineList {
@@ -175,7 +175,7 @@
         let sound = listing.entries.iter().filter(|listed| {
             let since = now - Span::from_ms(u64::from(listed.since_ms));
             let ended = self.sound.get(&listed.fingerprint);
-            !listed.is_blocked && ended.is_some_and(|at| *at > since)
+            !listed.is_quarantined && ended.is_some_and(|at| *at > since)
         });
         let sound = sound.map(|listed| listed.fingerprint).collect();
         self.told = Told {
@@ -184,7 +184,7 @@
             listed: listing
                 .entries
                 .iter()
-                .map(|l| (l.fingerprint, l.is_blocked))
+                .map(|l| (l.fingerprint, l.is_quarantined))
                 .collect(),
         };
         sound
