--- a/crates/front/src/message/quarantine.rs
+++ b/crates/front/src/message/quarantine.rs
@@ -23,7 +23,7 @@
     Wait,
     /// Not send it for so many seconds.
     #[serde(rename = "KeptOut")]
-    Blocked(u32),
+    Quarantined(u32),
     /// The host that was asked does not lead.
     #[serde(rename = "Elsewhere")]
     NotLeader,
@@ -36,7 +36,7 @@
             Decided::Free => TrialResponse::Free,
             Decided::Trial => TrialResponse::Trial,
             Decided::Wait => TrialResponse::Wait,
-            Decided::Quarantined(left) => TrialResponse::Blocked(left.secs().ceil() as u32),
+            Decided::Quarantined(left) => TrialResponse::Quarantined(left.secs().ceil() as u32),
         }
     }
 }
@@ -49,7 +49,7 @@
             TrialResponse::Free => Some(Decided::Free),
             TrialResponse::Trial => Some(Decided::Trial),
             TrialResponse::Wait => Some(Decided::Wait),
-            TrialResponse::Blocked(secs) => {
+            TrialResponse::Quarantined(secs) => {
                 Some(Decided::Quarantined(Span::from_secs(u64::from(secs))))
             }
             TrialResponse::NotLeader => None,
