--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -139,7 +139,7 @@
     /// Adapters that requests were sent to since the round before.
     pub adapter_uses: Vec<AdapterUse>,
     /// Short names of replicas that this host leaves alone, since it could not reach them.
-    pub absent: Vec<u32>,
+    pub unreachable: Vec<u32>,
     /// Short names of replicas that want nothing from this host now.
     pub resting: Vec<u32>,
     /// Whether the store failed this host a moment ago.
@@ -159,7 +159,7 @@
     /// Cuts them into parts that fit a datagram each.
     pub fn split(self) -> Vec<LoadReport> {
         // Words of absent and resting replicas are in each part, so they take their room first.
-        let named = self.absent.len() + self.resting.len();
+        let named = self.unreachable.len() + self.resting.len();
         let rows = ROWS.saturating_sub(named).max(LEAST_ROWS);
         if self.demand.len() + self.loads.len() + self.adapter_uses.len() <= rows {
             return vec![self];
@@ -170,7 +170,7 @@
             adapter_uses: used.to_vec(),
             host: self.host.clone(),
             hall: self.hall.clone(),
-            absent: self.absent.clone(),
+            unreachable: self.unreachable.clone(),
             resting: self.resting.clone(),
             cores: self.cores,
             round: self.round,
@@ -323,7 +323,7 @@
     /// Replicas and the model that each is about to give up: it gets no new work.
     pub unloading: Vec<(Name, Name)>,
     /// Short names of replicas that several hosts could not reach, and none does.
-    pub absent: Vec<u32>,
+    pub unreachable: Vec<u32>,
     /// Hosts that read the store for their halls.
     pub readers: Vec<Reader>,
     /// Where all hosts take datagrams, while they are few enough to tell each other directly.
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -217,7 +217,7 @@
             if let Some(word) = plans.store {
                 table.view.contact.merge(word, now);
             }
-            table.set_unreachable(plans.absent, now);
+            table.set_unreachable(plans.unreachable, now);
             table.set_model_etas(&plans.loading, now);
             table.set_loaded(plans.loaded, now);
             table.set_unloading(plans.unloading, now);
--- a/crates/front/src/peers/inbox.rs
+++ b/crates/front/src/peers/inbox.rs
@@ -158,11 +158,11 @@
         // By replica: hosts that could not reach it, and other hosts that have requests there.
         let mut votes: HashMap<u32, (usize, usize)> = HashMap::new();
         for sums in self.reports(now) {
-            for replica in &sums.absent {
+            for replica in &sums.unreachable {
                 votes.entry(*replica).or_default().0 += 1;
             }
             let reached = sums.loads.iter().map(PackedLoad::replica);
-            for replica in reached.filter(|r| !sums.absent.contains(r)) {
+            for replica in reached.filter(|r| !sums.unreachable.contains(r)) {
                 votes.entry(replica).or_default().1 += 1;
             }
         }
--- a/crates/front/src/peers/load_reports.rs
+++ b/crates/front/src/peers/load_reports.rs
@@ -113,7 +113,7 @@
         };
         let sums = LoadReport {
             adapter_uses: used,
-            absent,
+            unreachable: absent,
             resting,
             ..self.sums(round, demand, loads)
         };
@@ -139,7 +139,7 @@
             demand,
             loads,
             adapter_uses: Vec::new(),
-            absent: Vec::new(),
+            unreachable: Vec::new(),
             resting: Vec::new(),
             store_failed: readers::is_cut(&self.state),
             store,
--- a/crates/front/src/planner/digest.rs
+++ b/crates/front/src/planner/digest.rs
@@ -39,7 +39,7 @@
         let (plans, adapters) = {
             let book = self.fleet.lock();
             let plans = PlannerStatus {
-                absent,
+                unreachable: absent,
                 readers,
                 peers: self.peers.direct_hosts(),
                 store,
@@ -128,7 +128,7 @@
             p.loading.len()
                 + p.loaded.len()
                 + p.unloading.len()
-                + p.absent.len()
+                + p.unreachable.len()
                 + p.readers.len()
                 + p.peers.len()
         });
--- a/crates/front/tests/fanout.rs
+++ b/crates/front/tests/fanout.rs
@@ -90,7 +90,7 @@
         loads: (0..loads)
             .map(|i| PackedLoad::new(&format!("i-{i}"), &load))
             .collect(),
-        absent: (0..absent as u32).collect(),
+        unreachable: (0..absent as u32).collect(),
         ..LoadReport::default()
     }
 }
