--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -141,7 +141,7 @@
     /// Short names of replicas that this host leaves alone, since it could not reach them.
     pub unreachable: Vec<u32>,
     /// Short names of replicas that want nothing from this host now.
-    pub resting: Vec<u32>,
+    pub backing_off: Vec<u32>,
     /// Whether the store failed this host a moment ago.
     pub store_failed: bool,
     /// Time through which this host heard from the store, if it ever did.
@@ -159,7 +159,7 @@
     /// Cuts them into parts that fit a datagram each.
     pub fn split(self) -> Vec<LoadReport> {
         // Words of absent and resting replicas are in each part, so they take their room first.
-        let named = self.unreachable.len() + self.resting.len();
+        let named = self.unreachable.len() + self.backing_off.len();
         let rows = ROWS.saturating_sub(named).max(LEAST_ROWS);
         if self.demand.len() + self.loads.len() + self.adapter_uses.len() <= rows {
             return vec![self];
@@ -171,7 +171,7 @@
             host: self.host.clone(),
             hall: self.hall.clone(),
             unreachable: self.unreachable.clone(),
-            resting: self.resting.clone(),
+            backing_off: self.backing_off.clone(),
             cores: self.cores,
             round: self.round,
             store_failed: self.store_failed,
--- a/crates/front/src/peers/inbox.rs
+++ b/crates/front/src/peers/inbox.rs
@@ -175,7 +175,7 @@
     pub fn resting(&self, now: Time) -> HashSet<u32> {
         let sums = self.reports(now);
         let mut votes: HashMap<u32, usize> = HashMap::new();
-        for replica in sums.iter().flat_map(|sums| &sums.resting) {
+        for replica in sums.iter().flat_map(|sums| &sums.backing_off) {
             *votes.entry(*replica).or_default() += 1;
         }
         let most = votes
--- a/crates/front/src/peers/load_reports.rs
+++ b/crates/front/src/peers/load_reports.rs
@@ -114,7 +114,7 @@
         let sums = LoadReport {
             adapter_uses: used,
             unreachable: absent,
-            resting,
+            backing_off: resting,
             ..self.sums(round, demand, loads)
         };
         if leader.peers == self.state.settings.peers {
@@ -140,7 +140,7 @@
             loads,
             adapter_uses: Vec::new(),
             unreachable: Vec::new(),
-            resting: Vec::new(),
+            backing_off: Vec::new(),
             store_failed: readers::is_cut(&self.state),
             store,
         }
--- a/crates/front/tests/fanout.rs
+++ b/crates/front/tests/fanout.rs
@@ -169,7 +169,7 @@
         };
         let sums = LoadReport {
             host: format!("h{host}").into(),
-            resting,
+            backing_off: resting,
             ..sums(1, 1, 0)
         };
         inbox.record_report(sums, addr(host), at(0));
