--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -145,7 +145,7 @@
     /// Whether the store failed this host a moment ago.
     pub store_failed: bool,
     /// Time through which this host heard from the store, if it ever did.
-    pub store: Option<Ages>,
+    pub store_uptime: Option<Ages>,
 }
 
 /// Rows of sums that fit one datagram: each takes at most 40 bytes.
@@ -175,7 +175,7 @@
             cores: self.cores,
             round: self.round,
             store_failed: self.store_failed,
-            store: self.store,
+            store_uptime: self.store_uptime,
         };
         let demand = self.demand.chunks(rows).map(|rows| part(rows, &[], &[]));
         let loads = self.loads.chunks(rows).map(|rows| part(&[], rows, &[]));
@@ -329,7 +329,7 @@
     /// Where all hosts take datagrams, while they are few enough to tell each other directly.
     pub peers: Vec<SocketAddr>,
     /// Time through which hosts heard from the store.
-    pub store: Option<Ages>,
+    pub store_uptime: Option<Ages>,
 }
 
 /// Request for an adapter.
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -144,7 +144,7 @@
             Message::PeerLoads(sums) => {
                 let mut table = self.state.table.lock();
                 table.set_host_loads(&sums.host, &sums.loads, now);
-                if let Some(word) = sums.store {
+                if let Some(word) = sums.store_uptime {
                     table.view.contact.merge(word, now);
                 }
                 drop(table);
@@ -214,7 +214,7 @@
             let others = plans.peers.into_iter().filter(|p| *p != own);
             *self.others.lock() = others.collect();
             self.state.readers.set(plans.readers, own);
-            if let Some(word) = plans.store {
+            if let Some(word) = plans.store_uptime {
                 table.view.contact.merge(word, now);
             }
             table.set_unreachable(plans.unreachable, now);
--- a/crates/front/src/peers/inbox.rs
+++ b/crates/front/src/peers/inbox.rs
@@ -133,7 +133,7 @@
                 true => told.sums.loads.extend(sums.loads),
                 false => told.sums.loads = sums.loads,
             }
-            told.sums.store = sums.store;
+            told.sums.store_uptime = sums.store_uptime;
             told.telling = Some(sums.round);
             told.at = now;
         }
@@ -188,7 +188,7 @@
     pub fn store(&self, heartbeat: Span, now: Time) -> Option<Ages> {
         let silence = contact::max_gap_between_hosts(heartbeat);
         let hosts = self.hosts.lock();
-        let run = |told: &Told| Some(told.sums.store?.uptime(told.at));
+        let run = |told: &Told| Some(told.sums.store_uptime?.uptime(told.at));
         let runs = hosts.values().filter_map(run);
         runs.reduce(|a, b| a.join(b, silence)).map(|r| r.ages(now))
     }
--- a/crates/front/src/peers/load_reports.rs
+++ b/crates/front/src/peers/load_reports.rs
@@ -142,7 +142,7 @@
             unreachable: Vec::new(),
             backing_off: Vec::new(),
             store_failed: readers::is_cut(&self.state),
-            store,
+            store_uptime: store,
         }
     }
 }
--- a/crates/front/src/planner/digest.rs
+++ b/crates/front/src/planner/digest.rs
@@ -42,7 +42,7 @@
                 unreachable: absent,
                 readers,
                 peers: self.peers.direct_hosts(),
-                store,
+                store_uptime: store,
                 ..plans(&book, now)
             };
             (plans, adapters(&book, round))
