--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -327,7 +327,7 @@
     /// Hosts that read the store for their halls.
     pub readers: Vec<Reader>,
     /// Where all hosts take datagrams, while they are few enough to tell each other directly.
-    pub peers: Vec<SocketAddr>,
+    pub direct_hosts: Vec<SocketAddr>,
     /// Time through which hosts heard from the store.
     pub store_uptime: Option<Ages>,
 }
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -211,7 +211,7 @@
         }
         if let Some(plans) = digest.planner {
             let own = self.state.settings.peers;
-            let others = plans.peers.into_iter().filter(|p| *p != own);
+            let others = plans.direct_hosts.into_iter().filter(|p| *p != own);
             *self.others.lock() = others.collect();
             self.state.readers.set(plans.readers, own);
             if let Some(word) = plans.store_uptime {
--- a/crates/front/src/planner/digest.rs
+++ b/crates/front/src/planner/digest.rs
@@ -41,7 +41,7 @@
             let plans = PlannerStatus {
                 unreachable: absent,
                 readers,
-                peers: self.peers.direct_hosts(),
+                direct_hosts: self.peers.direct_hosts(),
                 store_uptime: store,
                 ..plans(&book, now)
             };
@@ -130,7 +130,7 @@
                 + p.unloading.len()
                 + p.unreachable.len()
                 + p.readers.len()
-                + p.peers.len()
+                + p.direct_hosts.len()
         });
         Parts {
             all: vec![first],
