--- a/crates/front/src/grant.rs
+++ b/crates/front/src/grant.rs
@@ -70,7 +70,7 @@
         host: state.settings.name.clone(),
         subject: wanted.subject.clone(),
         units: wanted.units as f32,
-        kept: wanted.reserved as f32,
+        reserved: wanted.reserved as f32,
         queues: wanted.queues,
         alone: untold as f32,
     };
--- a/crates/front/src/message/quota.rs
+++ b/crates/front/src/message/quota.rs
@@ -25,7 +25,7 @@
     /// Units that the request uses at the most.
     pub units: f32,
     /// Units that are to be left for what is more urgent.
-    pub kept: f32,
+    pub reserved: f32,
     /// Whether nothing else can take the request, so that it comes again.
     pub queues: bool,
     /// Units that the host used by its share since it was answered last.
@@ -35,7 +35,7 @@
 impl QuotaRequest {
     /// Whether its numbers can be counted.
     pub fn is_sound(&self) -> bool {
-        is_sound(self.units) && is_sound(self.kept) && is_sound(self.alone)
+        is_sound(self.units) && is_sound(self.reserved) && is_sound(self.alone)
     }
 }
 
--- a/crates/front/src/peers/quota.rs
+++ b/crates/front/src/peers/quota.rs
@@ -234,7 +234,7 @@
         limit,
         host: &question.host,
         count: f64::from(count),
-        reserved: f64::from(question.kept),
+        reserved: f64::from(question.reserved),
         will_retry: question.queues,
     };
     limiter.record_local_use(units(question.alone), now);
--- a/crates/front/tests/quota.rs
+++ b/crates/front/tests/quota.rs
@@ -151,7 +151,7 @@
             host: "h".into(),
             subject: Subject::Account("mine".into()),
             units,
-            kept: units,
+            reserved: units,
             queues: true,
             alone: units,
         };
--- a/crates/front/tests/rate_limit.rs
+++ b/crates/front/tests/rate_limit.rs
@@ -392,7 +392,7 @@
         host,
         subject: Subject::Replica(row),
         units: 1.0,
-        kept: 0.3,
+        reserved: 0.3,
         queues: true,
         alone: 0.5,
     };
