--- a/crates/front/src/grant.rs
+++ b/crates/front/src/grant.rs
@@ -71,7 +71,7 @@
         subject: wanted.subject.clone(),
         units: wanted.units as f32,
         reserved: wanted.reserved as f32,
-        queues: wanted.queues,
+        will_retry: wanted.queues,
         alone: untold as f32,
     };
     let answer = peers.request_quota(question, tries).await.and_then(answer);
--- a/crates/front/src/message/quota.rs
+++ b/crates/front/src/message/quota.rs
@@ -27,7 +27,7 @@
     /// Units that are to be left for what is more urgent.
     pub reserved: f32,
     /// Whether nothing else can take the request, so that it comes again.
-    pub queues: bool,
+    pub will_retry: bool,
     /// Units that the host used by its share since it was answered last.
     pub alone: f32,
 }
--- a/crates/front/src/peers/quota.rs
+++ b/crates/front/src/peers/quota.rs
@@ -235,7 +235,7 @@
         host: &question.host,
         count: f64::from(count),
         reserved: f64::from(question.reserved),
-        will_retry: question.queues,
+        will_retry: question.will_retry,
     };
     limiter.record_local_use(units(question.alone), now);
     match limiter.acquire(units(question.units), now) {
--- a/crates/front/tests/quota.rs
+++ b/crates/front/tests/quota.rs
@@ -152,7 +152,7 @@
             subject: Subject::Account("mine".into()),
             units,
             reserved: units,
-            queues: true,
+            will_retry: true,
             alone: units,
         };
         let refund = Refund {
--- a/crates/front/tests/rate_limit.rs
+++ b/crates/front/tests/rate_limit.rs
@@ -393,7 +393,7 @@
         subject: Subject::Replica(row),
         units: 1.0,
         reserved: 0.3,
-        queues: true,
+        will_retry: true,
         alone: 0.5,
     };
     let verdict = QuotaResponse::Refused {
