--- a/crates/front/src/grant.rs
+++ b/crates/front/src/grant.rs
@@ -72,7 +72,7 @@
         units: wanted.units as f32,
         reserved: wanted.reserved as f32,
         will_retry: wanted.queues,
-        alone: untold as f32,
+        local_use: untold as f32,
     };
     let answer = peers.request_quota(question, tries).await.and_then(answer);
     let Some(answer) = answer else {
--- a/crates/front/src/message/quota.rs
+++ b/crates/front/src/message/quota.rs
@@ -29,13 +29,13 @@
     /// Whether nothing else can take the request, so that it comes again.
     pub will_retry: bool,
     /// Units that the host used by its share since it was answered last.
-    pub alone: f32,
+    pub local_use: f32,
 }
 
 impl QuotaRequest {
     /// Whether its numbers can be counted.
     pub fn is_sound(&self) -> bool {
-        is_sound(self.units) && is_sound(self.reserved) && is_sound(self.alone)
+        is_sound(self.units) && is_sound(self.reserved) && is_sound(self.local_use)
     }
 }
 
--- a/crates/front/src/peers/quota.rs
+++ b/crates/front/src/peers/quota.rs
@@ -237,7 +237,7 @@
         reserved: f64::from(question.reserved),
         will_retry: question.will_retry,
     };
-    limiter.record_local_use(units(question.alone), now);
+    limiter.record_local_use(units(question.local_use), now);
     match limiter.acquire(units(question.units), now) {
         Ok(given) => QuotaResponse::Given {
             all: given.granted as f32,
--- a/crates/front/tests/quota.rs
+++ b/crates/front/tests/quota.rs
@@ -153,7 +153,7 @@
             units,
             reserved: units,
             will_retry: true,
-            alone: units,
+            local_use: units,
         };
         let refund = Refund {
             host: "h".into(),
--- a/crates/front/tests/rate_limit.rs
+++ b/crates/front/tests/rate_limit.rs
@@ -394,7 +394,7 @@
         units: 1.0,
         reserved: 0.3,
         will_retry: true,
-        alone: 0.5,
+        local_use: 0.5,
     };
     let verdict = QuotaResponse::Refused {
         wait_ms: 9_000,
