--- a/crates/front/src/message/quota.rs
+++ b/crates/front/src/message/quota.rs
@@ -48,7 +48,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub enum QuotaResponse {
     /// It may run.
-    Given {
+    #[serde(rename = "Given")]
+    Granted {
         /// Units that all hosts were given in the last window.
         all: f32,
         /// Units that could be given out at once.
