--- a/crates/front/src/grant.rs
+++ b/crates/front/src/grant.rs
@@ -91,7 +91,7 @@
 /// What a verdict says; none where the host that was asked does not give out.
 fn answer(verdict: QuotaResponse) -> Option<Decision> {
     match verdict {
-        QuotaResponse::Granted { all, left } => Some(Decision::Granted(Usage {
+        QuotaResponse::Granted { granted: all, left } => Some(Decision::Granted(Usage {
             granted: f64::from(all),
             available: f64::from(left),
         })),
--- a/crates/front/src/message/quota.rs
+++ b/crates/front/src/message/quota.rs
@@ -51,7 +51,7 @@
     #[serde(rename = "Given")]
     Granted {
         /// Units that all hosts were given in the last window.
-        all: f32,
+        granted: f32,
         /// Units that could be given out at once.
         left: f32,
     },
--- a/crates/front/src/peers/quota.rs
+++ b/crates/front/src/peers/quota.rs
@@ -240,7 +240,7 @@
     limiter.record_local_use(units(question.local_use), now);
     match limiter.acquire(units(question.units), now) {
         Ok(given) => QuotaResponse::Granted {
-            all: given.granted as f32,
+            granted: given.granted as f32,
             left: given.available as f32,
         },
         Err(over) => QuotaResponse::Refused {
