--- a/crates/front/src/grant.rs
+++ b/crates/front/src/grant.rs
@@ -91,11 +91,17 @@
 /// What a verdict says; none where the host that was asked does not give out.
 fn answer(verdict: QuotaResponse) -> Option<Decision> {
     match verdict {
-        QuotaResponse::Granted { granted: all, left } => Some(Decision::Granted(Usage {
+        QuotaResponse::Granted {
+            granted: all,
+            available: left,
+        } => Some(Decision::Granted(Usage {
             granted: f64::from(all),
             available: f64::from(left),
         })),
-        QuotaResponse::Refused { wait_ms, left } => Some(Decision::Denied(Refusal {
+        QuotaResponse::Refused {
+            wait_ms,
+            available: left,
+        } => Some(Decision::Denied(Refusal {
             retry_after: Span::from_ms(u64::from(wait_ms)),
             available: f64::from(left),
         })),
--- a/crates/front/src/message/quota.rs
+++ b/crates/front/src/message/quota.rs
@@ -53,14 +53,14 @@
         /// Units that all hosts were given in the last window.
         granted: f32,
         /// Units that could be given out at once.
-        left: f32,
+        available: f32,
     },
     /// It is over the limit.
     Refused {
         /// Time after which there will be enough, in milliseconds.
         wait_ms: u32,
         /// Units that are there.
-        left: f32,
+        available: f32,
     },
     /// The replica names no limit any more.
     Unlimited,
--- a/crates/front/src/peers/quota.rs
+++ b/crates/front/src/peers/quota.rs
@@ -241,11 +241,11 @@
     match limiter.acquire(units(question.units), now) {
         Ok(given) => QuotaResponse::Granted {
             granted: given.granted as f32,
-            left: given.available as f32,
+            available: given.available as f32,
         },
         Err(over) => QuotaResponse::Refused {
             wait_ms: over.retry_after.ms().ceil() as u32,
-            left: over.available as f32,
+            available: over.available as f32,
         },
     }
 }
--- a/crates/front/tests/rate_limit.rs
+++ b/crates/front/tests/rate_limit.rs
@@ -398,7 +398,7 @@
     };
     let verdict = QuotaResponse::Refused {
         wait_ms: 9_000,
-        left: -1.5,
+        available: -1.5,
     };
     let asked = encode(&Message::QuotaRequest(question)).len();
     let answered = encode(&Message::QuotaResponse(u32::MAX, verdict)).len();
