--- a/crates/front/src/grant.rs
+++ b/crates/front/src/grant.rs
@@ -99,7 +99,7 @@
             available: f64::from(left),
         })),
         QuotaResponse::Refused {
-            wait_ms,
+            retry_after_ms: wait_ms,
             available: left,
         } => Some(Decision::Denied(Refusal {
             retry_after: Span::from_ms(u64::from(wait_ms)),
--- a/crates/front/src/message/quota.rs
+++ b/crates/front/src/message/quota.rs
@@ -58,7 +58,7 @@
     /// It is over the limit.
     Refused {
         /// Time after which there will be enough, in milliseconds.
-        wait_ms: u32,
+        retry_after_ms: u32,
         /// Units that are there.
         available: f32,
     },
--- a/crates/front/src/peers/quota.rs
+++ b/crates/front/src/peers/quota.rs
@@ -244,7 +244,7 @@
             available: given.available as f32,
         },
         Err(over) => QuotaResponse::Refused {
-            wait_ms: over.retry_after.ms().ceil() as u32,
+            retry_after_ms: over.retry_after.ms().ceil() as u32,
             available: over.available as f32,
         },
     }
--- a/crates/front/tests/rate_limit.rs
+++ b/crates/front/tests/rate_limit.rs
@@ -397,7 +397,7 @@
         local_use: 0.5,
     };
     let verdict = QuotaResponse::Refused {
-        wait_ms: 9_000,
+        retry_after_ms: 9_000,
         available: -1.5,
     };
     let asked = encode(&Message::QuotaRequest(question)).len();
