--- a/crates/front/src/message/quota.rs
+++ b/crates/front/src/message/quota.rs
@@ -34,13 +34,13 @@
 
 impl QuotaRequest {
     /// Whether its numbers can be counted.
-    pub fn is_sound(&self) -> bool {
-        is_sound(self.units) && is_sound(self.reserved) && is_sound(self.local_use)
+    pub fn is_valid(&self) -> bool {
+        is_valid(self.units) && is_valid(self.reserved) && is_valid(self.local_use)
     }
 }
 
 /// Whether a number of units can be counted.
-fn is_sound(units: f32) -> bool {
+fn is_valid(units: f32) -> bool {
     units.is_finite() && units >= 0.0
 }
 
@@ -84,7 +84,7 @@
 
 impl Refund {
     /// Whether its number can be counted.
-    pub fn is_sound(&self) -> bool {
-        is_sound(self.units)
+    pub fn is_valid(&self) -> bool {
+        is_valid(self.units)
     }
 }
--- a/crates/front/src/peers/quota.rs
+++ b/crates/front/src/peers/quota.rs
@@ -101,7 +101,7 @@
 
     /// What this host says to a question; none when it does not give out.
     fn judge(&self, question: &QuotaRequest) -> Option<QuotaResponse> {
-        if !question.is_sound() {
+        if !question.is_valid() {
             return None;
         }
         let now = self.state.now();
@@ -141,7 +141,7 @@
 
     /// Takes units back.
     pub(super) fn take_back(&self, refund: &Refund) {
-        if !refund.is_sound() {
+        if !refund.is_valid() {
             return;
         }
         let now = self.state.now();
