--- a/crates/front/src/message/limit.rs
+++ b/crates/front/src/message/limit.rs
@@ -10,7 +10,7 @@
 const ROW_SIZE: usize = 22;
 
 /// Limits that fit one datagram, beside what stands before them.
-pub const ROWS: usize = (MAX_DATAGRAM - HEAD_SIZE) / ROW_SIZE;
+pub const MAX_LIMITS: usize = (MAX_DATAGRAM - HEAD_SIZE) / ROW_SIZE;
 
 /// Size of what stands before the rows, in bytes, with the longest name of a host.
 const HEAD_SIZE: usize = 100;
--- a/crates/front/src/peers/limits.rs
+++ b/crates/front/src/peers/limits.rs
@@ -1,7 +1,7 @@
 //! Telling which replicas name limits: each host tells the leader what it heard itself, the leader tells all.
 
 use super::Peers;
-use crate::message::limit::ROWS;
+use crate::message::limit::MAX_LIMITS;
 use crate::message::{LimitDigest, LimitReport, Message, ReplicaLimit};
 use crate::rate_limit;
 use std::sync::Arc;
@@ -56,7 +56,7 @@
         }
         let now = self.state.now();
         let limits = self.state.table.lock().own_limits(now);
-        for limits in limits.chunks(ROWS) {
+        for limits in limits.chunks(MAX_LIMITS) {
             let heard = LimitReport {
                 host: self.state.settings.name.clone(),
                 limits: limits.to_vec(),
@@ -87,7 +87,7 @@
                 limits: limits.to_vec(),
             })
         };
-        limits.chunks(ROWS).map(message).collect()
+        limits.chunks(MAX_LIMITS).map(message).collect()
     }
 
     /// Takes in what another host heard, and has it told on if it is news.
--- a/crates/front/tests/rate_limit.rs
+++ b/crates/front/tests/rate_limit.rs
@@ -383,7 +383,7 @@
     let limits = LimitDigest {
         term: u64::MAX,
         host: host.clone(),
-        limits: vec![row; limit::ROWS],
+        limits: vec![row; limit::MAX_LIMITS],
     };
     let bytes = encode(&Message::LimitDigest(limits)).len();
     assert!(bytes <= MAX_DATAGRAM, "{bytes} bytes");
