--- a/crates/front/src/message/limit.rs
+++ b/crates/front/src/message/limit.rs
@@ -58,7 +58,7 @@
     pub fn new(entry: &Entry, notice: &Advertisement, now: Time) -> ReplicaLimit {
         let age_ms = |at: Time| now.since(at).ms() as u32;
         ReplicaLimit {
-            replica: ReplicaLimit::name(entry),
+            replica: ReplicaLimit::incarnation_hash(entry),
             rate: notice.rate as f32,
             named_ms: age_ms(notice.advertised_at),
             unnamed_ms: notice.withdrawn_at.map(age_ms),
@@ -66,7 +66,7 @@
     }
 
     /// Short name of the incarnation that wrote an entry.
-    pub fn name(entry: &Entry) -> u32 {
+    pub fn incarnation_hash(entry: &Entry) -> u32 {
         incarnation(&entry.id, entry.incarnation)
     }
 
--- a/crates/front/src/table/rate_limit.rs
+++ b/crates/front/src/table/rate_limit.rs
@@ -169,8 +169,8 @@
             return Vec::new();
         }
         let entries = self.view.all().map(|seen| &seen.entry);
-        let named =
-            entries.filter_map(|e| Some((e.id.clone(), *told.get(&ReplicaLimit::name(e))?)));
+        let named = entries
+            .filter_map(|e| Some((e.id.clone(), *told.get(&ReplicaLimit::incarnation_hash(e))?)));
         let named: Vec<(Name, Advertisement)> = named.collect();
         let mut changes = Vec::new();
         for (id, told) in named {
@@ -201,7 +201,7 @@
     /// What is known of the limit of an incarnation, by its short name.
     pub fn notice_of(&self, replica: u32) -> Option<Advertisement> {
         let mut entries = self.view.all().map(|seen| &seen.entry);
-        let entry = entries.find(|entry| ReplicaLimit::name(entry) == replica)?;
+        let entry = entries.find(|entry| ReplicaLimit::incarnation_hash(entry) == replica)?;
         Some(self.replicas.get(&entry.id)?.need?.notice)
     }
 
