--- a/crates/front/src/message/limit.rs
+++ b/crates/front/src/message/limit.rs
@@ -71,7 +71,7 @@
     }
 
     /// What was heard, by this host's time; none where its number cannot be counted.
-    pub fn notice(&self, now: Time) -> Option<Advertisement> {
+    pub fn advertisement(&self, now: Time) -> Option<Advertisement> {
         let at = |ms: u32| now - Span::from_ms(u64::from(ms));
         let is_sound = self.rate.is_finite() && self.rate >= 0.0;
         is_sound.then(|| Advertisement {
--- a/crates/front/src/peers/quota.rs
+++ b/crates/front/src/peers/quota.rs
@@ -153,7 +153,7 @@
                 self.with_accounts(|limiter| take_back(limiter, account, limit, refund, now));
             }
             Subject::Replica(limited) => {
-                let Some(notice) = limited.notice(now) else {
+                let Some(notice) = limited.advertisement(now) else {
                     return;
                 };
                 let replica = &limited.replica;
@@ -213,7 +213,7 @@
         host: &Name,
         now: Time,
     ) -> Option<Option<Advertisement>> {
-        let asked = limited.notice(now)?;
+        let asked = limited.advertisement(now)?;
         self.join_limits(std::slice::from_ref(limited), host);
         let known = self.state.table.lock().notice_of(limited.replica);
         let notice = known.unwrap_or(asked);
--- a/crates/front/src/table/rate_limit.rs
+++ b/crates/front/src/table/rate_limit.rs
@@ -163,7 +163,7 @@
     pub fn merge_limits(&mut self, told: &[ReplicaLimit], now: Time) -> Vec<(Name, f64, Change)> {
         let told = told
             .iter()
-            .filter_map(|t| Some((t.replica, t.notice(now)?)));
+            .filter_map(|t| Some((t.replica, t.advertisement(now)?)));
         let told: HashMap<u32, Advertisement> = told.collect();
         if told.is_empty() {
             return Vec::new();
