--- a/crates/front/src/message/limit.rs
+++ b/crates/front/src/message/limit.rs
@@ -23,7 +23,7 @@
     /// Requests a second that it named last.
     pub rate: f32,
     /// Time since it did, in milliseconds.
-    pub named_ms: u32,
+    pub advertised_ms: u32,
     /// Time since the first answer after that which named none, in milliseconds.
     pub unnamed_ms: Option<u32>,
 }
@@ -60,7 +60,7 @@
         ReplicaLimit {
             replica: ReplicaLimit::incarnation_hash(entry),
             rate: notice.rate as f32,
-            named_ms: age_ms(notice.advertised_at),
+            advertised_ms: age_ms(notice.advertised_at),
             unnamed_ms: notice.withdrawn_at.map(age_ms),
         }
     }
@@ -76,7 +76,7 @@
         let is_sound = self.rate.is_finite() && self.rate >= 0.0;
         is_sound.then(|| Advertisement {
             rate: f64::from(self.rate),
-            advertised_at: at(self.named_ms),
+            advertised_at: at(self.advertised_ms),
             withdrawn_at: self.unnamed_ms.map(at),
         })
     }
