--- a/crates/front/src/message/limit.rs
+++ b/crates/front/src/message/limit.rs
@@ -25,7 +25,7 @@
     /// Time since it did, in milliseconds.
     pub advertised_ms: u32,
     /// Time since the first answer after that which named none, in milliseconds.
-    pub unnamed_ms: Option<u32>,
+    pub withdrawn_ms: Option<u32>,
 }
 
 /// Limits that a host has heard itself, to the leader.
@@ -61,7 +61,7 @@
             replica: ReplicaLimit::incarnation_hash(entry),
             rate: notice.rate as f32,
             advertised_ms: age_ms(notice.advertised_at),
-            unnamed_ms: notice.withdrawn_at.map(age_ms),
+            withdrawn_ms: notice.withdrawn_at.map(age_ms),
         }
     }
 
@@ -77,7 +77,7 @@
         is_sound.then(|| Advertisement {
             rate: f64::from(self.rate),
             advertised_at: at(self.advertised_ms),
-            withdrawn_at: self.unnamed_ms.map(at),
+            withdrawn_at: self.withdrawn_ms.map(at),
         })
     }
 }
--- a/crates/front/tests/rate_limit.rs
+++ b/crates/front/tests/rate_limit.rs
@@ -377,7 +377,7 @@
         replica: u32::MAX,
         rate: 1.0e-30,
         advertised_ms: u32::MAX,
-        unnamed_ms: Some(u32::MAX),
+        withdrawn_ms: Some(u32::MAX),
     };
     let host: unit::Name = "a-host-with-a-rather-long-name-12".into();
     let limits = LimitDigest {
