--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -5,7 +5,7 @@
 mod quarantine;
 mod quota;
 
-pub use leaving::Leaving;
+pub use leaving::Departures;
 pub use limit::{LimitDigest, LimitReport, ReplicaLimit};
 pub use quarantine::{CrashReport, QuarantineEntry, QuarantineList, TrialResponse};
 pub use quota::{QuotaRequest, QuotaResponse, Refund, Subject};
@@ -65,7 +65,7 @@
     LimitDigest(LimitDigest),
     /// Replicas that leave by their own word: to the leader, and from it to all; where hosts are few, to all.
     #[serde(rename = "Leaving")]
-    Departures(Leaving),
+    Departures(Departures),
     /// A host saw a replica fall, to the leader; where hosts are few, to all.
     #[serde(rename = "Fallen")]
     CrashReport(CrashReport),
--- a/crates/front/src/message/leaving.rs
+++ b/crates/front/src/message/leaving.rs
@@ -13,7 +13,7 @@
 
 /// Replicas that have said in an answer that they leave.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Leaving {
+pub struct Departures {
     /// Host that tells it.
     pub host: Name,
     /// The replicas. Whole identities: a replica that was taken for another one would be left out until its next start.
--- a/crates/front/src/peers/leaving.rs
+++ b/crates/front/src/peers/leaving.rs
@@ -4,7 +4,7 @@
 use super::Peers;
 use crate::feedback;
 use crate::message::leaving::ROWS;
-use crate::message::{Leaving, Message};
+use crate::message::{Departures, Message};
 use platform::replica::Incarnation;
 use std::sync::Arc;
 use std::time::Duration;
@@ -71,7 +71,7 @@
     /// Words as this host tells them, in datagrams.
     fn leaving(&self, replicas: &[(Name, Incarnation)]) -> Vec<Message> {
         let message = |replicas: &[(Name, Incarnation)]| {
-            Message::Departures(Leaving {
+            Message::Departures(Departures {
                 host: self.state.settings.name.clone(),
                 replicas: replicas.to_vec(),
             })
@@ -80,7 +80,7 @@
     }
 
     /// Takes in what another host heard.
-    pub(super) fn join_leaving(&self, told: &Leaving) {
+    pub(super) fn join_leaving(&self, told: &Departures) {
         for (replica, incarnation) in &told.replicas {
             feedback::record_reported_departure(&self.state, replica, *incarnation, &told.host);
         }
--- a/crates/front/tests/departures.rs
+++ b/crates/front/tests/departures.rs
@@ -4,7 +4,7 @@
 mod site;
 
 use front::Daemon;
-use front::message::{Leaving, MAX_DATAGRAM, Message, encode, leaving};
+use front::message::{Departures, MAX_DATAGRAM, Message, encode, leaving};
 use platform_standin::proxy;
 use platform_standin::replica::{self, Options, Replica, Word, Words};
 use platform_standin::store::{Mode, Store};
@@ -257,7 +257,7 @@
 #[test]
 fn what_is_told_of_departures_fits_a_datagram() {
     let row = ("i-0123456789abcdef0123456789abcdef".into(), Some(u64::MAX));
-    let message = Message::Departures(Leaving {
+    let message = Message::Departures(Departures {
         host: "a-host-with-a-name-of-some-sixty-signs-as-platforms-give-them".into(),
         replicas: vec![row; leaving::ROWS],
     });
