--- a/crates/front/src/readers.rs
+++ b/crates/front/src/readers.rs
@@ -65,7 +65,7 @@
     /// Where it answers other hosts.
     pub addr: SocketAddr,
     /// Whether it reads the store; the other readers ask those that do.
-    pub head: bool,
+    pub root: bool,
 }
 
 /// What a host has to do with reading the store.
@@ -130,7 +130,7 @@
     fn role(&self, addr: SocketAddr) -> Role {
         let known = self.known.lock();
         match known.iter().find(|r| r.addr == addr) {
-            Some(reader) if reader.head => Role::Head,
+            Some(reader) if reader.root => Role::Head,
             Some(_) => Role::Reader,
             None => Role::Other,
         }
@@ -166,8 +166,8 @@
     // Heads and readers ask heads only: if they asked those that ask them, news would go in a circle
     // and grow old, while the store is there.
     let fits = |r: &&Reader| match role {
-        Role::Other => is_cut || r.head || r.hall == settings.hall,
-        Role::Head | Role::Reader => r.head,
+        Role::Other => is_cut || r.root || r.hall == settings.hall,
+        Role::Head | Role::Reader => r.root,
     };
     // In its own hall a host asks any reader, so that a head does not answer all of its hall.
     let rank = |r: &&Reader| {
@@ -175,7 +175,7 @@
         let own_hall = r.hall == settings.hall;
         (
             own_hall,
-            !own_hall && r.head,
+            !own_hall && r.root,
             rendezvous::hash(words.as_bytes()),
         )
     };
--- a/crates/front/src/readers/selection.rs
+++ b/crates/front/src/readers/selection.rs
@@ -52,7 +52,7 @@
         .map(|host| Reader {
             hall: host.hall.clone(),
             addr: host.addr,
-            head: heads.contains(&host.addr),
+            root: heads.contains(&host.addr),
         })
         .collect()
 }
--- a/crates/front/tests/readers.rs
+++ b/crates/front/tests/readers.rs
@@ -29,7 +29,7 @@
         .map(|d| Reader {
             hall: "a".into(),
             addr: d.state().settings.peers,
-            head: true,
+            root: true,
         })
         .collect();
     tokio::spawn(async move {
@@ -216,7 +216,7 @@
     let named = |addr| Reader {
         hall: "a".into(),
         addr,
-        head: addr == head,
+        root: addr == head,
     };
     let known = vec![named(head), named(reader)];
     let daemons = daemons.to_vec();
@@ -379,7 +379,7 @@
     };
     let heads = |hosts| {
         let readers = readers::choose(hosts, ([127, 0, 0, 1], 2).into());
-        ports(readers.iter().filter(|r| r.head))
+        ports(readers.iter().filter(|r| r.root))
     };
     assert_eq!(heads(hosts()), [2, 4]);
     let mut cut = hosts();
--- a/crates/front/tests/site/mod.rs
+++ b/crates/front/tests/site/mod.rs
@@ -217,7 +217,7 @@
     let nobody = Reader {
         hall: "a".into(),
         addr: ports::free(),
-        head: true,
+        root: true,
     };
     state.readers.set(vec![nobody], state.settings.peers);
     known
