--- a/crates/front/src/follow.rs
+++ b/crates/front/src/follow.rs
@@ -11,7 +11,7 @@
 
 use crate::contact::Contact;
 use crate::readers;
-use crate::readers::Heard;
+use crate::readers::StoreUpdate;
 use crate::state::State;
 use apply::{apply, compare};
 use platform::store::{Change, Item, Listing};
@@ -132,8 +132,8 @@
         match readers::ask(state, reader, after, state.settings.bounds.propagation()).await {
             Ok(news) => {
                 return Some(match news {
-                    Heard::Changes(changes) => Next::Heard(changes),
-                    Heard::Whole(listing) => Next::Whole(listing),
+                    StoreUpdate::Changes(changes) => Next::Heard(changes),
+                    StoreUpdate::Whole(listing) => Next::Whole(listing),
                 });
             }
             Err(why) => {
--- a/crates/front/src/readers.rs
+++ b/crates/front/src/readers.rs
@@ -14,7 +14,7 @@
 mod selection;
 mod server;
 
-pub use client::{Error, Heard, ask};
+pub use client::{Error, StoreUpdate, ask};
 pub use selection::{Candidate, choose};
 pub use server::answer;
 
--- a/crates/front/src/readers/client.rs
+++ b/crates/front/src/readers/client.rs
@@ -32,7 +32,7 @@
 
 /// What a reader told.
 #[derive(Debug)]
-pub enum Heard {
+pub enum StoreUpdate {
     /// Changes after the revision that this host had heard of.
     Changes(Listing<Change>),
     /// All that stands in the store.
@@ -85,7 +85,7 @@
     reader: SocketAddr,
     after: u64,
     bound: Duration,
-) -> Result<Heard, Error> {
+) -> Result<StoreUpdate, Error> {
     let wait = bound.mul_f64(HELD_PART);
     let question = Question {
         after,
@@ -124,20 +124,20 @@
 
 /// Keeps what a reader told, which stood in the store at `confirmed`, to pass it on, and gives it to this
 /// host.
-fn take(state: &State, answer: Answer, after: u64, confirmed: Time) -> Result<Heard, Error> {
+fn take(state: &State, answer: Answer, after: u64, confirmed: Time) -> Result<StoreUpdate, Error> {
     let revision = answer.revision;
     match answer.news {
         News::Changes(rows) => {
             let found: Vec<Change> = rows.into_iter().map(Change::from).collect();
             note(state, &found, revision, confirmed);
-            Ok(Heard::Changes(Listing { found, revision }))
+            Ok(StoreUpdate::Changes(Listing { found, revision }))
         }
         News::Whole(_) if revision <= after => Err(Error::Behind { revision, after }),
         News::Whole(rows) => {
             let changes = rows.into_iter().map(Change::from);
             let found: Vec<Item> = changes.filter_map(written).collect();
             note_whole(state, &found, revision, confirmed);
-            Ok(Heard::Whole(Listing { found, revision }))
+            Ok(StoreUpdate::Whole(Listing { found, revision }))
         }
     }
 }
