--- a/crates/front/src/follow.rs
+++ b/crates/front/src/follow.rs
@@ -133,7 +133,7 @@
             Ok(news) => {
                 return Some(match news {
                     StoreUpdate::Changes(changes) => Next::Heard(changes),
-                    StoreUpdate::Whole(listing) => Next::Whole(listing),
+                    StoreUpdate::Snapshot(listing) => Next::Whole(listing),
                 });
             }
             Err(why) => {
--- a/crates/front/src/readers/client.rs
+++ b/crates/front/src/readers/client.rs
@@ -36,7 +36,7 @@
     /// Changes after the revision that this host had heard of.
     Changes(Listing<Change>),
     /// All that stands in the store.
-    Whole(Listing<Item>),
+    Snapshot(Listing<Item>),
 }
 
 /// Why a reader's answer cannot be rested on.
@@ -137,7 +137,7 @@
             let changes = rows.into_iter().map(Change::from);
             let found: Vec<Item> = changes.filter_map(written).collect();
             note_whole(state, &found, revision, confirmed);
-            Ok(StoreUpdate::Whole(Listing { found, revision }))
+            Ok(StoreUpdate::Snapshot(Listing { found, revision }))
         }
     }
 }
