--- a/crates/front/src/readers.rs
+++ b/crates/front/src/readers.rs
@@ -46,7 +46,7 @@
     /// What this host can pass on.
     pub recent: Mutex<Changelog>,
     /// Notified when there is something new to pass on.
-    pub news: Notify,
+    pub updated: Notify,
     /// Notified when this host is named as one that reads the store for others.
     pub chosen: Notify,
     /// Readers of all halls, as the leader told last.
@@ -190,7 +190,7 @@
     recent.extend(changes.iter().cloned(), revision, confirmed);
     drop(recent);
     if is_news {
-        state.readers.news.notify_waiters();
+        state.readers.updated.notify_waiters();
     }
 }
 
@@ -199,5 +199,5 @@
     let mut recent = state.readers.recent.lock();
     recent.reset(items, revision, confirmed);
     drop(recent);
-    state.readers.news.notify_waiters();
+    state.readers.updated.notify_waiters();
 }
--- a/crates/front/src/readers/server.rs
+++ b/crates/front/src/readers/server.rs
@@ -46,7 +46,7 @@
 async fn wait_for_news(state: &State, question: &Question) {
     let end = Instant::now() + Duration::from_millis(u64::from(question.wait_ms));
     loop {
-        let news = state.readers.news.notified();
+        let news = state.readers.updated.notified();
         let left = end.saturating_duration_since(Instant::now());
         if left.is_zero() || has_answer(state, question) {
             return;
