--- a/crates/front/src/follow.rs
+++ b/crates/front/src/follow.rs
@@ -106,7 +106,7 @@
 
 /// Waits for the store's next changes.
 async fn watch(state: &State, after: u64) -> Next {
-    let named = state.readers.chosen.notified();
+    let named = state.readers.promoted.notified();
     let asked = state.now();
     let changes = tokio::select! {
         changes = state.store.watch("", after, wait(state)) => changes,
--- a/crates/front/src/readers.rs
+++ b/crates/front/src/readers.rs
@@ -48,7 +48,7 @@
     /// Notified when there is something new to pass on.
     pub updated: Notify,
     /// Notified when this host is named as one that reads the store for others.
-    pub chosen: Notify,
+    pub promoted: Notify,
     /// Readers of all halls, as the leader told last.
     known: Mutex<Vec<Reader>>,
     /// Readers that failed, and the store's own address if it did, and until when none is asked.
@@ -91,7 +91,7 @@
         let before = self.role(own);
         *self.known.lock() = readers;
         if before != Role::Head && self.role(own) == Role::Head {
-            self.chosen.notify_waiters();
+            self.promoted.notify_waiters();
         }
     }
 
