--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -213,7 +213,7 @@
             let own = self.state.settings.peers;
             let others = plans.direct_hosts.into_iter().filter(|p| *p != own);
             *self.others.lock() = others.collect();
-            self.state.readers.set(plans.readers, own);
+            self.state.readers.assign(plans.readers, own);
             if let Some(word) = plans.store_uptime {
                 table.view.contact.merge(word, now);
             }
--- a/crates/front/src/readers.rs
+++ b/crates/front/src/readers.rs
@@ -84,7 +84,7 @@
     ///
     /// A list that names nobody else is that of a leader whom no other host tells anything, as when it is cut off:
     /// the one before stays, so that it can still ask those hosts.
-    pub fn set(&self, readers: Vec<Reader>, own: SocketAddr) {
+    pub fn assign(&self, readers: Vec<Reader>, own: SocketAddr) {
         if readers.iter().all(|r| r.addr == own) && self.role(own) != Role::Other {
             return;
         }
--- a/crates/front/tests/readers.rs
+++ b/crates/front/tests/readers.rs
@@ -35,7 +35,7 @@
     tokio::spawn(async move {
         loop {
             ignore_leader(&state);
-            state.readers.set(known.clone(), state.settings.peers);
+            state.readers.assign(known.clone(), state.settings.peers);
             state.table.lock().host_count = LARGE;
             sleep(Duration::from_millis(1)).await;
         }
@@ -224,7 +224,7 @@
         loop {
             for state in &daemons {
                 ignore_leader(state);
-                state.readers.set(known.clone(), state.settings.peers);
+                state.readers.assign(known.clone(), state.settings.peers);
                 state.table.lock().host_count = LARGE;
             }
             sleep(Duration::from_millis(1)).await;
--- a/crates/front/tests/site/mod.rs
+++ b/crates/front/tests/site/mod.rs
@@ -219,7 +219,7 @@
         addr: ports::free(),
         root: true,
     };
-    state.readers.set(vec![nobody], state.settings.peers);
+    state.readers.assign(vec![nobody], state.settings.peers);
     known
 }
 
