--- a/crates/front/src/planner/digest.rs
+++ b/crates/front/src/planner/digest.rs
@@ -73,7 +73,7 @@
     fn readers(&self, hosts: Vec<Candidate>) -> Vec<Reader> {
         match self.term.is_valid() {
             true => readers::choose(hosts, self.state.settings.peers),
-            false => self.state.readers.named(),
+            false => self.state.readers.assigned(),
         }
     }
 
--- a/crates/front/src/readers.rs
+++ b/crates/front/src/readers.rs
@@ -122,7 +122,7 @@
     }
 
     /// Who reads, as the leader told last.
-    pub fn named(&self) -> Vec<Reader> {
+    pub fn assigned(&self) -> Vec<Reader> {
         self.known.lock().clone()
     }
 
