--- a/crates/front/src/follow.rs
+++ b/crates/front/src/follow.rs
@@ -193,7 +193,7 @@
 /// Whether the store, which failed a call just now, may be away for this host only: another one that
 /// reads it can be asked. Nothing is taken as lapsed then.
 fn turned_away(state: &State) -> bool {
-    state.readers.avoid(state.settings.store, state.now());
+    state.readers.mark_failed(state.settings.store, state.now());
     readers::source(state).is_some()
 }
 
--- a/crates/front/src/readers.rs
+++ b/crates/front/src/readers.rs
@@ -96,7 +96,7 @@
     }
 
     /// Does not ask a reader, or the store, for a while.
-    pub fn avoid(&self, addr: SocketAddr, now: Time) {
+    pub fn mark_failed(&self, addr: SocketAddr, now: Time) {
         self.avoided.lock().insert(addr, now + AVOIDED);
     }
 
