--- a/crates/front/src/follow.rs
+++ b/crates/front/src/follow.rs
@@ -137,7 +137,7 @@
                 });
             }
             Err(why) => {
-                state.readers.avoid_for(reader, &why, state.now());
+                state.readers.mark_reader_failed(reader, &why, state.now());
                 state.log.rate_limited(|| {
                     warn!(target: "store", event = "reader_failed", reader = %reader, after, why = %why, "a host that reads the store for this one cannot be rested on; it is not asked for a while")
                 });
--- a/crates/front/src/readers.rs
+++ b/crates/front/src/readers.rs
@@ -101,7 +101,7 @@
     }
 
     /// Does not ask a reader that failed in some way for a while.
-    pub fn avoid_for(&self, addr: SocketAddr, why: &Error, now: Time) {
+    pub fn mark_reader_failed(&self, addr: SocketAddr, why: &Error, now: Time) {
         let span = match why {
             Error::Old { .. } => OLD_AVOIDED,
             _ => AVOIDED,
