--- a/crates/front/src/readers.rs
+++ b/crates/front/src/readers.rs
@@ -110,7 +110,7 @@
     }
 
     /// Whether a reader, or the store, failed this host a moment ago.
-    pub fn is_avoided(&self, addr: &SocketAddr, now: Time) -> bool {
+    pub fn failed_recently(&self, addr: &SocketAddr, now: Time) -> bool {
         let mut avoided = self.avoided.lock();
         avoided.retain(|_, until| now < *until);
         avoided.contains_key(addr)
@@ -149,7 +149,9 @@
 
 /// Whether the store failed this host a moment ago.
 pub fn is_cut(state: &State) -> bool {
-    state.readers.is_avoided(&state.settings.store, state.now())
+    state
+        .readers
+        .failed_recently(&state.settings.store, state.now())
 }
 
 /// Reader that this host hears from now; none when it reads the store itself.
@@ -162,7 +164,8 @@
         return None;
     }
     let known = state.readers.known.lock();
-    let sound = |r: &&Reader| r.addr != settings.peers && !state.readers.is_avoided(&r.addr, now);
+    let sound =
+        |r: &&Reader| r.addr != settings.peers && !state.readers.failed_recently(&r.addr, now);
     // Heads and readers ask heads only: if they asked those that ask them, news would go in a circle
     // and grow old, while the store is there.
     let fits = |r: &&Reader| match role {
