--- a/crates/front/src/follow.rs
+++ b/crates/front/src/follow.rs
@@ -185,7 +185,7 @@
         return;
     }
     let most = state.settings.bounds.propagation().mul_f64(SELDOM_PART);
-    let until = state.readers.next_chance().unwrap_or_default();
+    let until = state.readers.next_retry().unwrap_or_default();
     let chance = until.since(state.now()).std();
     tokio::time::sleep(chance.clamp(PAUSE, most.max(PAUSE))).await;
 }
--- a/crates/front/src/readers.rs
+++ b/crates/front/src/readers.rs
@@ -117,7 +117,7 @@
     }
 
     /// When the first of those that failed may be asked again.
-    pub fn next_chance(&self) -> Option<Time> {
+    pub fn next_retry(&self) -> Option<Time> {
         self.avoided.lock().values().min().copied()
     }
 
