--- a/crates/front/src/follow.rs
+++ b/crates/front/src/follow.rs
@@ -153,7 +153,7 @@
     if readers::is_cut(state) {
         return Duration::ZERO;
     }
-    let part = match readers::reads(state) {
+    let part = match readers::is_root(state) {
         true => READER_PART,
         false => WAIT_PART,
     };
@@ -167,7 +167,7 @@
 /// Pauses after a watch that told changes, before the next one.
 async fn pause(state: &State) {
     let bound = state.settings.bounds.propagation();
-    let pause = match (state.leads(), readers::reads(state)) {
+    let pause = match (state.leads(), readers::is_root(state)) {
         (true, _) => LEADER_PAUSE,
         (false, true) => bound.mul_f64(READER_PART),
         (false, false) => bound.mul_f64(BOUND_PART),
@@ -180,7 +180,7 @@
 async fn pause_after_failure(state: &State) {
     let has_nothing = state.table.lock().routes.is_none();
     let is_direct = readers::is_direct(state);
-    if has_nothing || is_direct || state.leads() || readers::reads(state) {
+    if has_nothing || is_direct || state.leads() || readers::is_root(state) {
         tokio::time::sleep(PAUSE).await;
         return;
     }
--- a/crates/front/src/readers.rs
+++ b/crates/front/src/readers.rs
@@ -138,7 +138,7 @@
 }
 
 /// Whether this host reads the store for others, by what the leader told last.
-pub fn reads(state: &State) -> bool {
+pub fn is_root(state: &State) -> bool {
     state.readers.role(state.settings.peers) == Role::Head
 }
 
