--- a/crates/front/src/follow.rs
+++ b/crates/front/src/follow.rs
@@ -179,7 +179,7 @@
 /// and by hosts that cannot work without; the others, which are many, ask it seldom.
 async fn pause_after_failure(state: &State) {
     let has_nothing = state.table.lock().routes.is_none();
-    let is_direct = readers::is_direct(state);
+    let is_direct = readers::is_small_fleet(state);
     if has_nothing || is_direct || state.leads() || readers::is_root(state) {
         tokio::time::sleep(PAUSE).await;
         return;
--- a/crates/front/src/follow/bootstrap.rs
+++ b/crates/front/src/follow/bootstrap.rs
@@ -93,7 +93,7 @@
 /// Whether this host is to read the store itself, by the word of a leader.
 fn reads_itself(state: &State) -> bool {
     let is_told = state.table.lock().knows_host_count;
-    state.leads() || readers::is_root(state) || (is_told && readers::is_direct(state))
+    state.leads() || readers::is_root(state) || (is_told && readers::is_small_fleet(state))
 }
 
 /// Takes in who leads, as it changes, until the time is over.
--- a/crates/front/src/readers.rs
+++ b/crates/front/src/readers.rs
@@ -143,7 +143,7 @@
 }
 
 /// Whether so few hosts are there that each reads the store itself.
-pub fn is_direct(state: &State) -> bool {
+pub fn is_small_fleet(state: &State) -> bool {
     state.table.lock().host_count <= MOST_DIRECT
 }
 
@@ -160,7 +160,7 @@
     let is_cut = is_cut(state);
     let settings = &state.settings;
     let role = state.readers.role(settings.peers);
-    if !is_cut && (is_direct(state) || state.leads() || role == Role::Head) {
+    if !is_cut && (is_small_fleet(state) || state.leads() || role == Role::Head) {
         return None;
     }
     let known = state.readers.known.lock();
