--- a/crates/front/src/accounts.rs
+++ b/crates/front/src/accounts.rs
@@ -283,7 +283,7 @@
         let (id, route) = (refused.id.as_deref(), &*refused.route.name);
         let account = refused.account.map(|a| &*a.name);
         let age_ms = data_age(state).ms();
-        let store = if readers::is_cut(state) { "failing" } else { "answering" };
+        let store = if readers::store_failed_recently(state) { "failing" } else { "answering" };
         let retry_after_ms = fault.retry_after.map(|s| s.ms());
         info!(target: "request", event = "refused", id, route, account, key, status = fault.status.as_u16(), reason = fault.reason, version = refused.version, age_ms, store, retry_after_ms, ms = 0.0, why = %refusal, "a request is not let in by its key")
     });
--- a/crates/front/src/follow.rs
+++ b/crates/front/src/follow.rs
@@ -150,7 +150,7 @@
 /// Time that a watch of this host waits for a change. Where the store failed a moment ago it does not
 /// wait, so that the answer tells at once that the store is back.
 fn wait(state: &State) -> Duration {
-    if readers::is_cut(state) {
+    if readers::store_failed_recently(state) {
         return Duration::ZERO;
     }
     let part = match readers::is_root(state) {
--- a/crates/front/src/peers/load_reports.rs
+++ b/crates/front/src/peers/load_reports.rs
@@ -141,7 +141,7 @@
             adapter_uses: Vec::new(),
             unreachable: Vec::new(),
             backing_off: Vec::new(),
-            store_failed: readers::is_cut(&self.state),
+            store_failed: readers::store_failed_recently(&self.state),
             store_uptime: store,
         }
     }
--- a/crates/front/src/readers.rs
+++ b/crates/front/src/readers.rs
@@ -148,7 +148,7 @@
 }
 
 /// Whether the store failed this host a moment ago.
-pub fn is_cut(state: &State) -> bool {
+pub fn store_failed_recently(state: &State) -> bool {
     state
         .readers
         .failed_recently(&state.settings.store, state.now())
@@ -157,7 +157,7 @@
 /// Reader that this host hears from now; none when it reads the store itself.
 pub fn source(state: &State) -> Option<SocketAddr> {
     let now = state.now();
-    let is_cut = is_cut(state);
+    let is_cut = store_failed_recently(state);
     let settings = &state.settings;
     let role = state.readers.role(settings.peers);
     if !is_cut && (is_small_fleet(state) || state.leads() || role == Role::Head) {
