--- a/crates/front/src/follow.rs
+++ b/crates/front/src/follow.rs
@@ -120,7 +120,7 @@
     let Some(changes) = heard(state, changes, asked) else {
         return Next::Failed;
     };
-    readers::note(state, &changes.found, changes.revision, asked);
+    readers::record_changes(state, &changes.found, changes.revision, asked);
     Next::Watched(changes)
 }
 
--- a/crates/front/src/readers.rs
+++ b/crates/front/src/readers.rs
@@ -187,7 +187,7 @@
 }
 
 /// Keeps changes up to a revision, at which the store stood at `confirmed`, to pass them on.
-pub fn note(state: &State, changes: &[Change], revision: u64, confirmed: Time) {
+pub fn record_changes(state: &State, changes: &[Change], revision: u64, confirmed: Time) {
     let mut recent = state.readers.recent.lock();
     let is_news = revision > recent.revision();
     recent.extend(changes.iter().cloned(), revision, confirmed);
--- a/crates/front/src/readers/client.rs
+++ b/crates/front/src/readers/client.rs
@@ -1,7 +1,7 @@
 //! Asking a reader what has changed in the store.
 
 use super::message::{Answer, MOST_ANSWER, News, PATH, Question};
-use super::{note, note_whole};
+use super::{note_whole, record_changes};
 use crate::follow;
 use crate::state::State;
 use conn::Reply;
@@ -129,7 +129,7 @@
     match answer.news {
         News::Changes(rows) => {
             let found: Vec<Change> = rows.into_iter().map(Change::from).collect();
-            note(state, &found, revision, confirmed);
+            record_changes(state, &found, revision, confirmed);
             Ok(StoreUpdate::Changes(Listing { found, revision }))
         }
         News::Whole(_) if revision <= after => Err(Error::Behind { revision, after }),
