--- a/crates/front/src/follow/bootstrap.rs
+++ b/crates/front/src/follow/bootstrap.rs
@@ -46,7 +46,7 @@
     let rest = state.store.rest("", page, Freshness::Newest).await;
     match heard(state, rest, asked) {
         Some(listing) => {
-            readers::note_whole(state, &listing.found, listing.revision, asked);
+            readers::record_snapshot(state, &listing.found, listing.revision, asked);
             Next::Whole(listing)
         }
         None => Next::Failed,
--- a/crates/front/src/readers.rs
+++ b/crates/front/src/readers.rs
@@ -198,7 +198,7 @@
 }
 
 /// Keeps the whole store as a reader told it, to pass it on.
-pub fn note_whole(state: &State, items: &[Item], revision: u64, confirmed: Time) {
+pub fn record_snapshot(state: &State, items: &[Item], revision: u64, confirmed: Time) {
     let mut recent = state.readers.recent.lock();
     recent.reset(items, revision, confirmed);
     drop(recent);
--- a/crates/front/src/readers/client.rs
+++ b/crates/front/src/readers/client.rs
@@ -1,7 +1,7 @@
 //! Asking a reader what has changed in the store.
 
 use super::message::{Answer, MOST_ANSWER, News, PATH, Question};
-use super::{note_whole, record_changes};
+use super::{record_changes, record_snapshot};
 use crate::follow;
 use crate::state::State;
 use conn::Reply;
@@ -136,7 +136,7 @@
         News::Whole(rows) => {
             let changes = rows.into_iter().map(Change::from);
             let found: Vec<Item> = changes.filter_map(written).collect();
-            note_whole(state, &found, revision, confirmed);
+            record_snapshot(state, &found, revision, confirmed);
             Ok(StoreUpdate::Snapshot(Listing { found, revision }))
         }
     }
