--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -24,7 +24,7 @@
 use crate::readers::Candidate;
 use crate::state::{PlacementRequest, PlacementRequests, State};
 use bytes::Bytes;
-use fanout::Part;
+use fanout::Group;
 use parking_lot::Mutex;
 use pending::Questions;
 use quota::Quotas;
@@ -58,7 +58,7 @@
     /// Tellings between two rounds so far.
     tellings: AtomicU32,
     /// Parts of a large fleet, while this host leads.
-    parts: Mutex<Vec<Part>>,
+    parts: Mutex<Vec<Group>>,
     /// Limits over all hosts.
     quotas: Quotas,
     /// Hosts that have just begun, and are to be told of limits.
--- a/crates/front/src/peers/fanout.rs
+++ b/crates/front/src/peers/fanout.rs
@@ -12,7 +12,7 @@
 
 /// Part of the fleet.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Part {
+pub struct Group {
     /// Host that the leader tells.
     pub relay: SocketAddr,
     /// Hosts that it passes on to.
@@ -20,14 +20,14 @@
 }
 
 /// Cuts a fleet into parts by hall; the strongest hosts pass on, unless they have fallen silent.
-pub fn cut(mut hosts: Vec<Candidate>) -> Vec<Part> {
+pub fn cut(mut hosts: Vec<Candidate>) -> Vec<Group> {
     hosts.sort_by(|a, b| a.hall.cmp(&b.hall).then(a.addr.cmp(&b.addr)));
     let halls = hosts.chunk_by(|a, b| a.hall == b.hall);
     halls.flat_map(cut_hall).collect()
 }
 
 /// Cuts a hall into parts of about the same size.
-fn cut_hall(hall: &[Candidate]) -> Vec<Part> {
+fn cut_hall(hall: &[Candidate]) -> Vec<Group> {
     let count = hall.len().div_ceil(MOST);
     let mut ranked: Vec<&Candidate> = hall.iter().collect();
     ranked.sort_by(|a, b| {
@@ -40,7 +40,7 @@
     others.sort();
     let size = others.len().div_ceil(count).max(1);
     let mut rest = others.chunks(size);
-    let part = |relay: &&Candidate| Part {
+    let part = |relay: &&Candidate| Group {
         relay: relay.addr,
         others: rest.next().unwrap_or_default().to_vec(),
     };
--- a/crates/front/tests/fanout.rs
+++ b/crates/front/tests/fanout.rs
@@ -5,7 +5,7 @@
 use front::Daemon;
 use front::message::{Demand, LoadReport, PackedLoad, replica_hash};
 use front::peers::Inbox;
-use front::peers::fanout::{self, Part};
+use front::peers::fanout::{self, Group};
 use front::readers::Candidate;
 use front::table::Table;
 use platform::ingress;
@@ -43,7 +43,7 @@
         }
         let parts = fanout::cut(hosts.clone());
         let mut told = HashSet::new();
-        for Part { relay, others } in &parts {
+        for Group { relay, others } in &parts {
             prop_assert!(others.len() < 32, "{}", others.len());
             let find = |addr: &SocketAddr| hosts.iter().find(|h| h.addr == *addr).unwrap();
             prop_assert!(!find(relay).silent);
