--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -302,7 +302,7 @@
         if self.is_direct() {
             return;
         }
-        let parts = fanout::cut(hosts);
+        let parts = fanout::plan(hosts);
         *self.parts.lock() = parts.clone();
         let own = self.state.settings.peers;
         for part in parts {
--- a/crates/front/src/peers/fanout.rs
+++ b/crates/front/src/peers/fanout.rs
@@ -20,7 +20,7 @@
 }
 
 /// Cuts a fleet into parts by hall; the strongest hosts pass on, unless they have fallen silent.
-pub fn cut(mut hosts: Vec<Candidate>) -> Vec<Group> {
+pub fn plan(mut hosts: Vec<Candidate>) -> Vec<Group> {
     hosts.sort_by(|a, b| a.hall.cmp(&b.hall).then(a.addr.cmp(&b.addr)));
     let halls = hosts.chunk_by(|a, b| a.hall == b.hall);
     halls.flat_map(cut_hall).collect()
--- a/crates/front/tests/fanout.rs
+++ b/crates/front/tests/fanout.rs
@@ -41,7 +41,7 @@
                 hosts.push(candidate(hall, port, (i % 3) as f32, i % 4 == 3));
             }
         }
-        let parts = fanout::cut(hosts.clone());
+        let parts = fanout::plan(hosts.clone());
         let mut told = HashSet::new();
         for Group { relay, others } in &parts {
             prop_assert!(others.len() < 32, "{}", others.len());
