--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -277,8 +277,8 @@
         let pass = message::encode(&Message::Forward(bytes.clone().into()));
         for part in parts {
             if part.relay == own {
-                self.send_each(&bytes, kind, part.others.into_iter()).await;
-            } else if part.others.is_empty() {
+                self.send_each(&bytes, kind, part.members.into_iter()).await;
+            } else if part.members.is_empty() {
                 self.send_bytes(&bytes, kind, part.relay).await;
             } else {
                 self.send_bytes(&pass, "pass", part.relay).await;
@@ -306,8 +306,8 @@
         *self.parts.lock() = parts.clone();
         let own = self.state.settings.peers;
         for part in parts {
-            if part.relay != own && !part.others.is_empty() {
-                let others = part.others.into_iter().filter(|h| *h != own).collect();
+            if part.relay != own && !part.members.is_empty() {
+                let others = part.members.into_iter().filter(|h| *h != own).collect();
                 self.send(&Message::FanoutGroup(others), part.relay).await;
             }
         }
--- a/crates/front/src/peers/fanout.rs
+++ b/crates/front/src/peers/fanout.rs
@@ -16,7 +16,7 @@
     /// Host that the leader tells.
     pub relay: SocketAddr,
     /// Hosts that it passes on to.
-    pub others: Vec<SocketAddr>,
+    pub members: Vec<SocketAddr>,
 }
 
 /// Cuts a fleet into parts by hall; the strongest hosts pass on, unless they have fallen silent.
@@ -42,7 +42,7 @@
     let mut rest = others.chunks(size);
     let part = |relay: &&Candidate| Group {
         relay: relay.addr,
-        others: rest.next().unwrap_or_default().to_vec(),
+        members: rest.next().unwrap_or_default().to_vec(),
     };
     relays.iter().map(part).collect()
 }
--- a/crates/front/tests/fanout.rs
+++ b/crates/front/tests/fanout.rs
@@ -43,7 +43,7 @@
         }
         let parts = fanout::plan(hosts.clone());
         let mut told = HashSet::new();
-        for Group { relay, others } in &parts {
+        for Group { relay, members: others } in &parts {
             prop_assert!(others.len() < 32, "{}", others.len());
             let find = |addr: &SocketAddr| hosts.iter().find(|h| h.addr == *addr).unwrap();
             prop_assert!(!find(relay).silent);
