--- a/crates/front/src/follow.rs
+++ b/crates/front/src/follow.rs
@@ -7,7 +7,7 @@
 mod apply;
 mod bootstrap;
 
-pub use apply::{set_leader, told};
+pub use apply::{report_updates, set_leader};
 
 use crate::contact::Contact;
 use crate::readers;
--- a/crates/front/src/follow/apply.rs
+++ b/crates/front/src/follow/apply.rs
@@ -31,7 +31,7 @@
         news
     };
     state.knows_replicas.store(true, Ordering::Relaxed);
-    told(state, news, listing.revision);
+    report_updates(state, news, listing.revision);
     if !has_leader {
         set_leader(state, None);
     }
@@ -63,7 +63,7 @@
                 let news: Vec<Update> = table.view.put(entry, item.revision).into_iter().collect();
                 table.apply(&news);
                 drop(table);
-                told(state, news, item.revision);
+                report_updates(state, news, item.revision);
             }
             Err(why) => {
                 state.log.rate_limited(|| {
@@ -71,7 +71,7 @@
                 });
                 let id = replica::id(&item.key);
                 let news = state.table.lock().view.mark_overwritten(id, item.revision);
-                told(state, news.into_iter().collect(), item.revision);
+                report_updates(state, news.into_iter().collect(), item.revision);
             }
         }
     } else if &*item.key == leader::KEY {
@@ -98,7 +98,7 @@
             .collect();
         table.apply(&news);
         drop(table);
-        told(state, news, revision);
+        report_updates(state, news, revision);
     } else if key == leader::KEY {
         set_leader(state, None);
     } else if key == quarantine::KEY {
@@ -148,7 +148,7 @@
 
 /// Tells what the news did to the view, and closes connections to replicas that are gone or have
 /// started again.
-pub fn told(state: &State, mut news: Vec<Update>, revision: u64) {
+pub fn report_updates(state: &State, mut news: Vec<Update>, revision: u64) {
     news.retain(|one| !matches!(one, Update::Changed(_)));
     if news.is_empty() {
         return;
--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -296,7 +296,7 @@
         table.apply(&news);
         news
     };
-    follow::told(state, news, 0);
+    follow::report_updates(state, news, 0);
 }
 
 impl Daemon {
