--- a/crates/front/src/follow.rs
+++ b/crates/front/src/follow.rs
@@ -202,7 +202,7 @@
     match answer {
         Ok(answer) => {
             let now = state.now();
-            regained(state, now, |contact| contact.answered(asked, now));
+            update_contact(state, now, |contact| contact.answered(asked, now));
             Some(answer)
         }
         Err(error) if turned_away(state) => {
@@ -225,7 +225,7 @@
 }
 
 /// Notes that the store answers, or another host tells of it, and tells so if it did not before.
-pub fn regained(state: &State, now: Time, note: impl FnOnce(&mut Contact)) {
+pub fn update_contact(state: &State, now: Time, note: impl FnOnce(&mut Contact)) {
     let (was_away, silent, settling) = {
         let contact = &mut state.table.lock().view.contact;
         let before = (contact.is_unreachable(), contact.silence(now));
--- a/crates/front/src/readers/client.rs
+++ b/crates/front/src/readers/client.rs
@@ -108,7 +108,7 @@
     // What the answer waited for this host, which may have stood still, makes it older.
     let answered = asked + Span::from_ms(u64::from(answer.held_ms));
     let confirmed = before(answered, age);
-    follow::regained(state, state.now(), |contact| {
+    follow::update_contact(state, state.now(), |contact| {
         contact.answered(confirmed, confirmed);
         if let Some(word) = answer.store {
             contact.merge(word, answered);
