--- a/crates/front/src/events.rs
+++ b/crates/front/src/events.rs
@@ -46,7 +46,7 @@
     }
 
     /// Bytes that stand behind the last whole event; gives them up.
-    pub fn rest(&mut self) -> Bytes {
+    pub fn take_remainder(&mut self) -> Bytes {
         self.rest.split().freeze()
     }
 
--- a/crates/front/src/relay/resume.rs
+++ b/crates/front/src/relay/resume.rs
@@ -26,7 +26,7 @@
         if *why == Failure::TimedOut || !repeatable || !quarantine::may_retry(&state, &call) {
             return false;
         }
-        self.splitter.rest();
+        self.splitter.take_remainder();
         let last = self.splitter.last().or(call.ask.last_event);
         for _ in 0..MOST_SENDINGS {
             if !self.tried.may_run(&call) || state.now() >= call.deadline {
--- a/crates/front/tests/malformed.rs
+++ b/crates/front/tests/malformed.rs
@@ -154,7 +154,7 @@
                 passed += events.len();
             }
         }
-        prop_assert_eq!(passed + splitter.rest().len(), all, "no byte is lost or made up");
+        prop_assert_eq!(passed + splitter.take_remainder().len(), all, "no byte is lost or made up");
     }
 }
 
@@ -164,5 +164,5 @@
     let piece = Bytes::from(vec![b'x'; 64 * 1_024]);
     let refused = (0..64).any(|_| splitter.push(piece.clone()).is_err());
     assert!(refused);
-    assert!(splitter.rest().len() <= 2 << 20);
+    assert!(splitter.take_remainder().len() <= 2 << 20);
 }
