--- a/crates/front/src/events.rs
+++ b/crates/front/src/events.rs
@@ -41,7 +41,7 @@
     }
 
     /// Number of the last whole event.
-    pub fn last(&self) -> Option<u64> {
+    pub fn last_id(&self) -> Option<u64> {
         self.last
     }
 
--- a/crates/front/src/relay.rs
+++ b/crates/front/src/relay.rs
@@ -330,7 +330,7 @@
             .record_outcome(&call.route.name, "broken");
         let age = self.state.now().since(call.arrived).ms();
         let tried = self.tried.replicas.join(",");
-        let last = self.splitter.last();
+        let last = self.splitter.last_id();
         self.state.log.rate_limited(|| {
             tracing::warn!(target: "request", event = "broken", id = &*call.id, print = %call.fingerprint(), route = &*call.route.name, tried, last, ms = age, why = %why, "the stream is broken off")
         });
--- a/crates/front/src/relay/resume.rs
+++ b/crates/front/src/relay/resume.rs
@@ -27,7 +27,7 @@
             return false;
         }
         self.splitter.take_remainder();
-        let last = self.splitter.last().or(call.ask.last_event);
+        let last = self.splitter.last_id().or(call.ask.last_event);
         for _ in 0..MOST_SENDINGS {
             if !self.tried.may_run(&call) || state.now() >= call.deadline {
                 return false;
--- a/crates/front/tests/events.rs
+++ b/crates/front/tests/events.rs
@@ -27,7 +27,7 @@
             }
         }
         prop_assert_eq!(out, bytes);
-        prop_assert_eq!(splitter.last(), Some(9));
+        prop_assert_eq!(splitter.last_id(), Some(9));
         prop_assert!(!splitter.is_partial());
     }
 }
@@ -38,6 +38,6 @@
     let piece = Bytes::from_static(b"id: 1\ndata: a\n\nid: 2\nda");
     let events = splitter.push(piece).unwrap().unwrap();
     assert_eq!(&events[..], b"id: 1\ndata: a\n\n");
-    assert_eq!(splitter.last(), Some(1));
+    assert_eq!(splitter.last_id(), Some(1));
     assert!(splitter.is_partial());
 }
