--- a/crates/front/src/serve/unavailable.rs
+++ b/crates/front/src/serve/unavailable.rs
@@ -137,12 +137,14 @@
 pub(super) fn want_adapter(state: &State, call: &Call, beside: bool) {
     if let (Some(model), Some(adapter)) = (&call.ask.model, &call.ask.adapter) {
         // The task that receives lives as long as the daemon.
-        let _ = state.wanted.send(PlacementRequest::Adapter(AdapterRequest {
-            service: call.service.clone(),
-            model: model.clone(),
-            adapter: adapter.clone(),
-            additional: beside,
-        }));
+        let _ = state
+            .placement_requests
+            .send(PlacementRequest::Adapter(AdapterRequest {
+                service: call.service.clone(),
+                model: model.clone(),
+                adapter: adapter.clone(),
+                additional: beside,
+            }));
     }
 }
 
@@ -150,9 +152,11 @@
 fn want_model(state: &State, call: &Call) {
     if let Some(model) = &call.ask.model {
         // The task that receives lives as long as the daemon.
-        let _ = state.wanted.send(PlacementRequest::Model(ModelRequest {
-            service: call.service.clone(),
-            model: model.clone(),
-        }));
+        let _ = state
+            .placement_requests
+            .send(PlacementRequest::Model(ModelRequest {
+                service: call.service.clone(),
+                model: model.clone(),
+            }));
     }
 }
--- a/crates/front/src/state.rs
+++ b/crates/front/src/state.rs
@@ -59,7 +59,7 @@
     /// Who leads, if that is known.
     pub leader: Mutex<Option<Leader>>,
     /// Adapters and models wanted here, to be told to the leader.
-    pub wanted: tokio::sync::mpsc::UnboundedSender<PlacementRequest>,
+    pub placement_requests: tokio::sync::mpsc::UnboundedSender<PlacementRequest>,
     draining: watch::Sender<bool>,
     in_flight: AtomicUsize,
     /// Time of this host.
@@ -118,7 +118,7 @@
         leader_seen: AtomicBool::new(false),
         quarantine,
         leader: Mutex::default(),
-        wanted,
+        placement_requests: wanted,
         draining: watch::Sender::new(false),
         in_flight: AtomicUsize::new(0),
         clock: Arc::new(clock::start()),
