--- a/crates/front/tests/adapters.rs
+++ b/crates/front/tests/adapters.rs
@@ -11,7 +11,7 @@
 
 /// Asks for an adapter until it is served.
 async fn served(daemon: &Daemon, model: &str) {
-    let end = Instant::now() + site::PATIENCE;
+    let end = Instant::now() + site::WAIT_LIMIT;
     while ask(daemon, "/resume/x", Some(model)).await.1.status() != 200 {
         assert!(Instant::now() < end, "{model} is not served");
         sleep(Duration::from_millis(20)).await;
@@ -66,9 +66,11 @@
     let mut lines = Vec::new();
     for _ in 0..12 {
         let (_, request) = request("/resume/x", Some("m1/a1"));
-        let mut line = Line::open(daemon.callers(), site::PATIENCE).await.unwrap();
+        let mut line = Line::open(daemon.callers(), site::WAIT_LIMIT)
+            .await
+            .unwrap();
         lines.push(tokio::spawn(async move {
-            line.exchange(request, site::PATIENCE, 1 << 20).await
+            line.exchange(request, site::WAIT_LIMIT, 1 << 20).await
         }));
         sleep(Duration::from_millis(80)).await;
     }
--- a/crates/front/tests/changes.rs
+++ b/crates/front/tests/changes.rs
@@ -144,9 +144,9 @@
     let start = Instant::now();
     while start.elapsed() < Duration::from_millis(1_200) {
         let (_, request) = site::request("/again/x", None);
-        let mut line = conn::Line::open(addr, site::PATIENCE).await.unwrap();
+        let mut line = conn::Line::open(addr, site::WAIT_LIMIT).await.unwrap();
         let reply = line
-            .exchange(request, site::PATIENCE, 1 << 20)
+            .exchange(request, site::WAIT_LIMIT, 1 << 20)
             .await
             .unwrap();
         assert_eq!(reply.status.as_u16(), 200);
@@ -171,8 +171,8 @@
     let addr = daemon.callers();
     let asked = tokio::spawn(async move {
         let (_, request) = site::request("/stream/x", Some("m9"));
-        let mut line = conn::Line::open(addr, site::PATIENCE).await.unwrap();
-        line.exchange(request, site::PATIENCE, 1 << 20)
+        let mut line = conn::Line::open(addr, site::WAIT_LIMIT).await.unwrap();
+        line.exchange(request, site::WAIT_LIMIT, 1 << 20)
             .await
             .unwrap()
     });
@@ -215,8 +215,8 @@
     let addr = daemon.callers();
     let asked = tokio::spawn(async move {
         let (_, request) = site::request("/stream/x", Some("m1"));
-        let mut line = conn::Line::open(addr, site::PATIENCE).await.unwrap();
-        line.exchange(request, site::PATIENCE, 1 << 20)
+        let mut line = conn::Line::open(addr, site::WAIT_LIMIT).await.unwrap();
+        line.exchange(request, site::WAIT_LIMIT, 1 << 20)
             .await
             .unwrap()
     });
--- a/crates/front/tests/responses.rs
+++ b/crates/front/tests/responses.rs
@@ -5,7 +5,7 @@
 use conn::Line;
 use platform_standin::replica::Fault;
 use rstest::rstest;
-use site::{PATIENCE, ask, daemon, engine, request, store, until, web};
+use site::{WAIT_LIMIT, ask, daemon, engine, request, store, until, web};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
@@ -112,11 +112,12 @@
     let replica = engine(&store, "i-1", &["m1"]).await;
     let daemon = daemon(&store, "d1").await;
     replica.set_fault(Fault::Hangs);
-    let mut line = Line::open(daemon.callers(), PATIENCE).await.unwrap();
+    let mut line = Line::open(daemon.callers(), WAIT_LIMIT).await.unwrap();
     let (id, mut long) = request("/stream/x", Some("m1"));
     let usage = "7500,20".parse().unwrap();
     long.headers_mut().insert("token-usage", usage);
-    let reading = tokio::spawn(async move { line.exchange(long, PATIENCE, 1 << 20).await.is_ok() });
+    let reading =
+        tokio::spawn(async move { line.exchange(long, WAIT_LIMIT, 1 << 20).await.is_ok() });
     until(|| replica.seen(&id).arrived == 1).await;
     replica.set_fault(Fault::None);
     let (_, answer) = ask(&daemon, path, Some("m1")).await;
@@ -176,7 +177,7 @@
     let daemon = daemon(&store, "d1").await;
     replica.set_fault(Fault::Hangs);
     let (_, request) = site::request("/again/x", None);
-    let mut line = conn::Line::open(daemon.callers(), site::PATIENCE)
+    let mut line = conn::Line::open(daemon.callers(), site::WAIT_LIMIT)
         .await
         .unwrap();
     let sent = line
@@ -197,11 +198,11 @@
     let (head, _) = request.into_parts();
     let body = conn::Body::new(vec![0; 200_000].into());
     let request = hyper::Request::from_parts(head, body);
-    let mut line = conn::Line::open(daemon.callers(), site::PATIENCE)
+    let mut line = conn::Line::open(daemon.callers(), site::WAIT_LIMIT)
         .await
         .unwrap();
     let reply = line
-        .exchange(request, site::PATIENCE, 1 << 20)
+        .exchange(request, site::WAIT_LIMIT, 1 << 20)
         .await
         .unwrap();
     assert_eq!(reply.status.as_u16(), 413);
--- a/crates/front/tests/site/mod.rs
+++ b/crates/front/tests/site/mod.rs
@@ -23,7 +23,7 @@
 use unit::{Span, Time};
 
 /// Longest wait for something that must come.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
 /// Time between two writings of a replica's entry.
 pub const HEARTBEAT: Span = Span::from_ms(1_200);
@@ -225,7 +225,7 @@
 
 /// Waits until something holds.
 pub async fn until(holds: impl Fn() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + WAIT_LIMIT;
     while !holds() {
         assert!(Instant::now() < end, "it does not come to hold");
         tokio::time::sleep(Duration::from_millis(10)).await;
@@ -324,8 +324,8 @@
 ) -> (String, Answer) {
     let host = callers.to_string().parse().unwrap();
     request.headers_mut().insert(replica::FROM, host);
-    let mut line = Line::open(callers, PATIENCE).await.unwrap();
-    let reply = line.exchange(request, PATIENCE, 1 << 20).await;
+    let mut line = Line::open(callers, WAIT_LIMIT).await.unwrap();
+    let reply = line.exchange(request, WAIT_LIMIT, 1 << 20).await;
     (id, Answer(reply))
 }
 
