--- a/crates/front/tests/quarantine.rs
+++ b/crates/front/tests/quarantine.rs
@@ -21,7 +21,7 @@
 use platform_standin::store::Store;
 use route::quarantine::Crash;
 use site::{
-    BACK, FATAL, ask, ask_body, behind_a_proxy, daemon, fragile, fragile_engine, keep_alone,
+    BACK, FATAL_BODY, ask, ask_body, behind_a_proxy, daemon, fragile, fragile_engine, keep_alone,
     request, send, settings, store, until,
 };
 use std::sync::Arc;
@@ -65,7 +65,7 @@
     let hosts = hosts(&store, 4).await;
     for number in 0..16 {
         let host = &hosts[number % hosts.len()];
-        ask_body(host, "/once/x", FATAL).await;
+        ask_body(host, "/once/x", FATAL_BODY).await;
         sleep(COMES_EACH).await;
     }
     assert!(falls(&fleet) <= KNOWN_AFTER, "{} falls", falls(&fleet));
@@ -78,7 +78,7 @@
 /// Sends the request to each host in turn until it is kept out.
 async fn keep_out(hosts: &[Daemon]) {
     for number in 0..20 {
-        let answer = ask_body(&hosts[number % hosts.len()], "/once/x", FATAL).await;
+        let answer = ask_body(&hosts[number % hosts.len()], "/once/x", FATAL_BODY).await;
         if answer.text().contains("kept_out") {
             return;
         }
@@ -88,7 +88,7 @@
 }
 
 async fn is_kept_out(host: &Daemon) -> bool {
-    let answer = ask_body(host, "/once/x", FATAL).await;
+    let answer = ask_body(host, "/once/x", FATAL_BODY).await;
     answer.status() == 503 && answer.text().contains("kept_out")
 }
 
@@ -105,7 +105,7 @@
     let hosts = hosts(&store, 1).await;
     keep_out(&hosts).await;
     let asked = Instant::now();
-    let answer = ask_body(&hosts[0], "/once/x", FATAL).await;
+    let answer = ask_body(&hosts[0], "/once/x", FATAL_BODY).await;
     assert!(asked.elapsed() < Duration::from_millis(100));
     assert_eq!(answer.status(), 503);
     let later: f64 = answer.header("retry-after").unwrap().parse().unwrap();
@@ -237,7 +237,7 @@
     let fleet = fleet(&store, 8).await;
     let mut hosts = hosts(&store, 3).await;
     for host in &hosts[..2] {
-        ask_body(host, "/once/x", FATAL).await;
+        ask_body(host, "/once/x", FATAL_BODY).await;
         sleep(COMES_EACH).await;
     }
     let leads = hosts.iter().position(|host| host.state().leads()).unwrap();
@@ -259,7 +259,7 @@
     store.remove(KEY);
     until(|| hosts.iter().all(|host| !knows(host))).await;
     sleep(BACK).await;
-    ask_body(&hosts[0], "/once/x", FATAL).await;
+    ask_body(&hosts[0], "/once/x", FATAL_BODY).await;
     assert_eq!(falls(&fleet), KNOWN_AFTER + 1);
 }
 
@@ -311,7 +311,7 @@
     })
     .await;
     for number in 0..14 {
-        ask_body(&hosts[number % hosts.len()], "/once/x", FATAL).await;
+        ask_body(&hosts[number % hosts.len()], "/once/x", FATAL_BODY).await;
         sleep(COMES_EACH).await;
     }
     assert_eq!(falls(&fleet), KNOWN_AFTER);
@@ -330,7 +330,7 @@
     let hosts = hosts(&store, 2).await;
     for number in 0..10 {
         let (id, mut request) = request("/resume/x", Some("m1"));
-        *request.body_mut() = conn::Body::new(FATAL.into());
+        *request.body_mut() = conn::Body::new(FATAL_BODY.into());
         send(&hosts[number % 2], (id, request)).await;
         sleep(COMES_EACH).await;
     }
--- a/crates/front/tests/site/mod.rs
+++ b/crates/front/tests/site/mod.rs
@@ -91,7 +91,7 @@
 }
 
 /// Body of requests that end the process of each replica of [`fragile`] that begins to run them.
-pub const FATAL: &str = "fatal";
+pub const FATAL_BODY: &str = "fatal";
 
 /// Time until a replica whose process a request has ended is back.
 pub const BACK: Duration = Duration::from_millis(400);
@@ -102,7 +102,7 @@
         id: id.into(),
         service: "web".into(),
         models: Vec::new(),
-        fatal: Some((FATAL, BACK)),
+        fatal: Some((FATAL_BODY, BACK)),
         pace: Duration::from_millis(30),
         ..Options::default()
     };
@@ -113,7 +113,7 @@
 pub async fn fragile_engine(store: &Store, id: &str) -> Replica {
     let options = Options {
         id: id.into(),
-        fatal: Some((FATAL, BACK)),
+        fatal: Some((FATAL_BODY, BACK)),
         ..Options::default()
     };
     replica::spawn(store, options).await.unwrap()
