--- a/crates/front/tests/quarantine.rs
+++ b/crates/front/tests/quarantine.rs
@@ -21,8 +21,8 @@
 use platform_standin::store::Store;
 use route::quarantine::Crash;
 use site::{
-    BACK, FATAL_BODY, ask, ask_body, behind_a_proxy, daemon, fragile, fragile_engine, keep_alone,
-    request, send, settings, store, until,
+    FATAL_BODY, RESTART_TIME, ask, ask_body, behind_a_proxy, daemon, fragile, fragile_engine,
+    keep_alone, request, send, settings, store, until,
 };
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -69,7 +69,7 @@
         sleep(COMES_EACH).await;
     }
     assert!(falls(&fleet) <= KNOWN_AFTER, "{} falls", falls(&fleet));
-    sleep(BACK).await;
+    sleep(RESTART_TIME).await;
     for host in &hosts {
         assert_eq!(ask(host, "/once/x", None).await.1.status(), 200);
     }
@@ -119,7 +119,7 @@
     let _fleet = fleet(&store, 6).await;
     let hosts = hosts(&store, 1).await;
     keep_out(&hosts).await;
-    sleep(BACK).await;
+    sleep(RESTART_TIME).await;
     assert_eq!(ask_body(&hosts[0], "/once/x", "other").await.status(), 200);
     assert_eq!(ask_body(&hosts[0], "/once/y", "body").await.status(), 200);
 }
@@ -149,7 +149,7 @@
         answers
     });
     keep_out(&hosts).await;
-    sleep(BACK * 2).await;
+    sleep(RESTART_TIME * 2).await;
     let while_back = Instant::now();
     for _ in 0..10 {
         for host in hosts.iter() {
@@ -185,7 +185,7 @@
     let hosts = hosts(&store, 2).await;
     keep_out(&hosts).await;
     until(|| store.get(KEY).is_some()).await;
-    sleep(BACK).await;
+    sleep(RESTART_TIME).await;
     let host = front::spawn(settings(&store, "later")).await.unwrap();
     until(|| host.state().is_ready()).await;
     assert!(is_kept_out(&host).await);
@@ -202,7 +202,7 @@
     until(|| store.get(KEY).is_some()).await;
     drop(before);
     store.end_leases();
-    sleep(BACK).await;
+    sleep(RESTART_TIME).await;
     let after = [daemon(&store, "e0").await, daemon(&store, "e1").await];
     for host in &after {
         assert!(is_kept_out(host).await);
@@ -225,7 +225,7 @@
     way.set(Mode::Pass);
     *host.state().leader.lock() = leader;
     until(|| knows(&host)).await;
-    sleep(BACK).await;
+    sleep(RESTART_TIME).await;
     assert!(is_kept_out(&host).await);
     assert_eq!(falls(&fleet), KNOWN_AFTER);
 }
@@ -258,7 +258,7 @@
     until(|| store.get(KEY).is_some()).await;
     store.remove(KEY);
     until(|| hosts.iter().all(|host| !knows(host))).await;
-    sleep(BACK).await;
+    sleep(RESTART_TIME).await;
     ask_body(&hosts[0], "/once/x", FATAL_BODY).await;
     assert_eq!(falls(&fleet), KNOWN_AFTER + 1);
 }
--- a/crates/front/tests/site/mod.rs
+++ b/crates/front/tests/site/mod.rs
@@ -94,7 +94,7 @@
 pub const FATAL_BODY: &str = "fatal";
 
 /// Time until a replica whose process a request has ended is back.
-pub const BACK: Duration = Duration::from_millis(400);
+pub const RESTART_TIME: Duration = Duration::from_millis(400);
 
 /// Starts a replica of the plain service that a request may end.
 pub async fn fragile(store: &Store, id: &str) -> Replica {
@@ -102,7 +102,7 @@
         id: id.into(),
         service: "web".into(),
         models: Vec::new(),
-        fatal: Some((FATAL_BODY, BACK)),
+        fatal: Some((FATAL_BODY, RESTART_TIME)),
         pace: Duration::from_millis(30),
         ..Options::default()
     };
@@ -113,7 +113,7 @@
 pub async fn fragile_engine(store: &Store, id: &str) -> Replica {
     let options = Options {
         id: id.into(),
-        fatal: Some((FATAL_BODY, BACK)),
+        fatal: Some((FATAL_BODY, RESTART_TIME)),
         ..Options::default()
     };
     replica::spawn(store, options).await.unwrap()
