--- a/crates/front/tests/quarantine.rs
+++ b/crates/front/tests/quarantine.rs
@@ -21,8 +21,8 @@
 use platform_standin::store::Store;
 use route::quarantine::Crash;
 use site::{
-    FATAL_BODY, RESTART_TIME, ask, ask_body, behind_a_proxy, daemon, fragile, fragile_engine,
-    keep_alone, request, send, settings, store, until,
+    FATAL_BODY, RESTART_TIME, ask, ask_body, behind_a_proxy, crashing_replica, daemon,
+    fragile_engine, keep_alone, request, send, settings, store, until,
 };
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -40,7 +40,7 @@
 async fn fleet(store: &Store, replicas: usize) -> Vec<Replica> {
     let mut fleet = Vec::new();
     for number in 0..replicas {
-        fleet.push(fragile(store, &format!("i-{number}")).await);
+        fleet.push(crashing_replica(store, &format!("i-{number}")).await);
     }
     fleet
 }
--- a/crates/front/tests/site/mod.rs
+++ b/crates/front/tests/site/mod.rs
@@ -97,7 +97,7 @@
 pub const RESTART_TIME: Duration = Duration::from_millis(400);
 
 /// Starts a replica of the plain service that a request may end.
-pub async fn fragile(store: &Store, id: &str) -> Replica {
+pub async fn crashing_replica(store: &Store, id: &str) -> Replica {
     let options = Options {
         id: id.into(),
         service: "web".into(),
