--- a/crates/front/tests/quarantine.rs
+++ b/crates/front/tests/quarantine.rs
@@ -21,8 +21,8 @@
 use platform_standin::store::Store;
 use route::quarantine::Crash;
 use site::{
-    FATAL_BODY, RESTART_TIME, ask, ask_body, behind_a_proxy, crashing_replica, daemon,
-    fragile_engine, keep_alone, request, send, settings, store, until,
+    FATAL_BODY, RESTART_TIME, ask, ask_body, behind_a_proxy, crashing_engine, crashing_replica,
+    daemon, keep_alone, request, send, settings, store, until,
 };
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -325,7 +325,7 @@
     let store = store().await;
     let mut fleet = Vec::new();
     for number in 0..5 {
-        fleet.push(fragile_engine(&store, &format!("i-{number}")).await);
+        fleet.push(crashing_engine(&store, &format!("i-{number}")).await);
     }
     let hosts = hosts(&store, 2).await;
     for number in 0..10 {
--- a/crates/front/tests/site/mod.rs
+++ b/crates/front/tests/site/mod.rs
@@ -110,7 +110,7 @@
 }
 
 /// Starts a replica of the model service that a request may end.
-pub async fn fragile_engine(store: &Store, id: &str) -> Replica {
+pub async fn crashing_engine(store: &Store, id: &str) -> Replica {
     let options = Options {
         id: id.into(),
         fatal: Some((FATAL_BODY, RESTART_TIME)),
