--- a/crates/front/tests/departures.rs
+++ b/crates/front/tests/departures.rs
@@ -9,7 +9,7 @@
 use platform_standin::replica::{self, Options, Replica, Word, Words};
 use platform_standin::store::{Mode, Store};
 use rstest::rstest;
-use site::{ask, behind_a_proxy, daemon, engine, hosts, keep_alone, press, store, until, web};
+use site::{ask, daemon, daemon_behind_proxy, engine, hosts, keep_alone, press, store, until, web};
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 use unit::Span;
@@ -142,7 +142,7 @@
 async fn a_word_holds_at_a_host_that_was_suspended_and_cut_off() {
     let store = store().await;
     let [engine, _engine, web, _web] = replicas(&store).await;
-    let (host, way) = behind_a_proxy(&store, "d1").await;
+    let (host, way) = daemon_behind_proxy(&store, "d1").await;
     let hosts = [host];
     press(&hosts, ALL, Duration::from_millis(500)).await;
     leave_by_word(&engine);
--- a/crates/front/tests/partitioned_host.rs
+++ b/crates/front/tests/partitioned_host.rs
@@ -22,7 +22,7 @@
 use platform_standin::proxy::{Mode, Proxy};
 use platform_standin::replica::Replica;
 use platform_standin::store::Store;
-use site::{ask, behind_a_proxy, daemon, keep_alone, store, until, web};
+use site::{ask, daemon, daemon_behind_proxy, keep_alone, store, until, web};
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
@@ -50,7 +50,7 @@
     let staying = web(&store, "i-2").await;
     let in_touch = daemon(&store, "d1").await;
     until(|| in_touch.state().leads()).await;
-    let (host, way) = behind_a_proxy(&store, "d2").await;
+    let (host, way) = daemon_behind_proxy(&store, "d2").await;
     until(|| host.state().table.lock().view.all().count() == 2).await;
     let leader = keep_alone(&host);
     way.set(Mode::DeafTarget);
@@ -113,7 +113,7 @@
     let store = store().await;
     let leaving = web(&store, "i-1").await;
     let _staying = web(&store, "i-2").await;
-    let (led, way) = behind_a_proxy(&store, "d1").await;
+    let (led, way) = daemon_behind_proxy(&store, "d1").await;
     until(|| led.state().leads()).await;
     let next = daemon(&store, "d2").await;
     sleep(Duration::from_secs(1)).await;
--- a/crates/front/tests/quarantine.rs
+++ b/crates/front/tests/quarantine.rs
@@ -21,8 +21,8 @@
 use platform_standin::store::Store;
 use route::quarantine::Crash;
 use site::{
-    FATAL_BODY, RESTART_TIME, ask, ask_body, behind_a_proxy, crashing_engine, crashing_replica,
-    daemon, keep_alone, request, send, settings, store, until,
+    FATAL_BODY, RESTART_TIME, ask, ask_body, crashing_engine, crashing_replica, daemon,
+    daemon_behind_proxy, keep_alone, request, send, settings, store, until,
 };
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -217,7 +217,7 @@
     let fleet = fleet(&store, 6).await;
     let others = hosts(&store, 1).await;
     until(|| others[0].state().leads()).await;
-    let (host, way) = behind_a_proxy(&store, "cut").await;
+    let (host, way) = daemon_behind_proxy(&store, "cut").await;
     let leader = keep_alone(&host);
     way.set(Mode::DeafTarget);
     until(|| host.state().table.lock().view.contact.is_unreachable()).await;
--- a/crates/front/tests/site/mod.rs
+++ b/crates/front/tests/site/mod.rs
@@ -194,7 +194,7 @@
 }
 
 /// Starts a host that reaches the store through a proxy.
-pub async fn behind_a_proxy(store: &Store, name: &str) -> (Daemon, Proxy) {
+pub async fn daemon_behind_proxy(store: &Store, name: &str) -> (Daemon, Proxy) {
     let way = proxy::spawn(store.addr).await.unwrap();
     let settings = Settings {
         store: way.addr,
--- a/crates/front/tests/suspended.rs
+++ b/crates/front/tests/suspended.rs
@@ -7,8 +7,8 @@
 use platform_standin::proxy::Mode;
 use platform_standin::replica::Fault;
 use site::{
-    Answer, account, ask, ask_with, behind_a_proxy, daemon, engine, keep_alone, store, until, web,
-    with_accounts,
+    Answer, account, ask, ask_with, daemon, daemon_behind_proxy, engine, keep_alone, store, until,
+    web, with_accounts,
 };
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -52,7 +52,7 @@
         &with_accounts(2, &[account("a", &["key-of-a"])]),
     );
     let _web = web(&store, "i-1").await;
-    let (host, way) = behind_a_proxy(&store, "d1").await;
+    let (host, way) = daemon_behind_proxy(&store, "d1").await;
     assert_eq!(
         ask_with(&host, "key-of-a", "/again/x", None)
             .await
@@ -89,7 +89,7 @@
 async fn it_denies_no_route_by_news_older_than_the_bound() {
     let store = store().await;
     let _web = web(&store, "i-1").await;
-    let (host, way) = behind_a_proxy(&store, "d1").await;
+    let (host, way) = daemon_behind_proxy(&store, "d1").await;
     assert_eq!(ask(&host, "/nowhere/x", None).await.1.status(), 404);
     way.set(Mode::DeafTarget);
     keep_alone(&host);
