--- a/crates/front/tests/departures.rs
+++ b/crates/front/tests/departures.rs
@@ -9,7 +9,7 @@
 use platform_standin::replica::{self, Options, Replica, Word, Words};
 use platform_standin::store::{Mode, Store};
 use rstest::rstest;
-use site::{ask, daemon, daemon_behind_proxy, engine, hosts, keep_alone, press, store, until, web};
+use site::{ask, daemon, daemon_behind_proxy, engine, hosts, isolate, press, store, until, web};
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 use unit::Span;
@@ -149,7 +149,7 @@
     leave_by_word(&web);
     press(&hosts, ALL, Duration::from_millis(300)).await;
     way.set(proxy::Mode::MuteTarget);
-    keep_alone(&hosts[0]);
+    isolate(&hosts[0]);
     hosts[0].state().clock.simulate_suspend(Span::from_secs(6));
     press(&hosts, ALL, BOUND + AFTER).await;
     assert_eq!(late_from_all(&engine, &hosts), 0, "streams");
--- a/crates/front/tests/partitioned_host.rs
+++ b/crates/front/tests/partitioned_host.rs
@@ -22,7 +22,7 @@
 use platform_standin::proxy::{Mode, Proxy};
 use platform_standin::replica::Replica;
 use platform_standin::store::Store;
-use site::{ask, daemon, daemon_behind_proxy, keep_alone, store, until, web};
+use site::{ask, daemon, daemon_behind_proxy, isolate, store, until, web};
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
@@ -52,7 +52,7 @@
     until(|| in_touch.state().leads()).await;
     let (host, way) = daemon_behind_proxy(&store, "d2").await;
     until(|| host.state().table.lock().view.all().count() == 2).await;
-    let leader = keep_alone(&host);
+    let leader = isolate(&host);
     way.set(Mode::DeafTarget);
     until(|| host.state().table.lock().view.contact.is_unreachable()).await;
     Cut {
--- a/crates/front/tests/quarantine.rs
+++ b/crates/front/tests/quarantine.rs
@@ -22,7 +22,7 @@
 use route::quarantine::Crash;
 use site::{
     FATAL_BODY, RESTART_TIME, ask, ask_body, crashing_engine, crashing_replica, daemon,
-    daemon_behind_proxy, keep_alone, request, send, settings, store, until,
+    daemon_behind_proxy, isolate, request, send, settings, store, until,
 };
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -218,7 +218,7 @@
     let others = hosts(&store, 1).await;
     until(|| others[0].state().leads()).await;
     let (host, way) = daemon_behind_proxy(&store, "cut").await;
-    let leader = keep_alone(&host);
+    let leader = isolate(&host);
     way.set(Mode::DeafTarget);
     until(|| host.state().table.lock().view.contact.is_unreachable()).await;
     keep_out(&others).await;
--- a/crates/front/tests/site/mod.rs
+++ b/crates/front/tests/site/mod.rs
@@ -207,7 +207,7 @@
 
 /// Lets a host hear of the store from no other one and ignore the leader, as behind a partition; gives back who
 /// leads.
-pub fn keep_alone(host: &Daemon) -> Option<Leader> {
+pub fn isolate(host: &Daemon) -> Option<Leader> {
     let state = host.state();
     let mut leader = state.leader.lock();
     let known = leader.clone();
--- a/crates/front/tests/suspended.rs
+++ b/crates/front/tests/suspended.rs
@@ -7,7 +7,7 @@
 use platform_standin::proxy::Mode;
 use platform_standin::replica::Fault;
 use site::{
-    Answer, account, ask, ask_with, daemon, daemon_behind_proxy, engine, keep_alone, store, until,
+    Answer, account, ask, ask_with, daemon, daemon_behind_proxy, engine, isolate, store, until,
     web, with_accounts,
 };
 use std::time::Duration;
@@ -61,7 +61,7 @@
         200
     );
     way.set(Mode::DeafTarget);
-    keep_alone(&host);
+    isolate(&host);
     suspend(&host);
     assert_eq!(
         ask_with(&host, "key-of-a", "/again/x", None)
@@ -92,7 +92,7 @@
     let (host, way) = daemon_behind_proxy(&store, "d1").await;
     assert_eq!(ask(&host, "/nowhere/x", None).await.1.status(), 404);
     way.set(Mode::DeafTarget);
-    keep_alone(&host);
+    isolate(&host);
     let bound = host.state().settings.bounds.configuration;
     host.state().clock.simulate_suspend(bound.into());
     assert_eq!(ask(&host, "/nowhere/x", None).await.1.status(), 503);
