--- a/crates/front/tests/backoff.rs
+++ b/crates/front/tests/backoff.rs
@@ -6,7 +6,7 @@
 use platform_standin::replica::{Replica, Word, Words};
 use platform_standin::store::Mode;
 use rstest::rstest;
-use site::{ask, daemon, engine, hosts, press, store, until, web};
+use site::{ask, daemon, engine, hosts, send_load, store, until, web};
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 use unit::Span;
@@ -62,14 +62,14 @@
         engine(&store, "i-4", &["m1"]).await,
     ];
     let hosts = hosts(&store, 3).await;
-    press(
+    send_load(
         &hosts,
         &["/stream/x", "/resume/x"],
         Duration::from_millis(500),
     )
     .await;
     ask_for_rest(&tired, Some("2"));
-    let statuses = press(&hosts, &["/stream/x", "/resume/x"], Duration::from_secs(5)).await;
+    let statuses = send_load(&hosts, &["/stream/x", "/resume/x"], Duration::from_secs(5)).await;
     let most = most_from_any(&tired, &hosts);
     assert!(
         most <= ALLOWED,
@@ -85,11 +85,11 @@
     let store = store().await;
     let all = [web(&store, "w-1").await, web(&store, "w-2").await];
     let hosts = hosts(&store, 3).await;
-    press(&hosts, &["/once/x", "/again/x"], Duration::from_millis(500)).await;
+    send_load(&hosts, &["/once/x", "/again/x"], Duration::from_millis(500)).await;
     for (replica, seconds) in all.iter().zip(["2.5", "1.5"]) {
         ask_for_rest(replica, Some(seconds));
     }
-    press(&hosts, &["/once/x", "/again/x"], Duration::from_secs(5)).await;
+    send_load(&hosts, &["/once/x", "/again/x"], Duration::from_secs(5)).await;
     for replica in &all {
         let most = most_from_any(replica, &hosts);
         assert!(
@@ -125,11 +125,11 @@
     ];
     let _fifth = web(&store, "w-5").await;
     let hosts = hosts(&store, 3).await;
-    press(&hosts, PLAIN, Duration::from_millis(500)).await;
+    send_load(&hosts, PLAIN, Duration::from_millis(500)).await;
     for replica in &tired {
         ask_for_rest(replica, Some("3"));
     }
-    let statuses = press(&hosts, PLAIN, Duration::from_secs(4)).await;
+    let statuses = send_load(&hosts, PLAIN, Duration::from_secs(4)).await;
     let served = statuses.iter().filter(|s| **s == 200).count();
     assert!(
         served * 100 >= statuses.len() * 97,
@@ -285,7 +285,7 @@
     };
     ask_for_rest(&tired, None);
     let end = first + Duration::from_secs(1);
-    press(&hosts, &["/stream/x"], Duration::from_millis(3_200)).await;
+    send_load(&hosts, &["/stream/x"], Duration::from_millis(3_200)).await;
     let arrived = tired.arrived_after(first);
     let by = |ms| {
         arrived
@@ -307,7 +307,7 @@
     let _other = engine(&store, "i-2", &["m1"]).await;
     let hosts = hosts(&store, 1).await;
     ask_for_rest(&tired, Some("1"));
-    press(&hosts, &["/stream/x"], Duration::from_millis(5_500)).await;
+    send_load(&hosts, &["/stream/x"], Duration::from_millis(5_500)).await;
     let asked = tired.said().len();
     assert!(
         (3..=6).contains(&asked),
--- a/crates/front/tests/departures.rs
+++ b/crates/front/tests/departures.rs
@@ -9,7 +9,9 @@
 use platform_standin::replica::{self, Options, Replica, Word, Words};
 use platform_standin::store::{Mode, Store};
 use rstest::rstest;
-use site::{ask, daemon, daemon_behind_proxy, engine, hosts, isolate, press, store, until, web};
+use site::{
+    ask, daemon, daemon_behind_proxy, engine, hosts, isolate, send_load, store, until, web,
+};
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 use unit::Span;
@@ -65,10 +67,10 @@
     let store = store().await;
     let [engine, _engine, web, _web] = replicas(&store).await;
     let hosts = hosts(&store, 3).await;
-    press(&hosts, ALL, Duration::from_millis(500)).await;
+    send_load(&hosts, ALL, Duration::from_millis(500)).await;
     leave_by_word(&engine);
     leave_by_word(&web);
-    let statuses = press(&hosts, ALL, BOUND + AFTER).await;
+    let statuses = send_load(&hosts, ALL, BOUND + AFTER).await;
     assert_eq!(late_from_all(&engine, &hosts), 0, "streams");
     assert_eq!(late_from_all(&web, &hosts), 0, "plain requests");
     assert!(
@@ -83,11 +85,11 @@
     let store = store().await;
     let [engine, _engine, web, _web] = replicas(&store).await;
     let hosts = hosts(&store, 3).await;
-    press(&hosts, ALL, Duration::from_millis(500)).await;
+    send_load(&hosts, ALL, Duration::from_millis(500)).await;
     store.set_mode(Mode::Silent);
     leave_by_word(&engine);
     leave_by_word(&web);
-    press(&hosts, ALL, BOUND + AFTER).await;
+    send_load(&hosts, ALL, BOUND + AFTER).await;
     assert_eq!(late_from_all(&engine, &hosts), 0, "streams");
     assert_eq!(late_from_all(&web, &hosts), 0, "plain requests");
 }
@@ -117,21 +119,21 @@
     let store = store().await;
     let [engine, _engine, web, _web] = replicas(&store).await;
     let hosts = hosts(&store, 3).await;
-    press(&hosts, ALL, Duration::from_millis(500)).await;
+    send_load(&hosts, ALL, Duration::from_millis(500)).await;
     leave_by_word(&engine);
     leave_by_word(&web);
-    press(&hosts, ALL, Duration::from_millis(800)).await;
+    send_load(&hosts, ALL, Duration::from_millis(800)).await;
     for replica in [&engine, &web] {
         store.put_bytes(&replica.key(), b"not an entry");
         replica.beat();
     }
-    press(&hosts, ALL, Duration::from_millis(500)).await;
+    send_load(&hosts, ALL, Duration::from_millis(500)).await;
     engine.vanish();
     web.vanish();
     sleep(Duration::from_millis(500)).await;
     engine.beat();
     web.beat();
-    press(&hosts, ALL, BOUND + AFTER).await;
+    send_load(&hosts, ALL, BOUND + AFTER).await;
     assert_eq!(late_from_all(&engine, &hosts), 0, "streams");
     assert_eq!(late_from_all(&web, &hosts), 0, "plain requests");
 }
@@ -144,14 +146,14 @@
     let [engine, _engine, web, _web] = replicas(&store).await;
     let (host, way) = daemon_behind_proxy(&store, "d1").await;
     let hosts = [host];
-    press(&hosts, ALL, Duration::from_millis(500)).await;
+    send_load(&hosts, ALL, Duration::from_millis(500)).await;
     leave_by_word(&engine);
     leave_by_word(&web);
-    press(&hosts, ALL, Duration::from_millis(300)).await;
+    send_load(&hosts, ALL, Duration::from_millis(300)).await;
     way.set(proxy::Mode::MuteTarget);
     isolate(&hosts[0]);
     hosts[0].state().clock.simulate_suspend(Span::from_secs(6));
-    press(&hosts, ALL, BOUND + AFTER).await;
+    send_load(&hosts, ALL, BOUND + AFTER).await;
     assert_eq!(late_from_all(&engine, &hosts), 0, "streams");
     assert_eq!(late_from_all(&web, &hosts), 0, "plain requests");
 }
--- a/crates/front/tests/rate_limit.rs
+++ b/crates/front/tests/rate_limit.rs
@@ -13,7 +13,7 @@
 };
 use platform_standin::replica::{Fault, Replica};
 use platform_standin::store::{Mode, Store};
-use site::{daemon, engine, hosts, press, store};
+use site::{daemon, engine, hosts, send_load, store};
 use std::time::Duration;
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep};
@@ -61,11 +61,11 @@
     paths: &[&'static str],
     limit: &str,
 ) -> (Vec<u16>, usize) {
-    press(hosts, paths, Duration::from_millis(500)).await;
+    send_load(hosts, paths, Duration::from_millis(500)).await;
     replica.name_limit(Some(limit));
-    press(hosts, paths, BOUND).await;
+    send_load(hosts, paths, BOUND).await;
     let from = Instant::now();
-    let statuses = press(hosts, paths, Duration::from_secs(6)).await;
+    let statuses = send_load(hosts, paths, Duration::from_secs(6)).await;
     (statuses, most_in_a_window(&replica.arrived_after(from)))
 }
 
@@ -149,7 +149,7 @@
 /// Requests that reached a replica in the windows of a time.
 async fn watch(hosts: &[Daemon], replica: &Replica, time: Duration) -> (Vec<u16>, usize) {
     let from = Instant::now();
-    let statuses = press(hosts, &["/stream/x"], time).await;
+    let statuses = send_load(hosts, &["/stream/x"], time).await;
     (statuses, most_in_a_window(&replica.arrived_after(from)))
 }
 
@@ -163,7 +163,7 @@
 async fn a_limit_holds_while_the_leader_dies_and_a_host_begins() {
     let (store, [needy, _other], mut hosts) = two_replicas().await;
     needy.name_limit(Some("3"));
-    press(&hosts, &["/stream/x"], BOUND).await;
+    send_load(&hosts, &["/stream/x"], BOUND).await;
     let leader = hosts.iter().position(|h| h.state().leads()).unwrap();
     drop(hosts.remove(leader));
     let (statuses, most) = watch(&hosts, &needy, Duration::from_secs(5)).await;
@@ -185,13 +185,13 @@
 async fn a_limit_holds_while_hosts_are_suspended() {
     let (_store, [needy, _other], hosts) = two_replicas().await;
     needy.name_limit(Some("2"));
-    press(&hosts, &["/stream/x"], BOUND).await;
+    send_load(&hosts, &["/stream/x"], BOUND).await;
     let from = Instant::now();
     for host in &hosts {
         host.state().clock.simulate_suspend(AWAY);
-        press(&hosts, &["/stream/x"], Duration::from_millis(1_500)).await;
+        send_load(&hosts, &["/stream/x"], Duration::from_millis(1_500)).await;
     }
-    press(&hosts, &["/stream/x"], WINDOW).await;
+    send_load(&hosts, &["/stream/x"], WINDOW).await;
     let most = most_in_a_window(&needy.arrived_after(from));
     assert!(most <= allowed(2.0), "{most} in 4 s");
     let knows = |h: &Daemon| h.state().table.lock().limit_of("i-1", h.state().now());
@@ -203,7 +203,7 @@
 async fn a_limit_holds_and_is_used_while_the_store_is_away() {
     let (store, [needy, _other], hosts) = two_replicas().await;
     needy.name_limit(Some("3"));
-    press(&hosts, &["/stream/x"], BOUND).await;
+    send_load(&hosts, &["/stream/x"], BOUND).await;
     store.set_mode(Mode::Silent);
     let (statuses, most) = watch(&hosts, &needy, Duration::from_secs(5)).await;
     assert!(most <= allowed(3.0), "{most} in 4 s");
@@ -230,9 +230,9 @@
     for (replica, (named, _)) in needy.iter().zip(limits) {
         replica.name_limit(Some(named));
     }
-    press(&hosts, &["/once/x", "/again/x"], BOUND).await;
+    send_load(&hosts, &["/once/x", "/again/x"], BOUND).await;
     let from = Instant::now();
-    let statuses = press(&hosts, &["/once/x", "/again/x"], Duration::from_secs(6)).await;
+    let statuses = send_load(&hosts, &["/once/x", "/again/x"], Duration::from_secs(6)).await;
     for (replica, (_, rate)) in needy.iter().zip(limits) {
         let most = most_in_a_window(&replica.arrived_after(from));
         assert!(most <= allowed(rate), "{most} in 4 s of {rate} a second");
@@ -247,13 +247,13 @@
 async fn a_replica_whose_need_is_over_is_back_within_seconds() {
     let (_store, [needy, _other], hosts) = two_replicas().await;
     needy.name_limit(Some("0"));
-    press(&hosts, &["/stream/x"], BOUND).await;
+    send_load(&hosts, &["/stream/x"], BOUND).await;
     let (_, most) = watch(&hosts, &needy, Duration::from_secs(5)).await;
     assert!((1..=5).contains(&most), "a limit of zero: {most} in 4 s");
     needy.name_limit(None);
-    press(&hosts, &["/stream/x"], Duration::from_secs(6)).await;
+    send_load(&hosts, &["/stream/x"], Duration::from_secs(6)).await;
     let from = Instant::now();
-    press(&hosts, &["/stream/x"], Duration::from_secs(2)).await;
+    send_load(&hosts, &["/stream/x"], Duration::from_secs(2)).await;
     let back = needy.arrived_after(from).len();
     assert!(back > 15, "{back} of 80 requests in 2 s");
 }
@@ -333,7 +333,7 @@
     site::until(|| hosts.iter().all(knows)).await;
     needy.restart();
     site::until(|| !hosts.iter().any(knows)).await;
-    let statuses = press(&hosts, &["/again/x"], Duration::from_secs(2)).await;
+    let statuses = send_load(&hosts, &["/again/x"], Duration::from_secs(2)).await;
     all_served(&statuses);
 }
 
@@ -342,10 +342,10 @@
 async fn resumed_streams_keep_to_limits_and_go_first() {
     let (_store, [needy, breaks], hosts) = two_replicas().await;
     needy.name_limit(Some("2"));
-    press(&hosts, &["/resume/x"], BOUND).await;
+    send_load(&hosts, &["/resume/x"], BOUND).await;
     breaks.set_fault(Fault::CutsEvents);
     let from = Instant::now();
-    press(&hosts, &["/resume/x"], Duration::from_secs(5)).await;
+    send_load(&hosts, &["/resume/x"], Duration::from_secs(5)).await;
     let most = most_in_a_window(&needy.arrived_after(from));
     assert!(most <= allowed(2.0), "{most} in 4 s");
 }
@@ -357,8 +357,8 @@
     let needy = engine(&store, "i-1", &["m1"]).await;
     let hosts = hosts(&store, 3).await;
     needy.name_limit(Some("4"));
-    press(&hosts, &["/stream/x", "/later/x"], BOUND).await;
-    let statuses = press(&hosts, &["/stream/x", "/later/x"], Duration::from_secs(5)).await;
+    send_load(&hosts, &["/stream/x", "/later/x"], BOUND).await;
+    let statuses = send_load(&hosts, &["/stream/x", "/later/x"], Duration::from_secs(5)).await;
     let served = |turn: usize| {
         let of = statuses.iter().skip(turn).step_by(2);
         of.filter(|s| **s == 200).count()
--- a/crates/front/tests/site/mod.rs
+++ b/crates/front/tests/site/mod.rs
@@ -300,7 +300,7 @@
 }
 
 /// Statuses of the requests that were sent, a path each 25 ms in turn over hosts and paths, for a time.
-pub async fn press(hosts: &[Daemon], paths: &[&'static str], time: Duration) -> Vec<u16> {
+pub async fn send_load(hosts: &[Daemon], paths: &[&'static str], time: Duration) -> Vec<u16> {
     let end = Instant::now() + time;
     let mut asked = JoinSet::new();
     for n in 0.. {
