--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -1,11 +1,11 @@
 //! What daemons tell each other in datagrams.
 
-pub mod leaving;
+pub mod departures;
 pub mod limit;
 mod quarantine;
 mod quota;
 
-pub use leaving::Departures;
+pub use departures::Departures;
 pub use limit::{LimitDigest, LimitReport, ReplicaLimit};
 pub use quarantine::{CrashReport, QuarantineEntry, QuarantineList, TrialResponse};
 pub use quota::{QuotaRequest, QuotaResponse, Refund, Subject};
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -5,13 +5,13 @@
 //! sooner. A lost datagram only makes a sum older; sums past their
 //! age are not used.
 //!
-//! Its parts: `inbox` is what hosts told the leader, `quota` what is asked for and given of limits over all hosts, `limits` which of these replicas name, `leaving` which replicas leave, `load_reports` when this host tells what it has in
+//! Its parts: `inbox` is what hosts told the leader, `quota` what is asked for and given of limits over all hosts, `limits` which of these replicas name, `departures` which replicas leave, `load_reports` when this host tells what it has in
 //! flight, `fanout` which hosts pass on what the leader tells all, `quarantine` which requests end replicas, `pending`
 //! what waits for an answer. The datagrams themselves are in [`message`].
 
+mod departures;
 pub mod fanout;
 mod inbox;
-mod leaving;
 mod limits;
 mod load_reports;
 mod pending;
--- a/crates/front/src/peers/leaving.rs
+++ b/crates/front/src/peers/departures.rs
@@ -3,7 +3,7 @@
 
 use super::Peers;
 use crate::feedback;
-use crate::message::leaving::ROWS;
+use crate::message::departures::ROWS;
 use crate::message::{Departures, Message};
 use platform::replica::Incarnation;
 use std::sync::Arc;
