--- a/crates/backing/src/hosts.rs
+++ b/crates/backing/src/hosts.rs
@@ -13,7 +13,7 @@
 pub const PATH: &str = "/v1/hosts";
 
 /// Longest list that is read, in bytes: about 40,000 hosts.
-const MOST_ANSWER: usize = 8_000_000;
+const MAX_RESPONSE_BYTES: usize = 8_000_000;
 
 /// What runs on a host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -111,12 +111,12 @@
 
 impl Hosts {
     /// Reads what changed since the last read; gives the whole list if anything did.
-    pub async fn changed(&self) -> Result<Option<Vec<Host>>, Error> {
+    pub async fn poll(&self) -> Result<Option<Vec<Host>>, Error> {
         let after = self.known.lock().version;
         let path = format!("{PATH}?after={after}");
         let changes: Changes = self
             .pool
-            .json::<(), _>(self.addr, &path, None, self.limit, MOST_ANSWER)
+            .json::<(), _>(self.addr, &path, None, self.limit, MAX_RESPONSE_BYTES)
             .await?;
         let mut known = self.known.lock();
         let news = known.apply(changes);
@@ -125,7 +125,7 @@
 
     /// Reads the list.
     pub async fn list(&self) -> Result<Vec<Host>, Error> {
-        self.changed().await?;
+        self.poll().await?;
         Ok(self.known.lock().hosts.values().cloned().collect())
     }
 }
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -33,7 +33,7 @@
             Ok(())
         }
         Command::KeyShow { file } => {
-            out(bundle::key::public(&keys::read(file)?));
+            out(bundle::key::public_key(&keys::read(file)?));
             Ok(())
         }
         Command::KeyHash { key } => {
@@ -109,7 +109,7 @@
                 bundles::propose(tool, &name(file), &text, &s).await
             })
             .await?;
-            let needed = tool.settings.trust.needed;
+            let needed = tool.settings.trust.required_approvals;
             match options.json {
                 true => json(&draft),
                 false => out(format!(
--- a/crates/daemon/src/shelf.rs
+++ b/crates/daemon/src/shelf.rs
@@ -1,7 +1,7 @@
 //! Heads and parts of bundles in the key-value service.
 
 use backing::keys;
-use backing::kv::{Error as KvError, Kv, Swapped};
+use backing::kv::{Error as KvError, Kv, SwapOutcome};
 use bundle::part::{self, Part, Ref};
 use bundle::{Draft, Head};
 use serde::de::DeserializeOwned;
@@ -118,13 +118,13 @@
 }
 
 async fn put_part(kv: &Kv, part: &Part) -> Result<(), Error> {
-    let key = keys::part(&part.at.hash);
+    let key = keys::part(&part.reference.hash);
     let mut tries = 1;
     loop {
-        match kv.swap(&key, 0, Some(&part.text), None).await {
-            Ok(Swapped::Written(_)) => return Ok(()),
-            Ok(Swapped::Conflict(Some(found))) if found.value == part.text => return Ok(()),
-            Ok(Swapped::Conflict(_)) => {
+        match kv.compare_and_swap(&key, 0, Some(&part.text), None).await {
+            Ok(SwapOutcome::Written(_)) => return Ok(()),
+            Ok(SwapOutcome::Conflict(Some(found))) if found.value == part.text => return Ok(()),
+            Ok(SwapOutcome::Conflict(_)) => {
                 return Err(Error::Corrupt {
                     key: key.into(),
                     reason: "another content stands there".into(),
--- a/crates/place/src/plan/grow.rs
+++ b/crates/place/src/plan/scale_up.rs
@@ -9,9 +9,9 @@
 //! over this hall's first, then those elsewhere.
 
 use super::floor::{self, Surplus};
-use super::tick::{Need, Tick, Want};
+use super::tick::{Demand, Spec, Tick};
+use crate::balance::{self, Flow};
 use crate::fleet::{Upstream, is_base};
-use crate::share::{self, Flow};
 use unit::engine::{Resident, State};
 use unit::{Bytes, Name};
 
@@ -37,7 +37,7 @@
 
 /// Replica that could be added.
 struct Offer<'a> {
-    want: &'a Want,
+    spec: &'a Spec,
     at: usize,
     evicted: Evicted,
     worth: f64,
@@ -53,7 +53,7 @@
 }
 
 /// Adds the replicas that are worth most.
-pub(super) fn grow(tick: &mut Tick) {
+pub(super) fn scale_up(tick: &mut Tick) {
     let mut promised: Vec<(usize, usize)> = Vec::new();
     for _ in 0..MOST_PER_TICK {
         if !tick.may_start() {
@@ -64,25 +64,25 @@
             return;
         };
         let model = tick
-            .s
-            .wants
+            .input
+            .specs
             .iter()
-            .position(|w| w.model == offer.want.model);
+            .position(|w| w.model == offer.spec.model);
         promised.push((model.expect("offers are of wanted models"), offer.at));
         take(tick, offer);
     }
 }
 
-fn need(tick: &Tick, model: &Name) -> Need {
-    tick.s.needs.get(model).copied().unwrap_or_default()
+fn demand(tick: &Tick, model: &Name) -> Demand {
+    tick.input.demand.get(model).copied().unwrap_or_default()
 }
 
 /// Upstreams that hold or are getting a model, in all halls.
 fn places(tick: &Tick, model: &Name) -> Vec<usize> {
     let ready = tick.ready(model).into_iter().map(|(at, _)| at);
     let coming = tick.coming(model).iter().map(|(at, _)| *at);
-    let here = tick.s.fleet.upstreams.len();
-    let elsewhere = tick.s.elsewhere.upstreams.iter().enumerate();
+    let here = tick.input.fleet.upstreams.len();
+    let elsewhere = tick.input.other_halls.upstreams.iter().enumerate();
     let elsewhere = elsewhere.filter(|(_, u)| !u.leaving && holds(u, model));
     let mut places: Vec<usize> = ready.chain(coming).collect();
     places.extend(elsewhere.map(|(i, _)| here + i));
@@ -105,14 +105,14 @@
 /// Demand over what is there, on its way, or promised in this tick.
 fn spread(tick: &Tick, promised: &[(usize, usize)]) -> Spread {
     let mut flows: Vec<Flow> = tick
-        .s
-        .wants
+        .input
+        .specs
         .iter()
-        .map(|want| {
-            let need = need(tick, &want.model);
+        .map(|spec| {
+            let demand = demand(tick, &spec.model);
             Flow {
-                work: need.rate * need.work,
-                at: places(tick, &want.model),
+                work: demand.rate * demand.work,
+                at: places(tick, &spec.model),
             }
         })
         .collect();
@@ -121,8 +121,8 @@
             flows[*model].at.push(*at);
         }
     }
-    let all = tick.s.fleet.upstreams.len() + tick.s.elsewhere.upstreams.len();
-    let work = share::spread(&flows, all);
+    let all = tick.input.fleet.upstreams.len() + tick.input.other_halls.upstreams.len();
+    let work = balance::spread(&flows, all);
     let over = over(&work);
     Spread { flows, work, over }
 }
@@ -137,17 +137,17 @@
     if spread.over <= 0.0 {
         return None;
     }
-    let here = tick.s.fleet.upstreams.len();
-    let elsewhere = tick.s.elsewhere.upstreams.iter().enumerate();
+    let here = tick.input.fleet.upstreams.len();
+    let elsewhere = tick.input.other_halls.upstreams.iter().enumerate();
     let elsewhere = elsewhere.filter(|(_, u)| !u.leaving).map(|(i, _)| here + i);
     let mut cold: Vec<usize> = tick.usable().into_iter().chain(elsewhere).collect();
     cold.sort_by(|a, b| spread.work[*a].total_cmp(&spread.work[*b]));
     let mut best: Option<Offer> = None;
     for m in hot_models(spread) {
-        let want = &tick.s.wants[m];
+        let spec = &tick.input.specs[m];
         let tried = cold.iter().filter(|u| !spread.flows[m].at.contains(u));
         for u in tried.take(TARGETS) {
-            let Some(offer) = weigh(tick, spread, m, want, *u) else {
+            let Some(offer) = weigh(tick, spread, m, spec, *u) else {
                 continue;
             };
             if best.as_ref().is_none_or(|b| offer.worth > b.worth) {
@@ -186,29 +186,29 @@
     tick: &Tick<'a>,
     spread: &Spread,
     m: usize,
-    want: &'a Want,
+    spec: &'a Spec,
     u: usize,
 ) -> Option<Offer<'a>> {
-    let evicted = match tick.s.fleet.upstreams.get(u) {
-        Some(_) => evicted_here(tick, want, u)?,
-        None => evicted_elsewhere(tick, spread, want, u)?,
+    let evicted = match tick.input.fleet.upstreams.get(u) {
+        Some(_) => evicted_here(tick, spec, u)?,
+        None => evicted_elsewhere(tick, spread, spec, u)?,
     };
     let mut flows = spread.flows.clone();
     flows[m].at.push(u);
     for gone in evicted.models(tick) {
         flows[gone].at.retain(|at| *at != u);
     }
-    let after = over(&share::spread(&flows, spread.work.len()));
-    let need = need(tick, &want.model);
-    let relief = (spread.over - after) / need.work.max(1e-9);
+    let after = over(&balance::spread(&flows, spread.work.len()));
+    let demand = demand(tick, &spec.model);
+    let relief = (spread.over - after) / demand.work.max(1e-9);
     let moves = 1 + evicted.count();
-    let rank = 1.0 + f64::from(want.priority) * PER_PRIORITY;
-    let earned = tick.s.attainment * rank * relief * HORIZON;
-    let cost = tick.s.moves * MOVE_COST * moves as f64;
+    let rank = 1.0 + f64::from(spec.priority) * PER_PRIORITY;
+    let earned = tick.input.attainment_weight * rank * relief * HORIZON;
+    let cost = tick.input.move_cost * MOVE_COST * moves as f64;
     let at = &spread.flows[m].at;
     let level = at.iter().map(|u| spread.work[*u]).fold(0.0, f64::max);
     (earned > cost).then_some(Offer {
-        want,
+        spec,
         at: u,
         evicted,
         worth: earned - cost,
@@ -236,8 +236,12 @@
     fn models(&self, tick: &Tick) -> Vec<usize> {
         match self {
             Evicted::Here(surplus) => {
-                let number =
-                    |s: &Surplus| tick.s.wants.iter().position(|w| w.model == s.weights.model);
+                let number = |s: &Surplus| {
+                    tick.input
+                        .specs
+                        .iter()
+                        .position(|w| w.model == s.weights.model)
+                };
                 surplus.iter().filter_map(number).collect()
             }
             Evicted::Elsewhere(models) => models.clone(),
@@ -245,21 +249,21 @@
     }
 }
 
-fn evicted_here(tick: &Tick, want: &Want, u: usize) -> Option<Evicted> {
+fn evicted_here(tick: &Tick, spec: &Spec, u: usize) -> Option<Evicted> {
     let going = floor::going(tick, u);
-    if tick.free(u) + going >= want.whole() {
+    if tick.free(u) + going >= spec.total_memory() {
         return Some(Evicted::Here(Vec::new()));
     }
     // Where something goes already, its room is awaited before more must go.
     if going > Bytes(0) {
         return None;
     }
-    floor::enough(tick, u, want.whole()).map(Evicted::Here)
+    floor::enough(tick, u, spec.total_memory()).map(Evicted::Here)
 }
 
 /// What another hall's planner would let go: the replicas with least work of models that have more.
-fn evicted_elsewhere(tick: &Tick, spread: &Spread, want: &Want, u: usize) -> Option<Evicted> {
-    let upstream = &tick.s.elsewhere.upstreams[u - tick.s.fleet.upstreams.len()];
+fn evicted_elsewhere(tick: &Tick, spread: &Spread, spec: &Spec, u: usize) -> Option<Evicted> {
+    let upstream = &tick.input.other_halls.upstreams[u - tick.input.fleet.upstreams.len()];
     let staying = |r: &&Resident| r.state != State::Unloading;
     let resident = &upstream.report.resident;
     let taken: Bytes = resident.iter().filter(staying).map(|r| r.bytes).sum();
@@ -270,8 +274,8 @@
         .filter(|r| r.state == State::Ready && r.weights.adapter.is_none())
         .filter_map(|r| {
             let m = tick
-                .s
-                .wants
+                .input
+                .specs
                 .iter()
                 .position(|w| w.model == r.weights.model)?;
             (spread.flows[m].at.len() > 1).then_some((m, r.bytes))
@@ -280,31 +284,31 @@
     surplus.sort_by(|a, b| per_replica(a.0).total_cmp(&per_replica(b.0)));
     let mut gone = Vec::new();
     for (m, bytes) in surplus {
-        if free >= want.whole() {
+        if free >= spec.total_memory() {
             break;
         }
         free += bytes;
         gone.push(m);
     }
-    (free >= want.whole()).then_some(Evicted::Elsewhere(gone))
+    (free >= spec.total_memory()).then_some(Evicted::Elsewhere(gone))
 }
 
 /// Acts on an offer that falls to this hall.
 fn take(tick: &mut Tick, offer: Offer) {
-    let want = offer.want;
+    let spec = offer.spec;
     let Evicted::Here(evicted) = offer.evicted else {
         return;
     };
-    if tick.free(offer.at) < want.whole() {
+    if tick.free(offer.at) < spec.total_memory() {
         // The load follows in a later tick, when a report shows the room.
-        floor::evict(tick, want, offer.at, evicted);
+        floor::evict(tick, spec, offer.at, evicted);
         return;
     }
     let reason = format!(
         "Upstreams of {} are filled to {:.0} in 100; another replica relieves {:.1} requests a second.",
-        want.model,
+        spec.model,
         offer.level * 100.0,
         offer.relief
     );
-    tick.load(offer.at, want.weights(), want.memory, reason);
+    tick.load(offer.at, spec.weights(), spec.memory, reason);
 }
