--- a/crates/front/tests/departures.rs
+++ b/crates/front/tests/departures.rs
@@ -4,7 +4,7 @@
 mod site;
 
 use front::Daemon;
-use front::message::{Departures, MAX_DATAGRAM, Message, encode, leaving};
+use front::message::{Departures, MAX_DATAGRAM, Message, departures, encode};
 use platform_standin::proxy;
 use platform_standin::replica::{self, Options, Replica, Word, Words};
 use platform_standin::store::{Mode, Store};
@@ -261,7 +261,7 @@
     let row = ("i-0123456789abcdef0123456789abcdef".into(), Some(u64::MAX));
     let message = Message::Departures(Departures {
         host: "a-host-with-a-name-of-some-sixty-signs-as-platforms-give-them".into(),
-        replicas: vec![row; leaving::ROWS],
+        replicas: vec![row; departures::ROWS],
     });
     assert!(encode(&message).len() <= MAX_DATAGRAM);
 }
