--- a/crates/front/src/planner.rs
+++ b/crates/front/src/planner.rs
@@ -81,7 +81,7 @@
     peers.give_out(term.clone(), shares::tolerance(&state.settings.bounds));
     state.quarantine.take_over(state.now());
     let planner = Arc::new(open(state, peers, term));
-    let quiet = planner.quiet_until();
+    let quiet = planner.orders_from();
     let mut next_plan = tokio::time::Instant::now();
     let mut next_digest = next_plan;
     let mut planning: Option<JoinHandle<bool>> = None;
@@ -89,18 +89,18 @@
     let mut changes = tokio::time::interval(CHANGES_INTERVAL);
     changes.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut round = 0;
-    while planner.may_tell() {
+    while planner.may_broadcast() {
         let acts = planner.term.is_valid() && planner.state.now() >= quiet;
         tokio::select! {
             _ = tokio::time::sleep_until(next_plan), if planning.is_none() => {
                 begun = tokio::time::Instant::now();
                 planner.sync();
                 if acts {
-                    planning = Some(planner.begin_plan());
+                    planning = Some(planner.spawn_plan());
                 }
                 next_plan = begun + PLAN_INTERVAL;
             }
-            changed = ended(&mut planning) => {
+            changed = finish(&mut planning) => {
                 planning = None;
                 let now = tokio::time::Instant::now();
                 if changed {
@@ -114,31 +114,31 @@
                     planner.place_adapters();
                     if planner.note_missing() && planning.is_none() {
                         begun = tokio::time::Instant::now();
-                        planning = Some(planner.begin_plan());
+                        planning = Some(planner.spawn_plan());
                     }
                 }
             }
             _ = changes.tick(), if !planner.peers.is_direct() => {
-                planner.digest_changes().await;
+                planner.send_changes().await;
             }
             _ = tokio::time::sleep_until(next_digest) => {
                 next_digest = tokio::time::Instant::now() + planner.peers.round();
                 round += 1;
-                planner.digest(round).await;
-                let again = round.is_multiple_of(digest::WHOLE_ROUNDS);
-                planner.tell_listing(again).await;
+                planner.send_digest(round).await;
+                let again = round.is_multiple_of(digest::FULL_DIGEST_ROUNDS);
+                planner.broadcast_listing(again).await;
                 if again {
                     planner.peers.tell_limits().await;
                     planner.peers.tell_departures().await;
                 }
             }
-            _ = planner.state.quarantine.changed.notified() => planner.tell_listing(false).await,
+            _ = planner.state.quarantine.changed.notified() => planner.broadcast_listing(false).await,
         }
     }
 }
 
 /// Waits for the end of a plan that is being made; tells whether it changed anything.
-async fn ended(planning: &mut Option<JoinHandle<bool>>) -> bool {
+async fn finish(planning: &mut Option<JoinHandle<bool>>) -> bool {
     match planning {
         // A plan that broke off changed nothing that hosts must be told at once.
         Some(plan) => plan.await.unwrap_or(false),
@@ -167,7 +167,7 @@
 
 impl Planner {
     /// When the first order may be given.
-    fn quiet_until(&self) -> Time {
+    fn orders_from(&self) -> Time {
         // An earlier holder may have given an order just now: turns within the bound are not allowed.
         let wait = match self.term.is_first {
             true => Duration::ZERO,
@@ -177,7 +177,7 @@
     }
 
     /// Whether this host may tell sums: its term holds, or no other host is known to lead.
-    fn may_tell(&self) -> bool {
+    fn may_broadcast(&self) -> bool {
         self.term.is_valid() || !self.state.is_led_by_another()
     }
 
@@ -196,7 +196,7 @@
         for seen in table.view.all().filter(|s| runs_models(&s.entry.service)) {
             let known = book.records.entry(seen.entry.id.clone());
             let known = known.or_insert_with(|| {
-                tell_found(&seen.entry);
+                log_found(&seen.entry);
                 Record::default()
             });
             known.note_unreachable(absent.contains(&replica_hash(&seen.entry.id)), now);
@@ -207,7 +207,7 @@
 
     /// Makes a plan beside this host's other work: on a thread of its own where there are so many replicas
     /// that it takes parts of a second.
-    fn begin_plan(self: &Arc<Self>) -> JoinHandle<bool> {
+    fn spawn_plan(self: &Arc<Self>) -> JoinHandle<bool> {
         let planner = self.clone();
         let replicas = self.state.table.lock().view.all().count();
         match replicas > BLOCKING_PLAN_REPLICAS {
@@ -222,14 +222,14 @@
         let routes = self.state.table.lock().routes.clone();
         let Some(routes) = routes else { return false };
         self.measure(&routes);
-        self.order_closed();
+        self.queue_due_unloads();
         let mut changed = false;
         for (service, engine) in routes.engines() {
             changed |= self.plan_service(service, engine);
-            self.fetch_ahead(service, engine);
+            self.prefetch_adapters(service, engine);
         }
-        for id in self.waiting() {
-            self.drive(id);
+        for id in self.replicas_to_call() {
+            self.dispatch(id);
         }
         changed
     }
@@ -251,7 +251,7 @@
     }
 
     /// Replicas that must be asked for a report, or that orders wait for.
-    fn waiting(&self) -> Vec<Name> {
+    fn replicas_to_call(&self) -> Vec<Name> {
         let book = self.fleet.lock();
         let now = self.state.now();
         let waits = |k: &Record| k.report_due.is_none() && !k.queue.is_empty();
@@ -277,7 +277,7 @@
 }
 
 /// Tells what a replica holds that the planner had not known.
-fn tell_found(entry: &Entry) {
+fn log_found(entry: &Entry) {
     let held: Vec<&str> = entry.held.iter().map(|h| &*h.model).collect();
     let (held, in_memory, on_disk) = (
         held.join(","),
@@ -294,7 +294,7 @@
 }
 
 /// Share of a replica's places that are taken, by the sums of all hosts.
-fn taken(entry: &Entry, loads: &HashMap<u32, Load>) -> f64 {
+fn utilization(entry: &Entry, loads: &HashMap<u32, Load>) -> f64 {
     let load = loads.get(&replica_hash(&entry.id));
     load.map_or(0.0, |l| f64::from(l.requests)) / f64::from(entry.slots)
 }
--- a/crates/front/src/planner/adapters.rs
+++ b/crates/front/src/planner/adapters.rs
@@ -1,6 +1,6 @@
 //! Places for the adapters that hosts want.
 
-use super::{Fleet, Planner, entries, taken};
+use super::{Fleet, Planner, entries, utilization};
 use crate::fleet::{Job, Record};
 use crate::message::{AdapterPlacement, AdapterRequest, Load, Message};
 use platform::config::Engine;
@@ -12,20 +12,20 @@
 use unit::{Name, Span, Time};
 
 /// Time after its last use before which an adapter is not given up.
-const ADAPTER_KEPT: Span = Span::from_ms(1_500);
+const MIN_IDLE: Span = Span::from_ms(1_500);
 
 /// Cost of giving up an adapter for another, as a share of a replica's places.
-const GIVE_UP: f64 = 0.5;
+const EVICTION_COST: f64 = 0.5;
 
 /// Time after one more copy of an adapter before another is added: hosts hear of it in that time.
-const SPREAD_PAUSE: Span = Span::from_ms(300);
+const SPREAD_INTERVAL: Span = Span::from_ms(300);
 
 /// Share of its places by which a replica must have less to do than the holders of an adapter for
 /// one more copy to be loaded there.
-const LIGHTER: f64 = 0.2;
+const MIN_UTILIZATION_GAP: f64 = 0.2;
 
 /// Where an adapter is already.
-enum Place {
+enum Location {
     /// A replica holds it.
     Held(Name),
     /// It is to be ordered.
@@ -39,7 +39,7 @@
         let loads = self.peers.inbox.loads(now);
         for want in self.peers.inbox.wants() {
             if let Some(id) = self.place_adapter(&want, &loads, now) {
-                self.drive(id);
+                self.dispatch(id);
             }
         }
     }
@@ -51,22 +51,22 @@
         loads: &HashMap<u32, Load>,
         now: Time,
     ) -> Option<Name> {
-        let (engine, entries) = self.staying(&want.service)?;
+        let (engine, entries) = self.active_replicas(&want.service)?;
         let mut book = self.fleet.lock();
         if want.additional {
-            let id = book.beside(&entries, want, &engine, loads, now)?;
+            let id = book.additional_replica(&entries, want, &engine, loads, now)?;
             book.queue_adapter(&id, want, &engine);
             return Some(id);
         }
-        match book.find(&entries, &want.model, &want.adapter) {
-            Some(Place::Held(id)) => {
+        match book.locate(&entries, &want.model, &want.adapter) {
+            Some(Location::Held(id)) => {
                 let known = book.records.get_mut(&id)?;
                 known.touch_adapter(&want.model, &want.adapter, now);
                 let (model, adapter) = (want.model.clone(), want.adapter.clone());
-                self.tell_placed(model, adapter, id, Duration::ZERO);
+                self.announce_placed(model, adapter, id, Duration::ZERO);
                 return None;
             }
-            Some(Place::Queued) => return None,
+            Some(Location::Queued) => return None,
             None => {}
         }
         let (id, _) = book.cheapest(&entries, &want.model, &engine, loads, now)?;
@@ -75,7 +75,7 @@
     }
 
     /// Engine of a service and the entries of its replicas that do not leave.
-    pub(super) fn staying(&self, service: &Name) -> Option<(Engine, Vec<Entry>)> {
+    pub(super) fn active_replicas(&self, service: &Name) -> Option<(Engine, Vec<Entry>)> {
         let table = self.state.table.lock();
         let mut entries = entries(&table, service);
         let routes = table.routes.clone()?;
@@ -86,7 +86,7 @@
     }
 
     /// Tells all hosts, after a while, that a replica holds an adapter.
-    pub(super) fn tell_placed(
+    pub(super) fn announce_placed(
         self: &Arc<Self>,
         model: Name,
         adapter: Name,
@@ -108,14 +108,14 @@
 
 impl Fleet {
     /// Where an adapter is already: at the first replica that holds it or has it queued.
-    fn find(&self, entries: &[Entry], model: &Name, adapter: &Name) -> Option<Place> {
+    fn locate(&self, entries: &[Entry], model: &Name, adapter: &Name) -> Option<Location> {
         entries.iter().find_map(|entry| {
             let known = self.records.get(&entry.id)?;
             if known.holds_adapter(model, adapter) {
-                return Some(Place::Held(entry.id.clone()));
+                return Some(Location::Held(entry.id.clone()));
             }
             let queues = known.has_queued_adapter(model, adapter);
-            queues.then_some(Place::Queued)
+            queues.then_some(Location::Queued)
         })
     }
 
@@ -137,7 +137,7 @@
     }
 
     /// The replica for one more copy of an adapter, if one has clearly less to do than its holders.
-    fn beside(
+    fn additional_replica(
         &mut self,
         entries: &[Entry],
         want: &AdapterRequest,
@@ -147,18 +147,18 @@
     ) -> Option<Name> {
         let key = (want.model.clone(), want.adapter.clone());
         self.last_spread
-            .retain(|_, at| now.since(*at) < SPREAD_PAUSE);
+            .retain(|_, at| now.since(*at) < SPREAD_INTERVAL);
         if self.last_spread.contains_key(&key) {
             return None;
         }
         let (holders, others): (Vec<Entry>, Vec<Entry>) = entries
             .iter()
             .cloned()
-            .partition(|e| self.has(&e.id, &want.model, &want.adapter));
-        let taken = holders.iter().map(|e| taken(e, loads));
+            .partition(|e| self.holds_or_queues(&e.id, &want.model, &want.adapter));
+        let taken = holders.iter().map(|e| utilization(e, loads));
         let least = taken.fold(f64::INFINITY, f64::min);
         let (id, cost) = self.cheapest(&others, &want.model, engine, loads, now)?;
-        if cost > least - LIGHTER {
+        if cost > least - MIN_UTILIZATION_GAP {
             return None;
         }
         self.last_spread.insert(key, now);
@@ -167,7 +167,7 @@
     }
 
     /// Whether a replica holds an adapter or has it queued.
-    fn has(&self, id: &Name, model: &Name, adapter: &Name) -> bool {
+    fn holds_or_queues(&self, id: &Name, model: &Name, adapter: &Name) -> bool {
         let has =
             |k: &Record| k.holds_adapter(model, adapter) || k.has_queued_adapter(model, adapter);
         self.records.get(id).is_some_and(has)
@@ -184,14 +184,18 @@
     ) -> Option<(Name, f64)> {
         let mut best: Option<(f64, &Name)> = None;
         for entry in entries {
-            let Some(known) = self.records.get(&entry.id).filter(|k| may_take(k, model)) else {
+            let Some(known) = self
+                .records
+                .get(&entry.id)
+                .filter(|k| can_load_adapter(k, model))
+            else {
                 continue;
             };
             let full = known.adapters_expected() >= engine.adapters as usize;
-            if full && !may_give_up(known, now) {
+            if full && !can_evict(known, now) {
                 continue;
             }
-            let cost = taken(entry, loads) + f64::from(u8::from(full)) * GIVE_UP;
+            let cost = utilization(entry, loads) + f64::from(u8::from(full)) * EVICTION_COST;
             if best.is_none_or(|(least, _)| cost < least) {
                 best = Some((cost, &entry.id));
             }
@@ -201,7 +205,7 @@
 }
 
 /// Whether a replica holds a model, and goes on holding it, so that an adapter of it may come.
-fn may_take(known: &Record, model: &Name) -> bool {
+fn can_load_adapter(known: &Record, model: &Name) -> bool {
     let holds = known.held.iter().any(|h| h.model == *model);
     let closes = known.will_unload(model);
     let pending = known.pending.as_ref();
@@ -210,9 +214,9 @@
 }
 
 /// Whether a replica has an adapter that was not used for a while.
-fn may_give_up(known: &Record, now: Time) -> bool {
+fn can_evict(known: &Record, now: Time) -> bool {
     let oldest = known.least_recent_adapter();
-    oldest.is_some_and(|(_, at)| now.since(at) >= ADAPTER_KEPT)
+    oldest.is_some_and(|(_, at)| now.since(at) >= MIN_IDLE)
 }
 
 /// Order about an adapter; it takes effect at once.
--- a/crates/front/src/planner/digest.rs
+++ b/crates/front/src/planner/digest.rs
@@ -10,7 +10,7 @@
 use unit::{Name, Span, Time};
 
 /// Time for which hosts are told of a model that was loaded, until all have read the entry.
-const TOLD_LOADED: Span = Span::from_ms(3_000);
+const ANNOUNCED_FOR: Span = Span::from_ms(3_000);
 
 /// Size of a row of a digest, in bytes, counted generously.
 const ROW_SIZE: usize = 32;
@@ -20,14 +20,14 @@
 
 /// Rounds after which the loads of all replicas are told, not just those that changed: a datagram
 /// may have been lost.
-pub(super) const WHOLE_ROUNDS: usize = 5;
+pub(super) const FULL_DIGEST_ROUNDS: usize = 5;
 
 /// Rounds in which the adapters of all replicas are told once.
 const ADAPTER_ROUNDS: usize = 8;
 
 impl Planner {
     /// Tells all hosts the sums, and what is planned.
-    pub(super) async fn digest(&self, round: usize) {
+    pub(super) async fn send_digest(&self, round: usize) {
         let now = self.state.now();
         let loads = self.peers.inbox.loads(now);
         let absent = self.peers.inbox.absent(now);
@@ -55,12 +55,12 @@
             ..Digest::default()
         };
         let mut parts = Parts::new(first);
-        for row in self.rows(&loads, round.is_multiple_of(WHOLE_ROUNDS)) {
-            parts.room(ROW_SIZE).loads.push(row);
+        for row in self.rows(&loads, round.is_multiple_of(FULL_DIGEST_ROUNDS)) {
+            parts.with_room(ROW_SIZE).loads.push(row);
         }
         for (id, adapters) in adapters {
             let size = ROW_SIZE + adapters.len() * ADAPTER_SIZE;
-            parts.room(size).adapters.push((id, adapters));
+            parts.with_room(size).adapters.push((id, adapters));
         }
         for digest in parts.all {
             self.peers.send_all(&Message::Digest(digest)).await;
@@ -78,7 +78,7 @@
     }
 
     /// Tells all hosts, between two rounds, what has changed in flight.
-    pub(super) async fn digest_changes(&self) {
+    pub(super) async fn send_changes(&self) {
         let loads = self.peers.inbox.loads(self.state.now());
         let rows = self.rows(&loads, false);
         let hosts = self.peers.inbox.hosts().len() as u32;
@@ -139,7 +139,7 @@
     }
 
     /// The part that has room for so many bytes more.
-    fn room(&mut self, size: usize) -> &mut Digest {
+    fn with_room(&mut self, size: usize) -> &mut Digest {
         self.size += size;
         if self.size > MAX_DATAGRAM {
             self.size = ROW_SIZE + size;
@@ -164,7 +164,7 @@
     });
     let loaded = book.records.iter().filter_map(|(id, k)| {
         let (model, at) = k.last_loaded.as_ref()?;
-        (now.since(*at) < TOLD_LOADED).then(|| (id.clone(), model.clone()))
+        (now.since(*at) < ANNOUNCED_FOR).then(|| (id.clone(), model.clone()))
     });
     PlannerStatus {
         loaded: loaded.collect(),
@@ -183,7 +183,7 @@
 /// Models that a replica is about to give up, gives up, or gave up a moment ago.
 fn closing(known: &Record, now: Time) -> Vec<Name> {
     let done = known.last_unloaded.iter();
-    let done = done.filter(|(_, at)| now.since(*at) < TOLD_LOADED);
+    let done = done.filter(|(_, at)| now.since(*at) < ANNOUNCED_FOR);
     let done = done.filter(|(model, _)| !known.held.iter().any(|h| h.model == *model));
     let going = known.unloading().into_iter();
     going.chain(done.map(|(model, _)| model)).cloned().collect()
--- a/crates/front/src/planner/dispatch.rs
+++ b/crates/front/src/planner/dispatch.rs
@@ -13,10 +13,10 @@
 use unit::{Name, Time};
 
 /// Time for an order or a report to be answered.
-const CALL_LIMIT: Duration = Duration::from_millis(700);
+const CALL_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Time that an adapter takes to arrive; on the first two sites it is 6 to 19 ms.
-const ADAPTER_ARRIVES: Duration = Duration::from_millis(25);
+const ADAPTER_LOAD_TIME: Duration = Duration::from_millis(25);
 
 /// Answer to an order.
 type Answer = Result<Ordered, platform::Error>;
@@ -24,16 +24,16 @@
 /// What to do next for a replica.
 enum Next {
     /// Give this order, worked out under that number of orders taken.
-    Give(Job, u64),
+    Send(Job, u64),
     /// Leave out an order that there is no room for.
     Skip,
     /// Nothing for now.
-    Stop,
+    Wait,
 }
 
 impl Planner {
     /// Gives a replica the orders that wait for it, one after the other.
-    pub(super) fn drive(self: &Arc<Self>, id: Name) {
+    pub(super) fn dispatch(self: &Arc<Self>, id: Name) {
         {
             let mut book = self.fleet.lock();
             let Some(known) = book.records.get_mut(&id) else {
@@ -46,7 +46,7 @@
         }
         let planner = self.clone();
         tokio::spawn(async move {
-            while planner.step(&id).await {}
+            while planner.dispatch_next(&id).await {}
             if let Some(known) = planner.fleet.lock().records.get_mut(&id) {
                 known.in_call = false;
             }
@@ -54,13 +54,13 @@
     }
 
     /// Gives the next order to a replica; tells whether to go on.
-    async fn step(self: &Arc<Self>, id: &Name) -> bool {
+    async fn dispatch_next(self: &Arc<Self>, id: &Name) -> bool {
         let Some(entry) = self.entry(id) else {
             return false;
         };
         let now = self.state.now();
-        let (doubtful, looks) = self.doubt(id, now);
-        if doubtful && !(looks && self.look(&entry).await) {
+        let (doubtful, looks) = self.report_state(id, now);
+        if doubtful && !(looks && self.fetch_report(&entry).await) {
             return false;
         }
         let Some(permit) = self.permit(id) else {
@@ -71,12 +71,12 @@
         let Some(engine) = service.and_then(|s| s.engine.as_ref()) else {
             return false;
         };
-        let next = self.fleet.lock().next(id, engine, now);
+        let next = self.fleet.lock().next_order(id, engine, now);
         match next {
-            Next::Give(job, expected) if self.term.is_valid() => {
-                self.give(&entry, job, expected, permit).await
+            Next::Send(job, expected) if self.term.is_valid() => {
+                self.send_order(&entry, job, expected, permit).await
             }
-            Next::Give(..) | Next::Stop => false,
+            Next::Send(..) | Next::Wait => false,
             Next::Skip => true,
         }
     }
@@ -95,7 +95,7 @@
     }
 
     /// Whether a replica must be asked before the next order, and whether it may be asked now.
-    fn doubt(&self, id: &str, now: Time) -> (bool, bool) {
+    fn report_state(&self, id: &str, now: Time) -> (bool, bool) {
         let book = self.fleet.lock();
         let known = book.records.get(id);
         let doubtful = known.is_none_or(|k| k.report_due.is_some());
@@ -103,19 +103,19 @@
     }
 
     /// Asks a replica what it holds; tells whether orders may go on.
-    async fn look(&self, entry: &Entry) -> bool {
+    async fn fetch_report(&self, entry: &Entry) -> bool {
         let Some(_permit) = self.permit(&entry.id) else {
             return false;
         };
-        let told = replica::report(&self.pool, entry.addr, &entry.id, CALL_LIMIT).await;
-        self.hear(entry, "report", told.said.as_ref());
+        let told = replica::report(&self.pool, entry.addr, &entry.id, CALL_TIMEOUT).await;
+        self.take_feedback(entry, "report", told.said.as_ref());
         match told.outcome {
             Ok(report) => {
                 let is_of_entry = report
                     .incarnation
                     .is_none_or(|_| report.incarnation == entry.incarnation);
                 if report.leaving && is_of_entry {
-                    heard::leaves(&self.state, &from(entry, "report"));
+                    heard::leaves(&self.state, &source(entry, "report"));
                     return false;
                 }
                 let mut book = self.fleet.lock();
@@ -136,14 +136,20 @@
     }
 
     /// Takes in what an answer to a call says of its replica, if one came.
-    fn hear(&self, entry: &Entry, call: &str, said: Option<&Said>) {
+    fn take_feedback(&self, entry: &Entry, call: &str, said: Option<&Said>) {
         if let Some(said) = said {
-            heard::take_in(&self.state, &from(entry, call), said);
+            heard::take_in(&self.state, &source(entry, call), said);
         }
     }
 
     /// Gives one order and notes what came of it; tells whether to go on.
-    async fn give(self: &Arc<Self>, entry: &Entry, job: Job, expected: u64, _: Permit) -> bool {
+    async fn send_order(
+        self: &Arc<Self>,
+        entry: &Entry,
+        job: Job,
+        expected: u64,
+        _: Permit,
+    ) -> bool {
         let order = Order {
             operation: job.operation,
             model: job.model.clone(),
@@ -152,16 +158,16 @@
             holder: self.state.settings.name.clone(),
             fence: self.term.token,
         };
-        let told = replica::order(&self.pool, entry.addr, &entry.id, &order, CALL_LIMIT).await;
-        self.hear(entry, "order", told.said.as_ref());
+        let told = replica::order(&self.pool, entry.addr, &entry.id, &order, CALL_TIMEOUT).await;
+        self.take_feedback(entry, "order", told.said.as_ref());
         let answer = told.outcome;
         let now = self.state.now();
-        self.tell_ordered(entry, &order, &answer);
-        self.note(entry, job, expected, answer, now)
+        self.log_order(entry, &order, &answer);
+        self.apply_answer(entry, job, expected, answer, now)
     }
 
     /// Tells of an order that was given.
-    fn tell_ordered(&self, entry: &Entry, order: &Order, answer: &Answer) {
+    fn log_order(&self, entry: &Entry, order: &Order, answer: &Answer) {
         let outcome = match answer {
             Ok(ordered) => format!("{ordered:?}"),
             Err(why) => why.to_string(),
@@ -170,7 +176,7 @@
             Operation::Load => "load",
             Operation::Unload => "unload",
         };
-        let labels = [("operation", operation), ("outcome", word(answer))];
+        let labels = [("operation", operation), ("outcome", outcome_label(answer))];
         let metrics = &self.state.log.metrics;
         metrics
             .counter("coveford_orders_total", &labels)
@@ -179,7 +185,7 @@
     }
 
     /// Notes what came of an order; tells whether to go on.
-    fn note(
+    fn apply_answer(
         self: &Arc<Self>,
         entry: &Entry,
         job: Job,
@@ -201,7 +207,7 @@
         match answer {
             Ok(Ordered::Accepted) if job.adapter.is_none() => {
                 known.orders_taken = expected + 1;
-                begin(known, job, now);
+                set_pending(known, job, now);
                 return true;
             }
             Ok(Ordered::Accepted) if job.operation == Operation::Unload => {
@@ -213,7 +219,7 @@
                 known.orders_taken = expected + 1;
                 known.apply(&job, now);
                 if let (Operation::Load, Some(adapter)) = (job.operation, job.adapter) {
-                    self.tell_placed(job.model, adapter, entry.id.clone(), ADAPTER_ARRIVES);
+                    self.announce_placed(job.model, adapter, entry.id.clone(), ADAPTER_LOAD_TIME);
                 }
                 return true;
             }
@@ -237,19 +243,19 @@
 
 impl Fleet {
     /// Takes the next order to a replica out of its queue.
-    fn next(&mut self, id: &str, engine: &Engine, now: Time) -> Next {
+    fn next_order(&mut self, id: &str, engine: &Engine, now: Time) -> Next {
         let Some(known) = self.records.get_mut(id) else {
-            return Next::Stop;
+            return Next::Wait;
         };
         let pends = known.pending.is_some();
         let due = |job: &Job| !pends || job.adapter.is_some();
         if !known.queue.front().is_some_and(due) {
-            return Next::Stop;
+            return Next::Wait;
         }
         let job = known.queue.pop_front();
         let job = job.filter(|job| known.fits(job, engine));
         known.note_ordered(now);
-        job.map_or(Next::Skip, |job| Next::Give(job, known.orders_taken))
+        job.map_or(Next::Skip, |job| Next::Send(job, known.orders_taken))
     }
 
     /// Keeps the places of a load that may have begun without an answer: at the weight store, if it is from there,
@@ -270,7 +276,7 @@
 }
 
 /// Where an answer to a call comes from.
-fn from(entry: &Entry, call: &str) -> heard::Source {
+fn source(entry: &Entry, call: &str) -> heard::Source {
     heard::Source {
         replica: entry.id.clone(),
         incarnation: entry.incarnation,
@@ -280,7 +286,7 @@
 }
 
 /// Notes that an order about a model was accepted and is under way.
-fn begin(known: &mut Record, job: Job, now: Time) {
+fn set_pending(known: &mut Record, job: Job, now: Time) {
     if job.operation == Operation::Unload {
         known.last_unloaded = Some((job.model.clone(), now));
     }
@@ -291,7 +297,7 @@
 }
 
 /// Outcome of an order, as metrics name it.
-fn word(answer: &Answer) -> &'static str {
+fn outcome_label(answer: &Answer) -> &'static str {
     match answer {
         Ok(Ordered::Accepted | Ordered::InForce) => "taken",
         Ok(Ordered::Conflict) => "conflict",
--- a/crates/front/src/planner/quarantine.rs
+++ b/crates/front/src/planner/quarantine.rs
@@ -11,17 +11,17 @@
 
 impl Planner {
     /// Tells the list where it has changed, or `again`, and has it stored.
-    pub(super) async fn tell_listing(self: &Arc<Self>, again: bool) {
+    pub(super) async fn broadcast_listing(self: &Arc<Self>, again: bool) {
         let now = self.state.now();
         let (listing, changed) = self.state.quarantine.listing(self.term.token, now);
         if changed || (again && !listing.entries.is_empty()) {
             self.peers.send_all(&Message::Listing(listing)).await;
         }
-        self.begin_storing();
+        self.spawn_store();
     }
 
     /// Stores the list beside other work, unless it stands there or is being stored.
-    fn begin_storing(self: &Arc<Self>) {
+    fn spawn_store(self: &Arc<Self>) {
         if !self.term.is_valid() || self.storing.swap(true, Ordering::Relaxed) {
             return;
         }
@@ -52,7 +52,7 @@
         };
         match self.state.store.commit(&txn).await {
             Ok(Committed::Done(revision)) => {
-                quarantine::apply_stored(&self.state, &stored(value, revision));
+                quarantine::apply_stored(&self.state, &stored_item(value, revision));
             }
             Ok(Committed::Conflict(items)) => {
                 for item in items.iter().filter(|item| &*item.key == KEY) {
@@ -67,7 +67,7 @@
 }
 
 /// Item of the list as it was written.
-fn stored(value: Vec<u8>, revision: u64) -> Item {
+fn stored_item(value: Vec<u8>, revision: u64) -> Item {
     Item {
         key: KEY.into(),
         value,
--- a/crates/front/src/planner/service.rs
+++ b/crates/front/src/planner/service.rs
@@ -1,6 +1,6 @@
 //! Planning of one service: which replicas load and unload which models.
 
-use super::{Demand, Fleet, Planner, demand, entries, taken};
+use super::{Demand, Fleet, Planner, demand, entries, utilization};
 use crate::fleet::{Bucket, Job, Record};
 use crate::message::{Load, replica_hash};
 use crate::table::Table;
@@ -12,27 +12,27 @@
 use unit::{Name, Span, Time};
 
 /// Time between telling hosts that a model goes and ordering it: two rounds of sums.
-const CLOSING: Span = Span::from_ms(500);
+const UNLOAD_NOTICE: Span = Span::from_ms(500);
 
 /// The same for a model that nobody asks for: a request that comes all the same is refused unrun by
 /// the replica, and goes elsewhere.
-const CLOSING_IDLE: Span = Span::from_ms(100);
+const UNLOAD_NOTICE_IDLE: Span = Span::from_ms(100);
 
 /// Time from the plan to give a model up until its memory is known to be free, where few requests run.
-const MAKES_ROOM: Span = Span::from_ms(1_200);
+const TYPICAL_UNLOAD: Span = Span::from_ms(1_200);
 
 /// Time that an unload of a model is expected to take at the most.
-const UNLOAD: Span = Span::from_secs(5);
+const MAX_UNLOAD: Span = Span::from_secs(5);
 
 /// Least time in seconds that a load from the weight store is taken for.
-const LEAST_LOAD: f64 = 0.001;
+const MIN_LOAD_SECS: f64 = 0.001;
 
 /// Steps planned at once, for each replica.
 const STEPS_PER_REPLICA: usize = 1;
 
 impl Planner {
     /// Queues the unloads of which hosts have known for long enough.
-    pub(super) fn order_closed(&self) {
+    pub(super) fn queue_due_unloads(&self) {
         let now = self.state.now();
         let mut book = self.fleet.lock();
         for known in book.records.values_mut() {
@@ -42,7 +42,7 @@
                     model,
                     adapter: None,
                     from_store: false,
-                    duration: UNLOAD,
+                    duration: MAX_UNLOAD,
                 });
             }
         }
@@ -60,8 +60,8 @@
         let (entries, needs) = {
             let table = self.state.table.lock();
             let entries = entries(&table, service);
-            let mut needs = needs(&table, service, &entries, now);
-            needs.extend(rests(&entries, &resting, &loads));
+            let mut needs = rate_limited_capacity(&table, service, &entries, now);
+            needs.extend(backing_off_capacity(&entries, &resting, &loads));
             (entries, needs)
         };
         let (replicas, models, available) = {
@@ -70,7 +70,7 @@
             let replicas = replicas(&entries, &book.records, engine, (&loads, &needs), now);
             book.note_held(service, engine, &replicas, now);
             let models = models(service, engine, &book.demand, now);
-            let new = || self.bucket(engine, now);
+            let new = || self.new_bucket(engine, now);
             let bucket = book.buckets.entry(service.clone()).or_insert_with(new);
             (replicas, models, bucket.available(now))
         };
@@ -83,11 +83,11 @@
             replicas: &replicas,
             models: &models,
         };
-        self.take_steps(&plan, steps)
+        self.apply_steps(&plan, steps)
     }
 
     /// Queues the steps of a plan; tells whether there are any.
-    fn take_steps(&self, plan: &Plan, steps: Vec<Step>) -> bool {
+    fn apply_steps(&self, plan: &Plan, steps: Vec<Step>) -> bool {
         let now = self.state.now();
         let mut book = self.fleet.lock();
         let book = &mut *book;
@@ -104,7 +104,7 @@
             let Some(known) = book.records.get_mut(&entry.id) else {
                 continue;
             };
-            let is_as_planned = begun.contains(&replica) || plan.holds(replica, known, now);
+            let is_as_planned = begun.contains(&replica) || plan.is_current(replica, known, now);
             let needs_store = matches!(
                 step,
                 Step::Load {
@@ -133,14 +133,14 @@
                     models: gone,
                     replacement,
                     ..
-                } => plan.close(replica, known, gone, replacement, now),
+                } => plan.schedule_unloads(replica, known, gone, replacement, now),
             }
         }
         any
     }
 
     /// Bucket of a service's loads at the beginning of a term.
-    fn bucket(&self, engine: &Engine, now: Time) -> Bucket {
+    fn new_bucket(&self, engine: &Engine, now: Time) -> Bucket {
         let bounds = &self.state.settings.bounds;
         let window = bounds.load_window.into();
         let rate = engine.loads_per_second;
@@ -163,7 +163,7 @@
 
 impl Plan<'_> {
     /// Whether what is believed of a replica is still what the plan was made from, but for its load.
-    fn holds(&self, replica: usize, known: &Record, now: Time) -> bool {
+    fn is_current(&self, replica: usize, known: &Record, now: Time) -> bool {
         let planned = &self.replicas[replica];
         let entry = &self.entries[replica];
         let seen = self::replica(entry, known, self.engine, planned.utilization, now);
@@ -174,7 +174,7 @@
     }
 
     /// Announces that a replica gives models up, to make room for another.
-    fn close(
+    fn schedule_unloads(
         &self,
         replica: usize,
         known: &mut Record,
@@ -185,12 +185,12 @@
         let entry = &self.entries[replica];
         let name = |model: usize| self.engine.models[model].name.clone();
         let due = |m: usize| match self.models[m].demand > 0.0 {
-            true => now + CLOSING,
-            false => now + CLOSING_IDLE,
+            true => now + UNLOAD_NOTICE,
+            false => now + UNLOAD_NOTICE_IDLE,
         };
         let from_store = !self.replicas[replica].cached.contains(&instead);
         let takes = load_job(entry, &self.engine.models[instead], from_store).duration;
-        let there = now + MAKES_ROOM * gone.len() as f64 + takes;
+        let there = now + TYPICAL_UNLOAD * gone.len() as f64 + takes;
         let gone = gone.into_iter().map(|m| (name(m), due(m)));
         known.schedule_unloads(gone, name(instead), there);
     }
@@ -264,15 +264,16 @@
 ) -> Vec<copies::Model> {
     let of = |model: &config::Model| demand.get(&(service.clone(), model.name.clone()));
     let known = engine.models.iter().filter_map(of);
-    let expected = demand::expected(known, engine.models.len(), now);
+    let expected = demand::expected_idle_demand(known, engine.models.len(), now);
     let seen_by_plan = |model: &config::Model| {
         let demand = of(model).copied().unwrap_or_default();
         copies::Model {
             memory_mb: model.memory_mb,
-            demand: demand.now,
+            demand: demand.current,
             recent_demand: demand.recent,
-            unserved_secs: demand.unserved.map_or(0.0, |at| now.since(at).secs()),
-            store_factor: model.load_disk.as_secs_f64() / model.load.as_secs_f64().max(LEAST_LOAD),
+            unserved_secs: demand.unserved_since.map_or(0.0, |at| now.since(at).secs()),
+            store_factor: model.load_disk.as_secs_f64()
+                / model.load.as_secs_f64().max(MIN_LOAD_SECS),
             expected_demand: expected,
         }
     };
@@ -290,7 +291,7 @@
     let nothing = Record::default();
     let seen_by_plan = |entry: &Entry| {
         let known = known.get(&entry.id).unwrap_or(&nothing);
-        let seen = replica(entry, known, engine, taken(entry, loads), now);
+        let seen = replica(entry, known, engine, utilization(entry, loads), now);
         copies::Replica {
             degraded_capacity: needs.get(&entry.id).copied(),
             ..seen
@@ -337,7 +338,7 @@
 }
 
 /// Part of their places that replicas serve which want nothing from most hosts.
-fn rests(
+fn backing_off_capacity(
     entries: &[Entry],
     resting: &HashSet<u32>,
     loads: &HashMap<u32, Load>,
@@ -345,12 +346,17 @@
     let resting = entries
         .iter()
         .filter(|e| resting.contains(&replica_hash(&e.id)));
-    let busy = resting.map(|entry| (entry.id.clone(), taken(entry, loads).min(1.0)));
+    let busy = resting.map(|entry| (entry.id.clone(), utilization(entry, loads).min(1.0)));
     busy.collect()
 }
 
 /// Part of their places that replicas in need can keep busy with the requests a second that they take.
-fn needs(table: &Table, service: &Name, entries: &[Entry], now: Time) -> HashMap<Name, f64> {
+fn rate_limited_capacity(
+    table: &Table,
+    service: &Name,
+    entries: &[Entry],
+    now: Time,
+) -> HashMap<Name, f64> {
     let part = |entry: &Entry| {
         let rate = table.limit_of(&entry.id, now)?;
         let runs = entry
