--- a/crates/front/src/leader.rs
+++ b/crates/front/src/leader.rs
@@ -23,34 +23,34 @@
 pub const KEY: &str = "coveford/leader";
 
 /// Key that the first leader of all leaves behind, so that a later one knows that it is not the first.
-const LED: &str = "coveford/led";
+const FIRST_TERM_KEY: &str = "coveford/led";
 
 /// Time to live of the lease. A planner is missed for about this long when its host dies.
-const LEASE: Duration = Duration::from_millis(3_000);
+const LEASE_TTL: Duration = Duration::from_millis(3_000);
 
 /// Renewals in one time to live.
-const RENEWALS: u32 = 3;
+const RENEWALS_PER_TTL: u32 = 3;
 
 /// Time before the lease's end at which its holder stops, for the way of an order that is given.
 const MARGIN: Span = Span::from_ms(400);
 
 /// Longest wait of a host before it tries for a free lease, by chance; hosts wait differently long,
 /// so that few try.
-const SPREAD: Duration = Duration::from_millis(200);
+const MAX_JITTER: Duration = Duration::from_millis(200);
 
 /// Wait of a host with next to no processor beside one with [`ENOUGH_CORES`]: long enough for several
 /// stronger ones to try. At 300 hosts a leader with 0.12 of a core answered so late that hosts took it for
 /// gone.
-const WEAK_WAIT: Duration = Duration::from_millis(1_500);
+const LOW_CPU_DELAY: Duration = Duration::from_millis(1_500);
 
 /// Processor, in cores, from which a host leads as well as any.
 const ENOUGH_CORES: f64 = 0.5;
 
 /// Pause between two tries to renew a lease that could not be renewed in time.
-const RETRY: Duration = Duration::from_millis(200);
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Pause between looks whether the lease is free.
-const LOOK: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Leader's entry in the store.
 #[derive(Serialize, Deserialize)]
@@ -78,28 +78,28 @@
     pub started: Time,
     /// Whether no host has ever led before, so that no order can be under way.
     pub is_first: bool,
-    held: Arc<Mutex<Held>>,
+    validity: Arc<Mutex<Validity>>,
     clock: Arc<Clock>,
 }
 
 /// How long a term holds.
-struct Held {
+struct Validity {
     /// Shortly before its lease ends, by this host's clock.
     until: Time,
     /// Whether it is over for good, since it was given up or a later holder gives orders.
-    over: bool,
+    ended: bool,
 }
 
 impl Term {
     /// Whether the term still holds, by this host's clock.
     pub fn is_valid(&self) -> bool {
-        let held = self.held.lock();
-        !held.over && self.clock.now() < held.until
+        let held = self.validity.lock();
+        !held.ended && self.clock.now() < held.until
     }
 
     /// Lets the term hold until shortly before its lease ends; tells whether it holds now.
     fn extend(&self, lease_ends: Time) -> bool {
-        let mut held = self.held.lock();
+        let mut held = self.validity.lock();
         held.until = held.until.max(lease_ends - MARGIN);
         drop(held);
         self.is_valid()
@@ -107,7 +107,7 @@
 
     /// Ends the term; no order is given after this.
     pub fn end(&self) {
-        self.held.lock().over = true;
+        self.validity.lock().ended = true;
     }
 }
 
@@ -117,41 +117,41 @@
     F: Fn(Term) -> R,
     R: Future<Output = ()> + Send + 'static,
 {
-    let wait = wait(&state);
+    let wait = election_delay(&state);
     loop {
-        tokio::time::sleep(LOOK).await;
-        if !may_try(&state) {
+        tokio::time::sleep(POLL_INTERVAL).await;
+        if !may_campaign(&state) {
             continue;
         }
         if !state.leads() {
             tokio::time::sleep(wait).await;
         }
-        if !may_try(&state) {
+        if !may_campaign(&state) {
             continue;
         }
         if let Some((lease, term)) = acquire(&state).await {
             // Its work ends with this task, also when the daemon is dropped.
             let mut work = JoinSet::new();
             work.spawn(lead(term.clone()));
-            hold(&state, &lease, &term).await;
+            keep_renewing(&state, &lease, &term).await;
             while resume(&state, &lease, &term).await {
-                hold(&state, &lease, &term).await;
+                keep_renewing(&state, &lease, &term).await;
             }
             work.abort_all();
-            give_up(&state, lease, &term).await;
+            step_down(&state, lease, &term).await;
         }
     }
 }
 
 /// Time that this host leaves to others that are stronger, or before it by chance.
-fn wait(state: &State) -> Duration {
-    let spread = rendezvous::hash(state.settings.name.as_bytes()) % SPREAD.as_millis() as u64;
+fn election_delay(state: &State) -> Duration {
+    let spread = rendezvous::hash(state.settings.name.as_bytes()) % MAX_JITTER.as_millis() as u64;
     let lack = 1.0 - (state.settings.limits.cores / ENOUGH_CORES).min(1.0);
-    Duration::from_millis(spread) + WEAK_WAIT.mul_f64(lack)
+    Duration::from_millis(spread) + LOW_CPU_DELAY.mul_f64(lack)
 }
 
 /// Whether this host may try to lead: it sees the store, stays, and knows of no other leader.
-fn may_try(state: &State) -> bool {
+fn may_campaign(state: &State) -> bool {
     let table = state.table.lock();
     let sees = table.routes.is_some() && !table.view.contact.is_unreachable();
     drop(table);
@@ -161,17 +161,17 @@
 /// What came of the creation of the leader's entry.
 enum Created {
     /// This host created it at that revision.
-    Here(u64),
+    Confirmed(u64),
     /// So it was found when it was read back: who wrote the mark of the first leader is not known.
     ReadBack(u64),
     /// It did not.
-    No,
+    Failed,
 }
 
 /// Takes a lease and creates the leader's entry under it.
 async fn acquire(state: &Arc<State>) -> Option<(Lease, Term)> {
     let asked = state.now();
-    let lease = match state.store.grant(LEASE).await {
+    let lease = match state.store.grant(LEASE_TTL).await {
         Ok(lease) => lease,
         Err(why) => {
             info!(target: "leader", event = "no_lease", why = %why, "no lease was granted");
@@ -183,9 +183,9 @@
     // Whatever came of it: a host has led now, or may have.
     state.has_led.store(true, Ordering::Relaxed);
     let (token, is_first) = match created {
-        Created::Here(token) => (token, is_first),
+        Created::Confirmed(token) => (token, is_first),
         Created::ReadBack(token) => (token, false),
-        Created::No => {
+        Created::Failed => {
             let _ = state.store.end(lease.id).await;
             return None;
         }
@@ -203,9 +203,9 @@
         token,
         started: state.now(),
         is_first,
-        held: Arc::new(Mutex::new(Held {
+        validity: Arc::new(Mutex::new(Validity {
             until: asked + Span::from(lease.ttl).saturating_sub(MARGIN),
-            over: false,
+            ended: false,
         })),
         clock: state.clock.clone(),
     };
@@ -215,14 +215,14 @@
 /// Creates the leader's entry unless there is one; the first leader of all leaves its mark too.
 async fn create(state: &State, lease: &Lease, is_first: bool) -> Created {
     match state.store.commit(&creation(state, lease, is_first)).await {
-        Ok(Committed::Done(revision)) => Created::Here(revision),
+        Ok(Committed::Done(revision)) => Created::Confirmed(revision),
         Ok(Committed::Conflict(items)) => {
             note_conflict(state, &items);
-            Created::No
+            Created::Failed
         }
-        Err(why) => match settle(state, lease, &why.to_string()).await {
+        Err(why) => match read_back(state, lease, &why.to_string()).await {
             Some(revision) => Created::ReadBack(revision),
-            None => Created::No,
+            None => Created::Failed,
         },
     }
 }
@@ -248,8 +248,8 @@
         removed: Vec::new(),
     };
     if is_first && left == 0 {
-        txn.expected.push((LED.into(), 0));
-        txn.writes.push((LED.into(), Vec::new(), 0));
+        txn.expected.push((FIRST_TERM_KEY.into(), 0));
+        txn.writes.push((FIRST_TERM_KEY.into(), Vec::new(), 0));
     }
     txn
 }
@@ -263,25 +263,25 @@
 }
 
 /// Reads back whether a creation whose answer was lost has taken effect.
-async fn settle(state: &State, lease: &Lease, why: &str) -> Option<u64> {
+async fn read_back(state: &State, lease: &Lease, why: &str) -> Option<u64> {
     info!(target: "leader", event = "in_doubt", why, "the creation of the leader's entry is read back");
     let item = state.store.get(KEY, Freshness::Newest).await.ok()??;
     (item.lease == lease.id).then_some(item.revision)
 }
 
 /// Renews the lease until it cannot be renewed in time, or the daemon stops.
-async fn hold(state: &State, lease: &Lease, term: &Term) {
-    let pause = Span::from(lease.ttl / RENEWALS);
+async fn keep_renewing(state: &State, lease: &Lease, term: &Term) {
+    let pause = Span::from(lease.ttl / RENEWALS_PER_TTL);
     loop {
         let step = state.now() + pause;
         while state.now() < step {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
             if state.is_draining() || !term.is_valid() {
                 return;
             }
         }
         let asked = state.now();
-        let until = term.held.lock().until;
+        let until = term.validity.lock().until;
         match state
             .clock
             .timeout_at(until, state.store.renew(lease.id))
@@ -296,7 +296,7 @@
             }
             Ok(Err(why)) => {
                 warn!(target: "leader", event = "not_renewed", why = %why, "the lease could not be renewed yet");
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
             Err(_) => return,
         }
@@ -319,7 +319,7 @@
                 state.log.notable(|| {
                     warn!(target: "leader", event = "not_renewed", why = %why, "the lease could not be renewed yet")
                 });
-                tokio::time::sleep(RETRY).await;
+                tokio::time::sleep(RETRY_INTERVAL).await;
             }
         }
     }
@@ -338,7 +338,7 @@
 }
 
 /// Ends a term and its lease.
-async fn give_up(state: &State, lease: Lease, term: &Term) {
+async fn step_down(state: &State, lease: Lease, term: &Term) {
     term.end();
     warn!(target: "leader", event = "lost", term = term.token, "this host no longer leads");
     let _ = state.store.end(lease.id).await;
