--- a/crates/front/src/quarantine.rs
+++ b/crates/front/src/quarantine.rs
@@ -21,7 +21,7 @@
 use crate::state::State;
 use parking_lot::Mutex;
 use platform::store::Item;
-use registry::Board;
+use registry::Registry;
 use route::quarantine::{Crash, Incident, Permit, RequestId, Status, TrialOutcome};
 use std::collections::BTreeMap;
 use tokio::sync::Notify;
@@ -45,7 +45,7 @@
 
 /// What this host knows of such requests. Its lock is taken last.
 pub struct Quarantine {
-    board: Mutex<Board>,
+    registry: Mutex<Registry>,
     reports: UnboundedSender<Report>,
     /// Notified when the standing of a request has changed in this host's ledger, so that a leader tells it.
     pub changed: Notify,
@@ -55,7 +55,7 @@
 pub fn open() -> (Quarantine, Reports) {
     let (reports, receiver) = unbounded_channel();
     let quarantine = Quarantine {
-        board: Mutex::default(),
+        registry: Mutex::default(),
         reports,
         changed: Notify::new(),
     };
@@ -71,29 +71,29 @@
 
     /// What is held of a request, by the leader's word, the store, or else what this host has seen itself.
     pub fn standing(&self, print: Fingerprint, now: Time) -> Status {
-        self.board.lock().standing(print, now)
+        self.registry.lock().standing(print, now)
     }
 
     /// Whether nothing is held of any request, so that none needs a look.
     pub fn is_empty(&self, now: Time) -> bool {
-        self.board.lock().is_idle(now)
+        self.registry.lock().is_idle(now)
     }
 
     /// Whether replicas have fallen lately, or requests are listed: good ends are noted only then.
     pub fn is_alert(&self, now: Time) -> bool {
-        self.board.lock().is_alert(now)
+        self.registry.lock().is_alert(now)
     }
 
     /// Notes that a run of a request has ended well here, and tells the leader where it is listed.
     pub fn note_success(&self, print: Fingerprint, now: Time) {
-        if self.board.lock().note_sound(print, now) {
+        if self.registry.lock().record_success(print, now) {
             self.report(Report::Succeeded(print));
         }
     }
 
     /// Takes in a fall, seen here or told by another host.
     pub fn note_crash(&self, fall: Crash, aboard: &[Fingerprint], now: Time) {
-        let changed = self.board.lock().fell(fall, aboard, now);
+        let changed = self.registry.lock().record_crash(fall, aboard, now);
         for print in &changed {
             info!(target: "quarantine", event = "suspected", print = %print, "a request was in flight where several replicas fell");
         }
@@ -102,7 +102,7 @@
 
     /// Takes in that a run of a request has ended well on some host.
     pub fn note_success_anywhere(&self, print: Fingerprint) {
-        let cleared = self.board.lock().ledger.record_success(print);
+        let cleared = self.registry.lock().ledger.record_success(print);
         if cleared {
             info!(target: "quarantine", event = "cleared", print = %print, "a run of the request has ended well");
         }
@@ -111,7 +111,10 @@
 
     /// Says, as the leader, what may be done with a request.
     pub fn decide(&self, print: Fingerprint, ticket: RequestId, now: Time) -> Permit {
-        self.board.lock().ledger.request_permit(print, ticket, now)
+        self.registry
+            .lock()
+            .ledger
+            .request_permit(print, ticket, now)
     }
 
     /// Takes in, as the leader, that a trial has not ended well.
@@ -120,13 +123,13 @@
             true => TrialOutcome::Interrupted,
             false => TrialOutcome::Inconclusive,
         };
-        let changed = self.board.lock().ledger.record_trial(print, how, now);
+        let changed = self.registry.lock().ledger.record_trial(print, how, now);
         self.note(changed);
     }
 
     /// Forgets what was held of a request here, by the leader's word.
     fn lift(&self, print: Fingerprint) {
-        self.board.lock().lift(print);
+        self.registry.lock().lift(print);
     }
 
     fn note(&self, changed: bool) {
@@ -137,17 +140,17 @@
 
     /// Falls that the leader of a term is to be told once more.
     pub fn unreported_crashes(&self, term: u64, now: Time) -> Vec<Incident> {
-        self.board.lock().falls.due_reports(term, now)
+        self.registry.lock().falls.due_reports(term, now)
     }
 
     /// Takes over, as a new leader, what the one before had listed.
     pub fn take_over(&self, now: Time) {
-        self.board.lock().take_over(now);
+        self.registry.lock().take_over(now);
     }
 
     /// What a leader is to tell all hosts, and whether it has changed since it was asked for last.
     pub fn listing(&self, term: u64, now: Time) -> (QuarantineList, bool) {
-        let mut board = self.board.lock();
+        let mut board = self.registry.lock();
         let (listing, news) = board.listing(term, now);
         drop(board);
         for print in &news.kept_out {
@@ -159,7 +162,7 @@
     /// Takes in the leader's list, and tells it which of these requests have ended well here since they were first in
     /// flight at a fall.
     pub fn apply_listing(&self, listing: QuarantineList, now: Time) {
-        let sound = self.board.lock().told(listing, now);
+        let sound = self.registry.lock().apply_listing(listing, now);
         for print in sound {
             self.report(Report::Succeeded(print));
         }
@@ -167,17 +170,17 @@
 
     /// What is to stand in the store by this leader's ledger, and the revision that it replaces; none while it stands there.
     pub fn pending_write(&self, now: Time) -> Option<(Vec<u8>, u64)> {
-        self.board.lock().unstored(now)
+        self.registry.lock().pending_write(now)
     }
 
     /// Takes in what stands in the store at a revision.
     pub fn stored(&self, listed: BTreeMap<Fingerprint, bool>, revision: u64) {
-        self.board.lock().stored(listed, revision);
+        self.registry.lock().stored(listed, revision);
     }
 
     /// Requests that are suspected and kept out, as far as this host knows.
     pub fn counts(&self, now: Time) -> (usize, usize) {
-        self.board.lock().counts(now)
+        self.registry.lock().counts(now)
     }
 }
 
@@ -193,20 +196,20 @@
 
 /// Takes in that the list does not stand in the store, as of a revision.
 pub fn note_not_stored(state: &State, revision: u64) {
-    state.quarantine.board.lock().absent(revision);
+    state.quarantine.registry.lock().absent(revision);
 }
 
 /// Takes in what a leader wanted to replace in vain; a revision of 0 says that nothing stands there.
 pub fn apply_conflict(state: &State, item: &Item) {
     match item.revision {
-        0 => state.quarantine.board.lock().vanished(),
+        0 => state.quarantine.registry.lock().mark_absent(),
         _ => apply_stored(state, item),
     }
 }
 
 /// Takes in that the list was removed from the store, by which operators lift all of it.
 pub fn note_removed(state: &State, revision: u64) {
-    if state.quarantine.board.lock().removed(revision) {
+    if state.quarantine.registry.lock().removed(revision) {
         warn!(target: "quarantine", event = "lifted", revision, "the list of requests that are kept out was removed from the store; all are let in again");
         state.quarantine.changed.notify_one();
     }
--- a/crates/front/src/quarantine/admit.rs
+++ b/crates/front/src/quarantine/admit.rs
@@ -14,13 +14,13 @@
 
 /// Part of its target for which a suspect may wait here for a trial, or to be cleared. What is asked for often is
 /// cleared within about the time of one run.
-const HELD_PART: f64 = 0.25;
+const MAX_HELD_FRACTION: f64 = 0.25;
 
 /// When a client may come back whose request is suspected: about the time of one trial.
-const RETURN_SUSPECTED: Span = Span::from_ms(1_000);
+const RETRY_AFTER_SUSPECTED: Span = Span::from_ms(1_000);
 
 /// Time between two looks at what is held of a request that waits.
-const LOOK: Duration = Duration::from_millis(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(60);
 
 /// Trial of a request: it is sent once, and nothing that is suspected with it. Dropping it ends the trial.
 pub struct Trial {
@@ -31,7 +31,7 @@
 
 impl Trial {
     /// Notes that the run broke off.
-    pub(super) fn broke(&self) {
+    pub(super) fn mark_broken(&self) {
         self.is_broken.store(true, Ordering::Relaxed);
     }
 }
@@ -57,7 +57,7 @@
     }
     let print = call.fingerprint();
     let ticket = RequestId(rendezvous::hash(call.id.as_bytes()));
-    let held_until = call.arrived + Span::from(call.route.target) * HELD_PART;
+    let held_until = call.arrived + Span::from(call.route.target) * MAX_HELD_FRACTION;
     loop {
         let now = state.now();
         let permit = match state.quarantine.standing(print, now) {
@@ -82,10 +82,10 @@
                 begin_trial(state, call);
                 return Ok(());
             }
-            Permit::Quarantined(left) => return Err(kept_out(left)),
+            Permit::Quarantined(left) => return Err(blocked(left)),
             Permit::Wait if now >= held_until || state.is_draining() => return Err(suspected()),
             Permit::Wait => {
-                let _ = timeout(LOOK, state.changed.notified()).await;
+                let _ = timeout(POLL_INTERVAL, state.changed.notified()).await;
             }
         }
     }
@@ -111,7 +111,7 @@
     match state.quarantine.standing(call.fingerprint(), now) {
         Status::Clear => Ok(()),
         Status::Suspected => Err(suspected()),
-        Status::Quarantined => Err(kept_out(QUARANTINE_DURATION)),
+        Status::Quarantined => Err(blocked(QUARANTINE_DURATION)),
     }
 }
 
@@ -121,7 +121,7 @@
 }
 
 /// Answer to a request that ends each replica that runs it.
-fn kept_out(left: Span) -> Fault {
+fn blocked(left: Span) -> Fault {
     let message =
         "The request has ended each replica that began to run it; it is not sent any more.";
     Fault::not_run("kept_out", message, left)
@@ -131,5 +131,5 @@
 fn suspected() -> Fault {
     let message =
         "The request was in flight where several replicas fell; it is tried alone, one at a time.";
-    Fault::not_run("suspected", message, RETURN_SUSPECTED)
+    Fault::not_run("suspected", message, RETRY_AFTER_SUSPECTED)
 }
--- a/crates/front/src/quarantine/probe.rs
+++ b/crates/front/src/quarantine/probe.rs
@@ -14,10 +14,10 @@
 
 /// Time after the first break in which the others come: all connections of a process that ends are closed within
 /// some milliseconds.
-const TOGETHER: Duration = Duration::from_millis(15);
+const PROBE_DELAY: Duration = Duration::from_millis(15);
 
 /// Time for a connection to be opened or refused: hosts and replicas are milliseconds apart. Silence proves nothing.
-const LOOK_LIMIT: Duration = Duration::from_millis(300);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Notes that a request broke at a replica, and looks whether that has fallen, once for all that break together.
 pub fn note_broken(state: &Arc<State>, call: &Call, place: &Place) {
@@ -25,10 +25,10 @@
     let start = (place.replica.clone(), place.incarnation);
     let print = call.fingerprint();
     if let Some(trial) = call.trial.get() {
-        trial.broke();
+        trial.mark_broken();
     }
     let is_first = {
-        let mut board = state.quarantine.board.lock();
+        let mut board = state.quarantine.registry.lock();
         board.alert(now);
         board.falls.record_failure(&start, print, now)
     };
@@ -37,26 +37,26 @@
     }
     let seen = state.table.lock().view.get(&place.replica).cloned();
     let Some(seen) = seen.filter(|s| s.entry.incarnation == place.incarnation) else {
-        return fallen(state, &start);
+        return report_crash(state, &start);
     };
     let state = state.clone();
     tokio::spawn(async move {
-        sleep(TOGETHER).await;
+        sleep(PROBE_DELAY).await;
         if refuses(seen.entry.addr).await {
-            fallen(&state, &start);
+            report_crash(&state, &start);
         }
     });
 }
 
 /// Whether nobody listens at an address.
 async fn refuses(addr: SocketAddr) -> bool {
-    let opened = timeout(LOOK_LIMIT, TcpStream::connect(addr)).await;
+    let opened = timeout(PROBE_TIMEOUT, TcpStream::connect(addr)).await;
     matches!(opened, Ok(Err(why)) if why.kind() == ErrorKind::ConnectionRefused)
 }
 
 /// Tells of a fall, unless it is known.
-fn fallen(state: &State, start: &route::quarantine::Instance) {
-    let group = state.quarantine.board.lock().falls.confirm_crash(start);
+fn report_crash(state: &State, start: &route::quarantine::Instance) {
+    let group = state.quarantine.registry.lock().falls.confirm_crash(start);
     if let Some(group) = group {
         tell(state, &start.0, group);
     }
@@ -67,7 +67,7 @@
     let seen = state.table.lock().view.get(replica).cloned();
     let present = seen.map(|s| (s.entry.id.clone(), s.entry.incarnation));
     let groups = {
-        let falls = &mut state.quarantine.board.lock().falls;
+        let falls = &mut state.quarantine.registry.lock().falls;
         falls.confirm_replaced(replica, present.as_ref())
     };
     for group in groups {
--- a/crates/front/src/quarantine/registry.rs
+++ b/crates/front/src/quarantine/registry.rs
@@ -7,37 +7,37 @@
 use unit::{Fingerprint, Span, Time};
 
 /// Time for which good ends are noted after a fall: about the longest run and then some.
-const ALERT: Span = Span::from_secs(60);
+const ALERT_FOR: Span = Span::from_secs(60);
 
 /// Age at which the leader's list no longer counts: it tells it every few seconds.
-const TOLD_FOR: Span = Span::from_secs(10);
+const LIST_VALID_FOR: Span = Span::from_secs(10);
 
 /// Good ends remembered at once, at 16 bytes each.
-const MOST_SOUND: usize = 1_024;
+const MAX_SUCCESSES: usize = 1_024;
 
 /// What this host knows.
 #[derive(Default)]
-pub(super) struct Board {
+pub(super) struct Registry {
     /// Falls by request; all that is known of them at the host that leads.
     pub(super) ledger: Tracker,
     /// Requests that broke here, by replica.
     pub(super) falls: Incidents,
     /// The leader's list.
-    told: Told,
+    told: LeaderList,
     /// The list in the store.
     stored: Stored,
     /// When requests last ended well here.
-    sound: HashMap<Fingerprint, Time>,
+    successes: HashMap<Fingerprint, Time>,
     alert_until: Time,
     /// What this host told last as the leader.
-    telling: Telling,
+    sent: SentList,
 }
 
 /// The leader's list, as it was told last.
 #[derive(Default)]
-struct Told {
+struct LeaderList {
     /// Term and number of the list, by which a later one is known.
-    number: (u64, u32),
+    version: (u64, u32),
     at: Time,
     listed: HashMap<Fingerprint, bool>,
 }
@@ -48,19 +48,19 @@
     /// Revision of its last change.
     revision: u64,
     /// Whether it stands there.
-    stands: bool,
+    is_present: bool,
     listed: BTreeMap<Fingerprint, bool>,
 }
 
 /// What this host told last as the leader.
 #[derive(Default)]
-struct Telling {
+struct SentList {
     number: u32,
     listed: BTreeMap<Fingerprint, bool>,
 }
 
 /// What has changed in a leader's list.
-pub(super) struct News {
+pub(super) struct Delta {
     pub(super) changed: bool,
     pub(super) kept_out: Vec<Fingerprint>,
 }
@@ -73,9 +73,13 @@
     }
 }
 
-impl Board {
+impl Registry {
     pub(super) fn standing(&self, print: Fingerprint, now: Time) -> Status {
-        let told = self.told.listed.get(&print).filter(|_| self.is_told(now));
+        let told = self
+            .told
+            .listed
+            .get(&print)
+            .filter(|_| self.is_list_current(now));
         let listed = told.into_iter().chain(self.stored.listed.get(&print));
         let listed = listed.map(|is_out| standing_of(*is_out)).max();
         // Only the leader keeps out; what was seen here alone is a reason to ask it.
@@ -83,12 +87,12 @@
         listed.unwrap_or(Status::Clear).max(seen)
     }
 
-    fn is_told(&self, now: Time) -> bool {
-        now.since(self.told.at) < TOLD_FOR
+    fn is_list_current(&self, now: Time) -> bool {
+        now.since(self.told.at) < LIST_VALID_FOR
     }
 
     pub(super) fn is_idle(&self, now: Time) -> bool {
-        let told = !self.told.listed.is_empty() && self.is_told(now);
+        let told = !self.told.listed.is_empty() && self.is_list_current(now);
         !told && self.stored.listed.is_empty() && !self.ledger.has_suspects()
     }
 
@@ -97,21 +101,21 @@
     }
 
     pub(super) fn alert(&mut self, now: Time) {
-        self.alert_until = now + ALERT;
+        self.alert_until = now + ALERT_FOR;
     }
 
     /// Notes a good end; tells whether the leader is to know it.
-    pub(super) fn note_sound(&mut self, print: Fingerprint, now: Time) -> bool {
-        if self.sound.len() >= MOST_SOUND {
-            self.sound.retain(|_, at| now.since(*at) < ALERT);
+    pub(super) fn record_success(&mut self, print: Fingerprint, now: Time) -> bool {
+        if self.successes.len() >= MAX_SUCCESSES {
+            self.successes.retain(|_, at| now.since(*at) < ALERT_FOR);
         }
-        if self.sound.len() < MOST_SOUND {
-            self.sound.insert(print, now);
+        if self.successes.len() < MAX_SUCCESSES {
+            self.successes.insert(print, now);
         }
         self.standing(print, now) != Status::Clear
     }
 
-    pub(super) fn fell(
+    pub(super) fn record_crash(
         &mut self,
         fall: Crash,
         aboard: &[Fingerprint],
@@ -133,22 +137,22 @@
         for (print, is_out) in told.chain(stored) {
             self.ledger.restore(print, is_out, now);
         }
-        self.telling = Telling::default();
+        self.sent = SentList::default();
     }
 
-    pub(super) fn listing(&mut self, term: u64, now: Time) -> (QuarantineList, News) {
+    pub(super) fn listing(&mut self, term: u64, now: Time) -> (QuarantineList, Delta) {
         let listed = self.ledger.suspects(now);
         let next: BTreeMap<Fingerprint, bool> = listed
             .iter()
             .map(|l| (l.fingerprint, l.is_quarantined))
             .collect();
-        let changed = next != self.telling.listed;
-        let is_new = |print: &Fingerprint| self.telling.listed.get(print) != Some(&true);
+        let changed = next != self.sent.listed;
+        let is_new = |print: &Fingerprint| self.sent.listed.get(print) != Some(&true);
         let out = next.iter().filter(|(_, is_out)| **is_out);
         let kept_out = out.map(|(print, _)| *print).filter(is_new).collect();
         if changed {
-            self.telling.number += 1;
-            self.telling.listed = next;
+            self.sent.number += 1;
+            self.sent.listed = next;
         }
         let listed = listed.into_iter().map(|l| QuarantineEntry {
             fingerprint: l.fingerprint,
@@ -157,16 +161,16 @@
         });
         let listing = QuarantineList {
             term,
-            number: self.telling.number,
+            number: self.sent.number,
             entries: listed.collect(),
         };
-        (listing, News { changed, kept_out })
+        (listing, Delta { changed, kept_out })
     }
 
     /// Takes in the leader's list; gives the requests in it that have ended well here since they were suspected.
-    pub(super) fn told(&mut self, listing: QuarantineList, now: Time) -> Vec<Fingerprint> {
+    pub(super) fn apply_listing(&mut self, listing: QuarantineList, now: Time) -> Vec<Fingerprint> {
         let number = (listing.term, listing.number);
-        if number < self.told.number {
+        if number < self.told.version {
             return Vec::new();
         }
         if !listing.entries.is_empty() {
@@ -174,12 +178,12 @@
         }
         let sound = listing.entries.iter().filter(|listed| {
             let since = now - Span::from_ms(u64::from(listed.since_ms));
-            let ended = self.sound.get(&listed.fingerprint);
+            let ended = self.successes.get(&listed.fingerprint);
             !listed.is_blocked && ended.is_some_and(|at| *at > since)
         });
         let sound = sound.map(|listed| listed.fingerprint).collect();
-        self.told = Told {
-            number,
+        self.told = LeaderList {
+            version: number,
             at: now,
             listed: listing
                 .entries
@@ -191,11 +195,11 @@
     }
 
     /// List that is to stand in the store, and the revision that it replaces; none while it stands there.
-    pub(super) fn unstored(&mut self, now: Time) -> Option<(Vec<u8>, u64)> {
+    pub(super) fn pending_write(&mut self, now: Time) -> Option<(Vec<u8>, u64)> {
         let listed = self.ledger.suspects(now).into_iter();
         let listed: BTreeMap<Fingerprint, bool> =
             listed.map(|l| (l.fingerprint, l.is_quarantined)).collect();
-        let replaced = match self.stored.stands {
+        let replaced = match self.stored.is_present {
             true => self.stored.revision,
             false => 0,
         };
@@ -206,7 +210,7 @@
         if revision >= self.stored.revision {
             self.stored = Stored {
                 revision,
-                stands: true,
+                is_present: true,
                 listed,
             };
         }
@@ -223,8 +227,8 @@
     }
 
     /// Takes in that no list stands in the store now.
-    pub(super) fn vanished(&mut self) {
-        self.stored.stands = false;
+    pub(super) fn mark_absent(&mut self) {
+        self.stored.is_present = false;
     }
 
     /// Takes in that the list was removed from the store; tells whether it was the newest.
@@ -238,12 +242,16 @@
             self.ledger.lift(print);
         }
         self.stored.revision = revision;
-        self.stored.stands = false;
+        self.stored.is_present = false;
         true
     }
 
     pub(super) fn counts(&self, now: Time) -> (usize, usize) {
-        let told = self.told.listed.iter().filter(|_| self.is_told(now));
+        let told = self
+            .told
+            .listed
+            .iter()
+            .filter(|_| self.is_list_current(now));
         let mut listed: BTreeMap<Fingerprint, bool> = told.map(|(p, out)| (*p, *out)).collect();
         for (print, is_out) in &self.stored.listed {
             *listed.entry(*print).or_default() |= is_out;
--- a/crates/front/src/quarantine/stored.rs
+++ b/crates/front/src/quarantine/stored.rs
@@ -17,9 +17,9 @@
 
 /// Why a list cannot be read.
 #[derive(Debug)]
-pub(super) struct Unreadable(String);
+pub(super) struct DecodeError(String);
 
-impl std::fmt::Display for Unreadable {
+impl std::fmt::Display for DecodeError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(&self.0)
     }
@@ -34,13 +34,13 @@
     serde_json::to_vec(&entries).expect("entries are plain data")
 }
 
-pub(super) fn decode(value: &[u8]) -> Result<BTreeMap<Fingerprint, bool>, Unreadable> {
+pub(super) fn decode(value: &[u8]) -> Result<BTreeMap<Fingerprint, bool>, DecodeError> {
     let entries: Vec<Entry> =
-        serde_json::from_slice(value).map_err(|why| Unreadable(why.to_string()))?;
+        serde_json::from_slice(value).map_err(|why| DecodeError(why.to_string()))?;
     let read = |entry: &Entry| -> Result<_, ParseIntError> {
         let print = u64::from_str_radix(&entry.request, 16)?;
         Ok((Fingerprint(print), entry.kept_out))
     };
     let listed: Result<_, _> = entries.iter().map(read).collect();
-    listed.map_err(|why| Unreadable(format!("An entry holds no fingerprint: {why}.")))
+    listed.map_err(|why| DecodeError(format!("An entry holds no fingerprint: {why}.")))
 }
