--- a/crates/front/src/accounts.rs
+++ b/crates/front/src/accounts.rs
@@ -23,11 +23,11 @@
 
 /// Part of the bound on withdrawals at which a host no longer rests on what it knows of keys. What is
 /// left covers a request on its way, and a store whose watches hear nothing for a second.
-const RESTED_ON_PART: f64 = 0.8;
+const MAX_AGE_FRACTION: f64 = 0.8;
 
 /// When a client may come back to a host that cannot confirm its key: such a host asks for the store
 /// several times in that, and the client's next connection may lead to another one.
-const RETURN_UNCONFIRMED: Span = Span::from_ms(500);
+const RETRY_AFTER_STALE: Span = Span::from_ms(500);
 
 /// Accounts of a configuration, by key and by name.
 #[derive(Debug)]
@@ -132,7 +132,7 @@
                 state,
                 &refusal,
                 &fault,
-                &Refused {
+                &Context {
                     id,
                     route,
                     account: account.map(|a| &**a),
@@ -188,7 +188,7 @@
 /// Age up to which a host rests on what it knows of keys; none where nothing bounds it.
 pub fn max_age(bounds: &Bounds) -> Option<Span> {
     let bound = bounds.withdrawal?;
-    Some(Span::from(bound) * RESTED_ON_PART)
+    Some(Span::from(bound) * MAX_AGE_FRACTION)
 }
 
 /// Age of what this host knows of the store.
@@ -241,7 +241,7 @@
     pub fn fault(&self) -> Fault {
         let message = self.to_string();
         match self {
-            Refusal::Stale { .. } => Fault::not_run(self.reason(), message, RETURN_UNCONFIRMED),
+            Refusal::Stale { .. } => Fault::not_run(self.reason(), message, RETRY_AFTER_STALE),
             _ => Fault::refused(StatusCode::UNAUTHORIZED, self.reason(), message),
         }
     }
@@ -261,7 +261,7 @@
 }
 
 /// Request that is not let in by its key, as it is told.
-struct Refused<'a> {
+struct Context<'a> {
     id: Option<Name>,
     route: &'a Route,
     account: Option<&'a Account>,
@@ -270,7 +270,7 @@
 }
 
 /// Tells why a request is not let in.
-fn tell(state: &State, refusal: &Refusal, fault: &Fault, refused: &Refused) {
+fn tell(state: &State, refusal: &Refusal, fault: &Fault, refused: &Context) {
     state.log.metrics.ended(&refused.route.name, fault.reason);
     let key = match refusal {
         Refusal::Unknown { digest } => Some(digest.as_str()),
--- a/crates/front/src/contact.rs
+++ b/crates/front/src/contact.rs
@@ -9,15 +9,15 @@
 use unit::{Span, Time};
 
 /// Time in which entries that lapsed in an outage of the store come back after it.
-const RETURN: Span = Span::from_ms(2_000);
+const REAPPEAR_WITHIN: Span = Span::from_ms(2_000);
 
 /// Heartbeats for which the store must be silent at the least for an entry to lapse: it does after three that
 /// are missed, and the last one may have come up to one before the silence.
-const LAPSES_AFTER: f64 = 2.0;
+const MIN_LAPSE_HEARTBEATS: f64 = 2.0;
 
 /// Time that a word may have been on its way, by which what it tells seems younger than it is: a link on which
 /// packets wait for longer counts as harmed.
-const TRANSIT: Span = Span::from_ms(500);
+const MAX_TRANSIT: Span = Span::from_ms(500);
 
 /// Time through which the store was heard from, without a silence in which entries can lapse.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -80,7 +80,7 @@
 /// Silence between the runs of two hosts in which no entry can have lapsed, where replicas write each
 /// `heartbeat`.
 pub fn max_gap_between_hosts(heartbeat: Span) -> Span {
-    (heartbeat * LAPSES_AFTER).saturating_sub(TRANSIT)
+    (heartbeat * MIN_LAPSE_HEARTBEATS).saturating_sub(MAX_TRANSIT)
 }
 
 /// What is known of the store's presence.
@@ -91,9 +91,9 @@
     /// The last run of this host, or of what it heard of the store through others.
     own: Option<Uptime>,
     /// Whether a longer silence went before that.
-    is_back: bool,
+    after_outage: bool,
     /// Whether no call is answered, here or by way of another host.
-    away: bool,
+    unreachable: bool,
     /// The last run of the hosts that told theirs.
     others: Option<Uptime>,
 }
@@ -104,8 +104,8 @@
         Contact {
             heartbeat,
             own: None,
-            is_back: false,
-            away: false,
+            after_outage: false,
+            unreachable: false,
             others: None,
         }
     }
@@ -113,13 +113,13 @@
     /// Notes that the store answered what it was asked at a time; what another host tells of it was asked and
     /// answered when the store told that.
     pub fn answered(&mut self, asked: Time, now: Time) {
-        self.away = false;
+        self.unreachable = false;
         match &mut self.own {
-            Some(run) if asked.since(run.until) <= self.heartbeat * LAPSES_AFTER => {
+            Some(run) if asked.since(run.until) <= self.heartbeat * MIN_LAPSE_HEARTBEATS => {
                 run.until = run.until.max(now);
             }
             run => {
-                self.is_back = run.is_some();
+                self.after_outage = run.is_some();
                 *run = Some(Uptime {
                     since: now,
                     until: now,
@@ -130,12 +130,12 @@
 
     /// Notes that no call is answered, here or by way of another host.
     pub fn failed(&mut self) {
-        self.away = true;
+        self.unreachable = true;
     }
 
     /// Whether no call is answered, here or by way of another host.
     pub fn is_unreachable(&self) -> bool {
-        self.away
+        self.unreachable
     }
 
     /// Time since the store was last known to answer.
@@ -163,16 +163,16 @@
     /// alone sends requests to a replica that has left for 2 s after its return, and every second one where two
     /// replicas can take it, by `partitioned_host` of the tests.
     pub fn since_recovery(&self, now: Time) -> Option<Span> {
-        let own = self.own.filter(|_| self.is_back)?;
+        let own = self.own.filter(|_| self.after_outage)?;
         let silence = max_gap_between_hosts(self.heartbeat);
         let others = self.others.filter(|run| run.meets(&own, silence));
         let since = others.map_or(own.since, |run| run.since.min(own.since));
         let back = now.since(since);
-        (back < RETURN).then_some(back)
+        (back < REAPPEAR_WITHIN).then_some(back)
     }
 
     /// Whether an entry that vanishes now may come back.
     pub fn may_reappear(&self, now: Time) -> bool {
-        self.away || self.since_recovery(now).is_some()
+        self.unreachable || self.since_recovery(now).is_some()
     }
 }
--- a/crates/front/src/grant.rs
+++ b/crates/front/src/grant.rs
@@ -21,7 +21,7 @@
     /// Units that are to be left for what is more urgent.
     pub reserved: f64,
     /// Whether nothing else can take the request, so that it comes again.
-    pub queues: bool,
+    pub will_retry: bool,
 }
 
 /// Units that were given for one request.
@@ -30,7 +30,7 @@
     subject: Subject,
     units: f64,
     /// When they were asked for.
-    asked: Time,
+    requested: Time,
     source: Source,
 }
 
@@ -71,7 +71,7 @@
         subject: wanted.subject.clone(),
         units: wanted.units as f32,
         kept: wanted.reserved as f32,
-        queues: wanted.queues,
+        queues: wanted.will_retry,
         alone: untold as f32,
     };
     let answer = peers.ask_for(question, tries).await.and_then(answer);
@@ -119,7 +119,7 @@
             peers: peers.clone(),
             subject: self.subject,
             units: self.units,
-            asked,
+            requested: asked,
             source,
         }
     }
@@ -128,12 +128,12 @@
 impl Grant {
     /// Gives the units back: the request did not use them.
     pub async fn refund(self, state: &State) {
-        let age = state.now().since(self.asked);
+        let age = state.now().since(self.requested);
         if self.source == Source::Share || age > REFUND_WINDOW {
             return;
         }
         state.shares.with(&self.subject, |share| {
-            share.refund(self.units, self.asked);
+            share.refund(self.units, self.requested);
         });
         self.peers.give_back(self.subject, self.units, age).await;
     }
--- a/crates/front/src/limits.rs
+++ b/crates/front/src/limits.rs
@@ -126,7 +126,7 @@
         limit: met.notice.limit(1.0),
         units: 1.0,
         reserved: met.kept,
-        queues: choice.candidates == 1,
+        will_retry: choice.candidates == 1,
     }
 }
 
--- a/crates/front/src/quota.rs
+++ b/crates/front/src/quota.rs
@@ -19,10 +19,10 @@
 
 /// When a client may come back whose account has no share here, while nobody gives out: about the time
 /// until another host leads.
-const RETURN_WITHOUT_SHARE: Span = Span::from_ms(1_000);
+const RETRY_AFTER_NO_SHARE: Span = Span::from_ms(1_000);
 
 /// Least time after which a refused client is asked to come back.
-const LEAST_WAIT: Span = Span::from_ms(100);
+const MIN_RETRY_AFTER: Span = Span::from_ms(100);
 
 /// Lets a request in if its account may have it run; none where the account has no limit.
 pub async fn admit(state: &State, peers: &Arc<Peers>, call: &Call) -> Result<Option<Grant>, Fault> {
@@ -35,7 +35,7 @@
         limit: shares::limit(&quota),
         units: quota.cost(call.ask.tokens()),
         reserved: 0.0,
-        queues: true,
+        will_retry: true,
     };
     let asked = state.now();
     let decided = decide(state, peers, account, &quota, &wanted).await;
@@ -79,8 +79,8 @@
         "What account {} may use is not confirmed at the moment, and its share here is used up.",
         account.name
     );
-    let wait = wait.unwrap_or(RETURN_WITHOUT_SHARE);
-    Fault::not_run("quota_unconfirmed", message, wait.max(LEAST_WAIT))
+    let wait = wait.unwrap_or(RETRY_AFTER_NO_SHARE);
+    Fault::not_run("quota_unconfirmed", message, wait.max(MIN_RETRY_AFTER))
 }
 
 /// Answer to a request whose account is over its limit.
@@ -90,7 +90,7 @@
         "Account {name} is over its limit of {rate} a second and {burst} at once; this request uses {units}."
     );
     Fault {
-        retry_after: Some(wait.max(LEAST_WAIT)),
+        retry_after: Some(wait.max(MIN_RETRY_AFTER)),
         ..Fault::refused(StatusCode::TOO_MANY_REQUESTS, "over_quota", message)
     }
 }
--- a/crates/front/src/shares.rs
+++ b/crates/front/src/shares.rs
@@ -11,11 +11,11 @@
 
 /// Time for which no answer is waited for after there was none: each question that is waited for in vain
 /// takes a part of its request's target.
-const NOT_ASKED: Span = Span::from_ms(250);
+const LIMITER_BACKOFF: Span = Span::from_ms(250);
 
 /// Shares of one kind that are kept at once. Replicas in need come and go for as long as a host runs; beyond this
 /// all are forgotten, and the host has no share until it is answered again.
-const MOST_SHARES: usize = 4_096;
+const MAX_SHARES: usize = 4_096;
 
 /// What may be used beyond the limits of client accounts, by the settings.
 pub fn tolerance(bounds: &Bounds) -> Tolerance {
@@ -36,15 +36,15 @@
 
 /// Shares of all subjects.
 pub struct Shares {
-    accounts: Mutex<Kind<Name>>,
+    accounts: Mutex<Table<Name>>,
     /// By the short name of the incarnation.
-    replicas: Mutex<Kind<u32>>,
+    replicas: Mutex<Table<u32>>,
     /// Until when the host that gives out is not asked.
-    not_asked_until: Mutex<Time>,
+    backoff_until: Mutex<Time>,
 }
 
 /// Shares of limits of one kind.
-struct Kind<K> {
+struct Table<K> {
     tolerance: Tolerance,
     shares: HashMap<K, Share>,
 }
@@ -52,9 +52,9 @@
 /// Makes the shares of a host that was given nothing yet.
 pub fn open(bounds: &Bounds) -> Shares {
     Shares {
-        accounts: Mutex::new(Kind::new(tolerance(bounds))),
-        replicas: Mutex::new(Kind::new(REPLICA_TOLERANCE)),
-        not_asked_until: Mutex::default(),
+        accounts: Mutex::new(Table::new(tolerance(bounds))),
+        replicas: Mutex::new(Table::new(REPLICA_TOLERANCE)),
+        backoff_until: Mutex::default(),
     }
 }
 
@@ -69,25 +69,25 @@
 
     /// Whether the host that gives out may be asked now.
     pub fn may_ask(&self, now: Time) -> bool {
-        now >= *self.not_asked_until.lock()
+        now >= *self.backoff_until.lock()
     }
 
     /// Notes that it did not answer.
     pub fn note_no_answer(&self, now: Time) {
-        *self.not_asked_until.lock() = now + NOT_ASKED;
+        *self.backoff_until.lock() = now + LIMITER_BACKOFF;
     }
 }
 
-impl<K: Eq + Hash + Clone> Kind<K> {
-    fn new(tolerance: Tolerance) -> Kind<K> {
-        Kind {
+impl<K: Eq + Hash + Clone> Table<K> {
+    fn new(tolerance: Tolerance) -> Table<K> {
+        Table {
             tolerance,
             shares: HashMap::new(),
         }
     }
 
     fn share(&mut self, subject: &K) -> &mut Share {
-        if self.shares.len() >= MOST_SHARES && !self.shares.contains_key(subject) {
+        if self.shares.len() >= MAX_SHARES && !self.shares.contains_key(subject) {
             self.shares.clear();
         }
         let tolerance = self.tolerance;
