--- a/crates/front/src/fleet.rs
+++ b/crates/front/src/fleet.rs
@@ -1,12 +1,12 @@
-//! What the leader believes of each replica, and the orders it has in hand.
+//! The leader's view of each replica, and the orders that are queued or in progress there.
 //!
-//! Safety rests on the number of orders that a replica has taken: each order names the number under
-//! which its effect was worked out, and a replica that has taken another order meanwhile refuses
-//! it. So a late order never meets a memory other than the one it was meant for. The count begins anew when the
-//! replica starts again: what may land there then keeps its room.
+//! Each order carries the number of orders that the replica had accepted when the order was
+//! planned. A replica that has accepted another one since rejects it, so a delayed order never
+//! applies to a state that it was not planned for. A restarted replica counts from zero again:
+//! loads that may still be executed there keep their memory reserved.
 //!
-//! Its parts: `unanswered` is orders that were not answered, `adapters` which adapters are where, `capacity` what else finds
-//! room, `bucket` the rate of loads.
+//! `unanswered` keeps orders without an answer, `adapters` tracks adapters, `capacity` computes
+//! free memory and adapter slots, and `bucket` limits the rate of loads.
 
 mod adapters;
 mod bucket;
@@ -20,90 +20,86 @@
 use unanswered::Unanswered;
 use unit::{Name, Span, Time};
 
-/// Time for which an unanswered load may begin yet: replicas carry out orders up to 12 s late.
+/// Time within which an unanswered load may still start: replicas execute orders up to 12 s late.
 const MAX_ORDER_DELAY: Span = Span::from_secs(13);
 
-/// Time beyond the expected one after which a replica is asked whether an order is done.
+/// Time after the expected completion of an order at which the replica is asked for a report.
 const OVERDUE_AFTER: Span = Span::from_ms(3_000);
 
-/// Order to be given.
+/// Order that is planned and not sent yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Job {
-    /// What to do.
     pub operation: Operation,
-    /// With which model.
     pub model: Name,
-    /// With which adapter of it.
+    /// Adapter of the model; without one the order is about the model itself.
     pub adapter: Option<Name>,
     /// Whether the weights come from the weight store.
     pub from_store: bool,
-    /// Time it is expected to take.
+    /// Expected duration.
     pub duration: Span,
 }
 
-/// Order about a model that is under way.
+/// Accepted order about a model that has not completed.
 #[derive(Debug, Clone)]
 pub struct Pending {
-    /// The order.
     pub job: Job,
-    /// When it should be done.
+    /// Expected completion.
     pub due: Time,
 }
 
-/// Time after an order in which an entry may be older than the order's effect.
+/// Time after an order during which a store entry may predate the order's effect.
 const ENTRY_LAG: Span = Span::from_ms(3_000);
 
-/// Time in which a report is older than what it is asked after.
+/// Time during which a report may predate the event that it is requested for.
 const REPORT_LAG: Span = Span::from_ms(250);
 
-/// Pause between two reports of a replica that is busy; each is priced as a probe.
+/// Interval between reports of a busy replica; each costs as much as a probe.
 const BUSY_REPORT_INTERVAL: Span = Span::from_ms(600);
 
-/// Time for which a replica must be out of reach to count as lost: its entry tells so only after three
-/// heartbeats, some 4 s, which is most of the time that a copy elsewhere needs.
+/// Time without contact after which a replica counts as lost. Its entry lapses only after three
+/// heartbeats, about 4 s, which is most of the time that loading a copy elsewhere takes.
 const LOST_AFTER: Span = Span::from_ms(400);
 
-/// Model that a replica is about to give up, once hosts have been told for long enough.
+/// Model that a replica unloads once hosts have had notice of it.
 #[derive(Debug, Clone)]
 struct Removal {
     model: Name,
     due: Time,
 }
 
-/// What is believed of one replica.
+/// What the leader knows of one replica.
 #[derive(Debug, Clone)]
 pub struct Record {
-    /// The incarnation of which it is believed.
+    /// Incarnation that the record is about.
     incarnation: Incarnation,
     /// Unanswered loads of this incarnation.
     unanswered: Unanswered,
-    /// Unanswered loads of the ones before, which may be carried out by this one: the identity that they are
-    /// addressed to is the same, and its count of orders may stand by chance where they expect it.
+    /// Unanswered loads sent to earlier incarnations. This one may still execute them: it has the
+    /// same identity, and its order count may happen to match.
     unanswered_before: Unanswered,
-    /// Orders it has taken.
-    pub orders_taken: u64,
-    /// What it holds.
+    /// Number of orders that the replica has accepted.
+    pub orders_accepted: u64,
+    /// Models that it holds, with their adapters.
     pub held: Vec<Held>,
-    /// Order about a model that is under way.
     pub pending: Option<Pending>,
-    /// Orders to be given, in turn.
+    /// Orders to send, in order.
     pub queue: VecDeque<Job>,
-    /// Whether an order is being given now.
+    /// Whether a call to the replica is in progress.
     pub in_call: bool,
-    /// Whether it must be asked before the next order, and not before when.
+    /// Earliest time for a report, if one is required before the next order.
     pub report_due: Option<Time>,
-    /// Models that it is about to give up, in turn.
+    /// Models to unload, in order.
     removals: VecDeque<Removal>,
-    /// Model for which it gives others up, or gave them up and does not load it yet, and when it should
-    /// be there.
+    /// Model that memory is being freed for, until it is loaded or given up, and its expected
+    /// arrival.
     reserved_for: Option<(Name, Time)>,
-    /// Since when several hosts cannot reach it.
+    /// Since when several hosts cannot reach the replica.
     unreachable_since: Option<Time>,
-    /// Model that it loaded last, and when that was known.
+    /// Last model that was loaded, and when the leader learned of it.
     pub last_loaded: Option<(Name, Time)>,
-    /// Time that this load took, for which the model is to stay at the least.
+    /// Minimum time that this model stays: as long as its load took.
     min_stay: Span,
-    /// Model that it gave up last, and when that was ordered.
+    /// Last model that was unloaded, and when that was ordered.
     pub last_unloaded: Option<(Name, Time)>,
     last_used: HashMap<(Name, Name), Time>,
     last_ordered: Time,
@@ -115,7 +111,7 @@
             incarnation: None,
             unanswered: Unanswered::default(),
             unanswered_before: Unanswered::default(),
-            orders_taken: 0,
+            orders_accepted: 0,
             held: Vec::new(),
             pending: None,
             queue: VecDeque::new(),
@@ -134,13 +130,12 @@
 }
 
 impl Record {
-    /// Whether it is this incarnation of which it is believed.
     pub fn is_incarnation(&self, incarnation: Incarnation) -> bool {
         self.incarnation == incarnation
     }
 
-    /// Forgets what was believed of an earlier incarnation. Its unanswered loads keep the room that they would take,
-    /// for as long as they may land.
+    /// Starts over for a new incarnation. Unanswered loads of the earlier one keep their memory
+    /// reserved for as long as they may still be executed.
     fn reset(&mut self, incarnation: Incarnation) {
         let before = std::mem::take(self);
         let mut unanswered_before = before.unanswered_before;
@@ -154,8 +149,8 @@
         };
     }
 
-    /// Notes that a load was not answered: it may be carried out yet, by the incarnation that it was given to or by
-    /// a later one.
+    /// Records a load without an answer: the incarnation that it was sent to, or a later one, may
+    /// still execute it.
     pub fn note_unanswered(&mut self, job: &Job, given_to: Incarnation, now: Time) {
         if job.operation == Operation::Unload {
             return;
@@ -166,7 +161,7 @@
         }
     }
 
-    /// Whether it takes an order about a model now.
+    /// Whether it can take an order about a model now.
     pub fn is_idle(&self) -> bool {
         self.pending.is_none()
             && self.queue.is_empty()
@@ -174,107 +169,108 @@
             && self.report_due.is_none()
     }
 
-    /// Notes whether several hosts cannot reach it now.
-    pub fn note_unreachable(&mut self, absent: bool, now: Time) {
-        self.unreachable_since = absent.then(|| self.unreachable_since.unwrap_or(now));
+    /// Records whether several hosts cannot reach it now.
+    pub fn note_unreachable(&mut self, unreachable: bool, now: Time) {
+        self.unreachable_since = unreachable.then(|| self.unreachable_since.unwrap_or(now));
     }
 
-    /// Whether it could not be reached for so long that its copies are to be had elsewhere.
+    /// Whether it has been unreachable for so long that its models are to be loaded elsewhere.
     pub fn is_lost(&self, now: Time) -> bool {
         self.unreachable_since
             .is_some_and(|at| now.since(at) >= LOST_AFTER)
     }
 
-    /// Notes that it is to give up models, each from its time on, so that another one finds room and is
-    /// there at some time.
+    /// Schedules models to be unloaded, each from its time on, to free memory for `replacement`,
+    /// which is expected by `arrival`.
     pub fn schedule_unloads(
         &mut self,
         models: impl IntoIterator<Item = (Name, Time)>,
-        instead: Name,
-        there: Time,
+        replacement: Name,
+        arrival: Time,
     ) {
         let models = models.into_iter();
         self.removals = models.map(|(model, due)| Removal { model, due }).collect();
-        self.reserved_for = Some((instead, there));
+        self.reserved_for = Some((replacement, arrival));
     }
 
-    /// Model that is on its way to it, and when it should be there.
+    /// Model that is being loaded or waits for memory, and its expected arrival.
     pub fn incoming(&self) -> Option<(&Name, Time)> {
         let pending = self.pending.as_ref();
         let pending = pending.filter(|p| p.job.operation == Operation::Load);
-        let promised = self.reserved_for.as_ref().map(|(model, at)| (model, *at));
-        pending.map(|p| (&p.job.model, p.due)).or(promised)
+        let reserved = self.reserved_for.as_ref().map(|(model, at)| (model, *at));
+        pending.map(|p| (&p.job.model, p.due)).or(reserved)
     }
 
-    /// Takes out the next model to be given up, if its time has come and no other order is in hand.
+    /// Removes the next model to unload from the schedule, if it is due and no order is in
+    /// progress.
     pub fn take_due_unload(&mut self, now: Time) -> Option<Name> {
-        let is_due = self.removals.front().is_some_and(|c| now >= c.due);
+        let is_due = self.removals.front().is_some_and(|r| now >= r.due);
         if !is_due || !self.is_idle() {
             return None;
         }
-        self.removals.pop_front().map(|c| c.model)
+        self.removals.pop_front().map(|r| r.model)
     }
 
-    /// Whether it is about to give up a model.
+    /// Whether a model is scheduled to be unloaded.
     pub fn will_unload(&self, model: &Name) -> bool {
-        self.removals.iter().any(|c| c.model == *model)
+        self.removals.iter().any(|r| r.model == *model)
     }
 
-    /// Whether it may be given something else to do: no order is in hand, and none stands in a plan.
+    /// Whether nothing is in progress, queued or scheduled, so that new orders may be planned.
     pub fn accepts_orders(&self) -> bool {
         self.is_idle() && self.removals.is_empty()
     }
 
-    /// Notes that the model it has made room for is loaded, or is not wanted any more.
+    /// Clears the reservation once its model is being loaded or no longer wanted.
     pub fn clear_reservation(&mut self) {
         self.reserved_for = None;
     }
 
-    /// Model that it loaded so lately that giving it up would waste the load.
+    /// Model that was loaded so recently that unloading it would waste the load.
     pub fn recently_loaded(&self, now: Time) -> Option<&Name> {
         let (model, at) = self.last_loaded.as_ref()?;
         (now.since(*at) < self.min_stay).then_some(model)
     }
 
-    /// Models that it is giving up, or is about to.
+    /// Models that are being unloaded or are scheduled to be.
     pub fn unloading(&self) -> Vec<&Name> {
         let orders = self.pending.iter().map(|p| &p.job).chain(&self.queue);
         let unloads = |job: &&Job| job.operation == Operation::Unload && job.adapter.is_none();
         let unloads = orders.filter(unloads).map(|job| &job.model);
-        let closing = self.removals.iter().map(|c| &c.model);
-        closing.chain(unloads).collect()
+        let scheduled = self.removals.iter().map(|r| &r.model);
+        scheduled.chain(unloads).collect()
     }
 
-    /// Whether it is giving up a model, or is about to.
+    /// Whether any model is being unloaded or scheduled to be.
     pub fn is_unloading(&self) -> bool {
         !self.unloading().is_empty()
     }
 
-    /// Model for which it is making room, or has made it.
+    /// Model that memory is being freed for, or was.
     pub fn reserved_for(&self) -> Option<&Name> {
         self.reserved_for.as_ref().map(|(model, _)| model)
     }
 
-    /// Whether it may be asked for a report now.
+    /// Whether a report is required and may be requested now.
     pub fn is_report_due(&self, now: Time) -> bool {
         self.report_due.is_some_and(|at| now >= at)
     }
 
-    /// Notes that it must be asked what it holds before the next order.
+    /// Requires a report before the next order, and drops the queue.
     pub fn require_report(&mut self, now: Time) {
         self.report_due = Some(now + REPORT_LAG);
         self.queue.clear();
     }
 
-    /// Notes that an order is being given.
+    /// Records that an order is being sent.
     pub fn note_ordered(&mut self, now: Time) {
         self.last_ordered = now;
     }
 
-    /// Compares with its entry, which may be older than what is believed.
+    /// Compares the record with the replica's store entry, which may be older.
     ///
-    /// An entry can show that a load is done, and can raise doubt; that memory is free again is
-    /// believed of a report only.
+    /// An entry can complete a load or require a report. Only a report shows that memory is free
+    /// again.
     pub fn sync(&mut self, entry: &Entry, now: Time) {
         if !self.is_incarnation(entry.incarnation) {
             self.reset(entry.incarnation);
@@ -301,7 +297,7 @@
         }
     }
 
-    /// Whether an entry names other models than are believed to be held.
+    /// Whether an entry lists other models than the record.
     fn differs(&self, entry: &Entry) -> bool {
         let names = |held: &[Held]| {
             let mut names: Vec<Name> = held.iter().map(|h| h.model.clone()).collect();
@@ -311,14 +307,15 @@
         names(&self.held) != names(&entry.held)
     }
 
-    /// Takes a report in; it counts as newest, unless it is of an incarnation whose entry has not come yet.
+    /// Applies a report, which counts as the newest state unless it is from an incarnation whose
+    /// entry has not arrived yet.
     pub fn apply_report(&mut self, report: &Report, now: Time) {
         if report.incarnation.is_some() && !self.is_incarnation(report.incarnation) {
             self.require_report(now);
             return;
         }
         self.last_ordered = now;
-        self.orders_taken = report.orders;
+        self.orders_accepted = report.orders;
         self.held.clone_from(&report.held);
         for (model, adapter) in &report.coming {
             if let Some(held) = self.held.iter_mut().find(|h| h.model == *model)
@@ -333,7 +330,7 @@
         }
     }
 
-    /// Changes what is held as an order does.
+    /// Applies an order's effect to the models and adapters held.
     pub fn apply(&mut self, job: &Job, now: Time) {
         let at = self.held.iter().position(|h| h.model == job.model);
         match (job.operation, &job.adapter, at) {
--- a/crates/front/src/fleet/bucket.rs
+++ b/crates/front/src/fleet/bucket.rs
@@ -1,16 +1,16 @@
-//! Rate of loads from the weight store.
+//! Rate limiter for loads from the weight store.
 
 use super::MAX_ORDER_DELAY;
 use unit::{Span, Time};
 
-/// Time within which an order that is answered arrives, on a host whose processor is used up: loads that
-/// are given over more than a window may begin within one.
+/// Largest delivery delay of an answered order, as from a host without spare processor time. Loads
+/// sent over longer than a window may start within one by this much.
 const MAX_DELIVERY_DELAY: Span = Span::from_ms(250);
 
-/// Loads from the weight store: a bucket that fills at the store's rate.
+/// Token bucket that refills at the store's rate.
 ///
-/// It starts empty: what an earlier holder let begin in the window is not known, and an empty
-/// bucket keeps the sum of both within the bound.
+/// A new bucket is empty: the loads that an earlier leader started in the current window are not
+/// known, and an empty bucket keeps the sum of both within the limit.
 #[derive(Debug, Clone)]
 pub struct Bucket {
     rate: f64,
@@ -21,25 +21,27 @@
 }
 
 impl Bucket {
-    /// Fills the bucket: nobody can have loaded anything before.
+    /// Fills the bucket, for when no load can have started before.
     pub fn fill(&mut self) {
         self.level = self.capacity;
     }
 
-    /// Makes an empty bucket: `window` x `rate` x `overage` + 3 loads may begin in a window.
+    /// Makes an empty bucket that allows `window` x `rate` x `overage` + 3 loads to start in a
+    /// window.
     pub fn new(rate: f64, window: Span, overage: f64, now: Time) -> Bucket {
-        let beyond = rate * window.secs() * (overage - 1.0) + 3.0;
-        let beyond = beyond - rate * MAX_DELIVERY_DELAY.secs();
+        let allowance = rate * window.secs() * (overage - 1.0) + 3.0;
+        let allowance = allowance - rate * MAX_DELIVERY_DELAY.secs();
         Bucket {
             rate,
-            capacity: beyond.floor().max(1.0),
+            capacity: allowance.floor().max(1.0),
             level: 0.0,
             refilled: now,
             unanswered: Vec::new(),
         }
     }
 
-    /// Loads that may begin now; each unanswered one may begin at any moment and keeps its place.
+    /// Number of loads that may start now. An unanswered load may start at any moment, so it keeps
+    /// its token.
     pub fn available(&mut self, now: Time) -> usize {
         self.level = (self.level + now.since(self.refilled).secs() * self.rate).min(self.capacity);
         self.refilled = now;
@@ -48,12 +50,12 @@
         (self.level - self.unanswered.len() as f64).max(0.0) as usize
     }
 
-    /// Takes a load out.
+    /// Takes the token of one load.
     pub fn take(&mut self) {
         self.level -= 1.0;
     }
 
-    /// Notes that a load was not answered.
+    /// Records a load without an answer.
     pub fn note_unanswered(&mut self, now: Time) {
         self.unanswered.push(now);
     }
--- a/crates/front/src/fleet/capacity.rs
+++ b/crates/front/src/fleet/capacity.rs
@@ -1,4 +1,4 @@
-//! Room at a replica, by what is believed of it.
+//! Free memory and adapter slots of a replica.
 
 use super::{Job, Record};
 use platform::config::Engine;
@@ -6,20 +6,20 @@
 use unit::Name;
 
 impl Record {
-    /// Whether there is room for what an order loads, by what is believed now.
+    /// Whether the replica has the memory or the adapter slot that an order needs.
     pub fn fits(&self, job: &Job, engine: &Engine) -> bool {
         if job.operation == Operation::Unload {
             return true;
         }
         match &job.adapter {
             Some(adapter) => {
-                let there = self.holds_adapter(&job.model, adapter);
-                let strays = self
+                let is_held = self.holds_adapter(&job.model, adapter);
+                let late_loads = self
                     .unanswered_before
                     .jobs()
                     .filter(|job| job.adapter.is_some())
                     .count();
-                there || self.adapters().len() + strays < engine.adapters as usize
+                is_held || self.adapters().len() + late_loads < engine.adapters as usize
             }
             None => {
                 let model = engine.models.iter().find(|m| m.name == job.model);
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Memory that nothing takes, in MB, with room kept for all adapters it may hold.
+    /// Free memory in MB, after the reserve for as many adapters as the replica may hold.
     pub fn free_mb(&self, engine: &Engine) -> f64 {
         let largest = engine
             .models
@@ -37,7 +37,8 @@
             .fold(0.0, f64::max);
         let size = |name: &Name| {
             let model = engine.models.iter().find(|m| m.name == *name);
-            // A model that the configuration no longer names takes an unknown room: all of it.
+            // The size of a model that the configuration no longer names is unknown: assume all
+            // memory.
             model.map_or(engine.memory_mb, |m| m.memory_mb)
         };
         let held: f64 = self.held.iter().map(|h| size(&h.model)).sum();
@@ -47,7 +48,7 @@
             .chain(self.unanswered_before.jobs())
             .filter(|j| j.operation == Operation::Load && j.adapter.is_none())
             .filter(|j| !self.held.iter().any(|h| h.model == j.model));
-        let coming: f64 = loading.map(|j| size(&j.model)).sum();
-        engine.memory_mb - held - coming - largest * f64::from(engine.adapters)
+        let incoming: f64 = loading.map(|j| size(&j.model)).sum();
+        engine.memory_mb - held - incoming - largest * f64::from(engine.adapters)
     }
 }
--- a/crates/front/src/planner.rs
+++ b/crates/front/src/planner.rs
@@ -1,10 +1,11 @@
-//! The leader's work: sums of demand in, orders to replicas out.
+//! The leader's planner: turns the load reports of all hosts into orders to replicas.
 //!
-//! This module holds what the leader believes and calls the parts in turn: `demand` measures,
-//! `service` plans copies of models, `adapters` finds places for adapters that are wanted, `prefetch`
-//! fetches others before, `dispatch` gives the orders, `digest` tells hosts, and `quarantine` tells and stores which
-//! requests are kept out. The table is locked
-//! before the `Book`, never after.
+//! `demand` measures demand, `service` plans the copies of models, `adapters` places adapters on
+//! request, `prefetch` loads others ahead of requests, `dispatch` sends orders, `digest` broadcasts
+//! load and plans, and `quarantine` broadcasts and stores the list of suspected and blocked
+//! requests.
+//!
+//! Lock order: the table before [`Fleet`].
 
 mod adapters;
 mod demand;
@@ -33,72 +34,73 @@
 use tracing::info;
 use unit::{Name, Span, Time};
 
-/// Pause between two plans.
+/// Interval between plans.
 const PLAN_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Replicas beyond which a plan is made on a thread of its own: it takes some 30 ms there on half a core,
-/// and a thread's wake-ups cost more than they save below.
+/// Number of replicas from which a plan runs on a blocking thread: it takes about 30 ms on half a
+/// core by then. Below, waking a thread costs more than it saves.
 const BLOCKING_PLAN_REPLICAS: usize = 500;
 
-/// Pause after a plan, as a multiple of the time that it took: at some thousands of replicas a plan takes
-/// parts of a second, in which nothing is told, answered or renewed here.
+/// Minimum pause after a plan, as a multiple of its duration: with thousands of replicas a plan
+/// takes a sizable part of a second, in which this host answers and renews nothing.
 const PAUSE_FACTOR: u32 = 4;
 
-/// Pause between two tellings of what has changed in flight, where hosts do not tell each other: a
-/// part of the time to read one prompt.
+/// Interval between broadcasts of changed load, where hosts do not report to each other directly: a
+/// fraction of the prefill time of a prompt.
 const CHANGES_INTERVAL: Duration = Duration::from_millis(15);
 
-/// The leader's work in one term.
+/// The planner of one term.
 pub struct Planner {
     state: Arc<State>,
     peers: Arc<Peers>,
     term: Term,
     pool: Pool,
     fleet: Mutex<Fleet>,
-    /// What hosts were told last to be in flight at each replica, by its short name.
+    /// Load that hosts were last sent, by replica hash.
     last_sent: Mutex<HashMap<u32, PackedLoad>>,
-    /// Whether the list of requests that are kept out is being stored.
+    /// Whether a write of the quarantine list is in progress.
     storing: AtomicBool,
 }
 
-/// What the leader believes and has in hand.
+/// The leader's view of all replicas and of the demand.
 struct Fleet {
     /// Replicas that run models, by identity.
     records: HashMap<Name, Record>,
-    /// Loads from the weight store that may begin, by service.
+    /// Rate limiters for loads from the weight store, by service.
     buckets: HashMap<Name, Bucket>,
     /// Demand by service and model.
     demand: HashMap<(Name, Name), Demand>,
-    /// When one more copy of an adapter was last added beside others, by model and adapter.
+    /// Last time that an adapter was loaded on an additional replica, by model and adapter.
     last_spread: HashMap<(Name, Name), Time>,
-    /// When the demand was measured last.
+    /// Last measurement of the demand.
     measured: Time,
 }
 
-/// Works until another host leads. Orders are given while the term holds; sums are told also while the
-/// store is away and the term cannot be renewed, since hosts that hear none all choose alike.
+/// Plans until another host leads. Orders are sent only while the term is valid. Load is broadcast
+/// even when the store is unreachable and the term cannot be renewed: without it all hosts would
+/// choose the same replicas.
 pub async fn run(state: Arc<State>, peers: Arc<Peers>, term: Term) {
     peers.give_out(term.clone(), shares::tolerance(&state.settings.bounds));
     state.quarantine.take_over(state.now());
     let planner = Arc::new(open(state, peers, term));
-    let quiet = planner.orders_from();
+    let orders_from = planner.orders_from();
     let mut next_plan = tokio::time::Instant::now();
     let mut next_digest = next_plan;
     let mut planning: Option<JoinHandle<bool>> = None;
-    let mut begun = next_plan;
+    let mut plan_started = next_plan;
     let mut changes = tokio::time::interval(CHANGES_INTERVAL);
     changes.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut round = 0;
     while planner.may_broadcast() {
-        let acts = planner.term.is_valid() && planner.state.now() >= quiet;
+        let may_order = planner.term.is_valid() && planner.state.now() >= orders_from;
         tokio::select! {
             _ = tokio::time::sleep_until(next_plan), if planning.is_none() => {
-                begun = tokio::time::Instant::now();
+                plan_started = tokio::time::Instant::now();
                 planner.sync();
-                if acts {
+                if may_order {
                     planning = Some(planner.spawn_plan());
                 }
-                next_plan = begun + PLAN_INTERVAL;
+                next_plan = plan_started + PLAN_INTERVAL;
             }
             changed = finish(&mut planning) => {
                 planning = None;
@@ -106,14 +108,14 @@
                 if changed {
                     next_digest = now;
                 }
-                next_plan = now + PLAN_INTERVAL.max(begun.elapsed() * PAUSE_FACTOR);
+                next_plan = now + PLAN_INTERVAL.max(plan_started.elapsed() * PAUSE_FACTOR);
             }
             _ = planner.peers.inbox.wanted.notified() => {
-                if acts {
+                if may_order {
                     planner.sync();
                     planner.place_adapters();
                     if planner.note_missing() && planning.is_none() {
-                        begun = tokio::time::Instant::now();
+                        plan_started = tokio::time::Instant::now();
                         planning = Some(planner.spawn_plan());
                     }
                 }
@@ -125,9 +127,9 @@
                 next_digest = tokio::time::Instant::now() + planner.peers.round();
                 round += 1;
                 planner.send_digest(round).await;
-                let again = round.is_multiple_of(digest::FULL_DIGEST_ROUNDS);
-                planner.broadcast_listing(again).await;
-                if again {
+                let is_full_round = round.is_multiple_of(digest::FULL_DIGEST_ROUNDS);
+                planner.broadcast_listing(is_full_round).await;
+                if is_full_round {
                     planner.peers.tell_limits().await;
                     planner.peers.tell_departures().await;
                 }
@@ -137,16 +139,16 @@
     }
 }
 
-/// Waits for the end of a plan that is being made; tells whether it changed anything.
+/// Waits for a plan in progress, and returns whether it changed anything.
 async fn finish(planning: &mut Option<JoinHandle<bool>>) -> bool {
     match planning {
-        // A plan that broke off changed nothing that hosts must be told at once.
+        // A plan that panicked or was cancelled has no change to announce.
         Some(plan) => plan.await.unwrap_or(false),
         None => std::future::pending().await,
     }
 }
 
-/// Makes the planner of a term, which knows nothing of any replica yet.
+/// Makes the planner of a term, with no replicas record.
 fn open(state: Arc<State>, peers: Arc<Peers>, term: Term) -> Planner {
     Planner {
         fleet: Mutex::new(Fleet {
@@ -166,9 +168,10 @@
 }
 
 impl Planner {
-    /// When the first order may be given.
+    /// Earliest time for an order.
     fn orders_from(&self) -> Time {
-        // An earlier holder may have given an order just now: turns within the bound are not allowed.
+        // The previous leader may have sent an order just now; leaders must not alternate within
+        // the bound.
         let wait = match self.term.is_first {
             true => Duration::ZERO,
             false => self.state.settings.bounds.lease,
@@ -176,37 +179,37 @@
         self.term.started + Span::from(wait)
     }
 
-    /// Whether this host may tell sums: its term holds, or no other host is known to lead.
+    /// Whether this host may broadcast load: its term is valid, or no other leader is record.
     fn may_broadcast(&self) -> bool {
         self.term.is_valid() || !self.state.is_led_by_another()
     }
 
-    /// Takes in the replicas' entries, and what hosts told of the use of adapters.
+    /// Updates the records from store entries and from the hosts' reports of adapter uses.
     fn sync(&self) {
         let now = self.state.now();
-        let absent = self.peers.inbox.absent(now);
+        let unreachable = self.peers.inbox.absent(now);
         let table = self.state.table.lock();
-        let mut book = self.fleet.lock();
-        book.records.retain(|id, _| table.view.get(id).is_some());
+        let mut fleet = self.fleet.lock();
+        fleet.records.retain(|id, _| table.view.get(id).is_some());
         let routes = table.routes.as_ref();
         let runs_models = |service: &Name| {
             let service = routes.and_then(|r| r.service(service));
             service.is_some_and(|s| s.engine.is_some())
         };
-        for seen in table.view.all().filter(|s| runs_models(&s.entry.service)) {
-            let known = book.records.entry(seen.entry.id.clone());
-            let known = known.or_insert_with(|| {
-                log_found(&seen.entry);
+        for replica in table.view.all().filter(|s| runs_models(&s.entry.service)) {
+            let record = fleet.records.entry(replica.entry.id.clone());
+            let record = record.or_insert_with(|| {
+                log_found(&replica.entry);
                 Record::default()
             });
-            known.note_unreachable(absent.contains(&replica_hash(&seen.entry.id)), now);
-            known.sync(&seen.entry, now);
+            record.note_unreachable(unreachable.contains(&replica_hash(&replica.entry.id)), now);
+            record.sync(&replica.entry, now);
         }
-        book.note_uses(self.peers.inbox.uses(), now);
+        fleet.note_uses(self.peers.inbox.uses(), now);
     }
 
-    /// Makes a plan beside this host's other work: on a thread of its own where there are so many replicas
-    /// that it takes parts of a second.
+    /// Starts a plan concurrently: on a blocking thread with many replicas, where it takes a
+    /// sizable part of a second.
     fn spawn_plan(self: &Arc<Self>) -> JoinHandle<bool> {
         let planner = self.clone();
         let replicas = self.state.table.lock().view.all().count();
@@ -216,7 +219,7 @@
         }
     }
 
-    /// Plans for each service whose replicas run models, and gives the orders that can be given. Tells
+    /// Plans each service whose replicas run models, and sends the orders that are ready. Returns
     /// whether the plan has changed.
     fn plan(self: &Arc<Self>) -> bool {
         let routes = self.state.table.lock().routes.clone();
@@ -234,49 +237,51 @@
         changed
     }
 
-    /// Notes the models that hosts have requests for and that are on no replica; tells whether the plan
-    /// has not known of one.
+    /// Records models that hosts have requests for and no replica holds. Returns whether any of
+    /// them is new.
     fn note_missing(&self) -> bool {
         let missing = self.peers.inbox.missing();
-        let mut book = self.fleet.lock();
-        let mut news = false;
+        let mut fleet = self.fleet.lock();
+        let mut any_new = false;
         for ModelRequest { service, model } in missing {
-            let awaited = book.records.values().filter_map(Record::incoming);
-            if !awaited.map(|(m, _)| m).any(|m| *m == model) {
-                let demand = book.demand.entry((service, model)).or_default();
-                news |= demand.note_missing();
+            let incoming = fleet.records.values().filter_map(Record::incoming);
+            if !incoming.map(|(m, _)| m).any(|m| *m == model) {
+                let demand = fleet.demand.entry((service, model)).or_default();
+                any_new |= demand.note_missing();
             }
         }
-        news
+        any_new
     }
 
-    /// Replicas that must be asked for a report, or that orders wait for.
+    /// Replicas that need a report, or that have orders queued.
     fn replicas_to_call(&self) -> Vec<Name> {
-        let book = self.fleet.lock();
+        let fleet = self.fleet.lock();
         let now = self.state.now();
-        let waits = |k: &Record| k.report_due.is_none() && !k.queue.is_empty();
-        let waiting = |k: &&Record| !k.in_call && (k.is_report_due(now) || waits(k));
-        let known = book.records.iter().filter(|(_, k)| waiting(k));
-        known.map(|(id, _)| id.clone()).collect()
+        let has_orders = |r: &Record| r.report_due.is_none() && !r.queue.is_empty();
+        let needs_call = |r: &&Record| !r.in_call && (r.is_report_due(now) || has_orders(r));
+        let records = fleet.records.iter().filter(|(_, r)| needs_call(r));
+        records.map(|(id, _)| id.clone()).collect()
     }
 }
 
 impl Fleet {
-    /// Notes which adapters hosts have sent requests to.
+    /// Records which adapters hosts have sent requests to.
     fn note_uses(&mut self, mut uses: Vec<AdapterUse>, now: Time) {
-        uses.sort_by_key(|used| used.replica);
-        for (id, known) in &mut self.records {
-            let name = replica_hash(id);
-            let first = uses.partition_point(|used| used.replica < name);
-            let here = uses[first..].iter().take_while(|used| used.replica == name);
-            for used in here {
-                known.touch_adapter(&used.model, &used.adapter, now);
+        uses.sort_by_key(|adapter_use| adapter_use.replica);
+        for (id, record) in &mut self.records {
+            let hash = replica_hash(id);
+            let first = uses.partition_point(|adapter_use| adapter_use.replica < hash);
+            let own = uses[first..]
+                .iter()
+                .take_while(|adapter_use| adapter_use.replica == hash);
+            for adapter_use in own {
+                record.touch_adapter(&adapter_use.model, &adapter_use.adapter, now);
             }
         }
     }
 }
 
-/// Tells what a replica holds that the planner had not known.
+/// Logs what a newly discovered replica holds.
 fn log_found(entry: &Entry) {
     let held: Vec<&str> = entry.held.iter().map(|h| &*h.model).collect();
     let (held, in_memory, on_disk) = (
@@ -284,16 +289,15 @@
         entry.in_memory.join(","),
         entry.on_disk.join(","),
     );
-    info!(target: "planner", event = "found", replica = &*entry.id, hall = &*entry.hall, held, in_memory, on_disk, "a replica is planned for from now on")
+    info!(target: "planner", event = "found", replica = &*entry.id, hall = &*entry.hall, held, in_memory, on_disk, "planning for a newly discovered replica")
 }
 
-/// Entries of a service's replicas.
 fn entries(table: &Table, service: &Name) -> Vec<Entry> {
-    let seen = table.view.all().filter(|s| s.entry.service == *service);
-    seen.map(|s| s.entry.clone()).collect()
+    let replicas = table.view.all().filter(|s| s.entry.service == *service);
+    replicas.map(|s| s.entry.clone()).collect()
 }
 
-/// Share of a replica's places that are taken, by the sums of all hosts.
+/// Fraction of a replica's slots in use, summed over all hosts.
 fn utilization(entry: &Entry, loads: &HashMap<u32, Load>) -> f64 {
     let load = loads.get(&replica_hash(&entry.id));
     load.map_or(0.0, |l| f64::from(l.requests)) / f64::from(entry.slots)
--- a/crates/front/src/planner/adapters.rs
+++ b/crates/front/src/planner/adapters.rs
@@ -1,4 +1,4 @@
-//! Places for the adapters that hosts want.
+//! Placement of adapters that hosts request.
 
 use super::{Fleet, Planner, entries, utilization};
 use crate::fleet::{Job, Record};
@@ -11,70 +11,69 @@
 use tracing::info;
 use unit::{Name, Span, Time};
 
-/// Time after its last use before which an adapter is not given up.
+/// Minimum time since an adapter's last use before it may be evicted.
 const MIN_IDLE: Span = Span::from_ms(1_500);
 
-/// Cost of giving up an adapter for another, as a share of a replica's places.
+/// Cost of evicting an adapter, as a fraction of a replica's slots.
 const EVICTION_COST: f64 = 0.5;
 
-/// Time after one more copy of an adapter before another is added: hosts hear of it in that time.
+/// Minimum interval between additional copies of an adapter, in which hosts learn of the last one.
 const SPREAD_INTERVAL: Span = Span::from_ms(300);
 
-/// Share of its places by which a replica must have less to do than the holders of an adapter for
-/// one more copy to be loaded there.
+/// Minimum difference in utilization between an adapter's holders and another replica for an
+/// additional copy to be loaded there.
 const MIN_UTILIZATION_GAP: f64 = 0.2;
 
-/// Where an adapter is already.
+/// Where an adapter already is.
 enum Location {
-    /// A replica holds it.
     Held(Name),
-    /// It is to be ordered.
+    /// Its load is queued.
     Queued,
 }
 
 impl Planner {
-    /// Finds places for the adapters that hosts want.
+    /// Places the adapters that hosts request.
     pub(super) fn place_adapters(self: &Arc<Self>) {
         let now = self.state.now();
         let loads = self.peers.inbox.loads(now);
-        for want in self.peers.inbox.wants() {
-            if let Some(id) = self.place_adapter(&want, &loads, now) {
+        for request in self.peers.inbox.wants() {
+            if let Some(id) = self.place_adapter(&request, &loads, now) {
                 self.dispatch(id);
             }
         }
     }
 
-    /// Queues the orders for one adapter; gives the replica that gets them.
+    /// Queues the orders for one adapter, and returns the replica that they are for.
     fn place_adapter(
         self: &Arc<Self>,
-        want: &AdapterRequest,
+        request: &AdapterRequest,
         loads: &HashMap<u32, Load>,
         now: Time,
     ) -> Option<Name> {
-        let (engine, entries) = self.active_replicas(&want.service)?;
-        let mut book = self.fleet.lock();
-        if want.additional {
-            let id = book.additional_replica(&entries, want, &engine, loads, now)?;
-            book.queue_adapter(&id, want, &engine);
+        let (engine, entries) = self.active_replicas(&request.service)?;
+        let mut fleet = self.fleet.lock();
+        if request.additional {
+            let id = fleet.additional_replica(&entries, request, &engine, loads, now)?;
+            fleet.queue_adapter(&id, request, &engine);
             return Some(id);
         }
-        match book.locate(&entries, &want.model, &want.adapter) {
+        match fleet.locate(&entries, &request.model, &request.adapter) {
             Some(Location::Held(id)) => {
-                let known = book.records.get_mut(&id)?;
-                known.touch_adapter(&want.model, &want.adapter, now);
-                let (model, adapter) = (want.model.clone(), want.adapter.clone());
+                let record = fleet.records.get_mut(&id)?;
+                record.touch_adapter(&request.model, &request.adapter, now);
+                let (model, adapter) = (request.model.clone(), request.adapter.clone());
                 self.announce_placed(model, adapter, id, Duration::ZERO);
                 return None;
             }
             Some(Location::Queued) => return None,
             None => {}
         }
-        let (id, _) = book.cheapest(&entries, &want.model, &engine, loads, now)?;
-        book.queue_adapter(&id, want, &engine);
+        let (id, _) = fleet.cheapest(&entries, &request.model, &engine, loads, now)?;
+        fleet.queue_adapter(&id, request, &engine);
         Some(id)
     }
 
-    /// Engine of a service and the entries of its replicas that do not leave.
+    /// Engine of a service, and the entries of its replicas that are not leaving.
     pub(super) fn active_replicas(&self, service: &Name) -> Option<(Engine, Vec<Entry>)> {
         let table = self.state.table.lock();
         let mut entries = entries(&table, service);
@@ -85,67 +84,69 @@
         Some((engine, entries))
     }
 
-    /// Tells all hosts, after a while, that a replica holds an adapter.
+    /// Tells all hosts, after a delay, that a replica holds an adapter.
     pub(super) fn announce_placed(
         self: &Arc<Self>,
         model: Name,
         adapter: Name,
         replica: Name,
-        after: Duration,
+        delay: Duration,
     ) {
-        let placed = AdapterPlacement {
+        let placement = AdapterPlacement {
             model,
             adapter,
             replica: Some(replica),
         };
         let planner = self.clone();
         tokio::spawn(async move {
-            tokio::time::sleep(after).await;
-            planner.peers.send_all(&Message::Placed(placed)).await;
+            tokio::time::sleep(delay).await;
+            planner.peers.send_all(&Message::Placed(placement)).await;
         });
     }
 }
 
 impl Fleet {
-    /// Where an adapter is already: at the first replica that holds it or has it queued.
+    /// First replica that holds an adapter or has it queued.
     fn locate(&self, entries: &[Entry], model: &Name, adapter: &Name) -> Option<Location> {
         entries.iter().find_map(|entry| {
-            let known = self.records.get(&entry.id)?;
-            if known.holds_adapter(model, adapter) {
+            let record = self.records.get(&entry.id)?;
+            if record.holds_adapter(model, adapter) {
                 return Some(Location::Held(entry.id.clone()));
             }
-            let queues = known.has_queued_adapter(model, adapter);
-            queues.then_some(Location::Queued)
+            let is_queued = record.has_queued_adapter(model, adapter);
+            is_queued.then_some(Location::Queued)
         })
     }
 
-    /// Queues the load of an adapter at a replica; the one used longest ago makes room.
-    fn queue_adapter(&mut self, id: &Name, want: &AdapterRequest, engine: &Engine) {
-        let Some(known) = self.records.get_mut(id) else {
+    /// Queues the load of an adapter, and the eviction of the least recently used one if all slots
+    /// are taken.
+    fn queue_adapter(&mut self, id: &Name, request: &AdapterRequest, engine: &Engine) {
+        let Some(record) = self.records.get_mut(id) else {
             return;
         };
-        if known.adapters_expected() >= engine.adapters as usize
-            && let Some(((model, adapter), _)) = known.least_recent_adapter()
+        if record.adapters_expected() >= engine.adapters as usize
+            && let Some(((model, adapter), _)) = record.least_recent_adapter()
         {
-            known
+            record
                 .queue
                 .push_back(job(Operation::Unload, &model, &adapter));
         }
-        known
+        record
             .queue
-            .push_back(job(Operation::Load, &want.model, &want.adapter));
+            .push_back(job(Operation::Load, &request.model, &request.adapter));
     }
 
-    /// The replica for one more copy of an adapter, if one has clearly less to do than its holders.
+    /// Replica for an additional copy of an adapter, if one is clearly less utilized than its
+    /// holders.
     fn additional_replica(
         &mut self,
         entries: &[Entry],
-        want: &AdapterRequest,
+        request: &AdapterRequest,
         engine: &Engine,
         loads: &HashMap<u32, Load>,
         now: Time,
     ) -> Option<Name> {
-        let key = (want.model.clone(), want.adapter.clone());
+        let key = (request.model.clone(), request.adapter.clone());
         self.last_spread
             .retain(|_, at| now.since(*at) < SPREAD_INTERVAL);
         if self.last_spread.contains_key(&key) {
@@ -154,26 +155,25 @@
         let (holders, others): (Vec<Entry>, Vec<Entry>) = entries
             .iter()
             .cloned()
-            .partition(|e| self.holds_or_queues(&e.id, &want.model, &want.adapter));
-        let taken = holders.iter().map(|e| utilization(e, loads));
-        let least = taken.fold(f64::INFINITY, f64::min);
-        let (id, cost) = self.cheapest(&others, &want.model, engine, loads, now)?;
-        if cost > least - MIN_UTILIZATION_GAP {
+            .partition(|e| self.holds_or_queues(&e.id, &request.model, &request.adapter));
+        let utilizations = holders.iter().map(|e| utilization(e, loads));
+        let lowest = utilizations.fold(f64::INFINITY, f64::min);
+        let (id, cost) = self.cheapest(&others, &request.model, engine, loads, now)?;
+        if cost > lowest - MIN_UTILIZATION_GAP {
             return None;
         }
         self.last_spread.insert(key, now);
-        info!(target: "planner", event = "spread", model = &*want.model, adapter = &*want.adapter, replica = &*id, holders = holders.len(), least_taken = least, cost, "one more copy of an adapter");
+        info!(target: "planner", event = "spread", model = &*request.model, adapter = &*request.adapter, replica = &*id, holders = holders.len(), least_taken = lowest, cost, "loading an additional copy of an adapter");
         Some(id)
     }
 
-    /// Whether a replica holds an adapter or has it queued.
     fn holds_or_queues(&self, id: &Name, model: &Name, adapter: &Name) -> bool {
-        let has =
-            |k: &Record| k.holds_adapter(model, adapter) || k.has_queued_adapter(model, adapter);
-        self.records.get(id).is_some_and(has)
+        let matches =
+            |r: &Record| r.holds_adapter(model, adapter) || r.has_queued_adapter(model, adapter);
+        self.records.get(id).is_some_and(matches)
     }
 
-    /// The replica at which one more adapter of a model costs least, and that cost.
+    /// Replica with the lowest cost for another adapter of a model, and that cost.
     fn cheapest(
         &self,
         entries: &[Entry],
@@ -184,19 +184,19 @@
     ) -> Option<(Name, f64)> {
         let mut best: Option<(f64, &Name)> = None;
         for entry in entries {
-            let Some(known) = self
+            let Some(record) = self
                 .records
                 .get(&entry.id)
-                .filter(|k| can_load_adapter(k, model))
+                .filter(|r| can_load_adapter(r, model))
             else {
                 continue;
             };
-            let full = known.adapters_expected() >= engine.adapters as usize;
-            if full && !can_evict(known, now) {
+            let is_full = record.adapters_expected() >= engine.adapters as usize;
+            if is_full && !can_evict(record, now) {
                 continue;
             }
-            let cost = utilization(entry, loads) + f64::from(u8::from(full)) * EVICTION_COST;
-            if best.is_none_or(|(least, _)| cost < least) {
+            let cost = utilization(entry, loads) + f64::from(u8::from(is_full)) * EVICTION_COST;
+            if best.is_none_or(|(lowest, _)| cost < lowest) {
                 best = Some((cost, &entry.id));
             }
         }
@@ -204,22 +204,22 @@
     }
 }
 
-/// Whether a replica holds a model, and goes on holding it, so that an adapter of it may come.
-fn can_load_adapter(known: &Record, model: &Name) -> bool {
-    let holds = known.held.iter().any(|h| h.model == *model);
-    let closes = known.will_unload(model);
-    let pending = known.pending.as_ref();
-    let unloading = pending.is_some_and(|p| p.job.operation == Operation::Unload);
-    holds && !closes && !unloading
+/// Whether a replica holds a model and is not about to unload it.
+fn can_load_adapter(record: &Record, model: &Name) -> bool {
+    let holds = record.held.iter().any(|h| h.model == *model);
+    let will_unload = record.will_unload(model);
+    let pending = record.pending.as_ref();
+    let is_unloading = pending.is_some_and(|p| p.job.operation == Operation::Unload);
+    holds && !will_unload && !is_unloading
 }
 
-/// Whether a replica has an adapter that was not used for a while.
-fn can_evict(known: &Record, now: Time) -> bool {
-    let oldest = known.least_recent_adapter();
-    oldest.is_some_and(|(_, at)| now.since(at) >= MIN_IDLE)
+/// Whether a replica has an adapter that has been unused long enough.
+fn can_evict(record: &Record, now: Time) -> bool {
+    let candidate = record.least_recent_adapter();
+    candidate.is_some_and(|(_, at)| now.since(at) >= MIN_IDLE)
 }
 
-/// Order about an adapter; it takes effect at once.
+/// Order about an adapter, which takes effect immediately.
 pub(super) fn job(operation: Operation, model: &Name, adapter: &Name) -> Job {
     Job {
         operation,
--- a/crates/front/src/planner/digest.rs
+++ b/crates/front/src/planner/digest.rs
@@ -1,4 +1,4 @@
-//! Telling all hosts the sums, and what is planned.
+//! Broadcasts of load and plans to all hosts.
 
 use super::{Fleet, Planner};
 use crate::fleet::Record;
@@ -9,24 +9,24 @@
 use std::collections::HashMap;
 use unit::{Name, Span, Time};
 
-/// Time for which hosts are told of a model that was loaded, until all have read the entry.
+/// Time for which a completed load is announced, until all hosts have read the entry.
 const ANNOUNCED_FOR: Span = Span::from_ms(3_000);
 
-/// Size of a row of a digest, in bytes, counted generously.
+/// Upper bound on the encoded size of a row, in bytes.
 const ROW_SIZE: usize = 32;
 
-/// Size of an adapter in a row, in bytes, counted generously.
+/// Upper bound on the encoded size of an adapter in a row, in bytes.
 const ADAPTER_SIZE: usize = 20;
 
-/// Rounds after which the loads of all replicas are told, not just those that changed: a datagram
-/// may have been lost.
+/// Interval, in rounds, between digests with the load of all replicas rather than only the changed
+/// ones: datagrams may be lost.
 pub(super) const FULL_DIGEST_ROUNDS: usize = 5;
 
-/// Rounds in which the adapters of all replicas are told once.
+/// Rounds over which the adapters of all replicas are sent once.
 const ADAPTER_ROUNDS: usize = 8;
 
 impl Planner {
-    /// Tells all hosts the sums, and what is planned.
+    /// Sends the load and the plans to all hosts.
     pub(super) async fn send_digest(&self, round: usize) {
         let now = self.state.now();
         let loads = self.peers.inbox.loads(now);
@@ -36,22 +36,22 @@
         let store = self.peers.inbox.store(heartbeat, now);
         self.peers.name_parts(hosts.clone()).await;
         let readers = self.readers(hosts);
-        let (plans, adapters) = {
-            let book = self.fleet.lock();
-            let plans = PlannerStatus {
+        let (status, adapters) = {
+            let fleet = self.fleet.lock();
+            let status = PlannerStatus {
                 absent,
                 readers,
                 peers: self.peers.direct(),
                 store,
-                ..plans(&book, now)
+                ..status(&fleet, now)
             };
-            (plans, adapters(&book, round))
+            (status, adapters(&fleet, round))
         };
         let hosts = self.peers.inbox.hosts().len() as u32;
         let first = Digest {
             term: self.term.token,
             hosts,
-            planner: Some(plans),
+            planner: Some(status),
             ..Digest::default()
         };
         let mut parts = Parts::new(first);
@@ -67,9 +67,10 @@
         }
     }
 
-    /// Who reads the store for all. After its term a leader names nobody anew: the hosts that tell it nothing any
-    /// more may be those that are in touch, and follow another one. In its term it does also when the store fails it,
-    /// so that no host hears of the store from one that is cut off.
+    /// Chooses the hosts that read the store for the others. A leader whose term has ended keeps
+    /// the last choice: the hosts that no longer report to it may be the ones in contact, and
+    /// follow another leader. Within its term a leader chooses even when the store fails it, so
+    /// that no host depends on a reader that is cut off.
     fn readers(&self, hosts: Vec<Candidate>) -> Vec<Reader> {
         match self.term.is_valid() {
             true => readers::choose(hosts, self.state.settings.peers),
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Tells all hosts, between two rounds, what has changed in flight.
+    /// Sends the load that has changed since the last round to all hosts.
     pub(super) async fn send_changes(&self) {
         let loads = self.peers.inbox.loads(self.state.now());
         let rows = self.rows(&loads, false);
@@ -93,29 +94,29 @@
         }
     }
 
-    /// Rows of all replicas, or of those whose load has changed since they were told.
-    fn rows(&self, loads: &HashMap<u32, Load>, whole: bool) -> Vec<PackedLoad> {
-        let mut told = self.last_sent.lock();
-        if whole {
-            told.clear();
+    /// Rows of all replicas, or of those whose load has changed since they were last sent.
+    fn rows(&self, loads: &HashMap<u32, Load>, all: bool) -> Vec<PackedLoad> {
+        let mut sent = self.last_sent.lock();
+        if all {
+            sent.clear();
         }
         let rows = self.replicas().into_iter().filter_map(|id| {
             let load = loads.get(&replica_hash(&id)).copied().unwrap_or_default();
             let row = PackedLoad::new(&id, &load);
-            let before = told.insert(row.replica(), row);
-            (whole || before != Some(row)).then_some(row)
+            let previous = sent.insert(row.replica(), row);
+            (all || previous != Some(row)).then_some(row)
         });
         rows.collect()
     }
 
-    /// All replicas, those of plain services too.
+    /// All replicas, including those of services without models.
     fn replicas(&self) -> Vec<Name> {
         let table = self.state.table.lock();
         table.view.all().map(|s| s.entry.id.clone()).collect()
     }
 }
 
-/// Parts of a digest that fit a datagram each.
+/// Parts of a digest, each of which fits in a datagram.
 struct Parts {
     all: Vec<Digest>,
     /// Size of the last part, in bytes.
@@ -124,7 +125,7 @@
 
 impl Parts {
     fn new(first: Digest) -> Parts {
-        let plans = first.planner.as_ref().map_or(0, |p| {
+        let status_rows = first.planner.as_ref().map_or(0, |p| {
             p.loading.len()
                 + p.loaded.len()
                 + p.unloading.len()
@@ -134,11 +135,11 @@
         });
         Parts {
             all: vec![first],
-            size: ROW_SIZE * (plans + 1),
+            size: ROW_SIZE * (status_rows + 1),
         }
     }
 
-    /// The part that has room for so many bytes more.
+    /// Part with room for `size` more bytes.
     fn with_room(&mut self, size: usize) -> &mut Digest {
         self.size += size;
         if self.size > MAX_DATAGRAM {
@@ -155,46 +156,50 @@
     }
 }
 
-/// What hosts are told of the plan.
-fn plans(book: &Fleet, now: Time) -> PlannerStatus {
-    let coming = book.records.values().filter_map(|k| coming(k, now));
-    let closing = book.records.iter().flat_map(|(id, k)| {
-        let models = closing(k, now).into_iter();
+/// What hosts are told of the plans.
+fn status(fleet: &Fleet, now: Time) -> PlannerStatus {
+    let loading = fleet.records.values().filter_map(|r| loading(r, now));
+    let unloading = fleet.records.iter().flat_map(|(id, r)| {
+        let models = unloading(r, now).into_iter();
         models.map(|model| (id.clone(), model))
     });
-    let loaded = book.records.iter().filter_map(|(id, k)| {
-        let (model, at) = k.last_loaded.as_ref()?;
+    let loaded = fleet.records.iter().filter_map(|(id, r)| {
+        let (model, at) = r.last_loaded.as_ref()?;
         (now.since(*at) < ANNOUNCED_FOR).then(|| (id.clone(), model.clone()))
     });
     PlannerStatus {
         loaded: loaded.collect(),
-        loading: coming.collect(),
-        unloading: closing.collect(),
+        loading: loading.collect(),
+        unloading: unloading.collect(),
         ..PlannerStatus::default()
     }
 }
 
-/// Model that is on its way to a replica, and the time left, in milliseconds.
-fn coming(known: &Record, now: Time) -> Option<(Name, u32)> {
-    let (model, due) = known.incoming()?;
+/// Model that a replica is about to load, and the time left in milliseconds.
+fn loading(record: &Record, now: Time) -> Option<(Name, u32)> {
+    let (model, due) = record.incoming()?;
     Some((model.clone(), due.since(now).ms() as u32))
 }
 
-/// Models that a replica is about to give up, gives up, or gave up a moment ago.
-fn closing(known: &Record, now: Time) -> Vec<Name> {
-    let done = known.last_unloaded.iter();
-    let done = done.filter(|(_, at)| now.since(*at) < ANNOUNCED_FOR);
-    let done = done.filter(|(model, _)| !known.held.iter().any(|h| h.model == *model));
-    let going = known.unloading().into_iter();
-    going.chain(done.map(|(model, _)| model)).cloned().collect()
+/// Models that a replica is about to unload, is unloading, or has just unloaded.
+fn unloading(record: &Record, now: Time) -> Vec<Name> {
+    let unloaded = record.last_unloaded.iter();
+    let unloaded = unloaded.filter(|(_, at)| now.since(*at) < ANNOUNCED_FOR);
+    let unloaded = unloaded.filter(|(model, _)| !record.held.iter().any(|h| h.model == *model));
+    let unloading = record.unloading().into_iter();
+    unloading
+        .chain(unloaded.map(|(model, _)| model))
+        .cloned()
+        .collect()
 }
 
-/// Adapters of the replicas whose turn it is in a round; changes are told when they are made.
-fn adapters(book: &Fleet, round: usize) -> Vec<(Name, Vec<(Name, Name)>)> {
-    let turn = |id: &Name| replica_hash(id) as usize % ADAPTER_ROUNDS == round % ADAPTER_ROUNDS;
-    book.records
+/// Adapters of the replicas whose turn it is in a round; changes are announced separately.
+fn adapters(fleet: &Fleet, round: usize) -> Vec<(Name, Vec<(Name, Name)>)> {
+    let is_due = |id: &Name| replica_hash(id) as usize % ADAPTER_ROUNDS == round % ADAPTER_ROUNDS;
+    fleet
+        .records
         .iter()
-        .filter(|(id, k)| turn(id) && k.report_due.is_none())
-        .map(|(id, k)| (id.clone(), k.adapters()))
+        .filter(|(id, r)| is_due(id) && r.report_due.is_none())
+        .map(|(id, r)| (id.clone(), r.adapters()))
         .collect()
 }
--- a/crates/front/src/planner/dispatch.rs
+++ b/crates/front/src/planner/dispatch.rs
@@ -1,4 +1,4 @@
-//! Giving replicas the orders that wait for them, and noting what came of each.
+//! Sending queued orders to replicas, and applying the answers.
 
 use super::{Fleet, Planner};
 use crate::fleet::{Job, Pending, Record};
@@ -12,55 +12,53 @@
 use tracing::{info, warn};
 use unit::{Name, Time};
 
-/// Time for an order or a report to be answered.
+/// Timeout for orders and reports.
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Time that an adapter takes to arrive; on the first two sites it is 6 to 19 ms.
+/// Typical time until an ordered adapter is loaded.
 const ADAPTER_LOAD_TIME: Duration = Duration::from_millis(25);
 
-/// Answer to an order.
 type Answer = Result<Ordered, platform::Error>;
 
-/// What to do next for a replica.
+/// Next action for a replica.
 enum Next {
-    /// Give this order, worked out under that number of orders taken.
+    /// Send this order, planned for that number of accepted orders.
     Send(Job, u64),
-    /// Leave out an order that there is no room for.
+    /// Drop an order that there is no capacity for.
     Skip,
-    /// Nothing for now.
     Wait,
 }
 
 impl Planner {
-    /// Gives a replica the orders that wait for it, one after the other.
+    /// Sends a replica its queued orders, one after the other.
     pub(super) fn dispatch(self: &Arc<Self>, id: Name) {
         {
-            let mut book = self.fleet.lock();
-            let Some(known) = book.records.get_mut(&id) else {
+            let mut fleet = self.fleet.lock();
+            let Some(record) = fleet.records.get_mut(&id) else {
                 return;
             };
-            if known.in_call {
+            if record.in_call {
                 return;
             }
-            known.in_call = true;
+            record.in_call = true;
         }
         let planner = self.clone();
         tokio::spawn(async move {
             while planner.dispatch_next(&id).await {}
-            if let Some(known) = planner.fleet.lock().records.get_mut(&id) {
-                known.in_call = false;
+            if let Some(record) = planner.fleet.lock().records.get_mut(&id) {
+                record.in_call = false;
             }
         });
     }
 
-    /// Gives the next order to a replica; tells whether to go on.
+    /// Sends a replica its next order, and returns whether to continue.
     async fn dispatch_next(self: &Arc<Self>, id: &Name) -> bool {
         let Some(entry) = self.entry(id) else {
             return false;
         };
         let now = self.state.now();
-        let (doubtful, looks) = self.report_state(id, now);
-        if doubtful && !(looks && self.fetch_report(&entry).await) {
+        let (is_required, is_due) = self.report_state(id, now);
+        if is_required && !(is_due && self.fetch_report(&entry).await) {
             return false;
         }
         let Some(permit) = self.permit(id) else {
@@ -81,68 +79,69 @@
         }
     }
 
-    /// Entry of a replica that does not leave.
+    /// Entry of a replica that is not leaving.
     fn entry(&self, id: &str) -> Option<Entry> {
         let table = self.state.table.lock();
-        let seen = table.view.get(id)?;
-        (!seen.entry.leaving).then(|| seen.entry.clone())
+        let replica = table.view.get(id)?;
+        (!replica.entry.leaving).then(|| replica.entry.clone())
     }
 
-    /// Lets the replica be called, unless it takes no calls now.
+    /// Permit to call a replica, unless it accepts no calls now.
     fn permit(&self, id: &str) -> Option<Permit> {
         let now = self.state.now();
         self.state.table.lock().permit(id, now).ok()
     }
 
-    /// Whether a replica must be asked before the next order, and whether it may be asked now.
+    /// Whether a replica must report before its next order, and whether a report may be requested
+    /// now.
     fn report_state(&self, id: &str, now: Time) -> (bool, bool) {
-        let book = self.fleet.lock();
-        let known = book.records.get(id);
-        let doubtful = known.is_none_or(|k| k.report_due.is_some());
-        (doubtful, known.is_some_and(|k| k.is_report_due(now)))
+        let fleet = self.fleet.lock();
+        let record = fleet.records.get(id);
+        let is_required = record.is_none_or(|r| r.report_due.is_some());
+        (is_required, record.is_some_and(|r| r.is_report_due(now)))
     }
 
-    /// Asks a replica what it holds; tells whether orders may go on.
+    /// Asks a replica for a report, and returns whether orders may follow.
     async fn fetch_report(&self, entry: &Entry) -> bool {
         let Some(_permit) = self.permit(&entry.id) else {
             return false;
         };
-        let told = replica::report(&self.pool, entry.addr, &entry.id, CALL_TIMEOUT).await;
-        self.take_feedback(entry, "report", told.said.as_ref());
-        match told.outcome {
+        let reply = replica::report(&self.pool, entry.addr, &entry.id, CALL_TIMEOUT).await;
+        self.take_feedback(entry, "report", reply.said.as_ref());
+        match reply.outcome {
             Ok(report) => {
-                let is_of_entry = report
+                let is_same_incarnation = report
                     .incarnation
                     .is_none_or(|_| report.incarnation == entry.incarnation);
-                if report.leaving && is_of_entry {
+                if report.leaving && is_same_incarnation {
                     heard::leaves(&self.state, &source(entry, "report"));
                     return false;
                 }
-                let mut book = self.fleet.lock();
-                let Some(known) = book.records.get_mut(&entry.id) else {
+                let mut fleet = self.fleet.lock();
+                let Some(record) = fleet.records.get_mut(&entry.id) else {
                     return false;
                 };
-                known.apply_report(&report, self.state.now());
-                info!(target: "planner", event = "looked", replica = &*entry.id, orders = report.orders, busy = report.busy, "a replica was asked what it holds");
+                record.apply_report(&report, self.state.now());
+                info!(target: "planner", event = "looked", replica = &*entry.id, orders = report.orders, busy = report.busy, "replica report applied");
                 !report.busy
             }
             Err(why) => {
                 self.state.log.notable(|| {
-                    warn!(target: "planner", event = "no_report", replica = &*entry.id, why = %why, "a replica gave no report")
+                    warn!(target: "planner", event = "no_report", replica = &*entry.id, why = %why, "no report from the replica")
                 });
                 false
             }
         }
     }
 
-    /// Takes in what an answer to a call says of its replica, if one came.
+    /// Applies what an answer's head says about its replica.
     fn take_feedback(&self, entry: &Entry, call: &str, said: Option<&Said>) {
         if let Some(said) = said {
             heard::take_in(&self.state, &source(entry, call), said);
         }
     }
 
-    /// Gives one order and notes what came of it; tells whether to go on.
+    /// Sends one order and applies the answer. Returns whether to continue.
     async fn send_order(
         self: &Arc<Self>,
         entry: &Entry,
@@ -158,15 +157,14 @@
             holder: self.state.settings.name.clone(),
             fence: self.term.token,
         };
-        let told = replica::order(&self.pool, entry.addr, &entry.id, &order, CALL_TIMEOUT).await;
-        self.take_feedback(entry, "order", told.said.as_ref());
-        let answer = told.outcome;
+        let reply = replica::order(&self.pool, entry.addr, &entry.id, &order, CALL_TIMEOUT).await;
+        self.take_feedback(entry, "order", reply.said.as_ref());
+        let answer = reply.outcome;
         let now = self.state.now();
         self.log_order(entry, &order, &answer);
         self.apply_answer(entry, job, expected, answer, now)
     }
 
-    /// Tells of an order that was given.
     fn log_order(&self, entry: &Entry, order: &Order, answer: &Answer) {
         let outcome = match answer {
             Ok(ordered) => format!("{ordered:?}"),
@@ -181,10 +179,10 @@
         metrics
             .counter("coveford_orders_total", &labels)
             .increment(1);
-        info!(target: "planner", event = "ordered", replica = &*entry.id, operation, model = &*order.model, adapter = order.adapter.as_deref(), expected = order.expected, term = self.term.token, outcome, "an order was given")
+        info!(target: "planner", event = "ordered", replica = &*entry.id, operation, model = &*order.model, adapter = order.adapter.as_deref(), expected = order.expected, term = self.term.token, outcome, "order sent")
     }
 
-    /// Notes what came of an order; tells whether to go on.
+    /// Applies the answer to an order, and returns whether to continue.
     fn apply_answer(
         self: &Arc<Self>,
         entry: &Entry,
@@ -193,48 +191,50 @@
         answer: Answer,
         now: Time,
     ) -> bool {
-        let mut book = self.fleet.lock();
-        let Some(known) = book.records.get_mut(&entry.id) else {
+        let mut fleet = self.fleet.lock();
+        let Some(record) = fleet.records.get_mut(&entry.id) else {
             return false;
         };
-        if !known.is_incarnation(entry.incarnation) {
-            // It was given to an earlier incarnation, and nothing holds of that one but what may land yet.
+        if !record.is_incarnation(entry.incarnation) {
+            // The order went to an earlier incarnation; all that matters is that it may still be
+            // executed.
             if let Err(why) = answer {
-                book.note_unanswered(entry, &job, &why, now);
+                fleet.note_unanswered(entry, &job, &why, now);
             }
             return false;
         }
         match answer {
             Ok(Ordered::Accepted) if job.adapter.is_none() => {
-                known.orders_taken = expected + 1;
-                set_pending(known, job, now);
+                record.orders_accepted = expected + 1;
+                set_pending(record, job, now);
                 return true;
             }
             Ok(Ordered::Accepted) if job.operation == Operation::Unload => {
-                // It goes when its last request has ended; until then it takes its place.
-                known.orders_taken = expected + 1;
-                known.require_report(now);
+                // The adapter is unloaded when its last request has ended, and holds its slot until
+                // then.
+                record.orders_accepted = expected + 1;
+                record.require_report(now);
             }
             Ok(Ordered::Accepted | Ordered::InForce) if job.adapter.is_some() => {
-                known.orders_taken = expected + 1;
-                known.apply(&job, now);
+                record.orders_accepted = expected + 1;
+                record.apply(&job, now);
                 if let (Operation::Load, Some(adapter)) = (job.operation, job.adapter) {
                     self.announce_placed(job.model, adapter, entry.id.clone(), ADAPTER_LOAD_TIME);
                 }
                 return true;
             }
             Ok(Ordered::InForce) => {
-                known.apply(&job, now);
-                known.require_report(now);
+                record.apply(&job, now);
+                record.require_report(now);
             }
             Ok(Ordered::Fenced) => {
-                warn!(target: "planner", event = "fenced", term = self.term.token, "a later holder gives orders; this term ends");
+                warn!(target: "planner", event = "fenced", term = self.term.token, "a later leader sends orders; this term ends");
                 self.term.end();
             }
-            Ok(_) => known.require_report(now),
+            Ok(_) => record.require_report(now),
             Err(why) => {
-                known.require_report(now);
-                book.note_unanswered(entry, &job, &why, now);
+                record.require_report(now);
+                fleet.note_unanswered(entry, &job, &why, now);
             }
         }
         false
@@ -242,30 +242,30 @@
 }
 
 impl Fleet {
-    /// Takes the next order to a replica out of its queue.
+    /// Takes the next order out of a replica's queue.
     fn next_order(&mut self, id: &str, engine: &Engine, now: Time) -> Next {
-        let Some(known) = self.records.get_mut(id) else {
+        let Some(record) = self.records.get_mut(id) else {
             return Next::Wait;
         };
-        let pends = known.pending.is_some();
-        let due = |job: &Job| !pends || job.adapter.is_some();
-        if !known.queue.front().is_some_and(due) {
+        let is_pending = record.pending.is_some();
+        let is_sendable = |job: &Job| !is_pending || job.adapter.is_some();
+        if !record.queue.front().is_some_and(is_sendable) {
             return Next::Wait;
         }
-        let job = known.queue.pop_front();
-        let job = job.filter(|job| known.fits(job, engine));
-        known.note_ordered(now);
-        job.map_or(Next::Skip, |job| Next::Send(job, known.orders_taken))
+        let job = record.queue.pop_front();
+        let job = job.filter(|job| record.fits(job, engine));
+        record.note_ordered(now);
+        job.map_or(Next::Skip, |job| Next::Send(job, record.orders_accepted))
     }
 
-    /// Keeps the places of a load that may have begun without an answer: at the weight store, if it is from there,
-    /// and at the replica, should this start again.
+    /// Reserves capacity for an order that may have been executed without an answer: at the
+    /// replica, also across a restart, and at the weight store for a load from there.
     fn note_unanswered(&mut self, entry: &Entry, job: &Job, why: &platform::Error, now: Time) {
         if !matches!(why, platform::Error::Unknown { .. }) {
             return;
         }
-        if let Some(known) = self.records.get_mut(&entry.id) {
-            known.note_unanswered(job, entry.incarnation, now);
+        if let Some(record) = self.records.get_mut(&entry.id) {
+            record.note_unanswered(job, entry.incarnation, now);
         }
         if job.from_store {
             for bucket in self.buckets.values_mut() {
@@ -275,7 +275,7 @@
     }
 }
 
-/// Where an answer to a call comes from.
+/// Source of an answer to a call.
 fn source(entry: &Entry, call: &str) -> heard::Source {
     heard::Source {
         replica: entry.id.clone(),
@@ -285,18 +285,18 @@
     }
 }
 
-/// Notes that an order about a model was accepted and is under way.
-fn set_pending(known: &mut Record, job: Job, now: Time) {
+/// Records that an order about a model was accepted.
+fn set_pending(record: &mut Record, job: Job, now: Time) {
     if job.operation == Operation::Unload {
-        known.last_unloaded = Some((job.model.clone(), now));
+        record.last_unloaded = Some((job.model.clone(), now));
     }
-    known.pending = Some(Pending {
+    record.pending = Some(Pending {
         due: now + job.duration,
         job,
     });
 }
 
-/// Outcome of an order, as metrics name it.
+/// Value of the metric label `outcome`.
 fn outcome_label(answer: &Answer) -> &'static str {
     match answer {
         Ok(Ordered::Accepted | Ordered::InForce) => "taken",
--- a/crates/front/src/planner/quarantine.rs
+++ b/crates/front/src/planner/quarantine.rs
@@ -1,4 +1,4 @@
-//! Telling all hosts which requests are suspected or kept out, and keeping the list in the store.
+//! Broadcasting the list of suspected and blocked requests, and writing it to the store.
 
 use super::Planner;
 use crate::leader;
@@ -10,7 +10,7 @@
 use tracing::warn;
 
 impl Planner {
-    /// Tells the list where it has changed, or `again`, and has it stored.
+    /// Broadcasts the list if it has changed or `again` is set, and starts a write if one is due.
     pub(super) async fn broadcast_listing(self: &Arc<Self>, again: bool) {
         let now = self.state.now();
         let (listing, changed) = self.state.quarantine.listing(self.term.token, now);
@@ -20,7 +20,8 @@
         self.spawn_store();
     }
 
-    /// Stores the list beside other work, unless it stands there or is being stored.
+    /// Writes the list in the background, unless the store has it already or a write is in
+    /// progress.
     fn spawn_store(self: &Arc<Self>) {
         if !self.term.is_valid() || self.storing.swap(true, Ordering::Relaxed) {
             return;
@@ -36,10 +37,11 @@
         });
     }
 
-    /// Stores the list in the place of the one at that revision, as long as this host leads. What fails is tried
-    /// again with the next round.
+    /// Replaces the stored list of that revision, as long as this host leads. A failed write is
+    /// repeated in the next round.
     async fn store_listing(&self, value: Vec<u8>, revision: u64) {
-        // The entry's revision, which the store counts by key: the first term's transaction wrote two.
+        // The entry's own revision as read from the store: in the first term its transaction wrote two
+        // keys.
         let leader = self.state.leader.lock().clone();
         let own = leader.filter(|leader| leader.peers == self.state.settings.peers);
         let Some(entry) = own.map(|leader| leader.term) else {
@@ -60,13 +62,12 @@
                 }
             }
             Err(why) => self.state.log.notable(|| {
-                warn!(target: "quarantine", event = "not_stored", why = %why, "the list of requests that are kept out could not be stored yet")
+                warn!(target: "quarantine", event = "not_stored", why = %why, "could not write the quarantine list to the store; will retry")
             }),
         }
     }
 }
 
-/// Item of the list as it was written.
 fn stored_item(value: Vec<u8>, revision: u64) -> Item {
     Item {
         key: KEY.into(),
--- a/crates/front/src/planner/service.rs
+++ b/crates/front/src/planner/service.rs
@@ -11,33 +11,34 @@
 use tracing::info;
 use unit::{Name, Span, Time};
 
-/// Time between telling hosts that a model goes and ordering it: two rounds of sums.
+/// Notice that hosts get before a model is unloaded: two rounds of load reports.
 const UNLOAD_NOTICE: Span = Span::from_ms(500);
 
-/// The same for a model that nobody asks for: a request that comes all the same is refused unrun by
-/// the replica, and goes elsewhere.
+/// Notice for a model without demand. A request that still arrives is rejected by the replica
+/// before it runs, and goes elsewhere.
 const UNLOAD_NOTICE_IDLE: Span = Span::from_ms(100);
 
-/// Time from the plan to give a model up until its memory is known to be free, where few requests run.
+/// Typical time from the decision to unload a model until its memory is known to be free, with few
+/// requests running.
 const TYPICAL_UNLOAD: Span = Span::from_ms(1_200);
 
-/// Time that an unload of a model is expected to take at the most.
+/// Upper bound on the duration of an unload.
 const MAX_UNLOAD: Span = Span::from_secs(5);
 
-/// Least time in seconds that a load from the weight store is taken for.
+/// Minimum duration assumed for a load from the weight store, in seconds.
 const MIN_LOAD_SECS: f64 = 0.001;
 
-/// Steps planned at once, for each replica.
+/// Steps per plan, for each replica.
 const STEPS_PER_REPLICA: usize = 1;
 
 impl Planner {
-    /// Queues the unloads of which hosts have known for long enough.
+    /// Queues the unloads that hosts have had notice of.
     pub(super) fn queue_due_unloads(&self) {
         let now = self.state.now();
-        let mut book = self.fleet.lock();
-        for known in book.records.values_mut() {
-            if let Some(model) = known.take_due_unload(now) {
-                known.queue.push_back(Job {
+        let mut fleet = self.fleet.lock();
+        for record in fleet.records.values_mut() {
+            if let Some(model) = record.take_due_unload(now) {
+                record.queue.push_back(Job {
                     operation: Operation::Unload,
                     model,
                     adapter: None,
@@ -48,34 +49,34 @@
         }
     }
 
-    /// Plans the next steps of one service: loads are queued, unloads are announced first. Tells whether
-    /// there are any.
+    /// Plans the next steps of one service: loads are queued, unloads are announced first. Returns
+    /// whether there are any steps.
     ///
-    /// The book is not held while the plan is made, which takes parts of a second in a large fleet; a step
-    /// on a replica of which something else is believed by then is left to the next plan.
+    /// The fleet is not locked during planning, which takes a sizable part of a second with many
+    /// replicas. A step on a replica whose record has changed meanwhile is left to the next plan.
     pub(super) fn plan_service(&self, service: &Name, engine: &Engine) -> bool {
         let now = self.state.now();
         let loads = self.peers.inbox.loads(now);
-        let resting = self.peers.inbox.resting(now);
-        let (entries, needs) = {
+        let backing_off = self.peers.inbox.resting(now);
+        let (entries, capacities) = {
             let table = self.state.table.lock();
             let entries = entries(&table, service);
-            let mut needs = rate_limited_capacity(&table, service, &entries, now);
-            needs.extend(backing_off_capacity(&entries, &resting, &loads));
-            (entries, needs)
+            let mut capacities = rate_limited_capacity(&table, service, &entries, now);
+            capacities.extend(backing_off_capacity(&entries, &backing_off, &loads));
+            (entries, capacities)
         };
         let (replicas, models, available) = {
-            let mut book = self.fleet.lock();
-            let book = &mut *book;
-            let replicas = replicas(&entries, &book.records, engine, (&loads, &needs), now);
-            book.note_held(service, engine, &replicas, now);
-            let models = models(service, engine, &book.demand, now);
+            let mut fleet = self.fleet.lock();
+            let fleet = &mut *fleet;
+            let replicas = replicas(&entries, &fleet.records, engine, (&loads, &capacities), now);
+            fleet.note_held(service, engine, &replicas, now);
+            let models = models(service, engine, &fleet.demand, now);
             let new = || self.new_bucket(engine, now);
-            let bucket = book.buckets.entry(service.clone()).or_insert_with(new);
+            let bucket = fleet.buckets.entry(service.clone()).or_insert_with(new);
             (replicas, models, bucket.available(now))
         };
-        let most = entries.len() * STEPS_PER_REPLICA;
-        let steps = copies::plan(&replicas, &models, available, most);
+        let max_steps = entries.len() * STEPS_PER_REPLICA;
+        let steps = copies::plan(&replicas, &models, available, max_steps);
         let plan = Plan {
             service,
             engine,
@@ -86,25 +87,25 @@
         self.apply_steps(&plan, steps)
     }
 
-    /// Queues the steps of a plan; tells whether there are any.
+    /// Applies the steps of a plan, and returns whether any was applied.
     fn apply_steps(&self, plan: &Plan, steps: Vec<Step>) -> bool {
         let now = self.state.now();
-        let mut book = self.fleet.lock();
-        let book = &mut *book;
-        let Some(bucket) = book.buckets.get_mut(plan.service) else {
+        let mut fleet = self.fleet.lock();
+        let fleet = &mut *fleet;
+        let Some(bucket) = fleet.buckets.get_mut(plan.service) else {
             return false;
         };
-        let mut begun = HashSet::new();
-        let mut any = false;
+        let mut started = HashSet::new();
+        let mut any_applied = false;
         for step in steps {
             let (Step::Load { replica, .. } | Step::Unload { replica, .. }) = &step;
             let replica = *replica;
             let entry = &plan.entries[replica];
-            // A replica that is gone meanwhile is not planned for any more.
-            let Some(known) = book.records.get_mut(&entry.id) else {
+            // The replica has left since the plan was made.
+            let Some(record) = fleet.records.get_mut(&entry.id) else {
                 continue;
             };
-            let is_as_planned = begun.contains(&replica) || plan.is_current(replica, known, now);
+            let is_as_planned = started.contains(&replica) || plan.is_current(replica, record, now);
             let needs_store = matches!(
                 step,
                 Step::Load {
@@ -115,9 +116,9 @@
             if !is_as_planned || (needs_store && bucket.available(now) == 0) {
                 continue;
             }
-            begun.insert(replica);
-            any = true;
-            tell(&step, entry, plan.engine, plan.models);
+            started.insert(replica);
+            any_applied = true;
+            log_step(&step, entry, plan.engine, plan.models);
             match step {
                 Step::Load {
                     model, from_store, ..
@@ -126,20 +127,20 @@
                         bucket.take();
                     }
                     let job = load_job(entry, &plan.engine.models[model], from_store);
-                    known.queue.push_back(job);
-                    known.clear_reservation();
+                    record.queue.push_back(job);
+                    record.clear_reservation();
                 }
                 Step::Unload {
-                    models: gone,
+                    models: unloaded,
                     replacement,
                     ..
-                } => plan.schedule_unloads(replica, known, gone, replacement, now),
+                } => plan.schedule_unloads(replica, record, unloaded, replacement, now),
             }
         }
-        any
+        any_applied
     }
 
-    /// Bucket of a service's loads at the beginning of a term.
+    /// Rate limiter for a service's loads at the start of a term.
     fn new_bucket(&self, engine: &Engine, now: Time) -> Bucket {
         let bounds = &self.state.settings.bounds;
         let window = bounds.load_window.into();
@@ -152,7 +153,7 @@
     }
 }
 
-/// What a plan of one service was made from.
+/// Inputs of a plan of one service.
 struct Plan<'a> {
     service: &'a Name,
     engine: &'a Engine,
@@ -162,42 +163,42 @@
 }
 
 impl Plan<'_> {
-    /// Whether what is believed of a replica is still what the plan was made from, but for its load.
-    fn is_current(&self, replica: usize, known: &Record, now: Time) -> bool {
+    /// Whether a replica's record still matches the inputs of the plan, utilization aside.
+    fn is_current(&self, replica: usize, record: &Record, now: Time) -> bool {
         let planned = &self.replicas[replica];
         let entry = &self.entries[replica];
-        let seen = self::replica(entry, known, self.engine, planned.utilization, now);
+        let current = self::replica(entry, record, self.engine, planned.utilization, now);
         copies::Replica {
             degraded_capacity: planned.degraded_capacity,
-            ..seen
+            ..current
         } == *planned
     }
 
-    /// Announces that a replica gives models up, to make room for another.
+    /// Schedules the unloads that free memory for another model.
     fn schedule_unloads(
         &self,
         replica: usize,
-        known: &mut Record,
-        gone: Vec<usize>,
-        instead: usize,
+        record: &mut Record,
+        unloaded: Vec<usize>,
+        replacement: usize,
         now: Time,
     ) {
         let entry = &self.entries[replica];
         let name = |model: usize| self.engine.models[model].name.clone();
-        let due = |m: usize| match self.models[m].demand > 0.0 {
+        let unload_at = |m: usize| match self.models[m].demand > 0.0 {
             true => now + UNLOAD_NOTICE,
             false => now + UNLOAD_NOTICE_IDLE,
         };
-        let from_store = !self.replicas[replica].cached.contains(&instead);
-        let takes = load_job(entry, &self.engine.models[instead], from_store).duration;
-        let there = now + TYPICAL_UNLOAD * gone.len() as f64 + takes;
-        let gone = gone.into_iter().map(|m| (name(m), due(m)));
-        known.schedule_unloads(gone, name(instead), there);
+        let from_store = !self.replicas[replica].cached.contains(&replacement);
+        let duration = load_job(entry, &self.engine.models[replacement], from_store).duration;
+        let arrival = now + TYPICAL_UNLOAD * unloaded.len() as f64 + duration;
+        let unloaded = unloaded.into_iter().map(|m| (name(m), unload_at(m)));
+        record.schedule_unloads(unloaded, name(replacement), arrival);
     }
 }
 
 impl Fleet {
-    /// Notes which models of a service are on a replica.
+    /// Records which models of a service are loaded on any replica.
     fn note_held(
         &mut self,
         service: &Name,
@@ -205,8 +206,8 @@
         replicas: &[copies::Replica],
         now: Time,
     ) {
-        let staying = replicas.iter().filter(|r| r.in_service);
-        let held: HashSet<usize> = staying.flat_map(|r| &r.held).copied().collect();
+        let in_service = replicas.iter().filter(|r| r.in_service);
+        let held: HashSet<usize> = in_service.flat_map(|r| &r.held).copied().collect();
         for (m, model) in engine.models.iter().enumerate() {
             let key = (service.clone(), model.name.clone());
             if let Some(demand) = self.demand.get_mut(&key) {
@@ -216,32 +217,32 @@
     }
 }
 
-/// Tells of a step, with the demand that it follows from.
-fn tell(step: &Step, entry: &Entry, engine: &Engine, models: &[copies::Model]) {
+/// Logs a step and the demand behind it.
+fn log_step(step: &Step, entry: &Entry, engine: &Engine, models: &[copies::Model]) {
     let name = |model: usize| &*engine.models[model].name;
     match step {
         Step::Load {
             model, from_store, ..
         } => {
             let planned = &models[*model];
-            info!(target: "planner", event = "load", replica = &*entry.id, model = name(*model), from_store, demand = planned.demand, recent = planned.recent_demand, unserved = planned.unserved_secs, "a copy is added")
+            info!(target: "planner", event = "load", replica = &*entry.id, model = name(*model), from_store, demand = planned.demand, recent = planned.recent_demand, unserved = planned.unserved_secs, "loading a copy of a model")
         }
         Step::Unload {
-            models: gone,
+            models: unloaded,
             replacement,
             ..
         } => {
-            for model in gone {
+            for model in unloaded {
                 let (demand, wanted) = (models[*model].demand, models[*replacement].demand);
-                info!(target: "planner", event = "close", replica = &*entry.id, model = name(*model), instead = name(*replacement), demand, wanted, "a copy makes room")
+                info!(target: "planner", event = "close", replica = &*entry.id, model = name(*model), instead = name(*replacement), demand, wanted, "unloading a copy to free memory for another model")
             }
         }
     }
 }
 
-/// Order to load a model on a replica; the time it takes depends on where the weights come from.
+/// Order to load a model; its duration depends on where the weights come from.
 fn load_job(entry: &Entry, model: &config::Model, from_store: bool) -> Job {
-    let takes = match () {
+    let duration = match () {
         _ if from_store => model.load,
         _ if entry.in_memory.contains(&model.name) => model.load_warm,
         _ => model.load_disk,
@@ -251,11 +252,11 @@
         model: model.name.clone(),
         adapter: None,
         from_store,
-        duration: takes.into(),
+        duration: duration.into(),
     }
 }
 
-/// Models of a service as the plan sees them, in the order of the configuration.
+/// Models of a service as inputs of the plan, in the order of the configuration.
 fn models(
     service: &Name,
     engine: &Engine,
@@ -263,9 +264,9 @@
     now: Time,
 ) -> Vec<copies::Model> {
     let of = |model: &config::Model| demand.get(&(service.clone(), model.name.clone()));
-    let known = engine.models.iter().filter_map(of);
-    let expected = demand::expected_idle_demand(known, engine.models.len(), now);
-    let seen_by_plan = |model: &config::Model| {
+    let demands = engine.models.iter().filter_map(of);
+    let expected = demand::expected_idle_demand(demands, engine.models.len(), now);
+    let to_input = |model: &config::Model| {
         let demand = of(model).copied().unwrap_or_default();
         copies::Model {
             memory_mb: model.memory_mb,
@@ -277,95 +278,99 @@
             expected_demand: expected,
         }
     };
-    engine.models.iter().map(seen_by_plan).collect()
+    engine.models.iter().map(to_input).collect()
 }
 
-/// Replicas of a service as the plan sees them, in the order of their entries.
+/// Replicas of a service as inputs of the plan, in the order of their entries.
 fn replicas(
     entries: &[Entry],
-    known: &HashMap<Name, Record>,
+    records: &HashMap<Name, Record>,
     engine: &Engine,
-    (loads, needs): (&HashMap<u32, Load>, &HashMap<Name, f64>),
+    (loads, capacities): (&HashMap<u32, Load>, &HashMap<Name, f64>),
     now: Time,
 ) -> Vec<copies::Replica> {
-    let nothing = Record::default();
-    let seen_by_plan = |entry: &Entry| {
-        let known = known.get(&entry.id).unwrap_or(&nothing);
-        let seen = replica(entry, known, engine, utilization(entry, loads), now);
+    let unknown = Record::default();
+    let to_input = |entry: &Entry| {
+        let record = records.get(&entry.id).unwrap_or(&unknown);
+        let input = replica(entry, record, engine, utilization(entry, loads), now);
         copies::Replica {
-            degraded_capacity: needs.get(&entry.id).copied(),
-            ..seen
+            degraded_capacity: capacities.get(&entry.id).copied(),
+            ..input
         }
     };
-    entries.iter().map(seen_by_plan).collect()
+    entries.iter().map(to_input).collect()
 }
 
-/// One replica as the plan sees it.
+/// One replica as an input of the plan.
 fn replica(
     entry: &Entry,
-    known: &Record,
+    record: &Record,
     engine: &Engine,
-    load: f64,
+    utilization: f64,
     now: Time,
 ) -> copies::Replica {
     let index = |name: &Name| engine.models.iter().position(|m| m.name == *name);
-    let goes = known.unloading();
-    let held = known.held.iter().filter(|h| !goes.contains(&&h.model));
+    let unloading = record.unloading();
+    let held = record
+        .held
+        .iter()
+        .filter(|h| !unloading.contains(&&h.model));
     let held: Vec<usize> = held.filter_map(|h| index(&h.model)).collect();
-    let orders = known.pending.iter().map(|p| &p.job).chain(&known.queue);
+    let orders = record.pending.iter().map(|p| &p.job).chain(&record.queue);
     let loads = orders.filter(|j| j.operation == Operation::Load && j.adapter.is_none());
-    let coming = loads.map(|j| &j.model).chain(known.reserved_for());
-    let mut coming: Vec<usize> = coming.filter_map(index).collect();
-    coming.retain(|m| !held.contains(m));
-    let copies = entry.in_memory.iter().chain(&entry.on_disk);
+    let incoming = loads.map(|j| &j.model).chain(record.reserved_for());
+    let mut incoming: Vec<usize> = incoming.filter_map(index).collect();
+    incoming.retain(|m| !held.contains(m));
+    let cached = entry.in_memory.iter().chain(&entry.on_disk);
     copies::Replica {
-        free_mb: known.free_mb(engine),
+        free_mb: record.free_mb(engine),
         held,
-        incoming: coming,
-        recently_loaded: known
+        incoming,
+        recently_loaded: record
             .recently_loaded(now)
             .and_then(index)
             .into_iter()
             .collect(),
-        cached: copies.filter_map(index).collect(),
-        reserved_for: known.reserved_for().and_then(index),
-        accepts_orders: known.accepts_orders(),
-        unloading: known.is_unloading(),
-        in_service: !entry.leaving && !known.is_lost(now),
-        utilization: load,
+        cached: cached.filter_map(index).collect(),
+        reserved_for: record.reserved_for().and_then(index),
+        accepts_orders: record.accepts_orders(),
+        unloading: record.is_unloading(),
+        in_service: !entry.leaving && !record.is_lost(now),
+        utilization,
         degraded_capacity: None,
     }
 }
 
-/// Part of their places that replicas serve which want nothing from most hosts.
+/// Fraction of their slots in use at replicas that most hosts back off from.
 fn backing_off_capacity(
     entries: &[Entry],
-    resting: &HashSet<u32>,
+    backing_off: &HashSet<u32>,
     loads: &HashMap<u32, Load>,
 ) -> HashMap<Name, f64> {
-    let resting = entries
+    let backing_off = entries
         .iter()
-        .filter(|e| resting.contains(&replica_hash(&e.id)));
-    let busy = resting.map(|entry| (entry.id.clone(), utilization(entry, loads).min(1.0)));
-    busy.collect()
+        .filter(|e| backing_off.contains(&replica_hash(&e.id)));
+    let capacities =
+        backing_off.map(|entry| (entry.id.clone(), utilization(entry, loads).min(1.0)));
+    capacities.collect()
 }
 
-/// Part of their places that replicas in need can keep busy with the requests a second that they take.
+/// Fraction of their slots that replicas with an advertised rate limit can keep busy at that rate.
 fn rate_limited_capacity(
     table: &Table,
     service: &Name,
     entries: &[Entry],
     now: Time,
 ) -> HashMap<Name, f64> {
-    let part = |entry: &Entry| {
+    let capacity = |entry: &Entry| {
         let rate = table.limit_of(&entry.id, now)?;
-        let runs = entry
+        let durations = entry
             .held
             .iter()
             .map(|held| table.pace_of(service, &held.model).1);
-        let run = runs.max()?;
-        let busy = rate * run.secs() / f64::from(entry.slots.max(1));
-        Some((entry.id.clone(), busy.min(1.0)))
+        let longest = durations.max()?;
+        let utilization = rate * longest.secs() / f64::from(entry.slots.max(1));
+        Some((entry.id.clone(), utilization.min(1.0)))
     };
-    entries.iter().filter_map(part).collect()
+    entries.iter().filter_map(capacity).collect()
 }
--- a/crates/front/tests/fleet.rs
+++ b/crates/front/tests/fleet.rs
@@ -230,7 +230,7 @@
     known.queue.push_back(load("m3"));
     known.sync(&restarted(&[], 2), at(500));
     assert!(known.held.is_empty() && known.queue.is_empty());
-    assert_eq!(known.orders_taken, 0);
+    assert_eq!(known.orders_accepted, 0);
     assert!(
         known.is_report_due(at(500)),
         "it is asked before the next order"
