--- a/crates/front/src/accounts.rs
+++ b/crates/front/src/accounts.rs
@@ -7,7 +7,7 @@
 
 use crate::attempt::Call;
 use crate::readers;
-use crate::respond::Fault;
+use crate::respond::Rejection;
 use crate::routes::Routes;
 use crate::settings::Bounds;
 use crate::state::State;
@@ -110,7 +110,7 @@
     routes: &Routes,
     route: &Route,
     headers: &mut HeaderMap,
-) -> Result<Caller, Fault> {
+) -> Result<Caller, Rejection> {
     let Some(accounts) = &routes.accounts else {
         return Ok(Caller::default());
     };
@@ -238,11 +238,11 @@
     }
 
     /// Answer that tells the client.
-    pub fn fault(&self) -> Fault {
+    pub fn fault(&self) -> Rejection {
         let message = self.to_string();
         match self {
-            Refusal::Stale { .. } => Fault::not_run(self.reason(), message, RETRY_AFTER_STALE),
-            _ => Fault::refused(StatusCode::UNAUTHORIZED, self.reason(), message),
+            Refusal::Stale { .. } => Rejection::not_run(self.reason(), message, RETRY_AFTER_STALE),
+            _ => Rejection::client_error(StatusCode::UNAUTHORIZED, self.reason(), message),
         }
     }
 }
@@ -270,13 +270,16 @@
 }
 
 /// Tells why a request is not let in.
-fn tell(state: &State, refusal: &Refusal, fault: &Fault, refused: &Context) {
-    state.log.metrics.ended(&refused.route.name, fault.reason);
+fn tell(state: &State, refusal: &Refusal, fault: &Rejection, refused: &Context) {
+    state
+        .log
+        .metrics
+        .record_outcome(&refused.route.name, fault.reason);
     let key = match refusal {
         Refusal::Unknown { digest } => Some(digest.as_str()),
         _ => None,
     };
-    state.log.notable(|| {
+    state.log.rate_limited(|| {
         let (id, route) = (refused.id.as_deref(), &*refused.route.name);
         let account = refused.account.map(|a| &*a.name);
         let age_ms = data_age(state).ms();
--- a/crates/front/src/log.rs
+++ b/crates/front/src/log.rs
@@ -51,7 +51,7 @@
 }
 
 /// Starts writing lines in the name of a host; they are flushed when the guard is dropped.
-pub fn start(host: &str, level: &str) -> WorkerGuard {
+pub fn init(host: &str, level: &str) -> WorkerGuard {
     let (lines, guard) = NonBlockingBuilder::default()
         .buffered_lines_limit(BUFFERED_LINES)
         .lossy(true)
@@ -97,14 +97,14 @@
 
 impl Log {
     /// Tells a routine decision about a request, if the request is one of the sample.
-    pub fn routine(&self, id: &str, tell: impl FnOnce()) {
+    pub fn sampled(&self, id: &str, tell: impl FnOnce()) {
         if unit::rendezvous::hash(id.as_bytes()).is_multiple_of(self.sample) {
             tell();
         }
     }
 
     /// Tells something out of the ordinary, within the rate.
-    pub fn notable(&self, tell: impl FnOnce()) {
+    pub fn rate_limited(&self, tell: impl FnOnce()) {
         if self.has_room() {
             tell();
             return;
@@ -128,7 +128,7 @@
     }
 
     /// Tells how many lines were left out since the last call.
-    pub fn tell_left_out(&self) {
+    pub fn log_omitted(&self) {
         let lines = self.left_out.swap(0, Ordering::Relaxed);
         if lines > 0 {
             tracing::warn!(target: "log", event = "left_out", lines, "lines were left out to keep within the rate");
--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -27,78 +27,96 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Message {
     /// A host's sums, to the leader.
-    Sums(LoadReport),
+    #[serde(rename = "Sums")]
+    Report(LoadReport),
     /// A host's requests in flight, to every other host.
-    Direct(LoadReport),
+    #[serde(rename = "Direct")]
+    PeerLoads(LoadReport),
     /// A host's requests in flight, to the leader, between two rounds of sums.
     Loads(LoadReport),
     /// The sums of all hosts, from the leader.
     Digest(Digest),
     /// A host needs an adapter somewhere.
-    Want(AdapterRequest),
+    #[serde(rename = "Want")]
+    AdapterRequest(AdapterRequest),
     /// A host has a request for a model that is on no replica.
-    Missing(ModelRequest),
+    #[serde(rename = "Missing")]
+    ModelRequest(ModelRequest),
     /// The leader says where an adapter is.
-    Placed(AdapterPlacement),
+    #[serde(rename = "Placed")]
+    AdapterPlacement(AdapterPlacement),
     /// Where the hosts of a part of the fleet take datagrams, from the leader to the one that passes
     /// on to them.
-    Part(Vec<SocketAddr>),
+    #[serde(rename = "Part")]
+    FanoutGroup(Vec<SocketAddr>),
     /// A host asks the leader for units of a limit over all hosts.
-    Question(QuotaRequest),
+    #[serde(rename = "Question")]
+    QuotaRequest(QuotaRequest),
     /// The leader's answer to the question of that number.
-    Verdict(u32, QuotaResponse),
+    #[serde(rename = "Verdict")]
+    QuotaResponse(u32, QuotaResponse),
     /// A host gives back what a request did not use.
     Refund(Refund),
     /// Limits that replicas named to a host, to the leader.
-    Heard(LimitReport),
+    #[serde(rename = "Heard")]
+    LimitReport(LimitReport),
     /// Limits that replicas name, from the leader.
-    Limits(LimitDigest),
+    #[serde(rename = "Limits")]
+    LimitDigest(LimitDigest),
     /// Replicas that leave by their own word: to the leader, and from it to all; where hosts are few, to all.
-    Leaving(Leaving),
+    #[serde(rename = "Leaving")]
+    Departures(Leaving),
     /// A host saw a replica fall, to the leader; where hosts are few, to all.
-    Fallen(CrashReport),
+    #[serde(rename = "Fallen")]
+    CrashReport(CrashReport),
     /// A run of a request that is listed has ended well, to the leader.
-    Sound(Fingerprint),
+    #[serde(rename = "Sound")]
+    Succeeded(Fingerprint),
     /// A trial of a request has ended, and not well, to the leader: whether it broke off.
-    Tried(Fingerprint, bool),
+    #[serde(rename = "Tried")]
+    TrialFailed(Fingerprint, bool),
     /// A host asks the leader for a trial: number of the question, request, and who asks.
-    Trial(u32, Fingerprint, u64),
+    #[serde(rename = "Trial")]
+    TrialRequest(u32, Fingerprint, u64),
     /// The leader's answer to the question of that number.
-    Permit(u32, TrialResponse),
+    #[serde(rename = "Permit")]
+    TrialResponse(u32, TrialResponse),
     /// Requests that are suspected or kept out, from the leader.
-    Listing(QuarantineList),
+    #[serde(rename = "Listing")]
+    QuarantineList(QuarantineList),
     /// A datagram of the leader, to be taken in and passed on to the hosts of that part.
-    Pass(Bytes),
+    #[serde(rename = "Pass")]
+    Forward(Bytes),
 }
 
 impl Message {
     /// Word for it in metrics.
     pub fn kind(&self) -> &'static str {
         match self {
-            Message::Sums(_) => "sums",
-            Message::Direct(_) => "direct",
+            Message::Report(_) => "sums",
+            Message::PeerLoads(_) => "direct",
             Message::Loads(_) => "loads",
             Message::Digest(Digest {
                 planner: Some(_), ..
             }) => "plans",
             Message::Digest(_) => "digest",
-            Message::Want(_) => "want",
-            Message::Missing(_) => "missing",
-            Message::Placed(_) => "placed",
-            Message::Part(_) => "part",
-            Message::Question(_) => "question",
-            Message::Verdict(..) => "verdict",
+            Message::AdapterRequest(_) => "want",
+            Message::ModelRequest(_) => "missing",
+            Message::AdapterPlacement(_) => "placed",
+            Message::FanoutGroup(_) => "part",
+            Message::QuotaRequest(_) => "question",
+            Message::QuotaResponse(..) => "verdict",
             Message::Refund(_) => "refund",
-            Message::Heard(_) => "heard",
-            Message::Limits(_) => "limits",
-            Message::Leaving(_) => "leaving",
-            Message::Fallen(_) => "fallen",
-            Message::Sound(_) => "sound",
-            Message::Tried(..) => "tried",
-            Message::Trial(..) => "trial",
-            Message::Permit(..) => "permit",
-            Message::Listing(_) => "listing",
-            Message::Pass(_) => "pass",
+            Message::LimitReport(_) => "heard",
+            Message::LimitDigest(_) => "limits",
+            Message::Departures(_) => "leaving",
+            Message::CrashReport(_) => "fallen",
+            Message::Succeeded(_) => "sound",
+            Message::TrialFailed(..) => "tried",
+            Message::TrialRequest(..) => "trial",
+            Message::TrialResponse(..) => "permit",
+            Message::QuarantineList(_) => "listing",
+            Message::Forward(_) => "pass",
         }
     }
 }
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -22,7 +22,7 @@
 
 use crate::message::{self, AdapterPlacement, Digest, Message, TrialResponse};
 use crate::readers::Candidate;
-use crate::state::{State, Wanted, Wish};
+use crate::state::{PlacementRequest, PlacementRequests, State};
 use bytes::Bytes;
 use fanout::Part;
 use parking_lot::Mutex;
@@ -89,7 +89,7 @@
     /// Receives until the daemon ends.
     pub async fn receive(self: Arc<Self>) {
         let mut buffer = vec![0; BUFFER];
-        let mut returns = self.state.clock.returns();
+        let mut returns = self.state.clock.resume_count();
         loop {
             let Ok((length, from)) = self.socket.recv_from(&mut buffer).await else {
                 // An earlier datagram met a closed port; the next one may arrive.
@@ -98,19 +98,19 @@
             };
             // The look at the clock finds a return before the first datagram that waited meanwhile is taken in.
             self.state.now();
-            let seen = std::mem::replace(&mut returns, self.state.clock.returns());
+            let seen = std::mem::replace(&mut returns, self.state.clock.resume_count());
             if seen != returns {
                 self.drop_waiting(&mut buffer);
                 continue;
             }
             match message::decode(&buffer[..length]) {
-                Ok(Message::Pass(bytes)) => self.pass(bytes, from).await,
-                Ok(Message::Question(question)) => self.answer(question, from).await,
-                Ok(Message::Trial(number, print, ticket)) => {
+                Ok(Message::Forward(bytes)) => self.pass(bytes, from).await,
+                Ok(Message::QuotaRequest(question)) => self.answer(question, from).await,
+                Ok(Message::TrialRequest(number, print, ticket)) => {
                     self.answer_trial(number, print, ticket, from).await
                 }
                 Ok(message) => self.take(message, from),
-                Err(why) => self.state.log.notable(|| {
+                Err(why) => self.state.log.rate_limited(|| {
                     tracing::warn!(target: "peers", event = "malformed", from = %from, why = %why, "a datagram cannot be read")
                 }),
             }
@@ -130,44 +130,44 @@
     fn take(&self, message: Message, from: SocketAddr) {
         let now = self.state.now();
         match message {
-            Message::Sums(sums) => {
+            Message::Report(sums) => {
                 self.heard(&sums.host, now);
-                if self.inbox.put(sums, from, now) {
+                if self.inbox.record_report(sums, from, now) {
                     self.newcomers.lock().push(from);
-                    self.state.limited.notify_one();
+                    self.state.limits_changed.notify_one();
                 }
             }
             Message::Loads(sums) => {
                 self.heard(&sums.host, now);
-                self.inbox.put_loads(sums, now);
+                self.inbox.record_loads(sums, now);
             }
-            Message::Direct(sums) => {
+            Message::PeerLoads(sums) => {
                 let mut table = self.state.table.lock();
-                table.told_by(&sums.host, &sums.loads, now);
+                table.set_host_loads(&sums.host, &sums.loads, now);
                 if let Some(word) = sums.store {
                     table.view.contact.merge(word, now);
                 }
                 drop(table);
                 self.state.changed.notify_waiters();
             }
-            Message::Want(want) => self.inbox.want(want),
-            Message::Missing(missing) => self.inbox.miss(missing),
+            Message::AdapterRequest(want) => self.inbox.want(want),
+            Message::ModelRequest(missing) => self.inbox.miss(missing),
             Message::Digest(digest) => self.digest(digest, now),
-            Message::Placed(placed) => self.placed(placed),
-            Message::Part(hosts) => *self.passes_to.lock() = (hosts, now),
-            Message::Verdict(number, verdict) => self.answered(number, verdict),
+            Message::AdapterPlacement(placed) => self.placed(placed),
+            Message::FanoutGroup(hosts) => *self.passes_to.lock() = (hosts, now),
+            Message::QuotaResponse(number, verdict) => self.answered(number, verdict),
             Message::Refund(refund) => self.take_back(&refund),
-            Message::Heard(heard) => self.join_limits(&heard.limits, &heard.host),
-            Message::Limits(limits) if self.is_of_former_term(limits.term) => {}
-            Message::Limits(limits) => self.join_limits(&limits.limits, &limits.host),
-            Message::Leaving(told) => self.join_leaving(&told),
-            Message::Fallen(fallen) => self.take_fall(&fallen),
-            Message::Sound(print) => self.state.quarantine.note_success_anywhere(print),
-            Message::Tried(print, broke) => self.state.quarantine.note_trial_ended(print, broke, now),
-            Message::Permit(number, permit) => self.trials.answered(number, permit),
-            Message::Listing(listing) if self.is_of_former_term(listing.term) => {}
-            Message::Listing(listing) => self.state.quarantine.apply_listing(listing, now),
-            Message::Pass(_) | Message::Question(_) | Message::Trial(..) => self.state.log.notable(|| {
+            Message::LimitReport(heard) => self.join_limits(&heard.limits, &heard.host),
+            Message::LimitDigest(limits) if self.is_of_former_term(limits.term) => {}
+            Message::LimitDigest(limits) => self.join_limits(&limits.limits, &limits.host),
+            Message::Departures(told) => self.join_leaving(&told),
+            Message::CrashReport(fallen) => self.take_fall(&fallen),
+            Message::Succeeded(print) => self.state.quarantine.note_success_anywhere(print),
+            Message::TrialFailed(print, broke) => self.state.quarantine.note_trial_ended(print, broke, now),
+            Message::TrialResponse(number, permit) => self.trials.answered(number, permit),
+            Message::QuarantineList(listing) if self.is_of_former_term(listing.term) => {}
+            Message::QuarantineList(listing) => self.state.quarantine.apply_listing(listing, now),
+            Message::Forward(_) | Message::QuotaRequest(_) | Message::TrialRequest(..) => self.state.log.rate_limited(|| {
                 tracing::warn!(target: "peers", event = "malformed", from = %from, "a datagram to be passed on holds one that is not for all")
             }),
         }
@@ -176,7 +176,7 @@
     /// Takes a datagram of the leader in, and passes it on to the hosts of this one's part.
     async fn pass(&self, bytes: Bytes, from: SocketAddr) {
         let Ok(message) = message::decode(&bytes) else {
-            self.state.log.notable(|| {
+            self.state.log.rate_limited(|| {
                 tracing::warn!(target: "peers", event = "malformed", from = %from, "a datagram to be passed on cannot be read")
             });
             return;
@@ -203,9 +203,9 @@
             return;
         }
         let mut table = self.state.table.lock();
-        table.hosts = (digest.hosts as usize).max(1);
-        table.knows_hosts = true;
-        table.told(&digest.loads, now);
+        table.host_count = (digest.hosts as usize).max(1);
+        table.knows_host_count = true;
+        table.set_fleet_loads(&digest.loads, now);
         for (replica, adapters) in digest.adapters {
             table.set_adapters(&replica, adapters, now);
         }
@@ -217,10 +217,10 @@
             if let Some(word) = plans.store {
                 table.view.contact.merge(word, now);
             }
-            table.set_absent(plans.absent, now);
-            table.set_coming(&plans.loading, now);
+            table.set_unreachable(plans.absent, now);
+            table.set_model_etas(&plans.loading, now);
             table.set_loaded(plans.loaded, now);
-            table.set_closing(plans.unloading, now);
+            table.set_unloading(plans.unloading, now);
         }
     }
 
@@ -234,7 +234,7 @@
     }
 
     /// Where all hosts take datagrams, while they are few enough to tell each other directly.
-    pub fn direct(&self) -> Vec<SocketAddr> {
+    pub fn direct_hosts(&self) -> Vec<SocketAddr> {
         let hosts = self.inbox.hosts();
         match hosts.len() <= MOST_DIRECT {
             true => hosts,
@@ -244,7 +244,7 @@
 
     /// Whether hosts are few enough to tell each other directly.
     pub fn is_direct(&self) -> bool {
-        self.inbox.count() <= MOST_DIRECT
+        self.inbox.host_count() <= MOST_DIRECT
     }
 
     /// Sends one datagram; a failure counts as a lost one.
@@ -255,16 +255,16 @@
 
     /// Sends a datagram that is encoded already.
     async fn send_bytes(&self, bytes: &[u8], kind: &'static str, to: SocketAddr) {
-        self.state.log.metrics.datagram(kind, bytes.len());
+        self.state.log.metrics.record_datagram(kind, bytes.len());
         if let Err(why) = self.socket.send_to(bytes, to).await {
-            self.state.log.notable(|| {
+            self.state.log.rate_limited(|| {
                 tracing::warn!(target: "peers", event = "not_sent", to = %to, why = %why, "a datagram could not be sent")
             });
         }
     }
 
     /// Tells a message to all hosts; this one takes it in directly.
-    pub async fn send_all(&self, message: &Message) {
+    pub async fn broadcast(&self, message: &Message) {
         let own = self.state.settings.peers;
         self.take(message.clone(), own);
         let kind = message.kind();
@@ -274,7 +274,7 @@
             return self.send_each(&bytes, kind, others).await;
         }
         let parts = self.parts.lock().clone();
-        let pass = message::encode(&Message::Pass(bytes.clone().into()));
+        let pass = message::encode(&Message::Forward(bytes.clone().into()));
         for part in parts {
             if part.relay == own {
                 self.send_each(&bytes, kind, part.others.into_iter()).await;
@@ -298,7 +298,7 @@
     }
 
     /// Cuts a large fleet into parts anew, and tells the hosts that pass on to whom.
-    pub async fn name_parts(&self, hosts: Vec<Candidate>) {
+    pub async fn assign_fanout_groups(&self, hosts: Vec<Candidate>) {
         if self.is_direct() {
             return;
         }
@@ -308,14 +308,14 @@
         for part in parts {
             if part.relay != own && !part.others.is_empty() {
                 let others = part.others.into_iter().filter(|h| *h != own).collect();
-                self.send(&Message::Part(others), part.relay).await;
+                self.send(&Message::FanoutGroup(others), part.relay).await;
             }
         }
     }
 
     /// Passes the adapters and models that requests here lack on to the leader.
-    pub async fn ask(self: Arc<Self>, mut wanted: Wanted) {
-        let mut asked: HashMap<Wish, Time> = HashMap::new();
+    pub async fn forward_placement_requests(self: Arc<Self>, mut wanted: PlacementRequests) {
+        let mut asked: HashMap<PlacementRequest, Time> = HashMap::new();
         while let Some(wish) = wanted.recv().await {
             let now = self.state.now();
             asked.retain(|_, at| now.since(*at) < ASKED_ONCE);
@@ -327,8 +327,8 @@
             };
             asked.insert(wish.clone(), now);
             let message = match wish {
-                Wish::Adapter(want) => Message::Want(want),
-                Wish::Model(missing) => Message::Missing(missing),
+                PlacementRequest::Adapter(want) => Message::AdapterRequest(want),
+                PlacementRequest::Model(missing) => Message::ModelRequest(missing),
             };
             match leader.peers == self.state.settings.peers {
                 true => self.take(message, leader.peers),
--- a/crates/front/src/peers/quarantine.rs
+++ b/crates/front/src/peers/quarantine.rs
@@ -14,13 +14,13 @@
 
 impl Peers {
     /// Tells what this host has to report, until the daemon ends.
-    pub async fn report(self: Arc<Self>, mut reports: Reports) {
+    pub async fn forward_quarantine_reports(self: Arc<Self>, mut reports: Reports) {
         while let Some(report) = reports.recv().await {
             match report {
                 Report::Crashed(group) => self.report_fall(group).await,
                 Report::Succeeded(print) => {
                     self.state.quarantine.note_success_anywhere(print);
-                    self.tell_leader_of(Message::Sound(print)).await;
+                    self.send_to_leader(Message::Succeeded(print)).await;
                 }
                 Report::TrialEnded(print, broke) => {
                     if !self.state.leads() {
@@ -28,7 +28,8 @@
                         let now = self.state.now();
                         self.state.quarantine.note_trial_ended(print, broke, now);
                     }
-                    self.tell_leader_of(Message::Tried(print, broke)).await
+                    self.send_to_leader(Message::TrialFailed(print, broke))
+                        .await
                 }
             }
         }
@@ -47,7 +48,7 @@
         }
         let leader = self.state.leader.lock().as_ref().map(|l| l.peers);
         if leader.is_some_and(|leader| !others.contains(&leader)) {
-            self.tell_leader_of(message).await;
+            self.send_to_leader(message).await;
         }
     }
 
@@ -58,12 +59,12 @@
         };
         let now = self.state.now();
         for group in self.state.quarantine.unreported_crashes(term, now) {
-            self.tell_leader_of(fallen(group)).await;
+            self.send_to_leader(fallen(group)).await;
         }
     }
 
     /// Tells the leader something; this host takes it in directly if it leads.
-    pub(super) async fn tell_leader_of(&self, message: Message) {
+    pub(super) async fn send_to_leader(&self, message: Message) {
         let Some(leader) = self.state.leader.lock().clone() else {
             return;
         };
@@ -83,7 +84,7 @@
     }
 
     /// Asks the leader what may be done with a request that is suspected; none when there was no answer.
-    pub async fn ask_for_trial(
+    pub async fn request_trial(
         &self,
         print: Fingerprint,
         ticket: RequestId,
@@ -94,7 +95,7 @@
         }
         for limit in TRIES {
             let send = |number| async move {
-                self.send(&Message::Trial(number, print, ticket.0), leader)
+                self.send(&Message::TrialRequest(number, print, ticket.0), leader)
                     .await;
             };
             if let Some(permit) = self.trials.ask(limit, send).await {
@@ -113,7 +114,8 @@
         from: SocketAddr,
     ) {
         let permit = self.decide(print, RequestId(ticket));
-        self.send(&Message::Permit(number, permit), from).await;
+        self.send(&Message::TrialResponse(number, permit), from)
+            .await;
     }
 
     /// What this host says to such a question.
@@ -121,14 +123,14 @@
         let now = self.state.now();
         match self.state.leads() {
             true => self.state.quarantine.decide(print, ticket, now).into(),
-            false => TrialResponse::Elsewhere,
+            false => TrialResponse::NotLeader,
         }
     }
 }
 
 /// Fall as it is told.
 fn fallen(group: Incident) -> Message {
-    Message::Fallen(CrashReport {
+    Message::CrashReport(CrashReport {
         crash: group.crash.0,
         in_flight: group.in_flight,
     })
--- a/crates/front/src/peers/quota.rs
+++ b/crates/front/src/peers/quota.rs
@@ -14,11 +14,11 @@
 
 /// Time for each try of a question: hosts are milliseconds apart, and a host whose processor is used up
 /// stands still for a tenth of a second at the most.
-pub const QUICK: &[Duration] = &[Duration::from_millis(40), Duration::from_millis(90)];
+pub const TIMEOUTS: &[Duration] = &[Duration::from_millis(40), Duration::from_millis(90)];
 
 /// Time for a last try of a request that would be refused without an answer: a leader of some thousands of
 /// replicas stands still for parts of a second while it plans.
-pub const PATIENT: &[Duration] = &[Duration::from_millis(400)];
+pub const LAST_TRY_TIMEOUTS: &[Duration] = &[Duration::from_millis(400)];
 
 /// Part of the limits of replicas that a leader gives out whose term it cannot renew while the store is away: another host may
 /// lead by now and give out the whole, and both together stay within the tolerance.
@@ -42,7 +42,7 @@
 
 impl Peers {
     /// Begins to give out, in a term in which this host leads.
-    pub fn give_out(&self, term: Term, tolerance: Tolerance) {
+    pub fn start_limiter(&self, term: Term, tolerance: Tolerance) {
         let now = self.state.now();
         let limiters = Limiters {
             accounts: Limiter::new(tolerance, now),
@@ -52,7 +52,7 @@
     }
 
     /// Asks for units, once for each time that a try may take; none when there was no answer.
-    pub async fn ask_for(
+    pub async fn request_quota(
         &self,
         question: QuotaRequest,
         tries: &[Duration],
@@ -82,7 +82,7 @@
                 number,
                 ..question.clone()
             };
-            self.send(&Message::Question(question), leader).await;
+            self.send(&Message::QuotaRequest(question), leader).await;
         };
         self.quotas.open.ask(limit, send).await
     }
@@ -94,8 +94,8 @@
 
     /// Answers a question of another host.
     pub(super) async fn answer(&self, question: QuotaRequest, from: SocketAddr) {
-        let verdict = self.judge(&question).unwrap_or(QuotaResponse::Elsewhere);
-        let answer = Message::Verdict(question.number, verdict);
+        let verdict = self.judge(&question).unwrap_or(QuotaResponse::NotLeader);
+        let answer = Message::QuotaResponse(question.number, verdict);
         self.send(&answer, from).await;
     }
 
@@ -123,7 +123,7 @@
     }
 
     /// Gives units back that were given `age` ago and not used.
-    pub async fn give_back(&self, subject: Subject, units: f64, age: Span) {
+    pub async fn refund(&self, subject: Subject, units: f64, age: Span) {
         let Some(leader) = self.state.leader.lock().clone() else {
             return;
         };
@@ -173,7 +173,7 @@
     }
 
     /// Units given out of an account in the last window, if this host gives out.
-    pub fn given_out(&self, account: &Name) -> Option<f64> {
+    pub fn granted(&self, account: &Name) -> Option<f64> {
         let now = self.state.now();
         self.with_accounts(|limiter| limiter.granted(account, now))
     }
--- a/crates/front/src/planner.rs
+++ b/crates/front/src/planner.rs
@@ -80,7 +80,7 @@
 /// even when the store is unreachable and the term cannot be renewed: without it all hosts would
 /// choose the same replicas.
 pub async fn run(state: Arc<State>, peers: Arc<Peers>, term: Term) {
-    peers.give_out(term.clone(), shares::tolerance(&state.settings.bounds));
+    peers.start_limiter(term.clone(), shares::tolerance(&state.settings.bounds));
     state.quarantine.take_over(state.now());
     let planner = Arc::new(open(state, peers, term));
     let orders_from = planner.orders_from();
@@ -110,7 +110,7 @@
                 }
                 next_plan = now + PLAN_INTERVAL.max(plan_started.elapsed() * PAUSE_FACTOR);
             }
-            _ = planner.peers.inbox.wanted.notified() => {
+            _ = planner.peers.inbox.request_received.notified() => {
                 if may_order {
                     planner.sync();
                     planner.place_adapters();
@@ -124,14 +124,14 @@
                 planner.send_changes().await;
             }
             _ = tokio::time::sleep_until(next_digest) => {
-                next_digest = tokio::time::Instant::now() + planner.peers.round();
+                next_digest = tokio::time::Instant::now() + planner.peers.report_interval();
                 round += 1;
                 planner.send_digest(round).await;
                 let is_full_round = round.is_multiple_of(digest::FULL_DIGEST_ROUNDS);
                 planner.broadcast_listing(is_full_round).await;
                 if is_full_round {
-                    planner.peers.tell_limits().await;
-                    planner.peers.tell_departures().await;
+                    planner.peers.broadcast_limits().await;
+                    planner.peers.broadcast_departures().await;
                 }
             }
             _ = planner.state.quarantine.changed.notified() => planner.broadcast_listing(false).await,
@@ -205,7 +205,7 @@
             record.note_unreachable(unreachable.contains(&replica_hash(&replica.entry.id)), now);
             record.sync(&replica.entry, now);
         }
-        fleet.note_uses(self.peers.inbox.uses(), now);
+        fleet.note_uses(self.peers.inbox.take_adapter_uses(), now);
     }
 
     /// Starts a plan concurrently: on a blocking thread with many replicas, where it takes a
@@ -240,7 +240,7 @@
     /// Records models that hosts have requests for and no replica holds. Returns whether any of
     /// them is new.
     fn note_missing(&self) -> bool {
-        let missing = self.peers.inbox.missing();
+        let missing = self.peers.inbox.take_model_requests();
         let mut fleet = self.fleet.lock();
         let mut any_new = false;
         for ModelRequest { service, model } in missing {
--- a/crates/front/src/planner/adapters.rs
+++ b/crates/front/src/planner/adapters.rs
@@ -36,7 +36,7 @@
     pub(super) fn place_adapters(self: &Arc<Self>) {
         let now = self.state.now();
         let loads = self.peers.inbox.loads(now);
-        for request in self.peers.inbox.wants() {
+        for request in self.peers.inbox.take_adapter_requests() {
             if let Some(id) = self.place_adapter(&request, &loads, now) {
                 self.dispatch(id);
             }
@@ -100,7 +100,10 @@
         let planner = self.clone();
         tokio::spawn(async move {
             tokio::time::sleep(delay).await;
-            planner.peers.send_all(&Message::Placed(placement)).await;
+            planner
+                .peers
+                .broadcast(&Message::AdapterPlacement(placement))
+                .await;
         });
     }
 }
--- a/crates/front/src/planner/demand.rs
+++ b/crates/front/src/planner/demand.rs
@@ -119,7 +119,7 @@
             for model in &engine.models {
                 let key = (service.clone(), model.name.clone());
                 let arrivals = arrivals.get(&key).copied().unwrap_or_default();
-                let (speed, duration) = table.pace_of(service, &model.name);
+                let (speed, duration) = table.pace(service, &model.name);
                 let prefill = arrivals.tokens / (speed * 1_000.0);
                 let slots = arrivals.rate * duration.secs() / f64::from(engine.slots);
                 let sample = prefill.max(slots) / TARGET_UTILIZATION;
@@ -138,7 +138,7 @@
         for demand in self
             .peers
             .inbox
-            .sums(now)
+            .reports(now)
             .into_iter()
             .flat_map(|h| h.demand)
         {
--- a/crates/front/src/planner/digest.rs
+++ b/crates/front/src/planner/digest.rs
@@ -34,14 +34,14 @@
         let hosts = self.peers.inbox.candidates(now);
         let heartbeat = self.state.settings.bounds.heartbeat.into();
         let store = self.peers.inbox.store(heartbeat, now);
-        self.peers.name_parts(hosts.clone()).await;
+        self.peers.assign_fanout_groups(hosts.clone()).await;
         let readers = self.readers(hosts);
         let (status, adapters) = {
             let fleet = self.fleet.lock();
             let status = PlannerStatus {
                 absent,
                 readers,
-                peers: self.peers.direct(),
+                peers: self.peers.direct_hosts(),
                 store,
                 ..status(&fleet, now)
             };
@@ -63,7 +63,7 @@
             parts.with_room(size).adapters.push((id, adapters));
         }
         for digest in parts.all {
-            self.peers.send_all(&Message::Digest(digest)).await;
+            self.peers.broadcast(&Message::Digest(digest)).await;
         }
     }
 
@@ -90,7 +90,7 @@
                 loads: rows.to_vec(),
                 ..Digest::default()
             };
-            self.peers.send_all(&Message::Digest(digest)).await;
+            self.peers.broadcast(&Message::Digest(digest)).await;
         }
     }
 
--- a/crates/front/src/planner/dispatch.rs
+++ b/crates/front/src/planner/dispatch.rs
@@ -1,8 +1,8 @@
 //! Sending queued orders to replicas, and applying the answers.
 
 use super::{Fleet, Planner};
+use crate::feedback;
 use crate::fleet::{Job, Pending, Record};
-use crate::heard;
 use crate::table::Permit;
 use platform::answer::Said;
 use platform::config::Engine;
@@ -114,7 +114,7 @@
                     .incarnation
                     .is_none_or(|_| report.incarnation == entry.incarnation);
                 if report.leaving && is_same_incarnation {
-                    heard::leaves(&self.state, &source(entry, "report"));
+                    feedback::record_departure(&self.state, &source(entry, "report"));
                     return false;
                 }
                 let mut fleet = self.fleet.lock();
@@ -126,7 +126,7 @@
                 !report.busy
             }
             Err(why) => {
-                self.state.log.notable(|| {
+                self.state.log.rate_limited(|| {
                     warn!(target: "planner", event = "no_report", replica = &*entry.id, why = %why, "no report from the replica")
                 });
                 false
@@ -137,7 +137,7 @@
     /// Applies what an answer's head says about its replica.
     fn take_feedback(&self, entry: &Entry, call: &str, said: Option<&Said>) {
         if let Some(said) = said {
-            heard::take_in(&self.state, &source(entry, call), said);
+            feedback::apply(&self.state, &source(entry, call), said);
         }
     }
 
@@ -276,8 +276,8 @@
 }
 
 /// Source of an answer to a call.
-fn source(entry: &Entry, call: &str) -> heard::Source {
-    heard::Source {
+fn source(entry: &Entry, call: &str) -> feedback::Source {
+    feedback::Source {
         replica: entry.id.clone(),
         incarnation: entry.incarnation,
         subject: call.into(),
--- a/crates/front/src/planner/quarantine.rs
+++ b/crates/front/src/planner/quarantine.rs
@@ -15,7 +15,9 @@
         let now = self.state.now();
         let (listing, changed) = self.state.quarantine.listing(self.term.token, now);
         if changed || (again && !listing.entries.is_empty()) {
-            self.peers.send_all(&Message::Listing(listing)).await;
+            self.peers
+                .broadcast(&Message::QuarantineList(listing))
+                .await;
         }
         self.spawn_store();
     }
@@ -61,7 +63,7 @@
                     quarantine::apply_conflict(&self.state, item);
                 }
             }
-            Err(why) => self.state.log.notable(|| {
+            Err(why) => self.state.log.rate_limited(|| {
                 warn!(target: "quarantine", event = "not_stored", why = %why, "could not write the quarantine list to the store; will retry")
             }),
         }
--- a/crates/front/src/planner/service.rs
+++ b/crates/front/src/planner/service.rs
@@ -367,7 +367,7 @@
         let durations = entry
             .held
             .iter()
-            .map(|held| table.pace_of(service, &held.model).1);
+            .map(|held| table.pace(service, &held.model).1);
         let longest = durations.max()?;
         let utilization = rate * longest.secs() / f64::from(entry.slots.max(1));
         Some((entry.id.clone(), utilization.min(1.0)))
--- a/crates/front/src/quarantine/admit.rs
+++ b/crates/front/src/quarantine/admit.rs
@@ -3,7 +3,7 @@
 use super::Report;
 use crate::attempt::Call;
 use crate::peers::Peers;
-use crate::respond::Fault;
+use crate::respond::Rejection;
 use crate::state::State;
 use route::quarantine::{Permit, QUARANTINE_DURATION, RequestId, Status};
 use std::sync::Arc;
@@ -51,7 +51,7 @@
 }
 
 /// Lets a request in if nothing is held of it, or its trial begins now.
-pub async fn admit(state: &Arc<State>, peers: &Peers, call: &Call) -> Result<(), Fault> {
+pub async fn admit(state: &Arc<State>, peers: &Peers, call: &Call) -> Result<(), Rejection> {
     if state.quarantine.is_empty(state.now()) {
         return Ok(());
     }
@@ -63,7 +63,7 @@
         let permit = match state.quarantine.standing(print, now) {
             Status::Clear => return Ok(()),
             Status::Quarantined => Permit::Quarantined(QUARANTINE_DURATION),
-            Status::Suspected => match peers.ask_for_trial(print, ticket).await {
+            Status::Suspected => match peers.request_trial(print, ticket).await {
                 Some(permit) => permit,
                 // Nobody can come to lead before the store is back: what is innocent would wait for as long.
                 None if state.table.lock().view.contact.is_unreachable() => {
@@ -103,7 +103,7 @@
 
 /// Confirms at the last moment before a sending that the request may still go: it may have waited here while others
 /// found out what it does.
-pub fn check(state: &State, call: &Call) -> Result<(), Fault> {
+pub fn check(state: &State, call: &Call) -> Result<(), Rejection> {
     let now = state.now();
     if call.trial.get().is_some() || state.quarantine.is_empty(now) {
         return Ok(());
@@ -121,15 +121,15 @@
 }
 
 /// Answer to a request that ends each replica that runs it.
-fn blocked(left: Span) -> Fault {
+fn blocked(left: Span) -> Rejection {
     let message =
         "The request has ended each replica that began to run it; it is not sent any more.";
-    Fault::not_run("kept_out", message, left)
+    Rejection::not_run("kept_out", message, left)
 }
 
 /// Answer to a request that may be one of these, while another trial is under way.
-fn suspected() -> Fault {
+fn suspected() -> Rejection {
     let message =
         "The request was in flight where several replicas fell; it is tried alone, one at a time.";
-    Fault::not_run("suspected", message, RETRY_AFTER_SUSPECTED)
+    Rejection::not_run("suspected", message, RETRY_AFTER_SUSPECTED)
 }
--- a/crates/front/src/readers.rs
+++ b/crates/front/src/readers.rs
@@ -18,7 +18,7 @@
 pub use selection::{Candidate, choose};
 pub use server::answer;
 
-use crate::recent::Recent;
+use crate::changelog::Changelog;
 use crate::state::State;
 use conn::Pool;
 use parking_lot::Mutex;
@@ -44,7 +44,7 @@
 #[derive(Default)]
 pub struct Readers {
     /// What this host can pass on.
-    pub recent: Mutex<Recent>,
+    pub recent: Mutex<Changelog>,
     /// Notified when there is something new to pass on.
     pub news: Notify,
     /// Notified when this host is named as one that reads the store for others.
@@ -144,7 +144,7 @@
 
 /// Whether so few hosts are there that each reads the store itself.
 pub fn is_direct(state: &State) -> bool {
-    state.table.lock().hosts <= MOST_DIRECT
+    state.table.lock().host_count <= MOST_DIRECT
 }
 
 /// Whether the store failed this host a moment ago.
@@ -197,7 +197,7 @@
 /// Keeps the whole store as a reader told it, to pass it on.
 pub fn note_whole(state: &State, items: &[Item], revision: u64, confirmed: Time) {
     let mut recent = state.readers.recent.lock();
-    recent.restart(items, revision, confirmed);
+    recent.reset(items, revision, confirmed);
     drop(recent);
     state.readers.news.notify_waiters();
 }
--- a/crates/front/src/table/rests.rs
+++ b/crates/front/src/table/backoff.rs
@@ -12,7 +12,7 @@
 
 /// What changed when a replica asked for rest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Asked {
+pub struct BackoffUpdate {
     /// Whether it had asked for none that holds.
     pub first: bool,
     /// Time that it rests now.
@@ -22,14 +22,14 @@
 impl Table {
     /// Takes in that a replica turned a request away and wants nothing from this host for a time, of no length where it
     /// asked for none: then only a return that is under way begins anew. Nothing where another incarnation is known by now.
-    pub fn heard_rest(
+    pub fn record_backoff(
         &mut self,
         id: &Name,
         incarnation: Incarnation,
         time: Span,
         now: Time,
-    ) -> Option<Asked> {
-        if self.view.knows_other(id, incarnation) {
+    ) -> Option<BackoffUpdate> {
+        if self.view.has_other_incarnation(id, incarnation) {
             return None;
         }
         let known = self.rests.get_mut(id);
@@ -49,7 +49,7 @@
                 rest
             }
         };
-        Some(Asked {
+        Some(BackoffUpdate {
             first,
             left: rest.remaining(now),
         })
@@ -62,15 +62,15 @@
     }
 
     /// Replicas that want nothing from this host now.
-    pub fn resting(&self, now: Time) -> Vec<Name> {
-        let times = self.rest_times(now).into_iter();
+    pub fn backing_off(&self, now: Time) -> Vec<Name> {
+        let times = self.backoffs(now).into_iter();
         let resting = times.filter(|(_, left)| *left > Span::ZERO);
         resting.map(|(id, _)| id).collect()
     }
 
     /// Replicas that rest, or rested a moment ago, with the time that is left; the longest first.
-    pub fn rest_times(&self, now: Time) -> Vec<(Name, Span)> {
-        let holds = |id: &Name, of: &Incarnation| !self.view.knows_other(id, *of);
+    pub fn backoffs(&self, now: Time) -> Vec<(Name, Span)> {
+        let holds = |id: &Name, of: &Incarnation| !self.view.has_other_incarnation(id, *of);
         let rests = self.rests.iter().filter(|(id, (of, _))| holds(id, of));
         let left = rests.map(|(id, (_, rest))| (id.clone(), rest.remaining(now)));
         let mut left: Vec<(Name, Span)> = left.collect();
@@ -79,10 +79,10 @@
     }
 
     /// Takes out the replicas whose rest and the return from it are over, or that have started again.
-    pub fn end_rests(&mut self, now: Time) -> Vec<Name> {
+    pub fn expire_backoffs(&mut self, now: Time) -> Vec<Name> {
         let view = &self.view;
         let is_over = |id: &Name, of: &Incarnation, rest: &Backoff| {
-            rest.is_over(now) || view.knows_other(id, *of)
+            rest.is_over(now) || view.has_other_incarnation(id, *of)
         };
         let over = self
             .rests
--- a/crates/front/tests/leaving.rs
+++ b/crates/front/tests/departures.rs
@@ -150,7 +150,7 @@
     press(&hosts, ALL, Duration::from_millis(300)).await;
     way.set(proxy::Mode::MuteTarget);
     keep_alone(&hosts[0]);
-    hosts[0].state().clock.suspend(Span::from_secs(6));
+    hosts[0].state().clock.simulate_suspend(Span::from_secs(6));
     press(&hosts, ALL, BOUND + AFTER).await;
     assert_eq!(late_from_all(&engine, &hosts), 0, "streams");
     assert_eq!(late_from_all(&web, &hosts), 0, "plain requests");
@@ -257,7 +257,7 @@
 #[test]
 fn what_is_told_of_departures_fits_a_datagram() {
     let row = ("i-0123456789abcdef0123456789abcdef".into(), Some(u64::MAX));
-    let message = Message::Leaving(Leaving {
+    let message = Message::Departures(Leaving {
         host: "a-host-with-a-name-of-some-sixty-signs-as-platforms-give-them".into(),
         replicas: vec![row; leaving::ROWS],
     });
--- a/crates/front/tests/fanout.rs
+++ b/crates/front/tests/fanout.rs
@@ -67,7 +67,7 @@
         hosts.push(daemon(&store, &format!("d{i}")).await);
     }
     let all_know = |hosts: &[Daemon], count: usize| {
-        let knows = |d: &Daemon| d.state().table.lock().hosts == count;
+        let knows = |d: &Daemon| d.state().table.lock().host_count == count;
         hosts.iter().all(knows)
     };
     until(|| all_know(&hosts, 20)).await;
@@ -99,13 +99,13 @@
 #[test]
 fn parts_of_one_telling_add_up() {
     let inbox = Inbox::default();
-    inbox.put(sums(1, 0, 0), addr(1), at(0));
+    inbox.record_report(sums(1, 0, 0), addr(1), at(0));
     for part in sums(7, 100, 0).split() {
-        inbox.put_loads(part, at(10));
+        inbox.record_loads(part, at(10));
     }
     assert_eq!(inbox.loads(at(20)).len(), 100);
     for part in sums(8, 40, 0).split() {
-        inbox.put_loads(part, at(30));
+        inbox.record_loads(part, at(30));
     }
     assert_eq!(
         inbox.loads(at(40)).len(),
@@ -130,7 +130,7 @@
     let parts = sums.split();
     assert_eq!(parts.iter().map(|p| p.loads.len()).sum::<usize>(), 60);
     for part in parts {
-        let bytes = front::message::encode(&front::message::Message::Sums(part));
+        let bytes = front::message::encode(&front::message::Message::Report(part));
         assert!(
             bytes.len() <= front::message::MAX_DATAGRAM,
             "{}",
@@ -149,12 +149,12 @@
     bounds.retry_slack = 400.0;
     let mut table = Table::new("a".into(), 1, HEARTBEAT);
     for _ in 0..3 {
-        table.arrived(&service, &ask, &bounds, at(0));
+        table.record_arrival(&service, &ask, &bounds, at(0));
     }
-    assert!(!table.spend(&service, at(1)));
-    table.hosts = 100;
-    table.knows_hosts = true;
-    assert!(table.spend(&service, at(2)));
+    assert!(!table.spend_retry(&service, at(1)));
+    table.host_count = 100;
+    table.knows_host_count = true;
+    assert!(table.spend_retry(&service, at(2)));
 }
 
 /// A replica that wants nothing from most hosts counts in plans as what it serves; one that rests for a few does not.
@@ -172,7 +172,7 @@
             resting,
             ..sums(1, 1, 0)
         };
-        inbox.put(sums, addr(host), at(0));
+        inbox.record_report(sums, addr(host), at(0));
     }
     assert_eq!(inbox.resting(at(10)), HashSet::from([replica_hash("i-1")]));
     assert!(inbox.resting(at(5_000)).is_empty(), "nobody tells any more");
