--- a/crates/place/src/plan/tick.rs
+++ b/crates/place/src/plan/tick.rs
@@ -1,9 +1,9 @@
 //! The state of one tick, and what its steps share.
 
-use super::{floor, grow, upkeep};
+use super::{floor, reconcile, scale_up};
 use crate::fleet::{Fleet, Upstream, is_base};
-use crate::homes::{Hall, Homes, Kept, assign};
-use crate::ledger::{Denied, Ledger, Wanted};
+use crate::homes::{Hall, Homes, Requirement, assign};
+use crate::ledger::{Denial, Ledger, NewOrder};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use unit::engine::{Action, Order, State, Weights};
@@ -11,7 +11,7 @@
 
 /// Model as the bundle wants it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Want {
+pub struct Spec {
     /// Its name.
     pub model: Name,
     /// Version of its weights.
@@ -19,14 +19,14 @@
     /// Memory of one replica.
     pub memory: Bytes,
     /// Least number of replicas in the fleet.
-    pub least: u32,
+    pub min_replicas: u32,
     /// Rank of its class.
     pub priority: u8,
     /// Adapters and their memory.
     pub adapters: Vec<(Name, Bytes)>,
 }
 
-impl Want {
+impl Spec {
     /// Weights of the model itself.
     pub fn weights(&self) -> Weights {
         Weights {
@@ -45,23 +45,23 @@
     }
 
     /// Memory of one replica with all its adapters.
-    pub fn whole(&self) -> Bytes {
+    pub fn total_memory(&self) -> Bytes {
         self.memory + self.adapters.iter().map(|(_, bytes)| *bytes).sum()
     }
 
     /// What must be kept of it.
-    pub fn kept(&self) -> Kept {
-        Kept {
+    pub fn requirement(&self) -> Requirement {
+        Requirement {
             model: self.model.clone(),
-            memory: self.whole(),
-            least: self.least,
+            memory: self.total_memory(),
+            min_replicas: self.min_replicas,
         }
     }
 }
 
 /// Demand for a model, from all daemons.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Need {
+pub struct Demand {
     /// Requests a second, smoothed.
     pub rate: f64,
     /// Share of one upstream's capacity that one request a second takes.
@@ -70,7 +70,7 @@
 
 /// What a tick is decided on.
 #[derive(Debug, Clone)]
-pub struct Situation<'a> {
+pub struct Input<'a> {
     /// Time now.
     pub now: Time,
     /// Wall clock in milliseconds, for the record of moves.
@@ -80,49 +80,49 @@
     /// All halls, from the host list.
     pub halls: &'a [Hall],
     /// Models that must be served.
-    pub wants: &'a [Want],
+    pub specs: &'a [Spec],
     /// Upstreams of this hall.
     pub fleet: &'a Fleet,
     /// Upstreams of other halls, as last reported; they are weighed, never ordered.
-    pub elsewhere: &'a Fleet,
+    pub other_halls: &'a Fleet,
     /// Homes as read for this tick.
     pub homes: &'a Homes,
     /// Demand by model.
-    pub needs: &'a BTreeMap<Name, Need>,
+    pub demand: &'a BTreeMap<Name, Demand>,
     /// Worth of a request a second that meets its target.
-    pub attainment: f64,
+    pub attainment_weight: f64,
     /// Cost of a move.
-    pub moves: f64,
+    pub move_cost: f64,
 }
 
 /// Bound on loads, within what the weight store gives this hall.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Starts {
+pub struct LoadLimiter {
     per_second: f64,
-    concurrent: usize,
-    saved: f64,
-    last: Option<Time>,
+    max_concurrent: usize,
+    tokens: f64,
+    refilled_at: Option<Time>,
 }
 
 /// Loads that may be saved up while none is needed.
-const MOST_SAVED: f64 = 3.0;
+const BURST: f64 = 3.0;
 
-impl Starts {
+impl LoadLimiter {
     /// Makes the bound for one of `halls` halls that share a store.
-    pub fn new(per_second: f64, concurrent: u32, halls: usize) -> Starts {
+    pub fn new(per_second: f64, max_concurrent: u32, halls: usize) -> LoadLimiter {
         let halls = halls.max(1);
-        Starts {
+        LoadLimiter {
             per_second: per_second / halls as f64,
-            concurrent: (concurrent as usize / halls).max(1),
-            saved: 1.0,
-            last: None,
+            max_concurrent: (max_concurrent as usize / halls).max(1),
+            tokens: 1.0,
+            refilled_at: None,
         }
     }
 
     fn refill(&mut self, now: Time) {
-        let passed = self.last.map_or(Span::ZERO, |last| now.since(last));
-        self.last = Some(now);
-        self.saved = (self.saved + passed.secs() * self.per_second).min(MOST_SAVED);
+        let passed = self.refilled_at.map_or(Span::ZERO, |at| now.since(at));
+        self.refilled_at = Some(now);
+        self.tokens = (self.tokens + passed.secs() * self.per_second).min(BURST);
     }
 }
 
@@ -132,7 +132,8 @@
     /// Orders to send, with their upstreams; the ledger holds them already.
     pub orders: Vec<(Name, Order)>,
     /// Orders of earlier ticks to send again: to fencing upstreams that never saw them.
-    pub again: Vec<(Name, Order)>,
+    #[serde(rename = "again")]
+    pub resends: Vec<(Name, Order)>,
     /// Models whose homes this hall joins.
     pub joins: Vec<Name>,
     /// Models whose homes this hall leaves.
@@ -143,9 +144,9 @@
 
 /// State of a tick under way.
 pub(super) struct Tick<'a> {
-    pub(super) s: &'a Situation<'a>,
+    pub(super) input: &'a Input<'a>,
     pub(super) ledger: &'a mut Ledger,
-    pub(super) starts: &'a mut Starts,
+    pub(super) limiter: &'a mut LoadLimiter,
     pub(super) loading: usize,
     pub(super) assigned: BTreeMap<Name, Vec<Name>>,
     pub(super) plan: Plan,
@@ -158,17 +159,17 @@
 }
 
 /// Decides a tick; the orders are in the ledger when this returns.
-pub fn plan(s: &Situation, ledger: &mut Ledger, starts: &mut Starts) -> Plan {
-    ledger.settle(s.fleet);
-    starts.refill(s.now);
-    let kept: Vec<Kept> = s.wants.iter().map(Want::kept).collect();
-    let assigned = assign(&kept, s.halls);
-    let loading = count_loading(s.fleet, ledger);
-    let (ready, coming) = replicas(s.fleet, ledger);
+pub fn plan(input: &Input, ledger: &mut Ledger, limiter: &mut LoadLimiter) -> Plan {
+    ledger.resolve(input.fleet);
+    limiter.refill(input.now);
+    let requirements: Vec<Requirement> = input.specs.iter().map(Spec::requirement).collect();
+    let assigned = assign(&requirements, input.halls);
+    let loading = count_loading(input.fleet, ledger);
+    let (ready, coming) = replicas(input.fleet, ledger);
     let mut tick = Tick {
-        s,
+        input,
         ledger,
-        starts,
+        limiter,
         loading,
         assigned,
         plan: Plan::default(),
@@ -178,11 +179,11 @@
     };
     floor::homes(&mut tick);
     floor::repair(&mut tick);
-    upkeep::versions(&mut tick);
-    upkeep::adapters(&mut tick);
-    upkeep::unnamed(&mut tick);
-    grow::grow(&mut tick);
-    tick.plan.again = tick.again();
+    reconcile::versions(&mut tick);
+    reconcile::adapters(&mut tick);
+    reconcile::unnamed(&mut tick);
+    scale_up::scale_up(&mut tick);
+    tick.plan.resends = tick.resends();
     tick.plan
 }
 
@@ -212,13 +213,13 @@
         }
         for resident in &upstream.report.resident {
             let weights = &resident.weights;
-            if weights.adapter.is_some() || ledger.may_go(&upstream.name, weights) {
+            if weights.adapter.is_some() || ledger.has_pending_unload(&upstream.name, weights) {
                 continue;
             }
             let at = (i, weights.version.clone());
             // A silent upstream, or one known only from an old report, may hold it still: no
             // reason to load another, and none to let another go.
-            let sure = !upstream.silent && ledger.is_current(upstream);
+            let sure = !upstream.unreachable && ledger.is_current(upstream);
             match resident.state {
                 State::Ready if !sure => coming.entry(weights.model.clone()).or_default().push(at),
                 State::Ready => ready.entry(weights.model.clone()).or_default().push(at),
@@ -226,11 +227,11 @@
                 State::Unloading => {}
             }
         }
-        for open in ledger.open.iter().filter(|o| o.upstream == upstream.name) {
-            if let Action::Load { weights, .. } = &open.order.action
+        for entry in ledger.open.iter().filter(|o| o.upstream == upstream.name) {
+            if let Action::Load { weights, .. } = &entry.order.action
                 && weights.adapter.is_none()
                 && upstream.find(weights).is_none()
-                && open.sent != crate::ledger::Sent::Doubt
+                && entry.delivery != crate::ledger::Delivery::InDoubt
             {
                 let at = (i, weights.version.clone());
                 coming.entry(weights.model.clone()).or_default().push(at);
@@ -242,7 +243,7 @@
 
 impl<'a> Tick<'a> {
     pub(super) fn upstream(&self, at: usize) -> &'a Upstream {
-        &self.s.fleet.upstreams[at]
+        &self.input.fleet.upstreams[at]
     }
 
     /// Upstreams that hold a model ready and will go on holding it, with its version.
@@ -263,21 +264,22 @@
     }
 
     /// Replicas of a model that this hall must keep.
-    pub(super) fn floor(&self, want: &Want) -> usize {
+    pub(super) fn floor(&self, spec: &Spec) -> usize {
         let halls = self
             .assigned
-            .get(&want.model)
+            .get(&spec.model)
             .map_or(&[][..], Vec::as_slice);
-        if let Some(i) = halls.iter().position(|hall| hall == self.s.hall) {
+        if let Some(i) = halls.iter().position(|hall| hall == self.input.hall) {
             // The first halls take what does not divide evenly.
-            return (want.least as usize + halls.len() - 1 - i) / halls.len();
+            return (spec.min_replicas as usize + halls.len() - 1 - i) / halls.len();
         }
-        usize::from(self.s.homes.is_home(&want.model, self.s.hall))
+        usize::from(self.input.homes.is_home(&spec.model, self.input.hall))
     }
 
     /// Whether the last replica of a model here may go, as far as other halls are concerned.
     pub(super) fn is_home(&self, model: &str) -> bool {
-        self.s.homes.is_home(model, self.s.hall) || self.plan.joins.iter().any(|m| &**m == model)
+        self.input.homes.is_home(model, self.input.hall)
+            || self.plan.joins.iter().any(|m| &**m == model)
     }
 
     pub(super) fn note(&mut self, model: &Name, text: String) {
@@ -286,18 +288,20 @@
 
     /// Whether the weight store has room for another load.
     pub(super) fn may_start(&self) -> bool {
-        self.starts.saved >= 1.0 && self.loading < self.starts.concurrent
+        self.limiter.tokens >= 1.0 && self.loading < self.limiter.max_concurrent
     }
 
     /// Reserves an order; tells whether the ledger allowed it.
-    fn order(&mut self, at: usize, action: Action, reason: String) -> Result<(), Denied> {
+    fn order(&mut self, at: usize, action: Action, reason: String) -> Result<(), Denial> {
         let upstream = self.upstream(at);
-        let wanted = Wanted {
+        let new_order = NewOrder {
             upstream: upstream.name.clone(),
             action,
             reason,
         };
-        let order = self.ledger.reserve(upstream, &wanted, self.s.wall_ms)?;
+        let order = self
+            .ledger
+            .reserve(upstream, &new_order, self.input.wall_ms)?;
         self.plan.orders.push((upstream.name.clone(), order));
         Ok(())
     }
@@ -322,7 +326,7 @@
         {
             return false;
         }
-        self.starts.saved -= 1.0;
+        self.limiter.tokens -= 1.0;
         self.loading += 1;
         if base {
             self.coming.entry(model).or_default().push((at, version));
@@ -349,7 +353,7 @@
 
     /// Whether unloading weights here would leave a model of this home without a ready replica.
     fn takes_last(&self, at: usize, weights: &Weights) -> bool {
-        let served = self.s.wants.iter().any(|w| w.model == weights.model);
+        let served = self.input.specs.iter().any(|w| w.model == weights.model);
         if !served || !self.is_home(&weights.model) {
             return false;
         }
@@ -360,11 +364,11 @@
     /// Open orders that may be sent again.
     ///
     /// An unload is judged anew: what stood by when it was decided may be gone.
-    fn again(&self) -> Vec<(Name, Order)> {
+    fn resends(&self) -> Vec<(Name, Order)> {
         let fresh: BTreeSet<_> = self.plan.orders.iter().map(|(_, o)| o.fence).collect();
         let usable = self.usable();
-        let mut again = Vec::new();
-        for open in self
+        let mut resends = Vec::new();
+        for entry in self
             .ledger
             .open
             .iter()
@@ -372,21 +376,21 @@
         {
             let at = usable
                 .iter()
-                .find(|at| self.upstream(**at).name == open.upstream);
+                .find(|at| self.upstream(**at).name == entry.upstream);
             let Some(at) = at.filter(|at| self.upstream(**at).fencing) else {
                 continue;
             };
-            let harmful = match &open.order.action {
+            let harmful = match &entry.order.action {
                 Action::Unload { weights } if weights.adapter.is_none() => {
                     self.takes_last(*at, weights)
                 }
                 _ => false,
             };
             if !harmful {
-                again.push((open.upstream.clone(), open.order.clone()));
+                resends.push((entry.upstream.clone(), entry.order.clone()));
             }
         }
-        again
+        resends
     }
 
     /// Memory that an upstream has free now.
@@ -396,10 +400,10 @@
 
     /// Upstreams that may get new weights.
     pub(super) fn usable(&self) -> Vec<usize> {
-        let all = 0..self.s.fleet.upstreams.len();
+        let all = 0..self.input.fleet.upstreams.len();
         all.filter(|at| {
             let upstream = self.upstream(*at);
-            !upstream.leaving && !upstream.silent && self.ledger.is_current(upstream)
+            !upstream.leaving && !upstream.unreachable && self.ledger.is_current(upstream)
         })
         .collect()
     }
--- a/crates/standin/tests/bundles.rs
+++ b/crates/standin/tests/bundles.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use backing::keys;
-use bundle::key::{Act, sign};
+use bundle::key::{Purpose, sign};
 use bundle::{Draft, Head, part};
 use cli::{Error, bundles};
 use common::{PATIENCE, quick, system};
@@ -109,25 +109,25 @@
 /// Head that was never approved as it must be, written straight into the service.
 async fn forge(fleet: &Fleet, change: impl Fn(&Fleet, &mut Draft)) -> u64 {
     let text = titled("forged");
-    let parts = part::cut("forged.ini", &text).unwrap();
+    let parts = part::split("forged.ini", &text).unwrap();
     daemon::shelf::put_parts(&fleet.tool.kv, &parts)
         .await
         .unwrap();
     let at = daemon::shelf::head(&fleet.tool.kv).await.unwrap();
     let replaces = at.value.unwrap().sequence;
-    let refs: Vec<_> = parts.iter().map(|p| p.at.clone()).collect();
-    let root = part::root(&refs);
-    let signed = |i: usize, act| {
+    let refs: Vec<_> = parts.iter().map(|p| p.reference.clone()).collect();
+    let root = part::content_hash(&refs);
+    let signed = |i: usize, purpose| {
         let operator = &fleet.operators[i];
-        sign(&operator.key, &operator.name, act, &root, replaces)
+        sign(&operator.key, &operator.name, purpose, &root, replaces)
     };
     let mut draft = Draft {
         id: "forged".into(),
         replaces,
         title: "forged".into(),
         parts: refs.clone(),
-        proposal: signed(0, Act::Propose),
-        approvals: vec![signed(1, Act::Approve)],
+        proposal: signed(0, Purpose::Propose),
+        approvals: vec![signed(1, Purpose::Approve)],
     };
     change(fleet, &mut draft);
     let head = Head {
@@ -139,7 +139,7 @@
     fleet
         .tool
         .kv
-        .swap(keys::HEAD, at.revision, Some(&text), None)
+        .compare_and_swap(keys::HEAD, at.revision, Some(&text), None)
         .await
         .unwrap();
     head.sequence
@@ -157,11 +157,11 @@
         |fleet, draft| {
             // A proposal's signature does not pass for an approval.
             let operator = &fleet.operators[1];
-            let root = draft.root();
+            let root = draft.content_hash();
             let signed = sign(
                 &operator.key,
                 &operator.name,
-                Act::Propose,
+                Purpose::Propose,
                 &root,
                 draft.replaces,
             );
