--- a/crates/front/src/planner/dispatch.rs
+++ b/crates/front/src/planner/dispatch.rs
@@ -1,4 +1,4 @@
-//! Giving replicas the orders that wait for them, and noting what came of each.
+//! Sending queued orders to replicas, and applying the answers.
 
 use super::{Fleet, Planner};
 use crate::feedback;
@@ -12,55 +12,53 @@
 use tracing::{info, warn};
 use unit::{Name, Time};
 
-/// Time for an order or a report to be answered.
-const CALL_LIMIT: Duration = Duration::from_millis(700);
+/// Timeout for orders and reports.
+const CALL_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Time that an adapter takes to arrive; on the first two sites it is 6 to 19 ms.
-const ADAPTER_ARRIVES: Duration = Duration::from_millis(25);
+/// Typical time until an ordered adapter is loaded.
+const ADAPTER_LOAD_TIME: Duration = Duration::from_millis(25);
 
-/// Answer to an order.
 type Answer = Result<Ordered, platform::Error>;
 
-/// What to do next for a replica.
+/// Next action for a replica.
 enum Next {
-    /// Give this order, worked out under that number of orders taken.
-    Give(Job, u64),
-    /// Leave out an order that there is no room for.
+    /// Send this order, planned for that number of accepted orders.
+    Send(Job, u64),
+    /// Drop an order that there is no capacity for.
     Skip,
-    /// Nothing for now.
-    Stop,
+    Wait,
 }
 
 impl Planner {
-    /// Gives a replica the orders that wait for it, one after the other.
-    pub(super) fn drive(self: &Arc<Self>, id: Name) {
+    /// Sends a replica its queued orders, one after the other.
+    pub(super) fn dispatch(self: &Arc<Self>, id: Name) {
         {
-            let mut book = self.fleet.lock();
-            let Some(known) = book.records.get_mut(&id) else {
+            let mut fleet = self.fleet.lock();
+            let Some(record) = fleet.records.get_mut(&id) else {
                 return;
             };
-            if known.in_call {
+            if record.in_call {
                 return;
             }
-            known.in_call = true;
+            record.in_call = true;
         }
         let planner = self.clone();
         tokio::spawn(async move {
-            while planner.step(&id).await {}
-            if let Some(known) = planner.fleet.lock().records.get_mut(&id) {
-                known.in_call = false;
+            while planner.dispatch_next(&id).await {}
+            if let Some(record) = planner.fleet.lock().records.get_mut(&id) {
+                record.in_call = false;
             }
         });
     }
 
-    /// Gives the next order to a replica; tells whether to go on.
-    async fn step(self: &Arc<Self>, id: &Name) -> bool {
+    /// Sends a replica its next order, and returns whether to continue.
+    async fn dispatch_next(self: &Arc<Self>, id: &Name) -> bool {
         let Some(entry) = self.entry(id) else {
             return false;
         };
         let now = self.state.now();
-        let (doubtful, looks) = self.doubt(id, now);
-        if doubtful && !(looks && self.look(&entry).await) {
+        let (is_required, is_due) = self.report_state(id, now);
+        if is_required && !(is_due && self.fetch_report(&entry).await) {
             return false;
         }
         let Some(permit) = self.permit(id) else {
@@ -71,79 +69,86 @@
         let Some(engine) = service.and_then(|s| s.engine.as_ref()) else {
             return false;
         };
-        let next = self.fleet.lock().next(id, engine, now);
+        let next = self.fleet.lock().next_order(id, engine, now);
         match next {
-            Next::Give(job, expected) if self.term.is_valid() => {
-                self.give(&entry, job, expected, permit).await
+            Next::Send(job, expected) if self.term.is_valid() => {
+                self.send_order(&entry, job, expected, permit).await
             }
-            Next::Give(..) | Next::Stop => false,
+            Next::Send(..) | Next::Wait => false,
             Next::Skip => true,
         }
     }
 
-    /// Entry of a replica that does not leave.
+    /// Entry of a replica that is not leaving.
     fn entry(&self, id: &str) -> Option<Entry> {
         let table = self.state.table.lock();
-        let seen = table.view.get(id)?;
-        (!seen.entry.leaving).then(|| seen.entry.clone())
+        let replica = table.view.get(id)?;
+        (!replica.entry.leaving).then(|| replica.entry.clone())
     }
 
-    /// Lets the replica be called, unless it takes no calls now.
+    /// Permit to call a replica, unless it accepts no calls now.
     fn permit(&self, id: &str) -> Option<Permit> {
         let now = self.state.now();
         self.state.table.lock().permit(id, now).ok()
     }
 
-    /// Whether a replica must be asked before the next order, and whether it may be asked now.
-    fn doubt(&self, id: &str, now: Time) -> (bool, bool) {
-        let book = self.fleet.lock();
-        let known = book.records.get(id);
-        let doubtful = known.is_none_or(|k| k.report_due.is_some());
-        (doubtful, known.is_some_and(|k| k.is_report_due(now)))
+    /// Whether a replica must report before its next order, and whether a report may be requested
+    /// now.
+    fn report_state(&self, id: &str, now: Time) -> (bool, bool) {
+        let fleet = self.fleet.lock();
+        let record = fleet.records.get(id);
+        let is_required = record.is_none_or(|r| r.report_due.is_some());
+        (is_required, record.is_some_and(|r| r.is_report_due(now)))
     }
 
-    /// Asks a replica what it holds; tells whether orders may go on.
-    async fn look(&self, entry: &Entry) -> bool {
+    /// Asks a replica for a report, and returns whether orders may follow.
+    async fn fetch_report(&self, entry: &Entry) -> bool {
         let Some(_permit) = self.permit(&entry.id) else {
             return false;
         };
-        let told = replica::report(&self.pool, entry.addr, &entry.id, CALL_LIMIT).await;
-        self.hear(entry, "report", told.said.as_ref());
-        match told.outcome {
+        let reply = replica::report(&self.pool, entry.addr, &entry.id, CALL_TIMEOUT).await;
+        self.take_feedback(entry, "report", reply.said.as_ref());
+        match reply.outcome {
             Ok(report) => {
-                let is_of_entry = report
+                let is_same_incarnation = report
                     .incarnation
                     .is_none_or(|_| report.incarnation == entry.incarnation);
-                if report.leaving && is_of_entry {
-                    feedback::record_departure(&self.state, &from(entry, "report"));
+                if report.leaving && is_same_incarnation {
+                    feedback::record_departure(&self.state, &source(entry, "report"));
                     return false;
                 }
-                let mut book = self.fleet.lock();
-                let Some(known) = book.records.get_mut(&entry.id) else {
+                let mut fleet = self.fleet.lock();
+                let Some(record) = fleet.records.get_mut(&entry.id) else {
                     return false;
                 };
-                known.apply_report(&report, self.state.now());
-                info!(target: "planner", event = "looked", replica = &*entry.id, orders = report.orders, busy = report.busy, "a replica was asked what it holds");
+                record.apply_report(&report, self.state.now());
+                info!(target: "planner", event = "looked", replica = &*entry.id, orders = report.orders, busy = report.busy, "replica report applied");
                 !report.busy
             }
             Err(why) => {
                 self.state.log.rate_limited(|| {
-                    warn!(target: "planner", event = "no_report", replica = &*entry.id, why = %why, "a replica gave no report")
+                    warn!(target: "planner", event = "no_report", replica = &*entry.id, why = %why, "no report from the replica")
                 });
                 false
             }
         }
     }
 
-    /// Takes in what an answer to a call says of its replica, if one came.
-    fn hear(&self, entry: &Entry, call: &str, said: Option<&Said>) {
+    /// Applies what an answer's head says about its replica.
+    fn take_feedback(&self, entry: &Entry, call: &str, said: Option<&Said>) {
         if let Some(said) = said {
-            feedback::apply(&self.state, &from(entry, call), said);
+            feedback::apply(&self.state, &source(entry, call), said);
         }
     }
 
-    /// Gives one order and notes what came of it; tells whether to go on.
-    async fn give(self: &Arc<Self>, entry: &Entry, job: Job, expected: u64, _: Permit) -> bool {
+    /// Sends one order and applies the answer. Returns whether to continue.
+    async fn send_order(
+        self: &Arc<Self>,
+        entry: &Entry,
+        job: Job,
+        expected: u64,
+        _: Permit,
+    ) -> bool {
         let order = Order {
             operation: job.operation,
             model: job.model.clone(),
@@ -152,16 +157,15 @@
             holder: self.state.settings.name.clone(),
             fence: self.term.token,
         };
-        let told = replica::order(&self.pool, entry.addr, &entry.id, &order, CALL_LIMIT).await;
-        self.hear(entry, "order", told.said.as_ref());
-        let answer = told.outcome;
+        let reply = replica::order(&self.pool, entry.addr, &entry.id, &order, CALL_TIMEOUT).await;
+        self.take_feedback(entry, "order", reply.said.as_ref());
+        let answer = reply.outcome;
         let now = self.state.now();
-        self.tell_ordered(entry, &order, &answer);
-        self.note(entry, job, expected, answer, now)
+        self.log_order(entry, &order, &answer);
+        self.apply_answer(entry, job, expected, answer, now)
     }
 
-    /// Tells of an order that was given.
-    fn tell_ordered(&self, entry: &Entry, order: &Order, answer: &Answer) {
+    fn log_order(&self, entry: &Entry, order: &Order, answer: &Answer) {
         let outcome = match answer {
             Ok(ordered) => format!("{ordered:?}"),
             Err(why) => why.to_string(),
@@ -170,16 +174,16 @@
             Operation::Load => "load",
             Operation::Unload => "unload",
         };
-        let labels = [("operation", operation), ("outcome", word(answer))];
+        let labels = [("operation", operation), ("outcome", outcome_label(answer))];
         let metrics = &self.state.log.metrics;
         metrics
             .counter("coveford_orders_total", &labels)
             .increment(1);
-        info!(target: "planner", event = "ordered", replica = &*entry.id, operation, model = &*order.model, adapter = order.adapter.as_deref(), expected = order.expected, term = self.term.token, outcome, "an order was given")
+        info!(target: "planner", event = "ordered", replica = &*entry.id, operation, model = &*order.model, adapter = order.adapter.as_deref(), expected = order.expected, term = self.term.token, outcome, "order sent")
     }
 
-    /// Notes what came of an order; tells whether to go on.
-    fn note(
+    /// Applies the answer to an order, and returns whether to continue.
+    fn apply_answer(
         self: &Arc<Self>,
         entry: &Entry,
         job: Job,
@@ -187,48 +191,50 @@
         answer: Answer,
         now: Time,
     ) -> bool {
-        let mut book = self.fleet.lock();
-        let Some(known) = book.records.get_mut(&entry.id) else {
+        let mut fleet = self.fleet.lock();
+        let Some(record) = fleet.records.get_mut(&entry.id) else {
             return false;
         };
-        if !known.is_incarnation(entry.incarnation) {
-            // It was given to an earlier incarnation, and nothing holds of that one but what may land yet.
+        if !record.is_incarnation(entry.incarnation) {
+            // The order went to an earlier incarnation; all that matters is that it may still be
+            // executed.
             if let Err(why) = answer {
-                book.note_unanswered(entry, &job, &why, now);
+                fleet.note_unanswered(entry, &job, &why, now);
             }
             return false;
         }
         match answer {
             Ok(Ordered::Accepted) if job.adapter.is_none() => {
-                known.orders_taken = expected + 1;
-                begin(known, job, now);
+                record.orders_accepted = expected + 1;
+                set_pending(record, job, now);
                 return true;
             }
             Ok(Ordered::Accepted) if job.operation == Operation::Unload => {
-                // It goes when its last request has ended; until then it takes its place.
-                known.orders_taken = expected + 1;
-                known.require_report(now);
+                // The adapter is unloaded when its last request has ended, and holds its slot until
+                // then.
+                record.orders_accepted = expected + 1;
+                record.require_report(now);
             }
             Ok(Ordered::Accepted | Ordered::InForce) if job.adapter.is_some() => {
-                known.orders_taken = expected + 1;
-                known.apply(&job, now);
+                record.orders_accepted = expected + 1;
+                record.apply(&job, now);
                 if let (Operation::Load, Some(adapter)) = (job.operation, job.adapter) {
-                    self.tell_placed(job.model, adapter, entry.id.clone(), ADAPTER_ARRIVES);
+                    self.announce_placed(job.model, adapter, entry.id.clone(), ADAPTER_LOAD_TIME);
                 }
                 return true;
             }
             Ok(Ordered::InForce) => {
-                known.apply(&job, now);
-                known.require_report(now);
+                record.apply(&job, now);
+                record.require_report(now);
             }
             Ok(Ordered::Fenced) => {
-                warn!(target: "planner", event = "fenced", term = self.term.token, "a later holder gives orders; this term ends");
+                warn!(target: "planner", event = "fenced", term = self.term.token, "a later leader sends orders; this term ends");
                 self.term.end();
             }
-            Ok(_) => known.require_report(now),
+            Ok(_) => record.require_report(now),
             Err(why) => {
-                known.require_report(now);
-                book.note_unanswered(entry, &job, &why, now);
+                record.require_report(now);
+                fleet.note_unanswered(entry, &job, &why, now);
             }
         }
         false
@@ -236,30 +242,30 @@
 }
 
 impl Fleet {
-    /// Takes the next order to a replica out of its queue.
-    fn next(&mut self, id: &str, engine: &Engine, now: Time) -> Next {
-        let Some(known) = self.records.get_mut(id) else {
-            return Next::Stop;
+    /// Takes the next order out of a replica's queue.
+    fn next_order(&mut self, id: &str, engine: &Engine, now: Time) -> Next {
+        let Some(record) = self.records.get_mut(id) else {
+            return Next::Wait;
         };
-        let pends = known.pending.is_some();
-        let due = |job: &Job| !pends || job.adapter.is_some();
-        if !known.queue.front().is_some_and(due) {
-            return Next::Stop;
+        let is_pending = record.pending.is_some();
+        let is_sendable = |job: &Job| !is_pending || job.adapter.is_some();
+        if !record.queue.front().is_some_and(is_sendable) {
+            return Next::Wait;
         }
-        let job = known.queue.pop_front();
-        let job = job.filter(|job| known.fits(job, engine));
-        known.note_ordered(now);
-        job.map_or(Next::Skip, |job| Next::Give(job, known.orders_taken))
+        let job = record.queue.pop_front();
+        let job = job.filter(|job| record.fits(job, engine));
+        record.note_ordered(now);
+        job.map_or(Next::Skip, |job| Next::Send(job, record.orders_accepted))
     }
 
-    /// Keeps the places of a load that may have begun without an answer: at the weight store, if it is from there,
-    /// and at the replica, should this start again.
+    /// Reserves capacity for an order that may have been executed without an answer: at the
+    /// replica, also across a restart, and at the weight store for a load from there.
     fn note_unanswered(&mut self, entry: &Entry, job: &Job, why: &platform::Error, now: Time) {
         if !matches!(why, platform::Error::Unknown { .. }) {
             return;
         }
-        if let Some(known) = self.records.get_mut(&entry.id) {
-            known.note_unanswered(job, entry.incarnation, now);
+        if let Some(record) = self.records.get_mut(&entry.id) {
+            record.note_unanswered(job, entry.incarnation, now);
         }
         if job.from_store {
             for bucket in self.buckets.values_mut() {
@@ -269,8 +275,8 @@
     }
 }
 
-/// Where an answer to a call comes from.
-fn from(entry: &Entry, call: &str) -> feedback::Source {
+/// Source of an answer to a call.
+fn source(entry: &Entry, call: &str) -> feedback::Source {
     feedback::Source {
         replica: entry.id.clone(),
         incarnation: entry.incarnation,
@@ -279,19 +285,19 @@
     }
 }
 
-/// Notes that an order about a model was accepted and is under way.
-fn begin(known: &mut Record, job: Job, now: Time) {
+/// Records that an order about a model was accepted.
+fn set_pending(record: &mut Record, job: Job, now: Time) {
     if job.operation == Operation::Unload {
-        known.last_unloaded = Some((job.model.clone(), now));
+        record.last_unloaded = Some((job.model.clone(), now));
     }
-    known.pending = Some(Pending {
+    record.pending = Some(Pending {
         due: now + job.duration,
         job,
     });
 }
 
-/// Outcome of an order, as metrics name it.
-fn word(answer: &Answer) -> &'static str {
+/// Value of the metric label `outcome`.
+fn outcome_label(answer: &Answer) -> &'static str {
     match answer {
         Ok(Ordered::Accepted | Ordered::InForce) => "taken",
         Ok(Ordered::Conflict) => "conflict",
