--- a/crates/backing/src/kv.rs
+++ b/crates/backing/src/kv.rs
@@ -1,7 +1,7 @@
 //! Key-value service: compare-and-swap, leases, watches.
 //!
-//! A write whose answer is lost may still take effect; [`Kv::swap`] reports
-//! that as [`Error::Unknown`], never as a refusal.
+//! A write whose answer is lost may still take effect; [`Kv::compare_and_swap`] reports
+//! that as [`Error::Indeterminate`], never as a refusal.
 
 use conn::Pool;
 use serde::{Deserialize, Serialize};
@@ -16,13 +16,13 @@
 pub const PATH: &str = "/v1/kv";
 
 /// Longest value the service holds, in bytes.
-pub const MOST_VALUE: usize = 1_000_000;
+pub const MAX_VALUE_BYTES: usize = 1_000_000;
 
 /// Longest answer that is read: a full page of values.
-const MOST_ANSWER: usize = 4 * MOST_VALUE;
+const MAX_RESPONSE_BYTES: usize = 4 * MAX_VALUE_BYTES;
 
 /// Longest time a watch waits on the service.
-pub const WATCH_LIMIT: Duration = Duration::from_secs(30);
+pub const MAX_WATCH: Duration = Duration::from_secs(30);
 
 /// Call on the service.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -126,7 +126,7 @@
 
 /// Outcome of a compare-and-swap that was answered.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Swapped {
+pub enum SwapOutcome {
     /// It took effect, at that revision.
     Written(u64),
     /// It did not; this stands there.
@@ -146,7 +146,7 @@
     #[snafu(display(
         "The key-value service gave no answer; the call may take effect yet: {reason}"
     ))]
-    Unknown {
+    Indeterminate {
         /// Why.
         reason: String,
     },
@@ -157,7 +157,7 @@
 
 /// Count of calls by kind.
 #[derive(Debug, Default)]
-pub struct Calls {
+pub struct CallCounts {
     /// Reads, lists and watches.
     pub reads: AtomicU64,
     /// Writes.
@@ -172,7 +172,7 @@
     addrs: Arc<[SocketAddr]>,
     pool: Pool,
     limit: Duration,
-    calls: Arc<Calls>,
+    calls: Arc<CallCounts>,
 }
 
 /// Makes a client that gives each call `limit` to be answered.
@@ -187,7 +187,7 @@
 
 impl Kv {
     /// Counts of the calls made so far.
-    pub fn calls(&self) -> &Calls {
+    pub fn calls(&self) -> &CallCounts {
         &self.calls
     }
 
@@ -204,7 +204,7 @@
         for addr in self.addrs.iter() {
             match self
                 .pool
-                .json(*addr, PATH, Some(call), limit, MOST_ANSWER)
+                .json(*addr, PATH, Some(call), limit, MAX_RESPONSE_BYTES)
                 .await
             {
                 Ok(Answer::Refused { reason }) => last = Error::Unavailable { reason },
@@ -216,7 +216,7 @@
                     }
                 }
                 Err(e) => {
-                    return Err(Error::Unknown {
+                    return Err(Error::Indeterminate {
                         reason: e.to_string(),
                     });
                 }
@@ -246,13 +246,13 @@
     }
 
     /// Writes a value if its revision is `expected` (0: absent).
-    pub async fn swap(
+    pub async fn compare_and_swap(
         &self,
         key: &str,
         expected: u64,
         value: Option<&str>,
         lease: Option<u64>,
-    ) -> Result<Swapped, Error> {
+    ) -> Result<SwapOutcome, Error> {
         let call = Call::Swap {
             key: key.into(),
             expected,
@@ -260,8 +260,8 @@
             lease,
         };
         match self.call(&call, self.limit).await? {
-            Answer::Written { revision } => Ok(Swapped::Written(revision)),
-            Answer::Conflict { found } => Ok(Swapped::Conflict(found)),
+            Answer::Written { revision } => Ok(SwapOutcome::Written(revision)),
+            Answer::Conflict { found } => Ok(SwapOutcome::Conflict(found)),
             other => Err(odd(&other)),
         }
     }
@@ -311,7 +311,7 @@
 }
 
 fn odd(answer: &Answer) -> Error {
-    Error::Unknown {
+    Error::Indeterminate {
         reason: format!("an answer of another kind: {answer:?}"),
     }
 }
--- a/crates/daemon/src/planner.rs
+++ b/crates/daemon/src/planner.rs
@@ -18,9 +18,9 @@
 use book::Book;
 use lease::Lease;
 use lines::Lines;
-use place::demand::Demand;
+use place::demand::Estimator;
 use place::homes::Hall;
-use place::plan::{Need, Plan, Situation, Starts, Want};
+use place::plan::{Demand, Input, LoadLimiter, Plan, Spec};
 use place::{Fleet, plan};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -46,8 +46,8 @@
     lease: Lease,
     book: Book,
     lines: Lines,
-    demand: Demand,
-    starts: Option<(usize, Starts)>,
+    demand: Estimator,
+    starts: Option<(usize, LoadLimiter)>,
 }
 
 /// Plans for the hall whenever this host holds its lease, until the process ends.
@@ -56,7 +56,7 @@
         lease: Lease::new(&core.settings),
         book: Book::new(&core.settings),
         lines: Lines::default(),
-        demand: Demand::default(),
+        demand: Estimator::default(),
         starts: None,
         core,
     };
@@ -96,23 +96,23 @@
         let halls = halls(&self.core, &fleet);
         let needs = self.needs(&wants).await;
         let weights = bundle.intent.weights;
-        let situation = Situation {
+        let input = Input {
             now: self.core.now(),
             wall_ms: crate::clock::wall_ms(),
             hall: &self.core.settings.hall,
             halls: &halls,
-            wants: &wants,
+            specs: &wants,
             fleet: &fleet,
-            elsewhere: &elsewhere,
+            other_halls: &elsewhere,
             homes: &homes,
-            needs: &needs,
-            attainment: weights.attainment,
-            moves: weights.moves,
+            demand: &needs,
+            attainment_weight: weights.attainment,
+            move_cost: weights.moves,
         };
         let started = std::time::Instant::now();
         let ledger = self.book.ledger();
         let starts = starts(&mut self.starts, &self.core, halls.len());
-        let plan = plan(&situation, ledger, starts);
+        let plan = plan(&input, ledger, starts);
         let took = Span::from(started.elapsed());
         crate::metrics::record(
             &self.core.metrics.histogram("coveford_plan_seconds", &[]),
@@ -144,7 +144,7 @@
                 name: entry.host.name.clone(),
                 leaving: entry.is_leaving() || found.report.leaving,
                 fencing: bundle.intent.upstreams.checks_fences(&entry.host.name),
-                silent: found.silent,
+                unreachable: found.silent,
                 report: found.report.clone(),
             });
         }
@@ -152,11 +152,11 @@
     }
 
     /// Demand by model, from all daemons.
-    async fn needs(&mut self, wants: &[Want]) -> BTreeMap<Name, Need> {
+    async fn needs(&mut self, wants: &[Spec]) -> BTreeMap<Name, Demand> {
         let arriving = arriving(&self.core).await;
-        self.demand.take(self.core.now(), &arriving);
+        self.demand.update(self.core.now(), &arriving);
         let work = work_per_request(&self.core);
-        let need = |want: &Want| Need {
+        let need = |want: &Spec| Demand {
             rate: self.demand.rate(&want.model),
             work: work.get(&want.model).copied().unwrap_or_else(default_work),
         };
@@ -172,14 +172,14 @@
             count(&self.core, &order.action);
             info!(target: "planner", "order {}.{} to {upstream}: {:?}", order.fence.term, order.fence.number, order.action);
         }
-        let orders: Vec<_> = plan.orders.into_iter().chain(plan.again).collect();
+        let orders: Vec<_> = plan.orders.into_iter().chain(plan.resends).collect();
         let answers = self.lines.send(orders).await;
         let ledger = self.book.ledger();
         let mut changed = false;
         for (name, fence, obeyed) in answers {
             changed |= match (obeyed, fleet.find(&name)) {
-                (Some(obeyed), _) => ledger.answered(&name, fence, obeyed),
-                (None, Some(upstream)) => ledger.unanswered(upstream, fence),
+                (Some(obeyed), _) => ledger.record_answer(&name, fence, obeyed),
+                (None, Some(upstream)) => ledger.record_no_answer(upstream, fence),
                 (None, None) => false,
             };
         }
@@ -190,13 +190,13 @@
 }
 
 fn starts<'a>(
-    starts: &'a mut Option<(usize, Starts)>,
+    starts: &'a mut Option<(usize, LoadLimiter)>,
     core: &Core,
     halls: usize,
-) -> &'a mut Starts {
+) -> &'a mut LoadLimiter {
     if starts.as_ref().is_none_or(|(n, _)| *n != halls) {
         let store = core.settings.planner.store;
-        let made = Starts::new(store.loads_per_second, store.concurrent, halls);
+        let made = LoadLimiter::new(store.loads_per_second, store.concurrent, halls);
         *starts = Some((halls, made));
     }
     &mut starts.as_mut().expect("it was just made").1
@@ -215,17 +215,17 @@
 }
 
 /// Models of a bundle as the planner wants them.
-pub fn wants(bundle: &InForce) -> Vec<Want> {
+pub fn wants(bundle: &InForce) -> Vec<Spec> {
     let intent = &bundle.intent;
     let adapters = |model: &Name| {
         let of = intent.adapters.iter().filter(|(_, a)| a.model == *model);
         of.map(|(name, a)| (name.clone(), a.memory)).collect()
     };
-    let want = |(name, model): (&Name, &bundle::intent::Model)| Want {
+    let want = |(name, model): (&Name, &bundle::intent::Model)| Spec {
         model: name.clone(),
         version: model.version.clone(),
         memory: model.memory,
-        least: model.least,
+        min_replicas: model.least,
         priority: intent.classes.get(&model.class).map_or(0, |c| c.priority),
         adapters: adapters(name),
     };
@@ -278,7 +278,7 @@
             report: entry.report.clone()?,
             leaving: entry.is_leaving(),
             fencing: bundle.intent.upstreams.checks_fences(&entry.host.name),
-            silent: false,
+            unreachable: false,
         })
     });
     Fleet {
--- a/crates/front/src/grant.rs
+++ b/crates/front/src/grant.rs
@@ -21,7 +21,7 @@
     /// Units that are to be left for what is more urgent.
     pub reserved: f64,
     /// Whether nothing else can take the request, so that it comes again.
-    pub queues: bool,
+    pub will_retry: bool,
 }
 
 /// Units that were given for one request.
@@ -30,7 +30,7 @@
     subject: Subject,
     units: f64,
     /// When they were asked for.
-    asked: Time,
+    requested: Time,
     source: Source,
 }
 
@@ -70,9 +70,9 @@
         host: state.settings.name.clone(),
         subject: wanted.subject.clone(),
         units: wanted.units as f32,
-        kept: wanted.reserved as f32,
-        queues: wanted.queues,
-        alone: untold as f32,
+        reserved: wanted.reserved as f32,
+        will_retry: wanted.will_retry,
+        local_use: untold as f32,
     };
     let answer = peers.request_quota(question, tries).await.and_then(answer);
     let Some(answer) = answer else {
@@ -91,11 +91,17 @@
 /// What a verdict says; none where the host that was asked does not give out.
 fn answer(verdict: QuotaResponse) -> Option<Decision> {
     match verdict {
-        QuotaResponse::Given { all, left } => Some(Decision::Granted(Usage {
+        QuotaResponse::Granted {
+            granted: all,
+            available: left,
+        } => Some(Decision::Granted(Usage {
             granted: f64::from(all),
             available: f64::from(left),
         })),
-        QuotaResponse::Refused { wait_ms, left } => Some(Decision::Denied(Refusal {
+        QuotaResponse::Refused {
+            retry_after_ms: wait_ms,
+            available: left,
+        } => Some(Decision::Denied(Refusal {
             retry_after: Span::from_ms(u64::from(wait_ms)),
             available: f64::from(left),
         })),
@@ -119,7 +125,7 @@
             peers: peers.clone(),
             subject: self.subject,
             units: self.units,
-            asked,
+            requested: asked,
             source,
         }
     }
@@ -128,12 +134,12 @@
 impl Grant {
     /// Gives the units back: the request did not use them.
     pub async fn refund(self, state: &State) {
-        let age = state.now().since(self.asked);
+        let age = state.now().since(self.requested);
         if self.source == Source::Share || age > REFUND_WINDOW {
             return;
         }
         state.shares.with(&self.subject, |share| {
-            share.refund(self.units, self.asked);
+            share.refund(self.units, self.requested);
         });
         self.peers.refund(self.subject, self.units, age).await;
     }
--- a/crates/front/src/peers/load_reports.rs
+++ b/crates/front/src/peers/load_reports.rs
@@ -113,8 +113,8 @@
         };
         let sums = LoadReport {
             adapter_uses: used,
-            absent,
-            resting,
+            unreachable: absent,
+            backing_off: resting,
             ..self.sums(round, demand, loads)
         };
         if leader.peers == self.state.settings.peers {
@@ -139,10 +139,10 @@
             demand,
             loads,
             adapter_uses: Vec::new(),
-            absent: Vec::new(),
-            resting: Vec::new(),
-            store_failed: readers::is_cut(&self.state),
-            store,
+            unreachable: Vec::new(),
+            backing_off: Vec::new(),
+            store_failed: readers::store_failed_recently(&self.state),
+            store_uptime: store,
         }
     }
 }
--- a/crates/front/src/readers.rs
+++ b/crates/front/src/readers.rs
@@ -14,7 +14,7 @@
 mod selection;
 mod server;
 
-pub use client::{Error, Heard, ask};
+pub use client::{Error, StoreUpdate, ask};
 pub use selection::{Candidate, choose};
 pub use server::answer;
 
@@ -46,9 +46,9 @@
     /// What this host can pass on.
     pub recent: Mutex<Changelog>,
     /// Notified when there is something new to pass on.
-    pub news: Notify,
+    pub updated: Notify,
     /// Notified when this host is named as one that reads the store for others.
-    pub chosen: Notify,
+    pub promoted: Notify,
     /// Readers of all halls, as the leader told last.
     known: Mutex<Vec<Reader>>,
     /// Readers that failed, and the store's own address if it did, and until when none is asked.
@@ -65,7 +65,7 @@
     /// Where it answers other hosts.
     pub addr: SocketAddr,
     /// Whether it reads the store; the other readers ask those that do.
-    pub head: bool,
+    pub root: bool,
 }
 
 /// What a host has to do with reading the store.
@@ -84,24 +84,24 @@
     ///
     /// A list that names nobody else is that of a leader whom no other host tells anything, as when it is cut off:
     /// the one before stays, so that it can still ask those hosts.
-    pub fn set(&self, readers: Vec<Reader>, own: SocketAddr) {
+    pub fn assign(&self, readers: Vec<Reader>, own: SocketAddr) {
         if readers.iter().all(|r| r.addr == own) && self.role(own) != Role::Other {
             return;
         }
         let before = self.role(own);
         *self.known.lock() = readers;
         if before != Role::Head && self.role(own) == Role::Head {
-            self.chosen.notify_waiters();
+            self.promoted.notify_waiters();
         }
     }
 
     /// Does not ask a reader, or the store, for a while.
-    pub fn avoid(&self, addr: SocketAddr, now: Time) {
+    pub fn mark_failed(&self, addr: SocketAddr, now: Time) {
         self.avoided.lock().insert(addr, now + AVOIDED);
     }
 
     /// Does not ask a reader that failed in some way for a while.
-    pub fn avoid_for(&self, addr: SocketAddr, why: &Error, now: Time) {
+    pub fn mark_reader_failed(&self, addr: SocketAddr, why: &Error, now: Time) {
         let span = match why {
             Error::Old { .. } => OLD_AVOIDED,
             _ => AVOIDED,
@@ -110,19 +110,19 @@
     }
 
     /// Whether a reader, or the store, failed this host a moment ago.
-    pub fn is_avoided(&self, addr: &SocketAddr, now: Time) -> bool {
+    pub fn failed_recently(&self, addr: &SocketAddr, now: Time) -> bool {
         let mut avoided = self.avoided.lock();
         avoided.retain(|_, until| now < *until);
         avoided.contains_key(addr)
     }
 
     /// When the first of those that failed may be asked again.
-    pub fn next_chance(&self) -> Option<Time> {
+    pub fn next_retry(&self) -> Option<Time> {
         self.avoided.lock().values().min().copied()
     }
 
     /// Who reads, as the leader told last.
-    pub fn named(&self) -> Vec<Reader> {
+    pub fn assigned(&self) -> Vec<Reader> {
         self.known.lock().clone()
     }
 
@@ -130,7 +130,7 @@
     fn role(&self, addr: SocketAddr) -> Role {
         let known = self.known.lock();
         match known.iter().find(|r| r.addr == addr) {
-            Some(reader) if reader.head => Role::Head,
+            Some(reader) if reader.root => Role::Head,
             Some(_) => Role::Reader,
             None => Role::Other,
         }
@@ -138,36 +138,39 @@
 }
 
 /// Whether this host reads the store for others, by what the leader told last.
-pub fn reads(state: &State) -> bool {
+pub fn is_root(state: &State) -> bool {
     state.readers.role(state.settings.peers) == Role::Head
 }
 
 /// Whether so few hosts are there that each reads the store itself.
-pub fn is_direct(state: &State) -> bool {
+pub fn is_small_fleet(state: &State) -> bool {
     state.table.lock().host_count <= MOST_DIRECT
 }
 
 /// Whether the store failed this host a moment ago.
-pub fn is_cut(state: &State) -> bool {
-    state.readers.is_avoided(&state.settings.store, state.now())
+pub fn store_failed_recently(state: &State) -> bool {
+    state
+        .readers
+        .failed_recently(&state.settings.store, state.now())
 }
 
 /// Reader that this host hears from now; none when it reads the store itself.
 pub fn source(state: &State) -> Option<SocketAddr> {
     let now = state.now();
-    let is_cut = is_cut(state);
+    let is_cut = store_failed_recently(state);
     let settings = &state.settings;
     let role = state.readers.role(settings.peers);
-    if !is_cut && (is_direct(state) || state.leads() || role == Role::Head) {
+    if !is_cut && (is_small_fleet(state) || state.leads() || role == Role::Head) {
         return None;
     }
     let known = state.readers.known.lock();
-    let sound = |r: &&Reader| r.addr != settings.peers && !state.readers.is_avoided(&r.addr, now);
+    let sound =
+        |r: &&Reader| r.addr != settings.peers && !state.readers.failed_recently(&r.addr, now);
     // Heads and readers ask heads only: if they asked those that ask them, news would go in a circle
     // and grow old, while the store is there.
     let fits = |r: &&Reader| match role {
-        Role::Other => is_cut || r.head || r.hall == settings.hall,
-        Role::Head | Role::Reader => r.head,
+        Role::Other => is_cut || r.root || r.hall == settings.hall,
+        Role::Head | Role::Reader => r.root,
     };
     // In its own hall a host asks any reader, so that a head does not answer all of its hall.
     let rank = |r: &&Reader| {
@@ -175,7 +178,7 @@
         let own_hall = r.hall == settings.hall;
         (
             own_hall,
-            !own_hall && r.head,
+            !own_hall && r.root,
             rendezvous::hash(words.as_bytes()),
         )
     };
@@ -184,20 +187,20 @@
 }
 
 /// Keeps changes up to a revision, at which the store stood at `confirmed`, to pass them on.
-pub fn note(state: &State, changes: &[Change], revision: u64, confirmed: Time) {
+pub fn record_changes(state: &State, changes: &[Change], revision: u64, confirmed: Time) {
     let mut recent = state.readers.recent.lock();
     let is_news = revision > recent.revision();
     recent.extend(changes.iter().cloned(), revision, confirmed);
     drop(recent);
     if is_news {
-        state.readers.news.notify_waiters();
+        state.readers.updated.notify_waiters();
     }
 }
 
 /// Keeps the whole store as a reader told it, to pass it on.
-pub fn note_whole(state: &State, items: &[Item], revision: u64, confirmed: Time) {
+pub fn record_snapshot(state: &State, items: &[Item], revision: u64, confirmed: Time) {
     let mut recent = state.readers.recent.lock();
     recent.reset(items, revision, confirmed);
     drop(recent);
-    state.readers.news.notify_waiters();
+    state.readers.updated.notify_waiters();
 }
--- a/crates/front/src/relay/resume.rs
+++ b/crates/front/src/relay/resume.rs
@@ -26,8 +26,8 @@
         if *why == Failure::TimedOut || !repeatable || !quarantine::may_retry(&state, &call) {
             return false;
         }
-        self.splitter.rest();
-        let last = self.splitter.last().or(call.ask.last_event);
+        self.splitter.take_remainder();
+        let last = self.splitter.last_id().or(call.ask.last_event);
         for _ in 0..MOST_SENDINGS {
             if !self.tried.may_run(&call) || state.now() >= call.deadline {
                 return false;
--- a/crates/front/tests/fanout.rs
+++ b/crates/front/tests/fanout.rs
@@ -5,7 +5,7 @@
 use front::Daemon;
 use front::message::{Demand, LoadReport, PackedLoad, replica_hash};
 use front::peers::Inbox;
-use front::peers::fanout::{self, Part};
+use front::peers::fanout::{self, Group};
 use front::readers::Candidate;
 use front::table::Table;
 use platform::ingress;
@@ -41,9 +41,9 @@
                 hosts.push(candidate(hall, port, (i % 3) as f32, i % 4 == 3));
             }
         }
-        let parts = fanout::cut(hosts.clone());
+        let parts = fanout::plan(hosts.clone());
         let mut told = HashSet::new();
-        for Part { relay, others } in &parts {
+        for Group { relay, members: others } in &parts {
             prop_assert!(others.len() < 32, "{}", others.len());
             let find = |addr: &SocketAddr| hosts.iter().find(|h| h.addr == *addr).unwrap();
             prop_assert!(!find(relay).silent);
@@ -90,7 +90,7 @@
         loads: (0..loads)
             .map(|i| PackedLoad::new(&format!("i-{i}"), &load))
             .collect(),
-        absent: (0..absent as u32).collect(),
+        unreachable: (0..absent as u32).collect(),
         ..LoadReport::default()
     }
 }
@@ -169,7 +169,7 @@
         };
         let sums = LoadReport {
             host: format!("h{host}").into(),
-            resting,
+            backing_off: resting,
             ..sums(1, 1, 0)
         };
         inbox.record_report(sums, addr(host), at(0));
--- a/crates/front/tests/site/mod.rs
+++ b/crates/front/tests/site/mod.rs
@@ -23,7 +23,7 @@
 use unit::{Span, Time};
 
 /// Longest wait for something that must come.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
 /// Time between two writings of a replica's entry.
 pub const HEARTBEAT: Span = Span::from_ms(1_200);
@@ -91,18 +91,18 @@
 }
 
 /// Body of requests that end the process of each replica of [`fragile`] that begins to run them.
-pub const FATAL: &str = "fatal";
+pub const FATAL_BODY: &str = "fatal";
 
 /// Time until a replica whose process a request has ended is back.
-pub const BACK: Duration = Duration::from_millis(400);
+pub const RESTART_TIME: Duration = Duration::from_millis(400);
 
 /// Starts a replica of the plain service that a request may end.
-pub async fn fragile(store: &Store, id: &str) -> Replica {
+pub async fn crashing_replica(store: &Store, id: &str) -> Replica {
     let options = Options {
         id: id.into(),
         service: "web".into(),
         models: Vec::new(),
-        fatal: Some((FATAL, BACK)),
+        fatal: Some((FATAL_BODY, RESTART_TIME)),
         pace: Duration::from_millis(30),
         ..Options::default()
     };
@@ -110,10 +110,10 @@
 }
 
 /// Starts a replica of the model service that a request may end.
-pub async fn fragile_engine(store: &Store, id: &str) -> Replica {
+pub async fn crashing_engine(store: &Store, id: &str) -> Replica {
     let options = Options {
         id: id.into(),
-        fatal: Some((FATAL, BACK)),
+        fatal: Some((FATAL_BODY, RESTART_TIME)),
         ..Options::default()
     };
     replica::spawn(store, options).await.unwrap()
@@ -194,7 +194,7 @@
 }
 
 /// Starts a host that reaches the store through a proxy.
-pub async fn behind_a_proxy(store: &Store, name: &str) -> (Daemon, Proxy) {
+pub async fn daemon_behind_proxy(store: &Store, name: &str) -> (Daemon, Proxy) {
     let way = proxy::spawn(store.addr).await.unwrap();
     let settings = Settings {
         store: way.addr,
@@ -207,7 +207,7 @@
 
 /// Lets a host hear of the store from no other one and ignore the leader, as behind a partition; gives back who
 /// leads.
-pub fn keep_alone(host: &Daemon) -> Option<Leader> {
+pub fn isolate(host: &Daemon) -> Option<Leader> {
     let state = host.state();
     let mut leader = state.leader.lock();
     let known = leader.clone();
@@ -217,15 +217,15 @@
     let nobody = Reader {
         hall: "a".into(),
         addr: ports::free(),
-        head: true,
+        root: true,
     };
-    state.readers.set(vec![nobody], state.settings.peers);
+    state.readers.assign(vec![nobody], state.settings.peers);
     known
 }
 
 /// Waits until something holds.
 pub async fn until(holds: impl Fn() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + WAIT_LIMIT;
     while !holds() {
         assert!(Instant::now() < end, "it does not come to hold");
         tokio::time::sleep(Duration::from_millis(10)).await;
@@ -300,7 +300,7 @@
 }
 
 /// Statuses of the requests that were sent, a path each 25 ms in turn over hosts and paths, for a time.
-pub async fn press(hosts: &[Daemon], paths: &[&'static str], time: Duration) -> Vec<u16> {
+pub async fn send_load(hosts: &[Daemon], paths: &[&'static str], time: Duration) -> Vec<u16> {
     let end = Instant::now() + time;
     let mut asked = JoinSet::new();
     for n in 0.. {
@@ -324,8 +324,8 @@
 ) -> (String, Answer) {
     let host = callers.to_string().parse().unwrap();
     request.headers_mut().insert(replica::FROM, host);
-    let mut line = Line::open(callers, PATIENCE).await.unwrap();
-    let reply = line.exchange(request, PATIENCE, 1 << 20).await;
+    let mut line = Line::open(callers, WAIT_LIMIT).await.unwrap();
+    let reply = line.exchange(request, WAIT_LIMIT, 1 << 20).await;
     (id, Answer(reply))
 }
 
--- a/crates/place/tests/world/mod.rs
+++ b/crates/place/tests/world/mod.rs
@@ -2,7 +2,7 @@
 
 use place::homes::{Hall, Homes};
 use place::ledger::Ledger;
-use place::plan::{Need, Situation, Starts, Want, plan};
+use place::plan::{Demand, Input, LoadLimiter, Spec, plan};
 use place::{Fleet, Upstream};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -125,7 +125,7 @@
     lines: Vec<Option<Line>>,
     outbox: Vec<(usize, u64, Order)>,
     writes: u64,
-    starts: Starts,
+    limiter: LoadLimiter,
 }
 
 /// Order on its way.
@@ -148,8 +148,8 @@
     /// Writes whose answers were lost and that may land yet.
     late: Vec<(u64, Ledger)>,
     homes: Homes,
-    wants: Vec<Want>,
-    needs: BTreeMap<Name, Need>,
+    specs: Vec<Spec>,
+    demand: BTreeMap<Name, Demand>,
     lost: Option<String>,
     /// When each order was decided, by its fence.
     decided: BTreeMap<Fence, u64>,
@@ -187,7 +187,7 @@
             lines: vec![None; ENGINES],
             outbox: Vec::new(),
             writes: 0,
-            starts: Starts::new(1e6, 1_000, 1),
+            limiter: LoadLimiter::new(1e6, 1_000, 1),
         });
         let mut world = World {
             engines: engines.collect(),
@@ -199,8 +199,8 @@
             revision: 0,
             late: Vec::new(),
             homes: Homes::default(),
-            wants: Vec::new(),
-            needs: BTreeMap::new(),
+            specs: Vec::new(),
+            demand: BTreeMap::new(),
             lost: None,
             decided: BTreeMap::new(),
             taken: BTreeMap::new(),
@@ -210,16 +210,16 @@
             trace: Vec::new(),
             rng,
         };
-        world.wants = (0..MODELS).map(|i| world.want(i)).collect();
+        world.specs = (0..MODELS).map(|i| world.spec(i)).collect();
         world
     }
 
-    fn want(&mut self, i: usize) -> Want {
-        Want {
+    fn spec(&mut self, i: usize) -> Spec {
+        Spec {
             model: format!("m{i}").into(),
             version: format!("{}", self.rng.random_range(1..3)).into(),
             memory: Bytes::from_gb(self.rng.random_range(4..9)),
-            least: self.rng.random_range(1..3),
+            min_replicas: self.rng.random_range(1..3),
             priority: 5,
             adapters: Vec::new(),
         }
@@ -353,18 +353,18 @@
             memory: Bytes::from_gb(MEMORY * ENGINES as u64),
         }];
         let homes = self.homes.clone();
-        let situation = Situation {
+        let input = Input {
             now: Time(self.now),
             wall_ms: 0,
             hall: &hall,
             halls: &halls,
-            wants: &self.wants,
+            specs: &self.specs,
             fleet: &fleet,
-            elsewhere: &Fleet::default(),
+            other_halls: &Fleet::default(),
             homes: &homes,
-            needs: &self.needs,
-            attainment: 1.0,
-            moves: 0.1,
+            demand: &self.demand,
+            attainment_weight: 1.0,
+            move_cost: 0.1,
         };
         let planner = &mut self.planners[p];
         let before = planner.ledger.open.clone();
@@ -374,7 +374,7 @@
         if !self.guards.seen {
             planner.ledger.seen.clear();
         }
-        let planned = plan(&situation, &mut planner.ledger, &mut planner.starts);
+        let planned = plan(&input, &mut planner.ledger, &mut planner.limiter);
         for (_, order) in &planned.orders {
             self.decided.insert(order.fence, self.now);
         }
@@ -385,7 +385,10 @@
         for model in &planned.joins {
             self.homes.join(model, &hall);
         }
-        self.queue(p, planned.orders.into_iter().chain(planned.again).collect());
+        self.queue(
+            p,
+            planned.orders.into_iter().chain(planned.resends).collect(),
+        );
         false
     }
 
@@ -433,7 +436,7 @@
                 report: line.report.clone(),
                 leaving: false,
                 fencing: engine.fencing,
-                silent: false,
+                unreachable: false,
             })
         });
         Fleet {
@@ -479,7 +482,7 @@
             return;
         }
         if let Some(upstream) = fleet.find(&name) {
-            planner.changed |= planner.ledger.unanswered(upstream, fence);
+            planner.changed |= planner.ledger.record_no_answer(upstream, fence);
         }
     }
 
@@ -505,7 +508,7 @@
         if answered {
             let planner = &mut self.planners[flight.planner];
             let fence = flight.order.fence;
-            planner.changed |= planner.ledger.answered(&name, fence, obeyed);
+            planner.changed |= planner.ledger.record_answer(&name, fence, obeyed);
         }
     }
 
@@ -581,14 +584,14 @@
     fn roll(&mut self) -> bool {
         let i = self.pick(MODELS);
         if self.pick(2) == 0 {
-            let mut want = self.want(i);
+            let mut spec = self.spec(i);
             // Another size is another version's: weights of one name have one size.
-            want.version = format!("{}", self.now).into();
-            self.wants[i] = want;
+            spec.version = format!("{}", self.now).into();
+            self.specs[i] = spec;
         }
-        let model = self.wants[i].model.clone();
+        let model = self.specs[i].model.clone();
         let rate = f64::from(self.rng.random_range(0..40));
-        self.needs.insert(model, Need { rate, work: 0.05 });
+        self.demand.insert(model, Demand { rate, work: 0.05 });
         false
     }
 }
