--- a/crates/route/src/choose.rs
+++ b/crates/route/src/choose.rs
@@ -130,16 +130,21 @@
 }
 
 /// Explains a selection: the cost of every candidate and why it was not chosen.
-pub fn evaluate(request: &Request, candidates: &[Candidate], taken: usize) -> Vec<Evaluation> {
+pub fn evaluate(request: &Request, candidates: &[Candidate], selected: usize) -> Vec<Evaluation> {
     let eligible = eligible(request, candidates);
     let mean = mean_reported(candidates);
     let preferred = preferred(request, candidates, &eligible);
-    let chosen = cost(request, &candidates[taken], mean, preferred == Some(taken));
+    let chosen = cost(
+        request,
+        &candidates[selected],
+        mean,
+        preferred == Some(selected),
+    );
     let evaluation = |(i, c): (usize, &Candidate)| {
         let is_preferred = preferred == Some(i);
         let costlier = cost(request, c, mean, is_preferred) >= chosen;
         let exclusion = match () {
-            _ if i == taken => None,
+            _ if i == selected => None,
             _ if eligible.contains(&i) && costlier => Some(Exclusion::Costlier),
             _ if eligible.contains(&i) => Some(Exclusion::NotSampled),
             _ if c.in_flight >= c.limit => Some(Exclusion::Full),
--- a/crates/route/tests/quota.rs
+++ b/crates/route/tests/quota.rs
@@ -66,7 +66,7 @@
 struct Outcome {
     /// Time and units of the requests that ran.
     ran: Vec<(u64, f64)>,
-    asked: f64,
+    requested: f64,
     refused: f64,
 }
 
@@ -100,7 +100,7 @@
     let mut recovers_at = 0;
     let mut outcome = Outcome {
         ran: Vec::new(),
-        asked: 0.0,
+        requested: 0.0,
         refused: 0.0,
     };
     // Pending refunds: due time, host, units, time of the grant.
@@ -137,9 +137,9 @@
             burst: load.rate * load.burst_s * factor,
         };
         while refunds.front().is_some_and(|(due, ..)| *due <= ms) {
-            let (_, index, count, given) = refunds.pop_front().unwrap();
+            let (_, index, count, granted_at) = refunds.pop_front().unwrap();
             let host = &mut hosts[index];
-            host.share.refund(count, at(given));
+            host.share.refund(count, at(granted_at));
             if let Some(limiter) = limiter.as_mut().filter(|_| ms >= host.partitioned_until) {
                 let units = Units {
                     subject: &account,
@@ -149,7 +149,7 @@
                     reserved: 0.0,
                     will_retry: true,
                 };
-                limiter.refund(units, at(given), now);
+                limiter.refund(units, at(granted_at), now);
             }
         }
         let demand = if half { load.demand.1 } else { load.demand.0 };
@@ -165,7 +165,7 @@
                 continue;
             }
             let counted = if ms >= WARM_UP_MS { count } else { 0.0 };
-            outcome.asked += counted;
+            outcome.requested += counted;
             let units = Units {
                 subject: &account,
                 limit,
@@ -176,7 +176,7 @@
             };
             let unreported = host.share.unreported();
             let arrives = reaches && !rng.random_bool(faults.loss);
-            let given = limiter.as_mut().filter(|_| arrives).map(|limiter| {
+            let answer = limiter.as_mut().filter(|_| arrives).map(|limiter| {
                 limiter.record_local_use(
                     Units {
                         count: unreported,
@@ -186,22 +186,22 @@
                 );
                 limiter.acquire(units, now)
             });
-            let given = given.filter(|_| !rng.random_bool(faults.loss));
-            let runs = match given {
-                Some(given) => {
+            let answer = answer.filter(|_| !rng.random_bool(faults.loss));
+            let runs = match answer {
+                Some(answer) => {
                     host.share.record_answer(now, unreported);
-                    if let Ok(usage) = given {
+                    if let Ok(usage) = answer {
                         host.share.record_grant(count, usage, now);
                     }
-                    given.is_ok()
+                    answer.is_ok()
                 }
                 None => host.share.acquire_local(limit, count, now).is_ok(),
             };
             match runs {
-                true if given.is_some() && rng.random_bool(faults.refused) => {
+                true if answer.is_some() && rng.random_bool(faults.refused) => {
                     let due = ms + rng.random_range(5..450);
-                    let place = refunds.partition_point(|(other, ..)| *other <= due);
-                    refunds.insert(place, (due, index, count, ms));
+                    let position = refunds.partition_point(|(other, ..)| *other <= due);
+                    refunds.insert(position, (due, index, count, ms));
                 }
                 true => outcome.ran.push((ms, count)),
                 false => outcome.refused += counted,
@@ -312,10 +312,13 @@
         demand: (0.6, 0.6),
     };
     let outcomes = (0..50).map(|seed| simulate(load, Faults::default(), seed));
-    let (refused, asked) = outcomes.fold((0.0, 0.0), |(refused, asked), outcome| {
-        (refused + outcome.refused, asked + outcome.asked)
+    let (refused, requested) = outcomes.fold((0.0, 0.0), |(refused, requested), outcome| {
+        (refused + outcome.refused, requested + outcome.requested)
     });
-    assert!(refused <= asked * max, "{refused} of {asked} units refused");
+    assert!(
+        refused <= requested * max,
+        "{refused} of {requested} units refused"
+    );
 }
 
 /// An account that sends 4.2 times its limit gets the full limit.
@@ -351,7 +354,7 @@
         ..Faults::default()
     };
     let outcome = simulate(load, partitioned, 3);
-    let fraction = outcome.refused / outcome.asked;
+    let fraction = outcome.refused / outcome.requested;
     assert!(fraction < 0.02, "fraction {fraction} refused");
 }
 
@@ -369,7 +372,7 @@
         ..Faults::default()
     };
     let outcome = simulate(load, failover, 5);
-    let fraction = outcome.refused / outcome.asked;
+    let fraction = outcome.refused / outcome.requested;
     assert!(fraction < 0.03, "fraction {fraction} refused");
 }
 
