--- a/crates/front/src/attempt.rs
+++ b/crates/front/src/attempt.rs
@@ -219,10 +219,10 @@
 }
 
 /// Longest refusal that is read to keep its connection, in bytes.
-const MOST_REFUSAL: usize = 64 * 1024;
+const MAX_REFUSAL: usize = 64 * 1024;
 
 /// Time in which a refusal's body must have come for its connection to be kept.
-const REFUSAL_LIMIT: Duration = Duration::from_millis(50);
+const REFUSAL_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// Reads what is left of a refusal and keeps its connection, if that may be kept.
 async fn give_back(
@@ -236,14 +236,14 @@
     if !said.keeps_connection {
         return;
     }
-    let read = Limited::new(response.into_body(), MOST_REFUSAL).collect();
-    if matches!(tokio::time::timeout(REFUSAL_LIMIT, read).await, Ok(Ok(_))) {
+    let read = Limited::new(response.into_body(), MAX_REFUSAL).collect();
+    if matches!(tokio::time::timeout(REFUSAL_TIMEOUT, read).await, Ok(Ok(_))) {
         state.pool.give(replica, line, said.keeps_for, state.now());
     }
 }
 
 /// Time taken off what is left, for the way back of the answer.
-const WAY_BACK: Span = Span::from_ms(5);
+const RETURN_LATENCY: Span = Span::from_ms(5);
 
 /// Request as it goes to the replica, which needs the permit for it.
 fn request(
@@ -254,7 +254,7 @@
     last_event: Option<u64>,
     account: Option<&str>,
 ) -> Request<Body> {
-    let left = Span::from(call.remaining(state.now())).saturating_sub(WAY_BACK);
+    let left = Span::from(call.remaining(state.now())).saturating_sub(RETURN_LATENCY);
     let mut request = Request::new(Body::new(call.body.clone()));
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.uri.clone();
--- a/crates/front/src/changelog.rs
+++ b/crates/front/src/changelog.rs
@@ -7,7 +7,7 @@
 
 /// Time for which a removal is remembered. A host that asks has seen a revision this young; one
 /// that has not reads the store.
-const REMOVALS_KEPT: Span = Span::from_secs(30);
+const REMOVAL_RETENTION: Span = Span::from_secs(30);
 
 /// The store's items by key with the newest change of each, as far as this host has heard.
 #[derive(Debug, Default)]
@@ -57,7 +57,7 @@
     fn forget(&mut self, now: Time) {
         let floor = &mut self.floor;
         self.changes.retain(|_, (change, at)| {
-            let stays = matches!(change, Change::Written(_)) || now.since(*at) < REMOVALS_KEPT;
+            let stays = matches!(change, Change::Written(_)) || now.since(*at) < REMOVAL_RETENTION;
             if !stays {
                 *floor = (*floor).max(change.revision());
             }
--- a/crates/front/src/pool.rs
+++ b/crates/front/src/pool.rs
@@ -12,19 +12,19 @@
 use unit::{Name, Span, Time};
 
 /// Idle age up to which a connection carries a request that may not be repeated.
-const FRESH: Span = Span::from_ms(800);
+const MAX_IDLE_UNREPEATABLE: Span = Span::from_ms(800);
 
 /// Idle time of a connection whose replica does not say how long it keeps one.
-const KEPT: Duration = Duration::from_secs(4);
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
 
 /// Time before the replica's own limit at which a connection is no longer used.
-const MARGIN: Duration = Duration::from_millis(1_000);
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(1_000);
 
 /// Time allowed to open a connection: a lost opening packet is sent again after a second.
-const CONNECT_LIMIT: Duration = Duration::from_millis(1_200);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// Idle connections kept for one replica.
-const KEPT_PER_REPLICA: usize = 24;
+const MAX_IDLE_PER_REPLICA: usize = 24;
 
 struct Idle {
     line: Line,
@@ -46,7 +46,7 @@
         lines.retain(|kept| kept.until > now && kept.line.is_idle());
         // The one used last stands last.
         let newest = lines.last()?;
-        if !repeatable && now.since(newest.since) > FRESH {
+        if !repeatable && now.since(newest.since) > MAX_IDLE_UNREPEATABLE {
             return None;
         }
         lines.pop().map(|kept| kept.line)
@@ -54,21 +54,21 @@
 
     /// Opens a connection.
     pub async fn open(&self, addr: SocketAddr, left: Duration) -> Result<Line, Error> {
-        Line::open(addr, CONNECT_LIMIT.min(left)).await
+        Line::open(addr, CONNECT_TIMEOUT.min(left)).await
     }
 
     /// Gives a connection back once its answer was read whole.
     pub fn give(&self, replica: &Name, line: Line, keeps_for: Option<Duration>, now: Time) {
-        let keeps_for = keeps_for.unwrap_or(KEPT + MARGIN);
+        let keeps_for = keeps_for.unwrap_or(DEFAULT_KEEP_ALIVE + KEEP_ALIVE_MARGIN);
         let Some(until) = keeps_for
-            .checked_sub(MARGIN)
+            .checked_sub(KEEP_ALIVE_MARGIN)
             .map(|left| now + Span::from(left))
         else {
             return;
         };
         let mut idle = self.idle.lock();
         let lines = idle.entry(replica.clone()).or_default();
-        if lines.len() < KEPT_PER_REPLICA {
+        if lines.len() < MAX_IDLE_PER_REPLICA {
             lines.push(Idle {
                 line,
                 since: now,
--- a/crates/front/src/queue.rs
+++ b/crates/front/src/queue.rs
@@ -13,13 +13,13 @@
 use unit::{Name, Time};
 
 /// Requests that may wait for one model; more are refused.
-const MOST_WAITING: usize = 512;
+const MAX_WAITING: usize = 512;
 
 /// Pause after which is tried again although nothing was heard of the replicas.
-const LOOK: Duration = Duration::from_millis(25);
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Highest priority of a ticket, which the most urgent rank gets.
-const HIGHEST: u8 = 9;
+const MAX_PRIORITY: u8 = 9;
 
 /// What waits together: the same service, model and adapter.
 type Key = (Name, Option<Name>, Option<Name>);
@@ -63,14 +63,14 @@
         let queue = self
             .queues
             .entry(key(call))
-            .or_insert_with(|| Queue::new(MOST_WAITING));
+            .or_insert_with(|| Queue::new(MAX_WAITING));
         // A ticket that the queue sheds closes its channel by being dropped.
         let _ = queue.push(
             now,
             Ticket {
                 caller: call.route.name.clone(),
                 weight: 1,
-                priority: HIGHEST.saturating_sub(call.priority),
+                priority: MAX_PRIORITY.saturating_sub(call.priority),
                 arrived: call.arrived,
                 deadline: until,
                 payload: Waiter {
@@ -114,7 +114,7 @@
         match idle {
             true => state.changed.notified().await,
             false => {
-                let _ = tokio::time::timeout(LOOK, state.changed.notified()).await;
+                let _ = tokio::time::timeout(POLL_INTERVAL, state.changed.notified()).await;
             }
         }
         waiting.lock().dispatch(&state);
--- a/crates/front/src/rate_limit.rs
+++ b/crates/front/src/rate_limit.rs
@@ -19,7 +19,7 @@
 use unit::Name;
 
 /// Time for the one try of a question: another replica may take the request sooner than a second try would be answered.
-const TRY: &[Duration] = QUICK.split_at(1).0;
+const SINGLE_TRY: &[Duration] = QUICK.split_at(1).0;
 
 /// Takes in what an answer says of its replica's limit. One that the replica `ran` the request for and that names no
 /// limit says that none holds any more; a refusal without one says nothing.
@@ -81,7 +81,7 @@
     };
     let wanted = wanted(&met, choice);
     let answer = match state.shares.may_ask(asked) {
-        true => grant::ask(state, peers, &wanted, TRY).await,
+        true => grant::ask(state, peers, &wanted, SINGLE_TRY).await,
         false => None,
     };
     let now = state.now();
--- a/crates/front/src/relay.rs
+++ b/crates/front/src/relay.rs
@@ -26,13 +26,13 @@
 use unit::{Span, Time};
 
 /// Longest answer that is not a stream, in bytes.
-const MOST_ANSWER: usize = 16 << 20;
+const MAX_ANSWER: usize = 16 << 20;
 
 /// Silence of a stream that may be resumed after which is looked whether its replica is gone.
-const SILENCE: Span = Span::from_ms(1_000);
+const SILENCE_CHECK: Span = Span::from_ms(1_000);
 
 /// Part of the longest pause in time from which a pause tells that a replica is slow.
-const LONG_PART: f64 = 0.7;
+const LONG_PAUSE_FRACTION: f64 = 0.7;
 
 /// Whether the replica of a place is in the view, has not started again, and its entry is not missing.
 fn is_there(state: &State, place: &Reservation) -> bool {
@@ -54,7 +54,7 @@
         said,
     } = sent;
     let (head, body) = response.into_parts();
-    let read = Limited::new(body, MOST_ANSWER).collect();
+    let read = Limited::new(body, MAX_ANSWER).collect();
     let read = state.clock.timeout_at(call.deadline, read).await;
     let body = match read {
         Ok(Ok(body)) => body.to_bytes(),
@@ -225,7 +225,7 @@
         let pause = now.since(self.last_event);
         self.last_event = now;
         let gap = self.call.route.gap.map(Span::from);
-        let long = gap.is_some_and(|gap| pause > gap * LONG_PART);
+        let long = gap.is_some_and(|gap| pause > gap * LONG_PAUSE_FRACTION);
         if let Some(source) = self.source.as_ref().filter(|_| long) {
             let mut table = self.state.table.lock();
             table.record_slow_event(&source.place.replica, now);
@@ -287,7 +287,7 @@
             return Ok(None);
         };
         loop {
-            let silence = clock.now() + SILENCE;
+            let silence = clock.now() + SILENCE_CHECK;
             let until = match resumable {
                 true => deadline.min(silence),
                 false => deadline,
--- a/crates/front/src/relay/resume.rs
+++ b/crates/front/src/relay/resume.rs
@@ -9,10 +9,10 @@
 use unit::Span;
 
 /// Time for which a broken stream waits for room at a replica in need or at rest: clients give a stream up after a gap of two seconds.
-const RESUMES_WITHIN: Span = Span::from_ms(1_500);
+const RESUME_TIMEOUT: Span = Span::from_ms(1_500);
 
 /// Sendings of one stream that broke, the refused ones included.
-const MOST_SENDINGS: usize = 5;
+const MAX_SENDS: usize = 5;
 
 impl Relay {
     /// Takes the stream up at another replica; tells whether that was possible.
@@ -28,7 +28,7 @@
         }
         self.splitter.rest();
         let last = self.splitter.last().or(call.ask.last_event);
-        for _ in 0..MOST_SENDINGS {
+        for _ in 0..MAX_SENDS {
             if !self.tried.may_run(&call) || state.now() >= call.deadline {
                 return false;
             }
@@ -73,7 +73,7 @@
     /// all that could are in need.
     async fn next_replica(&self) -> Option<(Choice, Option<Grant>)> {
         let (state, call) = (&self.state, &self.call);
-        let give_up = state.now() + RESUMES_WITHIN;
+        let give_up = state.now() + RESUME_TIMEOUT;
         loop {
             let now = state.now();
             let want = Criteria {
--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -23,16 +23,16 @@
 use unit::{Span, Time};
 
 /// When a client may come back that found no configuration or no replica at all.
-const RETURN_LATER: Span = Span::from_ms(1_000);
+const RETRY_LATER: Span = Span::from_ms(1_000);
 
 /// Least and longest time after which a refused client is asked to come back.
-const RETURN_RANGE: (Span, Span) = (Span::from_ms(200), Span::from_ms(3_000));
+const RETRY_RANGE: (Span, Span) = (Span::from_ms(200), Span::from_ms(3_000));
 
 /// Pause before a request goes once more to a replica that turned it away.
-const AGAIN_PAUSE: Duration = Duration::from_millis(40);
+const RETRY_PAUSE: Duration = Duration::from_millis(40);
 
 /// Sendings of one request, the refused ones included.
-const MOST_SENDINGS: usize = 5;
+const MAX_SENDS: usize = 5;
 
 /// Where requests come in.
 #[derive(Clone)]
@@ -70,7 +70,7 @@
     let routes = state.table.lock().routes.clone();
     let routes = routes.ok_or_else(|| {
         let message = "This host has no configuration yet.";
-        Rejection::not_run("no_configuration", message, RETURN_LATER)
+        Rejection::not_run("no_configuration", message, RETRY_LATER)
     })?;
     let route = read::route(state, &routes, &request)?;
     let call = Arc::new(read::call(state, &routes, route, request, arrived).await?);
@@ -127,7 +127,7 @@
         refusal: None,
         answer: None,
     };
-    for sending in 0..MOST_SENDINGS {
+    for sending in 0..MAX_SENDS {
         if sending > 0 && !may_go_on(state, call, &progress) {
             break;
         }
@@ -188,7 +188,7 @@
             return placed;
         }
     }
-    tokio::time::sleep(AGAIN_PAUSE).await;
+    tokio::time::sleep(RETRY_PAUSE).await;
     admit::place(entry, call, &tried.may_have_run, sending).await
 }
 
@@ -275,7 +275,7 @@
     }
     if !may_have_run {
         let message = format!("No replica took the request ({last}).");
-        let refused = Rejection::not_run("refused_by_replicas", message, RETURN_RANGE.0);
+        let refused = Rejection::not_run("refused_by_replicas", message, RETRY_RANGE.0);
         return progress.refusal.unwrap_or(refused);
     }
     match state.now() >= call.deadline || *last == Failure::TimedOut {
--- a/crates/front/src/serve/admit.rs
+++ b/crates/front/src/serve/admit.rs
@@ -1,7 +1,7 @@
 //! Admission: choosing a replica for a request, letting it wait for its turn, or refusing it.
 
-use super::unavailable::{absent, full, want_adapter};
-use super::{Context, RETURN_RANGE, report};
+use super::unavailable::{absent, full, request_adapter};
+use super::{Context, RETRY_RANGE, report};
 use crate::attempt::{Call, Reservation};
 use crate::grant::Grant;
 use crate::queue::Placement;
@@ -15,25 +15,25 @@
 use unit::{Name, Span, Time};
 
 /// Expected time to the first token, as a part of its target, beyond which a request is refused.
-const REFUSED_BEYOND: f64 = 1.2;
+const MAX_TTFT_FACTOR: f64 = 1.2;
 
 /// Part of its target for which a request may wait here for its model or adapter.
-const HELD_PART: f64 = 0.25;
+const LOAD_WAIT_FRACTION: f64 = 0.25;
 
 /// Part of the target that a request may spend waiting here and in reading its prompt.
-const WAITING_PART: f64 = 0.8;
+const QUEUE_WAIT_FRACTION: f64 = 0.8;
 
 /// Priority from which a request gives way: it is not sent where what is to be read already holds up
 /// the streams that run for as long as it may. Every one of them then pauses too long, some forty of a
 /// full batch; a more urgent request is sent all the same. Measured: from 1 on, requests are refused
 /// that would have been served.
-const GIVES_WAY: u8 = 2;
+const YIELDING_PRIORITY: u8 = 2;
 
 /// Time between two looks at the table while a request waits.
-const LOOK: Duration = Duration::from_millis(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(60);
 
 /// Part of the places of a service below which nothing is refused.
-const PLACES_FREE: f64 = 0.5;
+const BUSY_UTILIZATION: f64 = 0.5;
 
 /// Where a request goes.
 pub(super) struct Placed {
@@ -106,7 +106,7 @@
     held: &mut Option<Waiter>,
 ) -> Result<Found, Rejection> {
     let state = &entry.state;
-    let held_until = call.arrived + Span::from(call.route.target) * HELD_PART;
+    let held_until = call.arrived + Span::from(call.route.target) * LOAD_WAIT_FRACTION;
     loop {
         let now = state.now();
         let want = call.criteria(avoid);
@@ -115,7 +115,7 @@
             Ok(choice) if sending > 0 => return Ok(Found::at_once(choice)),
             Ok(choice) => {
                 if choice.crowded {
-                    want_adapter(state, call, true);
+                    request_adapter(state, call, true);
                 }
                 return admit(entry, call, choice).await;
             }
@@ -126,7 +126,7 @@
         if now >= until.min(call.deadline) || state.is_draining() {
             return Err(fault);
         }
-        let left = until.since(now).std().min(LOOK);
+        let left = until.since(now).std().min(POLL_INTERVAL);
         let _ = timeout(left, state.changed.notified()).await;
     }
 }
@@ -148,10 +148,10 @@
         let coming = model.and_then(|m| table.model_eta(m, now));
         (table.utilization(&call.criteria(&[]), now), coming)
     };
-    if expected > target * REFUSED_BEYOND && (taken >= PLACES_FREE || !choice.free) {
+    if expected > target * MAX_TTFT_FACTOR && (taken >= BUSY_UTILIZATION || !choice.free) {
         return Err(overloaded(expected, target, coming));
     }
-    let until = call.arrived + (target * WAITING_PART).saturating_sub(choice.first_token);
+    let until = call.arrived + (target * QUEUE_WAIT_FRACTION).saturating_sub(choice.first_token);
     if let Some((choice, place)) = turn(entry, call, until, now).await {
         return Ok(Found {
             choice,
@@ -163,7 +163,7 @@
     let now = state.now();
     let again = state.table.lock().choose(&call.criteria(&[]), now);
     match again {
-        Ok(choice) if choice.held_up && call.priority >= GIVES_WAY => {
+        Ok(choice) if choice.held_up && call.priority >= YIELDING_PRIORITY => {
             let expected = now.since(call.arrived) + choice.first_token;
             Err(overloaded(expected, target, coming))
         }
@@ -188,7 +188,7 @@
 /// Answer to a request that would wait too long for its first token.
 fn overloaded(expected: Span, target: Span, coming: Option<Span>) -> Rejection {
     let wait = batch::retry_after(expected, target, coming);
-    let wait = wait.max(RETURN_RANGE.0).min(RETURN_RANGE.1);
+    let wait = wait.max(RETRY_RANGE.0).min(RETRY_RANGE.1);
     let message = format!("The request would wait {expected} for its first token.");
     Rejection::not_run("overloaded", message, wait)
 }
--- a/crates/front/src/serve/read.rs
+++ b/crates/front/src/serve/read.rs
@@ -1,6 +1,6 @@
 //! Reading a request: its route, its header fields, its body.
 
-use super::RETURN_LATER;
+use super::RETRY_LATER;
 use crate::accounts;
 use crate::attempt::Call;
 use crate::respond::Rejection;
@@ -22,7 +22,7 @@
 /// Age of what this host knows of the store, as a part of the bound on configurations, beyond which a route that it does
 /// not know may stand in a newer one. Within it a request that is denied came before that was in force; what is left
 /// covers the request's way and the look at the table.
-const OLD_CONFIGURATION: f64 = 0.95;
+const MAX_AGE_FRACTION: f64 = 0.95;
 
 /// Host that a request names: in its target or in its header.
 fn host(uri: &Uri, headers: &HeaderMap) -> String {
@@ -40,14 +40,14 @@
     if let Some(route) = routes.find(&host, request.uri().path()) {
         return Ok(route.clone());
     }
-    let most = Span::from(state.settings.bounds.configuration) * OLD_CONFIGURATION;
-    if state.table.lock().view.contact.is_unreachable() || accounts::data_age(state) > most {
+    let max = Span::from(state.settings.bounds.configuration) * MAX_AGE_FRACTION;
+    if state.table.lock().view.contact.is_unreachable() || accounts::data_age(state) > max {
         // The route may stand in a newer configuration that this host cannot read.
         let message = "No route leads there by the last configuration that this host could read.";
         return Err(Rejection::not_run(
             "configuration_old",
             message,
-            RETURN_LATER,
+            RETRY_LATER,
         ));
     }
     state.log.metrics.ended(&"none".into(), "no_route");
@@ -80,7 +80,7 @@
     let hash = rendezvous::hash(id.as_bytes());
     let service = route::routing::pick_weighted(&route.services, hash);
     let service = service.cloned().ok_or_else(|| {
-        Rejection::not_run("no_service", "The route leads to no service.", RETURN_LATER)
+        Rejection::not_run("no_service", "The route leads to no service.", RETRY_LATER)
     })?;
     Ok(Call {
         id,
@@ -118,12 +118,12 @@
     if body.is_end_stream() {
         return Ok((Bytes::new(), None));
     }
-    let most = routes.limits.body;
-    let room = room(state, &body, most)?;
-    let read = Limited::new(body, most).collect();
+    let max = routes.limits.body;
+    let room = room(state, &body, max)?;
+    let read = Limited::new(body, max).collect();
     match state.clock.timeout_at(deadline, read).await {
         Ok(Ok(body)) => Ok((body.to_bytes(), Some(room))),
-        Ok(Err(why)) => Err(broken(&*why, most)),
+        Ok(Err(why)) => Err(broken(&*why, max)),
         Err(_) => Err(Rejection::client_error(
             StatusCode::REQUEST_TIMEOUT,
             "body_late",
@@ -133,26 +133,26 @@
 }
 
 /// Memory taken for a body whose length is not told, in bytes: most are smaller.
-const UNTOLD: u64 = 64 * 1_024;
+const UNKNOWN_LENGTH: u64 = 64 * 1_024;
 
 /// Takes the memory that a body needs, by its length.
-fn room(state: &State, body: &Incoming, most: usize) -> Result<OwnedSemaphorePermit, Rejection> {
-    let hint = body.size_hint().upper().unwrap_or(UNTOLD).min(most as u64);
+fn room(state: &State, body: &Incoming, max: usize) -> Result<OwnedSemaphorePermit, Rejection> {
+    let hint = body.size_hint().upper().unwrap_or(UNKNOWN_LENGTH).min(max as u64);
     let kb = (hint / 1_024) as u32 + 1;
     let room = state.bodies.clone().try_acquire_many_owned(kb);
     room.map_err(|_| {
         let message = "This host holds as many request bodies as it may.";
-        Rejection::not_run("bodies_full", message, RETURN_LATER)
+        Rejection::not_run("bodies_full", message, RETRY_LATER)
     })
 }
 
 /// Answer to a request whose body could not be read whole.
-fn broken(why: &(dyn Error + Send + Sync + 'static), most: usize) -> Rejection {
+fn broken(why: &(dyn Error + Send + Sync + 'static), max: usize) -> Rejection {
     if why.is::<LengthLimitError>() {
         return Rejection::client_error(
             StatusCode::PAYLOAD_TOO_LARGE,
             "body_too_large",
-            format!("The body is longer than {most} bytes."),
+            format!("The body is longer than {max} bytes."),
         );
     }
     Rejection::client_error(
--- a/crates/front/src/serve/unavailable.rs
+++ b/crates/front/src/serve/unavailable.rs
@@ -1,7 +1,7 @@
 //! What a request lacks that no replica can take now: until when it may wait for that here, and what it is told
 //! otherwise.
 
-use super::{RETURN_LATER, RETURN_RANGE};
+use super::{RETRY_LATER, RETRY_RANGE};
 use crate::attempt::Call;
 use crate::message::{AdapterRequest, ModelRequest};
 use crate::rate_limit::{self, Waiter};
@@ -12,31 +12,31 @@
 use unit::{Span, Time};
 
 /// When a client may come back whose adapter had no room yet.
-const RETURN_FOR_ADAPTER: Span = Span::from_ms(300);
+const RETRY_ADAPTER: Span = Span::from_ms(300);
 
 /// When a client may come back whose replicas could not be reached: about a restart's time.
-const RETURN_UNREACHABLE: Span = Span::from_ms(800);
+const RETRY_UNREACHABLE: Span = Span::from_ms(800);
 
 /// Time within which the leader answers when a model that is on no replica is there, if it can come: a
 /// few ways between hosts and one plan.
-const LEADER_ANSWERS: Span = Span::from_ms(60);
+const LEADER_RESPONSE_TIME: Span = Span::from_ms(60);
 
 /// Time from a copy's arrival until all hosts know of it: a round of sums.
-const TOLD_WITHIN: Span = Span::from_ms(300);
+const PROPAGATION_TIME: Span = Span::from_ms(300);
 
 /// Part of its target for which a request may wait until a replica in need or at rest has room: the remainder is for reading
 /// its prompt.
-const FULL_PART: f64 = 0.5;
+const CAPACITY_WAIT_FRACTION: f64 = 0.5;
 
 /// Part of the time after which a client may come back by which the times of clients differ, so that they don't all return in
 /// one moment.
-const SPREAD_PART: f64 = 0.25;
+const JITTER_FRACTION: f64 = 0.25;
 
 /// Least time by which they differ: a step of the return to a replica that rested.
-const LEAST_SPREAD: Span = Span::from_ms(300);
+const MIN_JITTER: Span = Span::from_ms(300);
 
 /// Part of the target within which a model must come for the request to wait for it.
-const COMING_PART: f64 = 0.8;
+const LOAD_WAIT_FRACTION: f64 = 0.8;
 
 /// Until when a request may wait for room at replicas in need or at rest, and what it is told then. One that would not have its
 /// turn in time does not wait at all.
@@ -47,20 +47,20 @@
     held: &mut Option<Waiter>,
     now: Time,
 ) -> (Time, Rejection) {
-    let until = call.arrived + Span::from(call.route.target) * FULL_PART;
+    let until = call.arrived + Span::from(call.route.target) * CAPACITY_WAIT_FRACTION;
     if held.is_none() && now + at.turn > until {
-        return (now, has_no_room(call, at));
+        return (now, saturated_rejection(call, at));
     }
     // Its adapter may be on no other replica.
-    want_adapter(state, call, true);
+    request_adapter(state, call, true);
     held.get_or_insert_with(|| rate_limit::register_waiter(state, &at.replica));
-    (until, has_no_room(call, at))
+    (until, saturated_rejection(call, at))
 }
 
 /// Answer to a request whose replicas have no room by their own word.
-fn has_no_room(call: &Call, at: &Saturated) -> Rejection {
-    let wait = at.turn.max(RETURN_RANGE.0);
-    let spread = (wait * SPREAD_PART).max(LEAST_SPREAD);
+fn saturated_rejection(call: &Call, at: &Saturated) -> Rejection {
+    let wait = at.turn.max(RETRY_RANGE.0);
+    let spread = (wait * JITTER_FRACTION).max(MIN_JITTER);
     let wait = wait + spread * fraction(&call.id);
     match at.rests {
         true => {
@@ -90,9 +90,9 @@
     let target = Span::from(call.route.target);
     match nowhere {
         Unplaceable::NoModel(Some(coming))
-            if now.since(call.arrived) + coming < target * COMING_PART =>
+            if now.since(call.arrived) + coming < target * LOAD_WAIT_FRACTION =>
         {
-            let until = call.arrived + target * COMING_PART;
+            let until = call.arrived + target * LOAD_WAIT_FRACTION;
             let message = "The model is being loaded.";
             (until, Rejection::not_run("model_loading", message, coming))
         }
@@ -100,41 +100,41 @@
             let until = match coming {
                 Some(_) => now,
                 None => {
-                    want_model(state, call);
-                    call.arrived + LEADER_ANSWERS
+                    request_model(state, call);
+                    call.arrived + LEADER_RESPONSE_TIME
                 }
             };
-            let wait = coming.map_or(RETURN_LATER, |c| c + TOLD_WITHIN);
+            let wait = coming.map_or(RETRY_LATER, |c| c + PROPAGATION_TIME);
             let message = "No replica holds the model at the moment.";
-            let wait = wait.max(RETURN_RANGE.0);
+            let wait = wait.max(RETRY_RANGE.0);
             (until, Rejection::not_run("no_model", message, wait))
         }
         Unplaceable::NoAdapter => {
-            want_adapter(state, call, false);
+            request_adapter(state, call, false);
             let message = "The adapter is on no replica yet.";
-            let fault = Rejection::not_run("no_adapter", message, RETURN_FOR_ADAPTER);
+            let fault = Rejection::not_run("no_adapter", message, RETRY_ADAPTER);
             (held_until, fault)
         }
         Unplaceable::Unreachable => {
             let message = "The replicas that could take the request cannot be reached.";
-            let fault = Rejection::not_run("unreachable", message, RETURN_UNREACHABLE);
+            let fault = Rejection::not_run("unreachable", message, RETRY_UNREACHABLE);
             (held_until, fault)
         }
-        Unplaceable::Saturated(at) => (now, has_no_room(call, &at)),
+        Unplaceable::Saturated(at) => (now, saturated_rejection(call, &at)),
         Unplaceable::Leaving => {
             let message = "All replicas of the service leave, or cannot be used.";
-            (now, Rejection::not_run("leaving", message, RETURN_LATER))
+            (now, Rejection::not_run("leaving", message, RETRY_LATER))
         }
         Unplaceable::NoReplica => {
             let message = "No replica of the service is there.";
-            (now, Rejection::not_run("no_replica", message, RETURN_LATER))
+            (now, Rejection::not_run("no_replica", message, RETRY_LATER))
         }
     }
 }
 
 /// Asks the leader, by way of the task that tells it, to have a request's adapter loaded; `beside`
 /// the replicas that hold it, if these have too much to do.
-pub(super) fn want_adapter(state: &State, call: &Call, beside: bool) {
+pub(super) fn request_adapter(state: &State, call: &Call, beside: bool) {
     if let (Some(model), Some(adapter)) = (&call.ask.model, &call.ask.adapter) {
         // The task that receives lives as long as the daemon.
         let _ = state.wanted.send(Wish::Adapter(AdapterRequest {
@@ -147,7 +147,7 @@
 }
 
 /// Tells the leader that a request's model is on no replica, so that it comes before the next plan.
-fn want_model(state: &State, call: &Call) {
+fn request_model(state: &State, call: &Call) {
     if let Some(model) = &call.ask.model {
         // The task that receives lives as long as the daemon.
         let _ = state.wanted.send(Wish::Model(ModelRequest {
--- a/crates/front/src/table.rs
+++ b/crates/front/src/table.rs
@@ -44,14 +44,14 @@
 use unit::{Name, Span, Time};
 
 /// Age at which another host's own sums are no longer used.
-const DIRECT_AGE: Span = Span::from_ms(1_500);
+const MAX_DIRECT_AGE: Span = Span::from_ms(1_500);
 
 /// Age at which the sums of other hosts are no longer used.
-const SUMS_AGE: Span = Span::from_ms(3_000);
+const MAX_DIGEST_AGE: Span = Span::from_ms(3_000);
 
 /// Time of one step of a batch without any prompt, with the way of the answer; of the order of
 /// what accelerators take for a model of 70 GB.
-const STEP: Span = Span::from_ms(12);
+const DECODE_STEP: Span = Span::from_ms(12);
 
 /// Table of one daemon.
 pub struct Table {
@@ -163,7 +163,7 @@
 
     /// Whether other hosts tell their sums directly.
     fn is_direct(&self, now: Time) -> bool {
-        now.since(self.direct_at) < DIRECT_AGE
+        now.since(self.direct_at) < MAX_DIRECT_AGE
     }
 
     /// Whether a replica holds a model, by its entry or by the leader's word.
--- a/crates/front/src/table/adapters.rs
+++ b/crates/front/src/table/adapters.rs
@@ -1,13 +1,13 @@
 //! Adapters: which replica holds which, by the leader's word or its entry, and which are used here.
 
 use super::replica::State;
-use super::{Criteria, SUMS_AGE, Table};
+use super::{Criteria, MAX_DIGEST_AGE, Table};
 use crate::message::{AdapterUse, replica_hash};
 use platform::replica::Entry;
 use unit::{Name, Time};
 
 /// Uses of adapters remembered between two tellings; while there is no leader they would add up.
-const MOST_USES: usize = 256;
+const MAX_USES: usize = 256;
 
 impl Table {
     /// Notes that a request uses an adapter, to tell the leader.
@@ -15,7 +15,7 @@
         let (Some(model), Some(adapter)) = (&want.ask.model, &want.ask.adapter) else {
             return;
         };
-        if self.used.len() < MOST_USES {
+        if self.used.len() < MAX_USES {
             self.used.insert(AdapterUse {
                 replica: replica_hash(replica),
                 model: model.clone(),
@@ -66,7 +66,7 @@
     now: Time,
 ) -> bool {
     let told = |s: &State| s.adapters.iter().any(|(m, a)| m == model && a == adapter);
-    if let Some(state) = state.filter(|s| now.since(s.adapters_at) < SUMS_AGE) {
+    if let Some(state) = state.filter(|s| now.since(s.adapters_at) < MAX_DIGEST_AGE) {
         return told(state);
     }
     let in_entry = entry
--- a/crates/front/src/table/choose.rs
+++ b/crates/front/src/table/choose.rs
@@ -3,7 +3,7 @@
 use super::adapters::holds_adapter;
 use super::pace::Pace;
 use super::replica::State;
-use super::{Criteria, STEP, Table};
+use super::{Criteria, DECODE_STEP, Table};
 use crate::message::PRIORITY_LEVELS;
 use crate::view::Replica;
 use platform::config::Engine;
@@ -15,13 +15,13 @@
 
 /// Steps of an event that may be expected to read as much as is allowed: the prompts of a burst are
 /// mostly read in one or two of them. At 2, prompts waited at hosts that replicas could have read.
-const FULL_STEPS: f64 = 1.2;
+const MAX_PREFILL_STEPS: f64 = 1.2;
 
 /// Width of the random part of a choice while hosts tell each other within some 10 ms.
-const DIRECT_BLUR: Span = Span::from_ms(2);
+const DIRECT_JITTER: Span = Span::from_ms(2);
 
 /// The same while they tell by way of the leader, within some 50 ms: half the time to read a prompt.
-const TOLD_BLUR: Span = Span::from_ms(40);
+const RELAYED_JITTER: Span = Span::from_ms(40);
 
 /// Replica chosen for a request.
 #[derive(Debug, Clone)]
@@ -39,7 +39,7 @@
     /// Whether a place was free there.
     pub free: bool,
     /// Whether its adapter is only on replicas with too much to do, and others hold the model.
-    pub crowded: bool,
+    pub adapter_replicas_busy: bool,
     /// Replicas that could have taken it.
     pub candidates: usize,
     /// Revision of the replica's entry.
@@ -114,56 +114,56 @@
         let service = self.service(want.service);
         let engine = service.as_ref().and_then(|s| s.engine.as_ref());
         let model = want.ask.model.as_ref().filter(|_| engine.is_some());
-        let (mut found, mut beside) = (Vec::new(), Vec::new());
-        let mut nearest = Fit::Out;
-        let mut first_turn: Option<Saturated> = None;
+        let (mut eligible, mut without_adapter) = (Vec::new(), Vec::new());
+        let mut best_fit = Fit::Out;
+        let mut shortest_wait: Option<Saturated> = None;
         for seen in self.view.all() {
             let fit = self.fit(&seen.entry, want, model, now);
-            nearest = nearest.max(fit);
+            best_fit = best_fit.max(fit);
             match fit {
-                Fit::Whole => found.push(seen),
-                Fit::NoAdapter => beside.push(seen),
+                Fit::Whole => eligible.push(seen),
+                Fit::NoAdapter => without_adapter.push(seen),
                 Fit::Full => {
                     let full = self.full(&seen.entry, want, now);
-                    first_turn = first_turn.into_iter().chain(full).min();
+                    shortest_wait = shortest_wait.into_iter().chain(full).min();
                 }
                 _ => {}
             }
         }
-        if found.is_empty() {
-            return Err(match first_turn {
-                Some(full) if nearest == Fit::Full => Unplaceable::Saturated(full),
-                _ => self.nowhere(nearest, model, now),
+        if eligible.is_empty() {
+            return Err(match shortest_wait {
+                Some(full) if best_fit == Fit::Full => Unplaceable::Saturated(full),
+                _ => self.unplaceable(best_fit, model, now),
             });
         }
         let terms = self.terms(want, model, engine, now);
-        let candidates = found.iter().map(|seen| self.candidate(&seen.entry, &terms));
+        let candidates = eligible.iter().map(|seen| self.candidate(&seen.entry, &terms));
         let candidates: Vec<Candidate> = candidates.collect();
-        let ask = batch_ask(want, engine, self.blur(now));
-        let is_unheard = |at: &usize| {
-            let id = &found[*at].entry.id;
-            candidates[*at].is_available(&ask) && self.is_unheard(id, now)
+        let ask = batch_request(want, engine, self.blur(now));
+        let needs_probe = |at: &usize| {
+            let id = &eligible[*at].entry.id;
+            candidates[*at].is_available(&ask) && self.needs_probe(id, now)
         };
-        let unheard = (0..found.len()).find(is_unheard);
-        let (at, first_token) = match unheard {
+        let probe = (0..eligible.len()).find(needs_probe);
+        let (at, first_token) = match probe {
             Some(at) => (at, candidates[at].ttft(&ask)),
             None => {
                 batch::choose(&ask, &candidates, &mut self.rng).ok_or(Unplaceable::NoReplica)?
             }
         };
         let takes = |seen: &&Replica| self.candidate(&seen.entry, &terms).is_available(&ask);
-        let crowded = !candidates[at].is_available(&ask) && beside.iter().any(takes);
+        let adapter_replicas_busy = !candidates[at].is_available(&ask) && without_adapter.iter().any(takes);
         Ok(Choice {
-            replica: found[at].entry.id.clone(),
-            addr: found[at].entry.addr,
+            replica: eligible[at].entry.id.clone(),
+            addr: eligible[at].entry.addr,
             first_token,
             paced: candidates[at].fits_prefill_limit(&ask),
             held_up: candidates[at].exceeds_prefill_limit(&ask),
             free: candidates.iter().any(Candidate::has_free_slot),
-            crowded,
+            adapter_replicas_busy,
             candidates: candidates.len(),
-            revision: found[at].revision,
-            missing: found[at].missing.map(|since| now.since(since)),
+            revision: eligible[at].revision,
+            missing: eligible[at].missing.map(|since| now.since(since)),
         })
     }
 
@@ -188,8 +188,8 @@
     /// Width of the random part of a choice, by the age of what other hosts told.
     fn blur(&self, now: Time) -> Span {
         match self.is_direct(now) || self.host_count == 1 {
-            true => DIRECT_BLUR,
-            false => TOLD_BLUR,
+            true => DIRECT_JITTER,
+            false => RELAYED_JITTER,
         }
     }
 
@@ -239,8 +239,8 @@
     }
 
     /// Why no replica can take a request, by the one that fits it best.
-    fn nowhere(&self, nearest: Fit, model: Option<&Name>, now: Time) -> Unplaceable {
-        match nearest {
+    fn unplaceable(&self, best_fit: Fit, model: Option<&Name>, now: Time) -> Unplaceable {
+        match best_fit {
             Fit::Out => Unplaceable::NoReplica,
             Fit::Leaving => Unplaceable::Leaving,
             Fit::NoModel => Unplaceable::NoModel(model.and_then(|m| self.told.coming(m, now))),
@@ -274,11 +274,11 @@
 }
 
 /// What a request asks of a batch.
-fn batch_ask(want: &Criteria, engine: Option<&Engine>, blur: Span) -> batch::Request {
+fn batch_request(want: &Criteria, engine: Option<&Engine>, blur: Span) -> batch::Request {
     let stride = engine.map_or(1, |e| e.stride);
     batch::Request {
         tokens: tokens(want.ask) as f64,
-        prefill_limit: want.max_gap.map(|gap| step_pace(gap, stride)),
+        prefill_limit: want.max_gap.map(|gap| prefill_limit(gap, stride)),
         jitter: blur,
     }
 }
@@ -291,9 +291,9 @@
 /// Time of reading that may stand before the streams of a replica in one step.
 ///
 /// An event holds `stride` tokens, which take a step each; some of these steps read prompts.
-fn step_pace(gap: Span, stride: u32) -> Span {
+fn prefill_limit(gap: Span, stride: u32) -> Span {
     let steps = f64::from(stride.max(1));
-    gap.saturating_sub(STEP * steps) * (1.0 / steps.min(FULL_STEPS))
+    gap.saturating_sub(DECODE_STEP * steps) * (1.0 / steps.min(MAX_PREFILL_STEPS))
 }
 
 /// Span of so many milliseconds.
--- a/crates/front/src/table/demand.rs
+++ b/crates/front/src/table/demand.rs
@@ -5,10 +5,10 @@
 use unit::{Name, Span, Time};
 
 /// Window in which demand is counted: long enough that chance moves few copies.
-const DEMAND_OVER: Span = Span::from_ms(1_500);
+const DEMAND_WINDOW: Span = Span::from_ms(1_500);
 
 /// Requests a second below which a model counts as not asked for.
-const LEAST_RATE: f64 = 0.01;
+const MIN_RATE: f64 = 0.01;
 
 /// Smoothed demand for one model.
 #[derive(Debug, Clone, Copy, Default)]
@@ -23,7 +23,7 @@
 
 impl Demand {
     fn decay(&mut self, now: Time) {
-        let factor = (-now.since(self.last).secs() / DEMAND_OVER.secs()).exp();
+        let factor = (-now.since(self.last).secs() / DEMAND_WINDOW.secs()).exp();
         self.rate *= factor;
         self.tokens *= factor;
         self.last = self.last.max(now);
@@ -40,8 +40,8 @@
         let key = (service.clone(), model.clone());
         let demand = self.0.entry(key).or_default();
         demand.decay(now);
-        demand.rate += 1.0 / DEMAND_OVER.secs();
-        demand.tokens += prompt as f64 / DEMAND_OVER.secs();
+        demand.rate += 1.0 / DEMAND_WINDOW.secs();
+        demand.tokens += prompt as f64 / DEMAND_WINDOW.secs();
     }
 
     /// Demand now, as it is told; what has faded away is forgotten.
@@ -49,7 +49,7 @@
         for demand in self.0.values_mut() {
             demand.decay(now);
         }
-        self.0.retain(|_, d| d.rate > LEAST_RATE);
+        self.0.retain(|_, d| d.rate > MIN_RATE);
         let rows = self.0.iter().map(|((service, model), d)| message::Demand {
             service: service.clone(),
             model: model.clone(),
--- a/crates/front/src/table/loads.rs
+++ b/crates/front/src/table/loads.rs
@@ -7,7 +7,7 @@
 
 /// Time after which what this host told the leader is in the sums that come from there: the way
 /// there, the leader's pause, and the way back.
-const UNDER_WAY: Span = Span::from_ms(60);
+const REPORT_LATENCY: Span = Span::from_ms(60);
 
 impl Table {
     /// Demand seen here.
@@ -32,7 +32,7 @@
 
     /// What this host has in flight, remembered as told.
     pub fn report_own_loads(&mut self, now: Time) -> Vec<PackedLoad> {
-        let set_aside = now.since(self.told_before_at) >= UNDER_WAY;
+        let set_aside = now.since(self.told_before_at) >= REPORT_LATENCY;
         if set_aside {
             self.told_before_at = now;
         }
--- a/crates/front/src/table/pace.rs
+++ b/crates/front/src/table/pace.rs
@@ -1,22 +1,22 @@
 //! Smoothed pace of each model, learned from the requests that ran here.
 
-use super::STEP;
+use super::DECODE_STEP;
 use platform::ingress::Ask;
 use std::collections::HashMap;
 use unit::{Name, Span};
 
 /// Weight of the newest sample in a model's pace.
-const NEWEST_PACE: f64 = 0.1;
+const SAMPLE_WEIGHT: f64 = 0.1;
 
 /// Prompt tokens read in a millisecond while nothing is known of a model; of the order of one
 /// accelerator with a model of 70 GB.
-const FIRST_SPEED: f64 = 15.0;
+const DEFAULT_SPEED: f64 = 15.0;
 
 /// Time of a run while nothing is known of a model.
-const FIRST_RUN: Span = Span::from_ms(2_000);
+const DEFAULT_DECODE: Span = Span::from_ms(2_000);
 
 /// Least and greatest speed that one sample counts as, in prompt tokens a millisecond.
-const SPEEDS: (f64, f64) = (0.5, 1_000.0);
+const SPEED_RANGE: (f64, f64) = (0.5, 1_000.0);
 
 /// Smoothed pace of one model.
 #[derive(Debug, Clone, Copy)]
@@ -41,8 +41,8 @@
 impl Default for Pace {
     fn default() -> Self {
         Pace {
-            speed: FIRST_SPEED,
-            run: FIRST_RUN,
+            speed: DEFAULT_SPEED,
+            run: DEFAULT_DECODE,
         }
     }
 }
@@ -61,16 +61,16 @@
 
     /// Learns how fast prompts are read, from one that none stood before: it took that time.
     pub(super) fn learn_speed(&mut self, service: &Name, model: &Name, tokens: f64, took: Span) {
-        let ms = took.saturating_sub(STEP).ms().max(1.0);
-        let sample = (tokens / ms).clamp(SPEEDS.0, SPEEDS.1);
+        let ms = took.saturating_sub(DECODE_STEP).ms().max(1.0);
+        let sample = (tokens / ms).clamp(SPEED_RANGE.0, SPEED_RANGE.1);
         let pace = self.entry(service, model);
-        pace.speed += (sample - pace.speed) * NEWEST_PACE;
+        pace.speed += (sample - pace.speed) * SAMPLE_WEIGHT;
     }
 
     /// Learns how long a run takes after its first token.
     pub(super) fn learn_run(&mut self, service: &Name, model: &Name, run: Span) {
         let pace = self.entry(service, model);
-        pace.run = pace.run * (1.0 - NEWEST_PACE) + run * NEWEST_PACE;
+        pace.run = pace.run * (1.0 - SAMPLE_WEIGHT) + run * SAMPLE_WEIGHT;
     }
 
     fn entry(&mut self, service: &Name, model: &Name) -> &mut Pace {
--- a/crates/front/src/table/plans.rs
+++ b/crates/front/src/table/plans.rs
@@ -1,14 +1,14 @@
 //! What the leader told beside the sums: models that come, were loaded, or are about to go, and
 //! replicas that several hosts could not reach.
 
-use super::{SUMS_AGE, Table};
+use super::{MAX_DIGEST_AGE, Table};
 use crate::message::replica_hash;
 use std::collections::{HashMap, HashSet};
 use unit::{Name, Span, Time};
 
 /// Age up to which the word that a replica cannot be reached counts: a few rounds of sums, so that
 /// it ends soon with the leader.
-const ABSENT_AGE: Span = Span::from_ms(600);
+const MAX_UNREACHABLE_AGE: Span = Span::from_ms(600);
 
 /// The leader's plans, as told last.
 #[derive(Default)]
@@ -39,7 +39,7 @@
     /// Whether several hosts could not reach a replica a moment ago.
     pub(super) fn is_absent(&self, replica: &str, now: Time) -> bool {
         let (absent, at) = &self.absent;
-        !absent.is_empty() && now.since(*at) < ABSENT_AGE && absent.contains(&replica_hash(replica))
+        !absent.is_empty() && now.since(*at) < MAX_UNREACHABLE_AGE && absent.contains(&replica_hash(replica))
     }
 
     /// Time until a model is expected somewhere.
@@ -70,7 +70,7 @@
     /// Whether a replica was told with a model, not too long ago.
     pub(super) fn has(&self, replica: &Name, model: &Name, now: Time) -> bool {
         let mut pairs = self.pairs.iter();
-        now.since(self.at) < SUMS_AGE && pairs.any(|(r, m)| r == replica && m == model)
+        now.since(self.at) < MAX_DIGEST_AGE && pairs.any(|(r, m)| r == replica && m == model)
     }
 }
 
--- a/crates/front/src/table/rate_limit.rs
+++ b/crates/front/src/table/rate_limit.rs
@@ -10,18 +10,18 @@
 use unit::{Name, Span, Time};
 
 /// Time for which a host tells the leader again what it heard itself, so that the next leader hears it too.
-const TOLD_AGAIN: Span = Span::from_secs(5);
+const OWN_REPORT_DURATION: Span = Span::from_secs(5);
 
 /// Time for which it is told that a limit is over: several whole rounds of a large fleet.
-const TOLD_OVER: Span = Span::from_secs(10);
+const WITHDRAWN_REPORT_DURATION: Span = Span::from_secs(10);
 
 /// Time without an answer from a limited replica after which it goes before others, if there is room for a request: only an
 /// answer can say that its need is over.
-const UNHEARD: Span = Span::from_ms(1_000);
+const PROBE_AFTER: Span = Span::from_ms(1_000);
 
 /// Requests that each step of urgency leaves to those before it. All ranks together leave less than a full bucket holds, so
 /// that the least urgent has all of a limit where nothing else comes.
-const KEPT_A_RANK: f64 = 0.3;
+const RESERVED_PER_LEVEL: f64 = 0.3;
 
 /// Change of what is known of a limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -74,7 +74,7 @@
     /// Whether it is told to all hosts: while it holds, and for a while after.
     fn is_told(&self, now: Time) -> bool {
         let over = self.notice.withdrawn_at;
-        over.is_none_or(|at| now.since(at) < TOLD_OVER)
+        over.is_none_or(|at| now.since(at) < WITHDRAWN_REPORT_DURATION)
     }
 
     /// What matters of it to other hosts.
@@ -118,7 +118,7 @@
 fn kept(want: &Criteria) -> f64 {
     match want.is_resumption {
         true => 0.0,
-        false => KEPT_A_RANK * (rank(want.priority) + 1) as f64,
+        false => RESERVED_PER_LEVEL * (rank(want.priority) + 1) as f64,
     }
 }
 
@@ -207,7 +207,7 @@
 
     /// Limits that this host has heard itself lately, to be told.
     pub fn own_limits(&self, now: Time) -> Vec<ReplicaLimit> {
-        let is_own = |need: &Need| need.heard.is_some_and(|at| now.since(at) < TOLD_AGAIN);
+        let is_own = |need: &Need| need.heard.is_some_and(|at| now.since(at) < OWN_REPORT_DURATION);
         self.rows(is_own, now)
     }
 
@@ -297,7 +297,7 @@
     /// Whether a replica is limited, and nothing was heard of it here for so long that it goes before others.
     pub(super) fn is_unheard(&self, id: &str, now: Time) -> bool {
         let need = self.replicas.get(id).and_then(|s| s.limit(now));
-        let is_long = |at: Time| now.since(at) >= UNHEARD;
+        let is_long = |at: Time| now.since(at) >= PROBE_AFTER;
         need.is_some_and(|need| need.heard.is_none_or(is_long))
     }
 }
--- a/crates/front/src/table/reachability.rs
+++ b/crates/front/src/table/reachability.rs
@@ -5,21 +5,21 @@
 
 /// Time for which a replica is left alone after its first failure to take a connection; it doubles
 /// with each further one. About the time in which a process that fell starts again.
-const FIRST_ABSENCE: Span = Span::from_ms(150);
+const INITIAL_BACKOFF: Span = Span::from_ms(150);
 
 /// Longest time for which a replica is left alone: then one request tries it again.
-const LONGEST_ABSENCE: Span = Span::from_ms(1_200);
+const MAX_BACKOFF: Span = Span::from_ms(1_200);
 
 /// Time after it was found unreachable for which other hosts are told so, unless it answers: a
 /// replica that fell stands in the store for about as long.
-const SUSPECTED: Span = Span::from_ms(2_500);
+const REPORT_DURATION: Span = Span::from_ms(2_500);
 
 /// Age up to which a host's own answer from a replica goes before other hosts' word that it cannot be
 /// reached: several rounds of sums.
-const REACHED_LATELY: Span = Span::from_ms(500);
+const REACHED_VALID_FOR: Span = Span::from_ms(500);
 
 /// Refusals in a row, each as "not this replica or not this adapter", that count as an absence.
-const MISDIRECTED: u32 = 8;
+const MISDIRECTED_THRESHOLD: u32 = 8;
 
 /// Whether a replica is left alone.
 #[derive(Debug, Clone, Copy, Default)]
@@ -54,12 +54,12 @@
 
     /// Whether it was found unreachable lately, and has not answered since.
     pub(super) fn is_suspected(&self, now: Time) -> bool {
-        self.strikes > 0 && now.since(self.struck) < SUSPECTED
+        self.strikes > 0 && now.since(self.struck) < REPORT_DURATION
     }
 
     /// Whether it answered this host a moment ago, so that the word of others does not count.
     pub(super) fn was_reached(&self, now: Time) -> bool {
-        now.since(self.reached) < REACHED_LATELY
+        now.since(self.reached) < REACHED_VALID_FOR
     }
 
     /// Notes that it could not be reached.
@@ -70,8 +70,8 @@
         }
         self.tried = false;
         self.struck = now;
-        let doubled = FIRST_ABSENCE * f64::from(1u32 << self.strikes.min(8));
-        self.until = now + doubled.min(LONGEST_ABSENCE);
+        let doubled = INITIAL_BACKOFF * f64::from(1u32 << self.strikes.min(8));
+        self.until = now + doubled.min(MAX_BACKOFF);
         self.strikes += 1;
     }
 
@@ -80,7 +80,7 @@
     /// One alone may be about the adapter; if `whole` it is not.
     pub(super) fn misdirected(&mut self, whole: bool, now: Time) {
         self.misdirected += 1;
-        if whole || self.strikes > 0 || self.misdirected >= MISDIRECTED {
+        if whole || self.strikes > 0 || self.misdirected >= MISDIRECTED_THRESHOLD {
             self.strike(now);
         }
     }
@@ -89,7 +89,7 @@
     pub(super) fn tried(&mut self, now: Time) {
         if self.strikes > 0 {
             self.tried = true;
-            self.until = now + FIRST_ABSENCE;
+            self.until = now + INITIAL_BACKOFF;
         }
     }
 }
--- a/crates/front/src/table/replica.rs
+++ b/crates/front/src/table/replica.rs
@@ -5,14 +5,14 @@
 use super::pace::Pace;
 use super::rate_limit::Need;
 use super::reachability::Absence;
-use super::{Criteria, DIRECT_AGE, SUMS_AGE};
+use super::{Criteria, MAX_DIRECT_AGE, MAX_DIGEST_AGE};
 use crate::message::Load;
 use platform::ingress::Ask;
 use std::collections::{BTreeMap, VecDeque};
 use unit::{Name, Time};
 
 /// Parts of prompts remembered for each replica.
-const KEPT_PARTS: usize = 512;
+const MAX_CACHED_PARTS: usize = 512;
 
 /// Share of a request in the table's sums.
 #[derive(Debug, Clone, Copy, Default)]
@@ -76,11 +76,11 @@
         let mut load = self.mine;
         if direct {
             for (other, at) in self.hosts.values() {
-                if now.since(*at) < DIRECT_AGE {
+                if now.since(*at) < MAX_DIRECT_AGE {
                     load.add(other);
                 }
             }
-        } else if now.since(self.others_at) < SUMS_AGE {
+        } else if now.since(self.others_at) < MAX_DIGEST_AGE {
             load.add(&self.others);
         }
         load
@@ -134,7 +134,7 @@
             let newest = known.unwrap_or_else(|| (model.clone(), part.id));
             self.parts.push_back(newest);
         }
-        while self.parts.len() > KEPT_PARTS {
+        while self.parts.len() > MAX_CACHED_PARTS {
             self.parts.pop_front();
         }
     }
--- a/crates/front/src/view.rs
+++ b/crates/front/src/view.rs
@@ -10,10 +10,10 @@
 use unit::{Name, Span, Time};
 
 /// Time for which the revision of a removal is remembered, against older news from elsewhere.
-const REMEMBERED: Span = Span::from_secs(60);
+const REMOVAL_RETENTION: Span = Span::from_secs(60);
 
 /// Time for which the word of a replica that it leaves is remembered without an entry of it: it is gone minutes after.
-const LEAVING_REMEMBERED: Span = Span::from_secs(24 * 3_600);
+const DEPARTURE_RETENTION: Span = Span::from_secs(24 * 3_600);
 
 /// Replicas by identity.
 #[derive(Debug)]
@@ -67,7 +67,7 @@
 
 /// Incarnations of a replica that are remembered beside the present one, against writings that come late:
 /// those that may be under way at one time.
-const MOST_FORMER: usize = 4;
+const MAX_FORMER: usize = 4;
 
 /// How a writing of an entry stands to the newest one that is known.
 enum Writing {
@@ -143,7 +143,7 @@
     /// Takes the first writing of another incarnation, of which nothing holds that was known of the one before.
     fn restart(&mut self, entry: Entry, has_left: bool) {
         self.former.extend(self.entry.incarnation);
-        if self.former.len() > MOST_FORMER {
+        if self.former.len() > MAX_FORMER {
             self.former.pop_front();
         }
         self.has_left = has_left;
@@ -328,10 +328,10 @@
     /// Takes as gone what is still missing after the store's return, and forgets old removals.
     pub fn expire(&mut self, now: Time) -> Vec<Update> {
         self.removed
-            .retain(|_, (_, at)| now.since(*at) < REMEMBERED);
+            .retain(|_, (_, at)| now.since(*at) < REMOVAL_RETENTION);
         let seen = &self.seen;
         self.departures.retain(|id, departure| {
-            seen.contains_key(id) || now.since(departure.at) < LEAVING_REMEMBERED
+            seen.contains_key(id) || now.since(departure.at) < DEPARTURE_RETENTION
         });
         if self.contact.may_reappear(now) {
             return Vec::new();
