--- a/crates/front/src/attempt.rs
+++ b/crates/front/src/attempt.rs
@@ -28,13 +28,13 @@
 /// Answer of a replica whose head has come.
 pub struct Exchange {
     /// Place of the request there.
-    pub place: Reservation,
+    pub reservation: Reservation,
     /// Connection that carries the answer.
     pub line: Line,
     /// Head, and the body yet to be read.
     pub response: Response<Incoming>,
     /// What the head says of the replica.
-    pub said: Said,
+    pub feedback: Said,
 }
 
 /// Why a sending brought no answer.
@@ -97,8 +97,8 @@
             Failure::Unavailable(Unavailable::Leaving) => {
                 f.write_str("not sent: the replica leaves")
             }
-            Failure::Unavailable(Unavailable::BackingOff(left)) => {
-                write!(f, "not sent: the replica wants nothing for {left}")
+            Failure::Unavailable(Unavailable::BackingOff(remaining)) => {
+                write!(f, "not sent: the replica wants nothing for {remaining}")
             }
             Failure::Unauthorized(why) => write!(f, "not let on: {why}"),
             Failure::Quarantined(fault) => write!(f, "not let on: {}", fault.message),
@@ -111,51 +111,51 @@
     state: &Arc<State>,
     call: &Call,
     choice: &Choice,
-    place: Reservation,
+    reservation: Reservation,
     last_event: Option<u64>,
 ) -> Result<Exchange, Failure> {
     let repeatable = call.route.kind.is_repeatable();
-    let kept = state.pool.take(&choice.replica, repeatable, state.now());
-    let is_kept = kept.is_some();
-    let mut line = match kept {
+    let pooled = state.pool.take(&choice.replica, repeatable, state.now());
+    let is_pooled = pooled.is_some();
+    let mut line = match pooled {
         Some(line) => line,
-        None => open(state, call, choice, &place).await?,
+        None => open(state, call, choice, &reservation).await?,
     };
     // At the last moment before each sending: the key may have gone since the one before.
     let account = accounts::reauthenticate(state, call).map_err(Failure::Unauthorized)?;
     quarantine::check(state, call).map_err(Failure::Quarantined)?;
     let account = account.as_ref().map(|a| &*a.name);
-    let permit = feedback::permit(state, call, &place).map_err(Failure::Unavailable)?;
+    let permit = feedback::permit(state, call, &reservation).map_err(Failure::Unavailable)?;
     let mut request = request(state, call, choice, permit, last_event, account);
-    feedback::observe_informational(state, &mut request, place.source(call));
-    let left = call.remaining(state.now());
-    if left.is_zero() {
+    feedback::observe_informational(state, &mut request, reservation.source(call));
+    let remaining = call.remaining(state.now());
+    if remaining.is_zero() {
         return Err(Failure::DeadlinePassed);
     }
     rate_limit::record_send(state, call, &choice.replica, last_event);
     let answered = state
         .clock
-        .timeout_at(call.deadline, line.send(request, left));
+        .timeout_at(call.deadline, line.send(request, remaining));
     let response = match answered.await {
         Ok(Ok(response)) => response,
         Err(Elapsed) | Ok(Err(Error::Timeout { .. })) => {
-            place.failed();
+            reservation.record_bad_answer();
             return Err(Failure::TimedOut);
         }
         Ok(Err(e)) if e.proves_unsent() => {
             // A kept connection that was closed meanwhile says nothing of the replica.
-            if !is_kept {
-                place.unreachable();
+            if !is_pooled {
+                reservation.record_unreachable();
             }
             return Err(Failure::Unsent(e.to_string()));
         }
         Ok(Err(e)) => {
-            let failed = Failure::Lost(e.to_string());
-            place.ended(call, &failed);
-            return Err(failed);
+            let failure = Failure::Lost(e.to_string());
+            reservation.record_failure(call, &failure);
+            return Err(failure);
         }
     };
-    judge(state, call, place, line, response).await
+    classify(state, call, reservation, line, response).await
 }
 
 /// Opens a connection to a chosen replica.
@@ -163,7 +163,7 @@
     state: &Arc<State>,
     call: &Call,
     choice: &Choice,
-    place: &Reservation,
+    reservation: &Reservation,
 ) -> Result<Line, Failure> {
     let opened = state
         .pool
@@ -175,46 +175,46 @@
         .counter("coveford_connections_opened_total", &[])
         .increment(1);
     opened.map_err(|e| {
-        place.failed();
-        place.unreachable();
+        reservation.record_bad_answer();
+        reservation.record_unreachable();
         Failure::Unsent(e.to_string())
     })
 }
 
 /// Tells an answer to this request from a refusal and from what belongs to another.
-async fn judge(
+async fn classify(
     state: &Arc<State>,
     call: &Call,
-    place: Reservation,
+    reservation: Reservation,
     line: Line,
     response: Response<Incoming>,
 ) -> Result<Exchange, Failure> {
-    let said = answer::read(response.status(), response.headers());
-    feedback::apply(state, &place.source(call), &said);
-    if !said.answers(&call.id) {
-        place.failed();
+    let feedback = answer::read(response.status(), response.headers());
+    feedback::apply(state, &reservation.source(call), &feedback);
+    if !feedback.answers(&call.id) {
+        reservation.record_bad_answer();
         return Err(Failure::Lost("an answer to another request came".into()));
     }
-    if said.not_run {
-        place.failed();
-        give_back(state, &place.replica, line, &said, response).await;
+    if feedback.not_run {
+        reservation.record_bad_answer();
+        drain_refusal(state, &reservation.replica, line, &feedback, response).await;
         return Err(Failure::NotRun {
-            status: said.status,
-            misdirected: said.misdirected,
+            status: feedback.status,
+            misdirected: feedback.misdirected,
         });
     }
-    if !said.signed {
-        place.failed();
+    if !feedback.signed {
+        reservation.record_bad_answer();
         return Err(Failure::Lost(format!(
             "an answer with status {} without signature came",
-            said.status
+            feedback.status
         )));
     }
     Ok(Exchange {
-        place,
+        reservation,
         line,
         response,
-        said,
+        feedback,
     })
 }
 
@@ -225,20 +225,22 @@
 const REFUSAL_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// Reads what is left of a refusal and keeps its connection, if that may be kept.
-async fn give_back(
+async fn drain_refusal(
     state: &State,
     replica: &Name,
     line: Line,
-    said: &Said,
+    feedback: &Said,
     response: Response<Incoming>,
 ) {
     use http_body_util::{BodyExt, Limited};
-    if !said.keeps_connection {
+    if !feedback.keeps_connection {
         return;
     }
     let read = Limited::new(response.into_body(), MAX_REFUSAL).collect();
     if matches!(tokio::time::timeout(REFUSAL_TIMEOUT, read).await, Ok(Ok(_))) {
-        state.pool.give(replica, line, said.keeps_for, state.now());
+        state
+            .pool
+            .give(replica, line, feedback.keeps_for, state.now());
     }
 }
 
@@ -254,13 +256,13 @@
     last_event: Option<u64>,
     account: Option<&str>,
 ) -> Request<Body> {
-    let left = Span::from(call.remaining(state.now())).saturating_sub(RETURN_LATENCY);
+    let remaining = Span::from(call.remaining(state.now())).saturating_sub(RETURN_LATENCY);
     let mut request = Request::new(Body::new(call.body.clone()));
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.uri.clone();
     let direction = ingress::Direction {
         replica: &choice.replica,
-        left: left.std(),
+        left: remaining.std(),
         priority: call.priority,
         last_event,
         account,
--- a/crates/front/src/attempt/call.rs
+++ b/crates/front/src/attempt/call.rs
@@ -37,7 +37,7 @@
     /// Its body.
     pub body: Bytes,
     /// Its body's part of the memory for bodies, held until the request ends.
-    pub _room: Option<OwnedSemaphorePermit>,
+    pub _memory: Option<OwnedSemaphorePermit>,
     /// What its header fields say.
     pub ask: Ask,
     /// When its head had come.
--- a/crates/front/src/attempt/history.rs
+++ b/crates/front/src/attempt/history.rs
@@ -8,26 +8,26 @@
 #[derive(Debug, Clone, Default)]
 pub struct History {
     /// All of them.
-    pub replicas: Vec<Name>,
+    pub attempted: Vec<Name>,
     /// Those at which it may have run.
     pub may_have_run: Vec<Name>,
 }
 
 impl History {
     /// Notes what came of a sending.
-    pub fn note<T>(&mut self, replica: &Name, sent: &Result<T, Failure>) {
+    pub fn record<T>(&mut self, replica: &Name, sent: &Result<T, Failure>) {
         let failed = sent.as_ref().err();
         if failed.is_some_and(Failure::proves_unsent) {
             return;
         }
-        add(&mut self.replicas, replica);
+        add(&mut self.attempted, replica);
         if !failed.is_some_and(Failure::proves_not_run) {
             add(&mut self.may_have_run, replica);
         }
     }
 
     /// Whether it may run at one more replica.
-    pub fn may_run(&self, call: &Call) -> bool {
+    pub fn may_run_again(&self, call: &Call) -> bool {
         (self.may_have_run.len() as u32) < call.route.attempts
     }
 }
--- a/crates/front/src/attempt/reservation.rs
+++ b/crates/front/src/attempt/reservation.rs
@@ -17,26 +17,26 @@
     /// Which start of it the request was placed at.
     pub incarnation: Incarnation,
     /// Its share in the table's sums.
-    print: Footprint,
+    footprint: Footprint,
     service: Name,
     model: Option<Name>,
     /// Whether the request names no adapter.
-    whole: bool,
+    without_adapter: bool,
     /// When the request was counted in.
     pub reserved_at: Time,
     /// Prompt tokens to be read for it, if no other prompt stood before it then.
-    alone: Option<f64>,
+    unqueued_tokens: Option<f64>,
     /// When the first token came.
-    started: Option<Time>,
+    first_token_at: Option<Time>,
 }
 
 impl Reservation {
     /// Counts a request in.
-    pub fn take(state: &Arc<State>, call: &Call, choice: &Choice) -> Reservation {
+    pub fn open(state: &Arc<State>, call: &Call, choice: &Choice) -> Reservation {
         let now = state.now();
         let mut table = state.table.lock();
-        let alone = table.unqueued_tokens(&choice.replica, &call.ask, now);
-        let print = table.begin(&choice.replica, &call.criteria(&[]), now);
+        let unqueued_tokens = table.unqueued_tokens(&choice.replica, &call.ask, now);
+        let footprint = table.begin(&choice.replica, &call.criteria(&[]), now);
         let seen = table.view.get(&choice.replica);
         let incarnation = seen.and_then(|s| s.entry.incarnation);
         drop(table);
@@ -45,24 +45,24 @@
             state: state.clone(),
             replica: choice.replica.clone(),
             incarnation,
-            print,
+            footprint,
             service: call.service.clone(),
             model: call.ask.model.clone(),
-            whole: call.ask.adapter.is_none(),
+            without_adapter: call.ask.adapter.is_none(),
             reserved_at: now,
-            alone,
-            started: None,
+            unqueued_tokens,
+            first_token_at: None,
         }
     }
 
     /// Notes that the first token has come.
-    pub fn started(&mut self) {
+    pub fn record_first_token(&mut self) {
         let now = self.state.now();
-        self.started = Some(now);
+        self.first_token_at = Some(now);
         let mut table = self.state.table.lock();
-        table.record_first_token(&self.replica, &mut self.print);
-        if let (Some(model), Some(tokens)) = (&self.model, self.alone) {
-            table.record_speed(&self.service, model, tokens, now.since(self.reserved_at));
+        table.record_first_token(&self.replica, &mut self.footprint);
+        if let (Some(model), Some(tokens)) = (&self.model, self.unqueued_tokens) {
+            table.record_prefill_speed(&self.service, model, tokens, now.since(self.reserved_at));
         }
         drop(table);
         self.state.changed.notify_waiters();
@@ -70,17 +70,17 @@
     }
 
     /// Notes that the whole answer has come.
-    pub fn answered(&mut self, failed: bool) {
+    pub fn record_answer(&mut self, failed: bool) {
         let now = self.state.now();
         let mut table = self.state.table.lock();
         table.record_outcome(&self.replica, failed, now);
-        if let (Some(model), Some(started)) = (&self.model, self.started) {
-            table.record_run(&self.service, model, now.since(started));
+        if let (Some(model), Some(started)) = (&self.model, self.first_token_at) {
+            table.record_decode(&self.service, model, now.since(started));
         }
     }
 
     /// Notes that the replica took no connection.
-    pub(super) fn unreachable(&self) {
+    pub(super) fn record_unreachable(&self) {
         let now = self.state.now();
         self.state
             .table
@@ -94,20 +94,20 @@
             replica: self.replica.clone(),
             incarnation: self.incarnation,
             subject: call.id.clone(),
-            whole: self.whole,
+            without_adapter: self.without_adapter,
         }
     }
 
     /// Notes that the replica gave no whole answer, and why: one that broke off may have been its fall.
-    pub fn ended(&self, call: &Call, why: &Failure) {
-        self.failed();
+    pub fn record_failure(&self, call: &Call, why: &Failure) {
+        self.record_bad_answer();
         if let Failure::Lost(_) = why {
             quarantine::note_broken(&self.state, call, self);
         }
     }
 
     /// Notes that the replica gave no good answer.
-    pub fn failed(&self) {
+    pub fn record_bad_answer(&self) {
         let now = self.state.now();
         self.state
             .table
@@ -118,7 +118,10 @@
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        self.state.table.lock().finish(&self.replica, &self.print);
+        self.state
+            .table
+            .lock()
+            .finish(&self.replica, &self.footprint);
         self.state.changed.notify_waiters();
         self.state.eased.notify_one();
     }
--- a/crates/front/src/changelog.rs
+++ b/crates/front/src/changelog.rs
@@ -15,18 +15,18 @@
     /// Newest change of each key, and when the store was known to stand past it.
     changes: HashMap<Name, (Change, Time)>,
     /// Revision from which on nothing is missing.
-    floor: u64,
+    compacted_revision: u64,
     /// Revision of the store up to which this host has heard.
     revision: u64,
     /// When the store was last known to stand at that revision.
-    confirmed: Time,
+    confirmed_at: Time,
 }
 
 impl Changelog {
     /// Takes in the whole store, as read at a revision. What went before it is not known.
     pub fn reset(&mut self, items: &[Item], revision: u64, now: Time) {
         self.changes.clear();
-        self.floor = revision;
+        self.compacted_revision = revision;
         let written = items.iter().cloned().map(Change::Written);
         self.extend(written, revision, now);
     }
@@ -48,14 +48,14 @@
         // Word of an older revision, from a host that is behind, confirms nothing of the newest one.
         if revision >= self.revision {
             self.revision = revision;
-            self.confirmed = self.confirmed.max(confirmed);
+            self.confirmed_at = self.confirmed_at.max(confirmed);
         }
-        self.forget(confirmed);
+        self.compact(confirmed);
     }
 
     /// Forgets old removals; a host that asks from before them is not answered any more.
-    fn forget(&mut self, now: Time) {
-        let floor = &mut self.floor;
+    fn compact(&mut self, now: Time) {
+        let floor = &mut self.compacted_revision;
         self.changes.retain(|_, (change, at)| {
             let stays = matches!(change, Change::Written(_)) || now.since(*at) < REMOVAL_RETENTION;
             if !stays {
@@ -72,7 +72,7 @@
 
     /// Time since the store was known to stand at [`Recent::revision`].
     pub fn age(&self, now: Time) -> Span {
-        now.since(self.confirmed)
+        now.since(self.confirmed_at)
     }
 
     /// The newest writing of all that stands in the store, as far as this host has heard.
@@ -84,7 +84,7 @@
 
     /// Changes after a revision, oldest first; none when some of them may be missing here.
     pub fn since(&self, after: u64) -> Option<Vec<Change>> {
-        if after < self.floor {
+        if after < self.compacted_revision {
             return None;
         }
         let changes = self.changes.values().map(|(change, _)| change);
--- a/crates/front/src/feedback.rs
+++ b/crates/front/src/feedback.rs
@@ -23,7 +23,7 @@
     /// The request's identity, or what else was asked.
     pub subject: Name,
     /// Whether what was asked names no adapter.
-    pub whole: bool,
+    pub without_adapter: bool,
 }
 
 /// Takes in all that an answer says of its replica.
@@ -32,8 +32,8 @@
         record_departure(state, from);
     }
     match &said.rest {
-        Reading::Value(rest) => rests(state, from, Span::from_secs_f64(rest.as_secs_f64())),
-        Reading::Absent if said.is_turned_away() => rests(state, from, Span::ZERO),
+        Reading::Value(rest) => record_backoff(state, from, Span::from_secs_f64(rest.as_secs_f64())),
+        Reading::Absent if said.is_turned_away() => record_backoff(state, from, Span::ZERO),
         Reading::Unreadable(value) => state.log.notable(|| {
             warn!(target: "replica", event = "unreadable", replica = &*from.replica, id = &*from.subject, value, "what the replica asks for is no time; it counts as not asked")
         }),
@@ -45,7 +45,7 @@
     let now = state.now();
     if answers && said.misdirected {
         let mut table = state.table.lock();
-        table.record_misdirected(&from.replica, from.whole, now);
+        table.record_misdirected(&from.replica, from.without_adapter, now);
     } else if answers && (said.signed || said.not_run) {
         state.table.lock().record_reached(&from.replica, now);
     }
@@ -60,7 +60,7 @@
     };
     if is_news {
         let by = &state.settings.name;
-        tell_leaving(state, &from.replica, Some(&from.subject), by);
+        announce_departure(state, &from.replica, Some(&from.subject), by);
     }
 }
 
@@ -81,11 +81,11 @@
         view.record_departure(replica, incarnation, origin, now)
     };
     if is_news {
-        tell_leaving(state, replica, None, by);
+        announce_departure(state, replica, None, by);
     }
 }
 
-fn tell_leaving(state: &State, replica: &Name, id: Option<&str>, by: &Name) {
+fn announce_departure(state: &State, replica: &Name, id: Option<&str>, by: &Name) {
     state.leaving.notify_one();
     state.changed.notify_waiters();
     state.log.notable(|| {
@@ -94,39 +94,43 @@
 }
 
 /// Takes in that a replica wants nothing from this host for a time.
-fn rests(state: &State, from: &Source, rest: Span) {
+fn record_backoff(state: &State, from: &Source, rest: Span) {
     let now = state.now();
     let asked = state
         .table
         .lock()
         .record_backoff(&from.replica, from.incarnation, rest, now);
-    if let Some(BackoffUpdate { first, left }) = asked {
+    if let Some(BackoffUpdate { is_new, remaining }) = asked {
         state
             .log
             .metrics
             .counter("coveford_rests_total", &[])
             .increment(1);
-        let (asked_ms, left_ms) = (rest.ms(), left.ms());
+        let (asked_ms, left_ms) = (rest.ms(), remaining.ms());
         state.log.notable(|| {
-            info!(target: "replica", event = "rests", replica = &*from.replica, id = &*from.subject, by = &*state.settings.name, asked_ms, left_ms, first, "a replica turned a request away and wants nothing from this host for a time")
+            info!(target: "replica", event = "rests", replica = &*from.replica, id = &*from.subject, by = &*state.settings.name, asked_ms, left_ms, first = is_new, "a replica turned a request away and wants nothing from this host for a time")
         });
     }
 }
 
 /// Lets a request be sent to the replica of its place, unless that takes none now by its own word.
-pub fn permit(state: &State, call: &Call, place: &Reservation) -> Result<Permit, Unavailable> {
+pub fn permit(
+    state: &State,
+    call: &Call,
+    reservation: &Reservation,
+) -> Result<Permit, Unavailable> {
     let now = state.now();
-    let permit = state.table.lock().permit(&place.replica, now);
-    if let Err(closed) = &permit {
-        let word = closed.label();
+    let permit = state.table.lock().permit(&reservation.replica, now);
+    if let Err(unavailable) = &permit {
+        let word = unavailable.label();
         let labels = [("why", word)];
         let metrics = &state.log.metrics;
         metrics
             .counter("coveford_kept_back_total", &labels)
             .increment(1);
-        let placed_ms = now.since(place.reserved_at).ms();
+        let placed_ms = now.since(reservation.reserved_at).ms();
         state.log.notable(|| {
-            info!(target: "replica", event = "kept_back", id = &*call.id, replica = &*place.replica, why = word, placed_ms, "a request was not sent to a replica that wants none")
+            info!(target: "replica", event = "kept_back", id = &*call.id, replica = &*reservation.replica, why = word, placed_ms, "a request was not sent to a replica that wants none")
         });
     }
     permit
--- a/crates/front/src/peers/quota.rs
+++ b/crates/front/src/peers/quota.rs
@@ -215,7 +215,7 @@
     ) -> Option<Option<Advertisement>> {
         let asked = limited.notice(now)?;
         self.join_limits(std::slice::from_ref(limited), host);
-        let known = self.state.table.lock().notice_of(limited.replica);
+        let known = self.state.table.lock().advertisement(limited.replica);
         let notice = known.unwrap_or(asked);
         Some(Some(notice).filter(|notice| !notice.is_expired(now)))
     }
--- a/crates/front/src/planner/dispatch.rs
+++ b/crates/front/src/planner/dispatch.rs
@@ -275,7 +275,7 @@
         replica: entry.id.clone(),
         incarnation: entry.incarnation,
         subject: call.into(),
-        whole: true,
+        without_adapter: true,
     }
 }
 
--- a/crates/front/src/queue.rs
+++ b/crates/front/src/queue.rs
@@ -36,7 +36,7 @@
 /// Request that waits.
 pub struct Waiter {
     call: Arc<Call>,
-    turn: oneshot::Sender<Placement>,
+    sender: oneshot::Sender<Placement>,
 }
 
 fn key(call: &Call) -> Key {
@@ -46,7 +46,7 @@
 
 impl Queues {
     /// Whether requests like this one wait already.
-    pub fn is_waited_for(&self, call: &Call) -> bool {
+    pub fn has_waiters(&self, call: &Call) -> bool {
         let queue = self.queues.get(&key(call));
         queue.is_some_and(|q| !q.is_empty())
     }
@@ -59,7 +59,7 @@
         until: Time,
         now: Time,
     ) -> oneshot::Receiver<Placement> {
-        let (turn, receiver) = oneshot::channel();
+        let (sender, receiver) = oneshot::channel();
         let queue = self
             .queues
             .entry(key(call))
@@ -75,7 +75,7 @@
                 deadline: until,
                 payload: Waiter {
                     call: call.clone(),
-                    turn,
+                    sender,
                 },
             },
         );
@@ -90,17 +90,17 @@
     fn dispatch(&mut self, state: &Arc<State>) {
         let now = state.now();
         for queue in self.queues.values_mut() {
-            drop(queue.expire(now, |waiter| waiter.turn.is_closed()));
+            drop(queue.expire(now, |waiter| waiter.sender.is_closed()));
             while let Some(ticket) = queue.peek(now) {
                 let call = ticket.payload.call.clone();
                 let chosen = state.table.lock().choose(&call.criteria(&[]), now);
-                let Some(choice) = chosen.ok().filter(|c| c.paced) else {
+                let Some(choice) = chosen.ok().filter(|c| c.fits_prefill_limit) else {
                     break;
                 };
                 let Some(ticket) = queue.pop(now) else { break };
-                let place = Reservation::take(state, &call, &choice);
+                let reservation = Reservation::open(state, &call, &choice);
                 // A client that has left meanwhile gives its place back by dropping it.
-                drop(ticket.payload.turn.send((choice, place)));
+                drop(ticket.payload.sender.send((choice, reservation)));
             }
         }
         self.queues.retain(|_, queue| !queue.is_empty());
--- a/crates/front/src/rate_limit.rs
+++ b/crates/front/src/rate_limit.rs
@@ -52,36 +52,36 @@
 pub fn log_change(state: &State, replica: &Name, rate: f64, change: Change, by: &Name) {
     let (replica, by) = (&**replica, &**by);
     state.log.notable(|| match change {
-        Change::First => info!(target: "limit", event = "named", replica, rate, by, "a replica in need takes so many requests a second from all hosts together"),
-        Change::Other(before) => info!(target: "limit", event = "changed", replica, rate, before, by, "a replica in need names another limit"),
-        Change::Over => info!(target: "limit", event = "over", replica, by, "a replica names no limit any more"),
+        Change::Advertised => info!(target: "limit", event = "named", replica, rate, by, "a replica in need takes so many requests a second from all hosts together"),
+        Change::Changed(before) => info!(target: "limit", event = "changed", replica, rate, before, by, "a replica in need names another limit"),
+        Change::Withdrawn => info!(target: "limit", event = "over", replica, by, "a replica names no limit any more"),
     });
 }
 
 /// A replica in need has no room for a request.
 #[derive(Debug)]
-pub struct Full;
+pub struct Exhausted;
 
 /// Gets a request of a replica's limit, if that has named one.
 pub async fn admit(
     state: &State,
     peers: &Arc<Peers>,
-    want: &Criteria<'_>,
+    criteria: &Criteria<'_>,
     choice: &Choice,
-) -> Result<Option<Grant>, Full> {
+) -> Result<Option<Grant>, Exhausted> {
     let asked = state.now();
     let replica = &choice.replica;
-    let met = {
+    let terms = {
         let mut table = state.table.lock();
-        let Some(met) = table.limit_for(replica, want, asked) else {
+        let Some(terms) = table.limit_for(replica, criteria, asked) else {
             return Ok(None);
         };
         table.record_claim(replica, asked);
-        met
+        terms
     };
-    let wanted = wanted(&met, choice);
+    let claim = claim(&terms, choice);
     let answer = match state.shares.may_ask(asked) {
-        true => grant::ask(state, peers, &wanted, SINGLE_TRY).await,
+        true => grant::ask(state, peers, &claim, SINGLE_TRY).await,
         false => None,
     };
     let now = state.now();
@@ -102,31 +102,31 @@
             }
             None => {
                 table.record_limiter_answer(replica, None, now);
-                let used = grant::spend_share(state, &wanted);
+                let used = grant::spend_share(state, &claim);
                 used.is_ok().then_some(Source::Share)
             }
         }
     };
     match source {
-        Some(source) => Ok(Some(wanted.into_grant(peers, asked, source))),
+        Some(source) => Ok(Some(claim.into_grant(peers, asked, source))),
         None => {
             state
                 .log
                 .metrics
                 .counter("coveford_limit_refusals_total", &[])
                 .increment(1);
-            Err(Full)
+            Err(Exhausted)
         }
     }
 }
 
-fn wanted(met: &LimitTerms, choice: &Choice) -> Claim {
+fn claim(terms: &LimitTerms, choice: &Choice) -> Claim {
     Claim {
-        subject: Subject::Replica(met.limited),
-        limit: met.notice.limit(1.0),
+        subject: Subject::Replica(terms.limit),
+        limit: terms.advertisement.limit(1.0),
         units: 1.0,
-        reserved: met.kept,
-        queues: choice.candidates == 1,
+        reserved: terms.reserved,
+        queues: choice.candidate_count == 1,
     }
 }
 
--- a/crates/front/src/relay.rs
+++ b/crates/front/src/relay.rs
@@ -35,10 +35,12 @@
 const LONG_PAUSE_FRACTION: f64 = 0.7;
 
 /// Whether the replica of a place is in the view, has not started again, and its entry is not missing.
-fn is_there(state: &State, place: &Reservation) -> bool {
+fn is_present(state: &State, reservation: &Reservation) -> bool {
     let table = state.table.lock();
-    let seen = table.view.get(&place.replica);
-    seen.is_some_and(|s| s.missing.is_none() && s.entry.incarnation == place.incarnation)
+    let seen = table.view.get(&reservation.replica);
+    seen.is_some_and(|s| {
+        s.missing_since.is_none() && s.entry.incarnation == reservation.incarnation
+    })
 }
 
 /// Reads an answer that is not a stream whole.
@@ -48,10 +50,10 @@
     sent: Exchange,
 ) -> Result<Response<Body>, Failure> {
     let Exchange {
-        mut place,
+        mut reservation,
         line,
         response,
-        said,
+        feedback,
     } = sent;
     let (head, body) = response.into_parts();
     let read = Limited::new(body, MAX_ANSWER).collect();
@@ -60,20 +62,20 @@
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(e)) => {
             let failed = Failure::Lost(format!("its answer broke off: {e}"));
-            place.ended(call, &failed);
+            reservation.record_failure(call, &failed);
             return Err(failed);
         }
         Err(_) => {
-            place.failed();
+            reservation.record_bad_answer();
             return Err(Failure::TimedOut);
         }
     };
     let failed = head.status.is_server_error();
-    place.answered(failed);
+    reservation.record_answer(failed);
     if !failed {
         quarantine::note_success(state, call);
     }
-    keep(state, &place, line, &said);
+    return_connection(state, &reservation, line, &feedback);
     let mut response = Response::new(full_body(body));
     *response.status_mut() = head.status;
     *response.headers_mut() = returned(&head.headers);
@@ -81,11 +83,11 @@
 }
 
 /// Gives a connection back once its answer was read whole, if the replica keeps it.
-fn keep(state: &State, place: &Reservation, line: Line, said: &Said) {
-    if said.keeps_connection {
+fn return_connection(state: &State, reservation: &Reservation, line: Line, feedback: &Said) {
+    if feedback.keeps_connection {
         state
             .pool
-            .give(&place.replica, line, said.keeps_for, state.now());
+            .give(&reservation.replica, line, feedback.keeps_for, state.now());
     }
 }
 
@@ -96,31 +98,31 @@
     call: Arc<Call>,
     source: Option<Source>,
     splitter: Splitter,
-    first: Option<Bytes>,
-    tried: History,
-    last_event: Time,
+    first_chunk: Option<Bytes>,
+    history: History,
+    last_event_at: Time,
     /// Time to the first event.
-    first_after: Span,
+    ttft: Span,
     /// Longest pause between two events so far.
-    longest: Pause,
+    longest_pause: Pause,
     _in_flight: InFlight,
 }
 
 /// Pause between two events of a stream, and what stood at the replica when it ended.
 #[derive(Default)]
 struct Pause {
-    took: Span,
+    duration: Span,
     /// Requests in flight at the replica, as far as they were known here.
     in_flight: f64,
     /// Time to read the prompts that were not read there.
-    unread: Span,
+    prefill_backlog: Span,
 }
 
 /// Where the events come from now.
 struct Source {
-    place: Reservation,
+    reservation: Reservation,
     line: Line,
-    said: Said,
+    feedback: Said,
     body: Incoming,
 }
 
@@ -130,7 +132,7 @@
     peers: &Arc<Peers>,
     call: &Arc<Call>,
     sent: Exchange,
-    tried: History,
+    history: History,
 ) -> Result<Response<Body>, Failure> {
     let mut answer = Response::new(());
     *answer.status_mut() = sent.response.status();
@@ -142,16 +144,16 @@
         call: call.clone(),
         source: Some(source),
         splitter: Splitter::default(),
-        first: None,
-        tried,
-        last_event: state.now(),
-        first_after: Span::ZERO,
-        longest: Pause::default(),
+        first_chunk: None,
+        history,
+        last_event_at: state.now(),
+        ttft: Span::ZERO,
+        longest_pause: Pause::default(),
         _in_flight: state.enter(),
     };
-    relay.start().await?;
+    relay.read_first_event().await?;
     let events = stream::unfold(relay, |mut relay| async move {
-        let event = relay.step().await?;
+        let event = relay.next_chunk().await?;
         Some((event, relay))
     });
     Ok(answer.map(|()| StreamBody::new(events).boxed_unsync()))
@@ -168,9 +170,9 @@
     /// The events of an answer whose head has come.
     fn from(sent: Exchange) -> Source {
         Source {
-            place: sent.place,
+            reservation: sent.reservation,
             line: sent.line,
-            said: sent.said,
+            feedback: sent.feedback,
             body: sent.response.into_body(),
         }
     }
@@ -178,21 +180,21 @@
 
 impl Relay {
     /// Waits for the first whole event; a failure before it may be made good elsewhere.
-    async fn start(&mut self) -> Result<(), Failure> {
-        self.first = match self.read().await {
+    async fn read_first_event(&mut self) -> Result<(), Failure> {
+        self.first_chunk = match self.read_events().await {
             Ok(first) => first,
             Err(why) => {
                 if let Some(source) = self.source.take() {
-                    source.place.ended(&self.call, &why);
+                    source.reservation.record_failure(&self.call, &why);
                 }
                 return Err(why);
             }
         };
-        self.last_event = self.state.now();
+        self.last_event_at = self.state.now();
         if let Some(source) = &mut self.source {
-            source.place.started();
+            source.reservation.record_first_token();
             let took = self.state.now().since(self.call.arrived);
-            self.first_after = took;
+            self.ttft = took;
             let metrics = &self.state.log.metrics;
             metrics.first_byte(&self.call.route.name, took);
         }
@@ -200,48 +202,48 @@
     }
 
     /// Next piece for the client; none at the end.
-    async fn step(&mut self) -> Option<Result<Frame<Bytes>, io::Error>> {
-        if let Some(first) = self.first.take() {
+    async fn next_chunk(&mut self) -> Option<Result<Frame<Bytes>, io::Error>> {
+        if let Some(first) = self.first_chunk.take() {
             return Some(Ok(Frame::data(first)));
         }
         loop {
-            match self.read().await {
+            match self.read_events().await {
                 Ok(Some(events)) => {
-                    self.note_pause();
+                    self.record_pause();
                     return Some(Ok(Frame::data(events)));
                 }
-                Ok(None) => return self.end(),
+                Ok(None) => return self.complete(),
                 Err(why) => match self.resume(&why).await {
                     true => continue,
-                    false => return Some(Err(self.cut(&why))),
+                    false => return Some(Err(self.abort(&why))),
                 },
             }
         }
     }
 
     /// Learns from the pause before an event, if it was long.
-    fn note_pause(&mut self) {
+    fn record_pause(&mut self) {
         let now = self.state.now();
-        let pause = now.since(self.last_event);
-        self.last_event = now;
+        let pause = now.since(self.last_event_at);
+        self.last_event_at = now;
         let gap = self.call.route.gap.map(Span::from);
         let long = gap.is_some_and(|gap| pause > gap * LONG_PAUSE_FRACTION);
         if let Some(source) = self.source.as_ref().filter(|_| long) {
             let mut table = self.state.table.lock();
-            table.record_slow_event(&source.place.replica, now);
-            if pause > self.longest.took {
-                let (in_flight, unread) = table.load(&source.place.replica, now);
-                self.longest = Pause {
-                    took: pause,
+            table.record_slow_event(&source.reservation.replica, now);
+            if pause > self.longest_pause.duration {
+                let (in_flight, prefill_backlog) = table.load(&source.reservation.replica, now);
+                self.longest_pause = Pause {
+                    duration: pause,
                     in_flight,
-                    unread,
+                    prefill_backlog,
                 };
             }
         }
     }
 
     /// Tells that the stream is complete.
-    fn end(&mut self) -> Option<Result<Frame<Bytes>, io::Error>> {
+    fn complete(&mut self) -> Option<Result<Frame<Bytes>, io::Error>> {
         self.state
             .log
             .metrics
@@ -252,8 +254,11 @@
         let model = self.call.ask.model.as_deref();
         let target_ms = Span::from(route.target).ms();
         let gap_ms = route.gap.map(|gap| Span::from(gap).ms());
-        let (first_ms, pause_ms) = (self.first_after.ms(), self.longest.took.ms());
-        let (in_flight, unread_ms) = (self.longest.in_flight, self.longest.unread.ms());
+        let (first_ms, pause_ms) = (self.ttft.ms(), self.longest_pause.duration.ms());
+        let (in_flight, unread_ms) = (
+            self.longest_pause.in_flight,
+            self.longest_pause.prefill_backlog.ms(),
+        );
         self.state.log.routine(id, || {
             info!(target: "request", event = "answered", id = &**id, route = &*route.name, model, ms, first_ms, target_ms, pause_ms, gap_ms, in_flight, unread_ms, "the stream is complete; pause_ms is its longest long pause, with what stood at the replica then")
         });
@@ -261,10 +266,10 @@
     }
 
     /// Reads whole events, or none when the answer has ended well.
-    async fn read(&mut self) -> Result<Option<Bytes>, Failure> {
+    async fn read_events(&mut self) -> Result<Option<Bytes>, Failure> {
         while self.source.is_some() {
-            let Some(frame) = self.frame().await? else {
-                return self.ended().map(|()| None);
+            let Some(frame) = self.next_frame().await? else {
+                return self.finish_source().map(|()| None);
             };
             let Ok(data) = frame.into_data() else {
                 continue;
@@ -279,7 +284,7 @@
     }
 
     /// Reads one frame of the answer, or none at its end.
-    async fn frame(&mut self) -> Result<Option<Frame<Bytes>>, Failure> {
+    async fn next_frame(&mut self) -> Result<Option<Frame<Bytes>>, Failure> {
         let deadline = self.call.deadline;
         let clock = &self.state.clock;
         let resumable = self.call.route.kind.is_repeatable();
@@ -299,7 +304,7 @@
                 }
                 Err(_) if until == deadline => return Err(Failure::TimedOut),
                 // Silence alone is no reason to give a replica up: it may just be slow.
-                Err(_) if is_there(&self.state, &source.place) => {}
+                Err(_) if is_present(&self.state, &source.reservation) => {}
                 Err(_) => {
                     return Err(Failure::Lost("the replica was silent, and is gone".into()));
                 }
@@ -308,28 +313,33 @@
     }
 
     /// Notes that the answer has ended, unless it ended inside an event.
-    fn ended(&mut self) -> Result<(), Failure> {
+    fn finish_source(&mut self) -> Result<(), Failure> {
         if self.splitter.is_partial() {
             return Err(Failure::Lost("its stream ended inside an event".into()));
         }
         if let Some(mut source) = self.source.take() {
-            source.place.answered(false);
+            source.reservation.record_answer(false);
             quarantine::note_success(&self.state, &self.call);
-            keep(&self.state, &source.place, source.line, &source.said);
+            return_connection(
+                &self.state,
+                &source.reservation,
+                source.line,
+                &source.feedback,
+            );
         }
         Ok(())
     }
 
     /// Breaks the answer off, so that it does not look whole.
-    fn cut(&mut self, why: &Failure) -> io::Error {
+    fn abort(&mut self, why: &Failure) -> io::Error {
         self.source = None;
         let call = &self.call;
         self.state.log.metrics.ended(&call.route.name, "broken");
         let age = self.state.now().since(call.arrived).ms();
-        let tried = self.tried.replicas.join(",");
+        let history = self.history.attempted.join(",");
         let last = self.splitter.last();
         self.state.log.notable(|| {
-            tracing::warn!(target: "request", event = "broken", id = &*call.id, print = %call.fingerprint(), route = &*call.route.name, tried, last, ms = age, why = %why, "the stream is broken off")
+            tracing::warn!(target: "request", event = "broken", id = &*call.id, print = %call.fingerprint(), route = &*call.route.name, tried = history, last, ms = age, why = %why, "the stream is broken off")
         });
         io::Error::other(why.to_string())
     }
@@ -342,7 +352,7 @@
         let ms = self.state.now().since(call.arrived).ms();
         self.state.log.metrics.ended(&call.route.name, "cancelled");
         self.state.log.routine(&call.id, || {
-            info!(target: "request", event = "cancelled", id = &*call.id, route = &*call.route.name, replica = &*source.place.replica, ms, "the client left; the replica's connection is closed")
+            info!(target: "request", event = "cancelled", id = &*call.id, route = &*call.route.name, replica = &*source.reservation.replica, ms, "the client left; the replica's connection is closed")
         });
     }
 }
--- a/crates/front/src/relay/resume.rs
+++ b/crates/front/src/relay/resume.rs
@@ -18,8 +18,8 @@
     /// Takes the stream up at another replica; tells whether that was possible.
     pub(super) async fn resume(&mut self, why: &Failure) -> bool {
         if let Some(source) = self.source.take() {
-            source.place.ended(&self.call, why);
-            self.state.pool.close_all(&source.place.replica);
+            source.reservation.record_failure(&self.call, why);
+            self.state.pool.close_all(&source.reservation.replica);
         }
         let (state, call) = (self.state.clone(), self.call.clone());
         let repeatable = call.route.kind.is_repeatable();
@@ -29,7 +29,7 @@
         self.splitter.rest();
         let last = self.splitter.last().or(call.ask.last_event);
         for _ in 0..MAX_SENDS {
-            if !self.tried.may_run(&call) || state.now() >= call.deadline {
+            if !self.history.may_run_again(&call) || state.now() >= call.deadline {
                 return false;
             }
             let Some((choice, grant)) = self.next_replica().await else {
@@ -42,14 +42,14 @@
                 }
                 return false;
             }
-            let place = Reservation::take(&state, &call, &choice);
+            let place = Reservation::open(&state, &call, &choice);
             let sent = send(&state, &call, &choice, place, last).await;
             if let (Some(grant), Err(failed)) = (grant, &sent)
                 && failed.proves_unsent()
             {
                 grant.refund(&state).await;
             }
-            self.tried.note(&choice.replica, &sent);
+            self.history.record(&choice.replica, &sent);
             state.log.notable(|| {
                 let outcome = match &sent {
                     Ok(sent) => format!("status {}", sent.response.status()),
@@ -78,7 +78,7 @@
             let now = state.now();
             let want = Criteria {
                 is_resumption: true,
-                ..call.criteria(&self.tried.replicas)
+                ..call.criteria(&self.history.attempted)
             };
             let chosen = state.table.lock().choose(&want, now);
             match chosen {
@@ -88,9 +88,9 @@
                     }
                 }
                 Err(Unplaceable::Saturated(full))
-                    if now + full.turn < give_up.min(call.deadline) =>
+                    if now + full.wait < give_up.min(call.deadline) =>
                 {
-                    let _ = tokio::time::timeout(full.turn.std(), state.changed.notified()).await;
+                    let _ = tokio::time::timeout(full.wait.std(), state.changed.notified()).await;
                 }
                 Err(_) => return None,
             }
--- a/crates/front/src/routes.rs
+++ b/crates/front/src/routes.rs
@@ -19,16 +19,16 @@
     pub limits: Limits,
     /// Client accounts; none when requests need no key.
     pub accounts: Option<Accounts>,
-    table: Router<Route>,
+    router: Router<Route>,
     /// Ranks of urgency that its routes may have: one more than the highest number.
-    levels: u8,
+    priority_levels: u8,
     services: HashMap<Name, Arc<Service>>,
 }
 
 /// Makes the form from a configuration.
 pub fn build(config: Config, revision: u64) -> Routes {
     let highest = config.routes.iter().map(|r| r.priority).max();
-    let levels = highest.unwrap_or_default().saturating_add(1);
+    let priority_levels = highest.unwrap_or_default().saturating_add(1);
     let services = config
         .services
         .into_iter()
@@ -42,8 +42,8 @@
         revision,
         limits: config.limits,
         accounts: config.accounts.map(accounts::build),
-        table: Router::new(routes),
-        levels,
+        router: Router::new(routes),
+        priority_levels,
         services: services.collect(),
     }
 }
@@ -51,13 +51,13 @@
 impl Routes {
     /// Route of a request.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
-        self.table.find(host, path)
+        self.router.find(host, path)
     }
 
     /// Rank of a request on a route, 0 first.
     pub fn rank(&self, account: Option<&Arc<Account>>, route: &Route) -> u8 {
         match (&self.accounts, account) {
-            (Some(accounts), Some(account)) => accounts.rank(account, route, self.levels),
+            (Some(accounts), Some(account)) => accounts.rank(account, route, self.priority_levels),
             _ => route.priority,
         }
     }
--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -74,21 +74,21 @@
     })?;
     let route = read::route(state, &routes, &request)?;
     let call = Arc::new(read::call(state, &routes, route, request, arrived).await?);
-    let answered = let_in(entry, &call).await;
+    let answered = admit_and_send(entry, &call).await;
     match &answered {
         Ok(response) => report::answered(state, &call, response),
-        Err(fault) => report::failed(state, &call, fault),
+        Err(fault) => report::rejected(state, &call, fault),
     }
     answered
 }
 
 /// Sends a request, if its account may have it run.
-async fn let_in(entry: &Context, call: &Arc<Call>) -> Result<Response<Body>, Rejection> {
+async fn admit_and_send(entry: &Context, call: &Arc<Call>) -> Result<Response<Body>, Rejection> {
     let state = &entry.state;
     quarantine::admit(state, &entry.peers, call).await?;
     let grant = quota::admit(state, &entry.peers, call).await?;
-    note_arrival(state, call);
-    let answered = attempts(entry, call).await;
+    record_arrival(state, call);
+    let answered = send_with_retries(entry, call).await;
     let has_not_run = answered.as_ref().is_err_and(|f| f.retry_after.is_some());
     if let Some(grant) = grant.filter(|_| has_not_run) {
         grant.refund(state).await;
@@ -97,7 +97,7 @@
 }
 
 /// Counts a request in the demand and in the retry budget of its service.
-fn note_arrival(state: &State, call: &Call) {
+fn record_arrival(state: &State, call: &Call) {
     let bounds = &state.settings.bounds;
     let mut table = state.table.lock();
     table.record_arrival(&call.service, &call.ask, bounds, call.arrived);
@@ -106,57 +106,65 @@
 /// What was done for a request so far.
 struct Progress {
     /// Replicas that it was sent to.
-    tried: History,
+    history: History,
     /// Why the last sending brought no answer.
-    last: Failure,
+    last_failure: Failure,
     /// Whether another replica could have taken it when the last one was chosen.
-    others: bool,
+    has_alternatives: bool,
     /// What it was told when no replica was found for a further sending.
-    refusal: Option<Rejection>,
+    rejection: Option<Rejection>,
     /// A replica's answer that tells of its own failure; it is passed on if no better one comes.
     answer: Option<Response<Body>>,
 }
 
 /// Sends a request until it is answered, or nothing more may be done for it.
-async fn attempts(entry: &Context, call: &Arc<Call>) -> Result<Response<Body>, Rejection> {
+async fn send_with_retries(entry: &Context, call: &Arc<Call>) -> Result<Response<Body>, Rejection> {
     let state = &entry.state;
     let mut progress = Progress {
-        tried: History::default(),
-        last: Failure::Unsent("no replica was tried".into()),
-        others: true,
-        refusal: None,
+        history: History::default(),
+        last_failure: Failure::Unsent("no replica was tried".into()),
+        has_alternatives: true,
+        rejection: None,
         answer: None,
     };
     for sending in 0..MAX_SENDS {
-        if sending > 0 && !may_go_on(state, call, &progress) {
+        if sending > 0 && !may_retry(state, call, &progress) {
             break;
         }
         let admit::Placed {
             choice,
-            place,
+            reservation,
             grant,
-        } = match place(entry, call, &progress.tried, progress.others, sending).await {
+        } = match place(
+            entry,
+            call,
+            &progress.history,
+            progress.has_alternatives,
+            sending,
+        )
+        .await
+        {
             Ok(placed) => placed,
             Err(fault) if sending == 0 => return Err(fault),
             Err(fault) => {
-                progress.refusal = Some(fault);
+                progress.rejection = Some(fault);
                 break;
             }
         };
-        progress.others = choice.candidates > 1;
-        let sent = send(state, call, &choice, place, call.ask.last_event).await;
+        progress.has_alternatives = choice.candidate_count > 1;
+        let sent = send(state, call, &choice, reservation, call.ask.last_event).await;
         if let (Some(grant), Err(failed)) = (grant, &sent)
             && failed.proves_unsent()
         {
             grant.refund(state).await;
         }
-        progress.tried.note(&choice.replica, &sent);
+        progress.history.record(&choice.replica, &sent);
         let passed = match sent {
-            Ok(sent) => pass_on(entry, call, sent, &progress.tried).await,
+            Ok(sent) => forward(entry, call, sent, &progress.history).await,
             Err(failed) => Err(failed),
         };
         let failed = match passed {
-            Ok(response) if !progress.may_better(call, &response) => return Ok(response),
+            Ok(response) if !progress.may_improve(call, &response) => return Ok(response),
             Ok(response) => {
                 let failed = Failure::ServerError(response.status().as_u16());
                 progress.answer = Some(response);
@@ -164,12 +172,12 @@
             }
             Err(failed) => failed,
         };
-        after_failure(state, call, &choice, &failed);
-        progress.last = failed;
+        handle_failure(state, call, &choice, &failed);
+        progress.last_failure = failed;
     }
     match progress.answer {
         Some(answer) => Ok(answer),
-        None => Err(give_up(state, call, progress)),
+        None => Err(final_rejection(state, call, progress)),
     }
 }
 
@@ -178,51 +186,51 @@
 async fn place(
     entry: &Context,
     call: &Arc<Call>,
-    tried: &History,
-    others: bool,
+    history: &History,
+    has_alternatives: bool,
     sending: usize,
 ) -> Result<admit::Placed, Rejection> {
-    if others {
-        let placed = admit::place(entry, call, &tried.replicas, sending).await;
+    if has_alternatives {
+        let placed = admit::place(entry, call, &history.attempted, sending).await;
         if placed.is_ok() || sending == 0 {
             return placed;
         }
     }
     tokio::time::sleep(RETRY_PAUSE).await;
-    admit::place(entry, call, &tried.may_have_run, sending).await
+    admit::place(entry, call, &history.may_have_run, sending).await
 }
 
 impl Progress {
     /// Whether another replica may give a better answer than this one, which a replica made whole.
-    fn may_better(&self, call: &Call, response: &Response<Body>) -> bool {
+    fn may_improve(&self, call: &Call, response: &Response<Body>) -> bool {
         let is_repeatable = call.route.kind.is_repeatable();
-        response.status().is_server_error() && is_repeatable && self.tried.may_run(call)
+        response.status().is_server_error() && is_repeatable && self.history.may_run_again(call)
     }
 }
 
 /// Passes an answer on whose head has come: event by event, or whole.
-async fn pass_on(
+async fn forward(
     entry: &Context,
     call: &Arc<Call>,
     sent: Exchange,
-    tried: &History,
+    history: &History,
 ) -> Result<Response<Body>, Failure> {
     let state = &entry.state;
-    match is_events(call, &sent.response) {
-        true => relay::open_stream(state, &entry.peers, call, sent, tried.clone()).await,
+    match is_event_stream(call, &sent.response) {
+        true => relay::open_stream(state, &entry.peers, call, sent, history.clone()).await,
         false => relay::read_whole(state, call, sent).await,
     }
 }
 
 /// Whether an answer is a stream of events.
-fn is_events<B>(call: &Call, response: &Response<B>) -> bool {
+fn is_event_stream<B>(call: &Call, response: &Response<B>) -> bool {
     call.route.kind.is_stream() && response.status().is_success()
 }
 
 /// Whether a request may be sent once more after a failure.
-fn may_go_on(state: &State, call: &Call, progress: &Progress) -> bool {
+fn may_retry(state: &State, call: &Call, progress: &Progress) -> bool {
     let now = state.now();
-    let last = &progress.last;
+    let last = &progress.last_failure;
     let allowed = match last {
         Failure::TimedOut
         | Failure::DeadlinePassed
@@ -230,7 +238,7 @@
         | Failure::Quarantined(_) => false,
         Failure::Lost(_) | Failure::ServerError(_) => {
             call.route.kind.is_repeatable()
-                && progress.tried.may_run(call)
+                && progress.history.may_run_again(call)
                 && quarantine::may_retry(state, call)
         }
         Failure::NotRun { .. } | Failure::Unsent(_) | Failure::Unavailable(_) => true,
@@ -240,9 +248,9 @@
 }
 
 /// Tells of a failed sending, and corrects what the table believed.
-fn after_failure(state: &State, call: &Call, choice: &Choice, failed: &Failure) {
+fn handle_failure(state: &State, call: &Call, choice: &Choice, failed: &Failure) {
     state.log.notable(|| {
-        info!(target: "request", event = "failed", id = &*call.id, print = %call.fingerprint(), replica = &*choice.replica, addr = %choice.addr, entry = choice.revision, candidates = choice.candidates, why = %failed, "a sending brought no answer")
+        info!(target: "request", event = "failed", id = &*call.id, print = %call.fingerprint(), replica = &*choice.replica, addr = %choice.addr, entry = choice.revision, candidates = choice.candidate_count, why = %failed, "a sending brought no answer")
     });
     let misdirected = matches!(
         failed,
@@ -265,9 +273,9 @@
 }
 
 /// Answer to a request that is given up.
-fn give_up(state: &State, call: &Call, progress: Progress) -> Rejection {
-    let may_have_run = !progress.tried.may_have_run.is_empty();
-    let last = &progress.last;
+fn final_rejection(state: &State, call: &Call, progress: Progress) -> Rejection {
+    let may_have_run = !progress.history.may_have_run.is_empty();
+    let last = &progress.last_failure;
     match last {
         Failure::Unauthorized(refusal) if !may_have_run => return refusal.fault(),
         Failure::Quarantined(fault) if !may_have_run => return fault.clone(),
@@ -276,7 +284,7 @@
     if !may_have_run {
         let message = format!("No replica took the request ({last}).");
         let refused = Rejection::not_run("refused_by_replicas", message, RETRY_RANGE.0);
-        return progress.refusal.unwrap_or(refused);
+        return progress.rejection.unwrap_or(refused);
     }
     match state.now() >= call.deadline || *last == Failure::TimedOut {
         true => Rejection::timed_out("The replica did not answer in time."),
--- a/crates/front/src/serve/admit.rs
+++ b/crates/front/src/serve/admit.rs
@@ -1,6 +1,6 @@
 //! Admission: choosing a replica for a request, letting it wait for its turn, or refusing it.
 
-use super::unavailable::{absent, full, request_adapter};
+use super::unavailable::{request_adapter, saturated, unplaceable};
 use super::{Context, RETRY_RANGE, report};
 use crate::attempt::{Call, Reservation};
 use crate::grant::Grant;
@@ -38,7 +38,7 @@
 /// Where a request goes.
 pub(super) struct Placed {
     pub(super) choice: Choice,
-    pub(super) place: Reservation,
+    pub(super) reservation: Reservation,
     /// Its part of the replica's limit, if that has named one.
     pub(super) grant: Option<Grant>,
 }
@@ -47,16 +47,16 @@
 struct Found {
     choice: Choice,
     /// The request's place there, where it got that with its turn.
-    place: Option<Reservation>,
+    reservation: Option<Reservation>,
     /// Whether it waited for its turn.
     waited: bool,
 }
 
 impl Found {
-    fn at_once(choice: Choice) -> Found {
+    fn immediate(choice: Choice) -> Found {
         Found {
             choice,
-            place: None,
+            reservation: None,
             waited: false,
         }
     }
@@ -74,24 +74,25 @@
     let mut held = None;
     loop {
         let found = find(entry, call, avoid, sending, &mut held).await?;
-        let want = call.criteria(avoid);
-        let Ok(grant) = rate_limit::admit(state, &entry.peers, &want, &found.choice).await else {
+        let criteria = call.criteria(avoid);
+        let Ok(grant) = rate_limit::admit(state, &entry.peers, &criteria, &found.choice).await
+        else {
             // Not even this host's own word may keep others from their turn.
             tokio::task::yield_now().await;
             continue;
         };
         let Found {
             choice,
-            place,
+            reservation,
             waited,
         } = found;
         if sending == 0 {
             report::sent(state, call, &choice, waited);
         }
-        let place = place.unwrap_or_else(|| Reservation::take(state, call, &choice));
+        let reservation = reservation.unwrap_or_else(|| Reservation::open(state, call, &choice));
         return Ok(Placed {
             choice,
-            place,
+            reservation,
             grant,
         });
     }
@@ -109,18 +110,18 @@
     let held_until = call.arrived + Span::from(call.route.target) * LOAD_WAIT_FRACTION;
     loop {
         let now = state.now();
-        let want = call.criteria(avoid);
-        let chosen = state.table.lock().choose(&want, now);
+        let criteria = call.criteria(avoid);
+        let chosen = state.table.lock().choose(&criteria, now);
         let (until, fault) = match chosen {
-            Ok(choice) if sending > 0 => return Ok(Found::at_once(choice)),
+            Ok(choice) if sending > 0 => return Ok(Found::immediate(choice)),
             Ok(choice) => {
-                if choice.crowded {
+                if choice.adapter_replicas_busy {
                     request_adapter(state, call, true);
                 }
                 return admit(entry, call, choice).await;
             }
-            Err(Unplaceable::Saturated(at)) => full(state, call, &at, held, now),
-            Err(nowhere) => absent(state, call, nowhere, held_until, now),
+            Err(Unplaceable::Saturated(at)) => saturated(state, call, &at, held, now),
+            Err(nowhere) => unplaceable(state, call, nowhere, held_until, now),
         };
         // A host that stops has no time for requests that only wait.
         if now >= until.min(call.deadline) || state.is_draining() {
@@ -137,25 +138,25 @@
     let state = &entry.state;
     let now = state.now();
     let target = Span::from(call.route.target);
-    let expected = now.since(call.arrived) + choice.first_token;
-    let others_wait = entry.queues.lock().is_waited_for(call);
-    if choice.paced && !others_wait {
-        return Ok(Found::at_once(choice));
+    let expected = now.since(call.arrived) + choice.ttft;
+    let others_wait = entry.queues.lock().has_waiters(call);
+    if choice.fits_prefill_limit && !others_wait {
+        return Ok(Found::immediate(choice));
     }
-    let (taken, coming) = {
+    let (taken, model_eta) = {
         let table = state.table.lock();
         let model = call.ask.model.as_ref();
-        let coming = model.and_then(|m| table.model_eta(m, now));
-        (table.utilization(&call.criteria(&[]), now), coming)
+        let model_eta = model.and_then(|m| table.model_eta(m, now));
+        (table.utilization(&call.criteria(&[]), now), model_eta)
     };
-    if expected > target * MAX_TTFT_FACTOR && (taken >= BUSY_UTILIZATION || !choice.free) {
-        return Err(overloaded(expected, target, coming));
+    if expected > target * MAX_TTFT_FACTOR && (taken >= BUSY_UTILIZATION || !choice.has_free_slot) {
+        return Err(overloaded(expected, target, model_eta));
     }
-    let until = call.arrived + (target * QUEUE_WAIT_FRACTION).saturating_sub(choice.first_token);
-    if let Some((choice, place)) = turn(entry, call, until, now).await {
+    let until = call.arrived + (target * QUEUE_WAIT_FRACTION).saturating_sub(choice.ttft);
+    if let Some((choice, reservation)) = wait_for_turn(entry, call, until, now).await {
         return Ok(Found {
             choice,
-            place: Some(place),
+            reservation: Some(reservation),
             waited: true,
         });
     }
@@ -163,17 +164,22 @@
     let now = state.now();
     let again = state.table.lock().choose(&call.criteria(&[]), now);
     match again {
-        Ok(choice) if choice.held_up && call.priority >= YIELDING_PRIORITY => {
-            let expected = now.since(call.arrived) + choice.first_token;
-            Err(overloaded(expected, target, coming))
+        Ok(choice) if choice.exceeds_prefill_limit && call.priority >= YIELDING_PRIORITY => {
+            let expected = now.since(call.arrived) + choice.ttft;
+            Err(overloaded(expected, target, model_eta))
         }
-        Ok(choice) => Ok(Found::at_once(choice)),
-        Err(nowhere) => Err(absent(state, call, nowhere, now, now).1),
+        Ok(choice) => Ok(Found::immediate(choice)),
+        Err(nowhere) => Err(unplaceable(state, call, nowhere, now, now).1),
     }
 }
 
 /// Waits for the turn of a request; none when it did not come by `until`.
-async fn turn(entry: &Context, call: &Arc<Call>, until: Time, now: Time) -> Option<Placement> {
+async fn wait_for_turn(
+    entry: &Context,
+    call: &Arc<Call>,
+    until: Time,
+    now: Time,
+) -> Option<Placement> {
     if until <= now {
         return None;
     }
@@ -186,8 +192,8 @@
 }
 
 /// Answer to a request that would wait too long for its first token.
-fn overloaded(expected: Span, target: Span, coming: Option<Span>) -> Rejection {
-    let wait = batch::retry_after(expected, target, coming);
+fn overloaded(expected: Span, target: Span, model_eta: Option<Span>) -> Rejection {
+    let wait = batch::retry_after(expected, target, model_eta);
     let wait = wait.max(RETRY_RANGE.0).min(RETRY_RANGE.1);
     let message = format!("The request would wait {expected} for its first token.");
     Rejection::not_run("overloaded", message, wait)
--- a/crates/front/src/serve/read.rs
+++ b/crates/front/src/serve/read.rs
@@ -90,10 +90,10 @@
         caller,
         route,
         method: head.method,
-        uri: path(head.uri),
+        uri: origin_form(head.uri),
         headers: head.headers,
         body,
-        _room: room,
+        _memory: room,
         ask,
         arrived,
         deadline,
@@ -103,7 +103,7 @@
 }
 
 /// Path and query of a target, without its host.
-fn path(uri: Uri) -> Uri {
+fn origin_form(uri: Uri) -> Uri {
     let path = uri.path_and_query().cloned();
     path.map_or(uri, |p| p.as_str().parse().expect("a path was read"))
 }
@@ -119,11 +119,11 @@
         return Ok((Bytes::new(), None));
     }
     let max = routes.limits.body;
-    let room = room(state, &body, max)?;
+    let room = reserve_memory(state, &body, max)?;
     let read = Limited::new(body, max).collect();
     match state.clock.timeout_at(deadline, read).await {
         Ok(Ok(body)) => Ok((body.to_bytes(), Some(room))),
-        Ok(Err(why)) => Err(broken(&*why, max)),
+        Ok(Err(why)) => Err(body_error(&*why, max)),
         Err(_) => Err(Rejection::client_error(
             StatusCode::REQUEST_TIMEOUT,
             "body_late",
@@ -136,8 +136,16 @@
 const UNKNOWN_LENGTH: u64 = 64 * 1_024;
 
 /// Takes the memory that a body needs, by its length.
-fn room(state: &State, body: &Incoming, max: usize) -> Result<OwnedSemaphorePermit, Rejection> {
-    let hint = body.size_hint().upper().unwrap_or(UNKNOWN_LENGTH).min(max as u64);
+fn reserve_memory(
+    state: &State,
+    body: &Incoming,
+    max: usize,
+) -> Result<OwnedSemaphorePermit, Rejection> {
+    let hint = body
+        .size_hint()
+        .upper()
+        .unwrap_or(UNKNOWN_LENGTH)
+        .min(max as u64);
     let kb = (hint / 1_024) as u32 + 1;
     let room = state.bodies.clone().try_acquire_many_owned(kb);
     room.map_err(|_| {
@@ -147,7 +155,7 @@
 }
 
 /// Answer to a request whose body could not be read whole.
-fn broken(why: &(dyn Error + Send + Sync + 'static), max: usize) -> Rejection {
+fn body_error(why: &(dyn Error + Send + Sync + 'static), max: usize) -> Rejection {
     if why.is::<LengthLimitError>() {
         return Rejection::client_error(
             StatusCode::PAYLOAD_TOO_LARGE,
--- a/crates/front/src/serve/report.rs
+++ b/crates/front/src/serve/report.rs
@@ -1,6 +1,6 @@
 //! Telling, in logs and metrics, where a request went and how it ended.
 
-use super::is_events;
+use super::is_event_stream;
 use crate::attempt::Call;
 use crate::respond::{Body, Rejection};
 use crate::state::State;
@@ -11,7 +11,7 @@
 
 /// Tells that a request is sent to a replica, and whether it waited for its turn.
 pub(super) fn sent(state: &State, call: &Call, choice: &Choice, waited: bool) {
-    let missing_ms = choice.missing.map(Span::ms);
+    let missing_ms = choice.missing_for.map(Span::ms);
     if missing_ms.is_some() {
         let metrics = &state.log.metrics;
         metrics
@@ -20,7 +20,7 @@
     }
     state.log.routine(&call.id, || {
         let ms = state.now().since(call.arrived).ms();
-        info!(target: "request", event = "sent", id = &*call.id, route = &*call.route.name, model = call.ask.model.as_deref(), adapter = call.ask.adapter.as_deref(), replica = &*choice.replica, candidates = choice.candidates, expected_ms = choice.first_token.ms(), paced = choice.paced, waited, ms, entry = choice.revision, missing_ms, "sent to the replica with the least expected time")
+        info!(target: "request", event = "sent", id = &*call.id, route = &*call.route.name, model = call.ask.model.as_deref(), adapter = call.ask.adapter.as_deref(), replica = &*choice.replica, candidates = choice.candidate_count, expected_ms = choice.ttft.ms(), paced = choice.fits_prefill_limit, waited, ms, entry = choice.revision, missing_ms, "sent to the replica with the least expected time")
     });
 }
 
@@ -28,7 +28,7 @@
 pub(super) fn answered(state: &State, call: &Call, response: &Response<Body>) {
     let status = response.status().as_u16();
     let took = state.now().since(call.arrived);
-    if is_events(call, response) {
+    if is_event_stream(call, response) {
         return;
     }
     state.log.metrics.first_byte(&call.route.name, took);
@@ -43,7 +43,7 @@
 }
 
 /// Tells of a request that coveford answers itself.
-pub(super) fn failed(state: &State, call: &Call, fault: &Rejection) {
+pub(super) fn rejected(state: &State, call: &Call, fault: &Rejection) {
     let ms = state.now().since(call.arrived).ms();
     state.log.metrics.ended(&call.route.name, fault.reason);
     let retry_after_ms = fault.retry_after.map(|s| s.ms());
--- a/crates/front/src/serve/unavailable.rs
+++ b/crates/front/src/serve/unavailable.rs
@@ -7,7 +7,7 @@
 use crate::rate_limit::{self, Waiter};
 use crate::respond::Rejection;
 use crate::state::{State, Wish};
-use crate::table::{Saturated, Unplaceable};
+use crate::table::{Saturation, Unplaceable};
 use std::sync::Arc;
 use unit::{Span, Time};
 
@@ -40,15 +40,15 @@
 
 /// Until when a request may wait for room at replicas in need or at rest, and what it is told then. One that would not have its
 /// turn in time does not wait at all.
-pub(super) fn full(
+pub(super) fn saturated(
     state: &Arc<State>,
     call: &Call,
-    at: &Saturated,
+    at: &Saturation,
     held: &mut Option<Waiter>,
     now: Time,
 ) -> (Time, Rejection) {
     let until = call.arrived + Span::from(call.route.target) * CAPACITY_WAIT_FRACTION;
-    if held.is_none() && now + at.turn > until {
+    if held.is_none() && now + at.wait > until {
         return (now, saturated_rejection(call, at));
     }
     // Its adapter may be on no other replica.
@@ -58,11 +58,11 @@
 }
 
 /// Answer to a request whose replicas have no room by their own word.
-fn saturated_rejection(call: &Call, at: &Saturated) -> Rejection {
-    let wait = at.turn.max(RETRY_RANGE.0);
+fn saturated_rejection(call: &Call, at: &Saturation) -> Rejection {
+    let wait = at.wait.max(RETRY_RANGE.0);
     let spread = (wait * JITTER_FRACTION).max(MIN_JITTER);
     let wait = wait + spread * fraction(&call.id);
-    match at.rests {
+    match at.is_backing_off {
         true => {
             let message = "The replicas that could take the request take none from this host now.";
             Rejection::not_run("resting", message, wait)
@@ -80,7 +80,7 @@
 }
 
 /// Until when a request may wait for what is on no replica, and what it is told then.
-pub(super) fn absent(
+pub(super) fn unplaceable(
     state: &State,
     call: &Call,
     nowhere: Unplaceable,
--- a/crates/front/src/table.rs
+++ b/crates/front/src/table.rs
@@ -19,7 +19,7 @@
 mod replica;
 
 pub use backoff::BackoffUpdate;
-pub use choose::{Choice, Saturated, Unplaceable};
+pub use choose::{Choice, Saturation, Unplaceable};
 pub use permit::{Permit, Unavailable};
 pub use rate_limit::{Change, LimitTerms};
 pub use replica::Footprint;
@@ -28,10 +28,10 @@
 use crate::routes::Routes;
 use crate::settings::Bounds;
 use crate::view::{Update, View};
-use backoff::Rests;
+use backoff::Backoffs;
 use demand::Demands;
 use pace::Paces;
-use plans::Told;
+use plans::Plans;
 use platform::config::Service;
 use platform::ingress::Ask;
 use platform::replica::Entry;
@@ -65,16 +65,16 @@
     pub knows_host_count: bool,
     hall: Name,
     replicas: HashMap<Name, State>,
-    rests: Rests,
+    backoffs: Backoffs,
     paces: Paces,
     /// Retry budgets by service.
-    windows: HashMap<Name, WindowedBudget>,
+    retry_budgets: HashMap<Name, WindowedBudget>,
     demand: Demands,
-    told: Told,
+    plans: Plans,
     /// When what was told before was set aside.
-    told_before_at: Time,
+    rotated_at: Time,
     /// Adapters that requests of this host used since they were told last.
-    used: HashSet<AdapterUse>,
+    adapter_uses: HashSet<AdapterUse>,
     /// When another host last told its sums directly.
     direct_at: Time,
     rng: SmallRng,
@@ -108,13 +108,13 @@
             knows_host_count: false,
             hall,
             replicas: HashMap::new(),
-            rests: Rests::new(),
+            backoffs: Backoffs::new(),
             paces: Paces::default(),
-            windows: HashMap::new(),
+            retry_budgets: HashMap::new(),
             demand: Demands::default(),
-            told: Told::default(),
-            told_before_at: Time(0),
-            used: HashSet::new(),
+            plans: Plans::default(),
+            rotated_at: Time(0),
+            adapter_uses: HashSet::new(),
             direct_at: Time(0),
             rng: SmallRng::seed_from_u64(seed),
         }
@@ -136,19 +136,19 @@
             match one {
                 // What it asked this host for holds on: its entry may come back.
                 Update::Removed(id) => drop(self.replicas.remove(id)),
-                Update::Restarted(id) => self.restarted(id),
+                Update::Restarted(id) => self.reset_replica(id),
                 _ => {}
             }
         }
     }
 
     /// Forgets what a replica knew and held before it started again.
-    fn restarted(&mut self, id: &Name) {
+    fn reset_replica(&mut self, id: &Name) {
         if let Some(state) = self.replicas.get_mut(id) {
             state.restart();
         }
-        self.told.loaded.forget(id);
-        self.told.closing.forget(id);
+        self.plans.loaded.forget(id);
+        self.plans.unloading.forget(id);
     }
 
     /// Configuration of a service.
@@ -157,7 +157,7 @@
     }
 
     /// What is known of a replica, to be changed.
-    fn replica(&mut self, id: &Name) -> &mut State {
+    fn replica_mut(&mut self, id: &Name) -> &mut State {
         self.replicas.entry(id.clone()).or_default()
     }
 
@@ -167,33 +167,33 @@
     }
 
     /// Whether a replica holds a model, by its entry or by the leader's word.
-    fn holds(&self, entry: &Entry, model: &Name, now: Time) -> bool {
+    fn holds_model(&self, entry: &Entry, model: &Name, now: Time) -> bool {
         let in_entry = entry.held.iter().any(|h| h.model == *model);
-        in_entry || self.told.loaded.has(&entry.id, model, now)
+        in_entry || self.plans.loaded.contains(&entry.id, model, now)
     }
 
     /// Pace of a model: prompt tokens read in a millisecond, and the time of a run.
     pub fn pace(&self, service: &Name, model: &Name) -> (f64, Span) {
-        let pace = self.paces.of(service, Some(model));
-        (pace.speed, pace.run)
+        let pace = self.paces.get(service, Some(model));
+        (pace.prefill_speed, pace.decode)
     }
 
     /// Share of the places of a service's replicas for a model that are taken.
-    pub fn utilization(&self, want: &Criteria, now: Time) -> f64 {
-        let model = want.ask.model.as_ref();
+    pub fn utilization(&self, criteria: &Criteria, now: Time) -> f64 {
+        let model = criteria.ask.model.as_ref();
         let direct = self.is_direct(now);
         let (mut taken, mut places) = (0.0, 0.0);
         for seen in self.view.all() {
             let entry = &seen.entry;
-            let holds = model.is_none_or(|m| self.holds(entry, m, now));
-            if entry.service == *want.service && !entry.leaving && holds {
+            let holds = model.is_none_or(|m| self.holds_model(entry, m, now));
+            if entry.service == *criteria.service && !entry.leaving && holds {
                 let state = self.replicas.get(&entry.id);
                 // The places of a replica in need, or at rest, are not there for the asking.
-                let in_need = state.is_some_and(|s| s.limit(now).is_some());
+                let in_need = state.is_some_and(|s| s.active_limit(now).is_some());
                 if in_need || self.unavailable(&entry.id, now).is_some() {
                     continue;
                 }
-                let load = state.map(|s| s.load(now, direct));
+                let load = state.map(|s| s.total_load(now, direct));
                 taken += f64::from(load.unwrap_or_default().requests);
                 places += f64::from(entry.slots);
             }
@@ -205,7 +205,7 @@
     pub fn load(&self, replica: &str, now: Time) -> (f64, Span) {
         let state = self.replicas.get(replica);
         let load = state
-            .map(|s| s.load(now, self.is_direct(now)))
+            .map(|s| s.total_load(now, self.is_direct(now)))
             .unwrap_or_default();
         let unread: f32 = load.prefill_ms.iter().sum();
         (
@@ -216,77 +216,82 @@
 
     /// Time until one more copy of a model is expected, if one is on its way.
     pub fn model_eta(&self, model: &Name, now: Time) -> Option<Span> {
-        self.told.coming(model, now)
+        self.plans.model_eta(model, now)
     }
 
     /// Counts a request in at a replica.
-    pub fn begin(&mut self, replica: &Name, want: &Criteria, now: Time) -> Footprint {
-        let pace = self.paces.of(want.service, want.ask.model.as_ref());
-        self.note_use(replica, want);
-        let state = self.replica(replica);
-        state.absence.tried(now);
-        state.enter(want, &pace)
+    pub fn begin(&mut self, replica: &Name, criteria: &Criteria, now: Time) -> Footprint {
+        let pace = self
+            .paces
+            .get(criteria.service, criteria.ask.model.as_ref());
+        self.record_adapter_use(replica, criteria);
+        let state = self.replica_mut(replica);
+        state.reachability.record_attempt(now);
+        state.begin(criteria, &pace)
     }
 
     /// Notes that the first token of a request has come.
     pub fn record_first_token(&mut self, replica: &str, print: &mut Footprint) {
         if let Some(state) = self.replicas.get_mut(replica) {
-            state.started(print);
+            state.finish_prefill(print);
         }
-        print.reading_ms = 0.0;
+        print.prefill_ms = 0.0;
     }
 
     /// Counts a request out.
     pub fn finish(&mut self, replica: &str, print: &Footprint) {
         if let Some(state) = self.replicas.get_mut(replica) {
-            state.leave(print);
+            state.finish(print);
         }
     }
 
     /// Learns from an answer or a failure of a replica.
     pub fn record_outcome(&mut self, replica: &Name, failed: bool, now: Time) {
         let sample = f64::from(u8::from(failed));
-        self.replica(replica).failing.learn(sample, now);
+        self.replica_mut(replica).failure_rate.record(sample, now);
     }
 
     /// Learns that a replica took no connection.
     pub fn record_unreachable(&mut self, replica: &Name, now: Time) {
-        self.replica(replica).absence.strike(now);
+        self.replica_mut(replica).reachability.record_failure(now);
     }
 
     /// Learns that a replica refused a request as meant for another replica, model or adapter;
     /// `whole` if the request named no adapter.
     pub fn record_misdirected(&mut self, replica: &Name, whole: bool, now: Time) {
-        self.replica(replica).absence.misdirected(whole, now);
+        self.replica_mut(replica)
+            .reachability
+            .record_misdirected(whole, now);
     }
 
     /// Learns that a replica answered under its identity.
     pub fn record_reached(&mut self, replica: &Name, now: Time) {
-        self.replica(replica).absence.reached(now);
+        self.replica_mut(replica).reachability.record_reached(now);
     }
 
     /// Learns that a stream of a replica paused for almost longer than it may.
     pub fn record_slow_event(&mut self, replica: &Name, now: Time) {
-        self.replica(replica).lagging.learn(1.0, now);
+        self.replica_mut(replica).stall_rate.record(1.0, now);
     }
 
     /// Learns how fast prompts are read, from one that none stood before: it took that time.
-    pub fn record_speed(&mut self, service: &Name, model: &Name, tokens: f64, took: Span) {
-        self.paces.learn_speed(service, model, tokens, took);
+    pub fn record_prefill_speed(&mut self, service: &Name, model: &Name, tokens: f64, took: Span) {
+        self.paces
+            .record_prefill_speed(service, model, tokens, took);
     }
 
     /// Learns how long a run takes after its first token.
-    pub fn record_run(&mut self, service: &Name, model: &Name, run: Span) {
-        self.paces.learn_run(service, model, run);
+    pub fn record_decode(&mut self, service: &Name, model: &Name, run: Span) {
+        self.paces.record_decode(service, model, run);
     }
 
     /// Prompt tokens to be read for a request at a replica, if none stands before it there.
     pub fn unqueued_tokens(&self, replica: &str, ask: &Ask, now: Time) -> Option<f64> {
         let model = ask.model.as_ref()?;
         let state = self.replicas.get(replica);
-        let load = state.map(|s| s.load(now, self.is_direct(now)));
+        let load = state.map(|s| s.total_load(now, self.is_direct(now)));
         let unread: f32 = load.unwrap_or_default().prefill_ms.iter().sum();
-        let kept = state.map_or(0, |s| s.kept(model, ask));
+        let kept = state.map_or(0, |s| s.cached_tokens(model, ask));
         (unread <= 0.0).then(|| ask.prompt.saturating_sub(kept) as f64)
     }
 
@@ -294,17 +299,20 @@
     pub fn record_arrival(&mut self, service: &Name, ask: &Ask, bounds: &Bounds, now: Time) {
         let length = bounds.retry_window.into();
         let new = || WindowedBudget::new(bounds.retry_share, bounds.retry_slack, length);
-        let window = self.windows.entry(service.clone()).or_insert_with(new);
+        let window = self
+            .retry_budgets
+            .entry(service.clone())
+            .or_insert_with(new);
         window.record_request(now);
         if let Some(model) = &ask.model {
-            self.demand.arrived(service, model, ask.prompt, now);
+            self.demand.record(service, model, ask.prompt, now);
         }
     }
 
     /// Spends a retry of a service's budget if there is one.
     pub fn spend_retry(&mut self, service: &str, now: Time) -> bool {
         let hosts = self.knows_host_count.then_some(self.host_count);
-        let window = self.windows.get_mut(service);
+        let window = self.retry_budgets.get_mut(service);
         window.is_some_and(|w| w.spend(now, hosts))
     }
 }
--- a/crates/front/src/table/adapters.rs
+++ b/crates/front/src/table/adapters.rs
@@ -11,12 +11,12 @@
 
 impl Table {
     /// Notes that a request uses an adapter, to tell the leader.
-    pub(super) fn note_use(&mut self, replica: &Name, want: &Criteria) {
-        let (Some(model), Some(adapter)) = (&want.ask.model, &want.ask.adapter) else {
+    pub(super) fn record_adapter_use(&mut self, replica: &Name, criteria: &Criteria) {
+        let (Some(model), Some(adapter)) = (&criteria.ask.model, &criteria.ask.adapter) else {
             return;
         };
-        if self.used.len() < MAX_USES {
-            self.used.insert(AdapterUse {
+        if self.adapter_uses.len() < MAX_USES {
+            self.adapter_uses.insert(AdapterUse {
                 replica: replica_hash(replica),
                 model: model.clone(),
                 adapter: adapter.clone(),
@@ -26,13 +26,13 @@
 
     /// Adapters that requests of this host used since the last call.
     pub fn take_adapter_uses(&mut self) -> Vec<AdapterUse> {
-        self.used.drain().collect()
+        self.adapter_uses.drain().collect()
     }
 
     /// Takes in where adapters are, by the leader.
     pub fn set_adapters(&mut self, replica: &Name, adapters: Vec<(Name, Name)>, now: Time) {
         if self.view.get(replica).is_some() {
-            let state = self.replica(replica);
+            let state = self.replica_mut(replica);
             state.adapters = adapters;
             state.adapters_at = now;
         }
@@ -41,7 +41,7 @@
     /// Notes that a replica holds an adapter.
     pub fn add_adapter(&mut self, replica: &Name, model: &Name, adapter: &Name) {
         if self.view.get(replica).is_some() {
-            let state = self.replica(replica);
+            let state = self.replica_mut(replica);
             let key = (model.clone(), adapter.clone());
             if !state.adapters.contains(&key) {
                 state.adapters.push(key);
--- a/crates/front/src/table/average.rs
+++ b/crates/front/src/table/average.rs
@@ -10,22 +10,22 @@
 
 /// Smoothed share of samples between 0 and 1, which fades while none comes.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Share {
+pub(super) struct Average {
     value: f64,
-    learned: Time,
+    updated_at: Time,
 }
 
-impl Share {
+impl Average {
     /// The share now; it halves in [`HALF_LIFE`] without news.
-    pub(super) fn at(&self, now: Time) -> f64 {
-        let halves = now.since(self.learned).secs() / HALF_LIFE.secs();
+    pub(super) fn current(&self, now: Time) -> f64 {
+        let halves = now.since(self.updated_at).secs() / HALF_LIFE.secs();
         self.value * 0.5_f64.powf(halves)
     }
 
     /// Takes a sample in.
-    pub(super) fn learn(&mut self, sample: f64, now: Time) {
-        let before = self.at(now);
+    pub(super) fn record(&mut self, sample: f64, now: Time) {
+        let before = self.current(now);
         self.value = before + (sample - before) * SAMPLE_WEIGHT;
-        self.learned = now;
+        self.updated_at = now;
     }
 }
--- a/crates/front/src/table/backoff.rs
+++ b/crates/front/src/table/backoff.rs
@@ -8,15 +8,15 @@
 use unit::{Name, Span, Time};
 
 /// Rests by replica, with the incarnation that asked for each.
-pub(super) type Rests = HashMap<Name, (Incarnation, Backoff)>;
+pub(super) type Backoffs = HashMap<Name, (Incarnation, Backoff)>;
 
 /// What changed when a replica asked for rest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BackoffUpdate {
     /// Whether it had asked for none that holds.
-    pub first: bool,
+    pub is_new: bool,
     /// Time that it rests now.
-    pub left: Span,
+    pub remaining: Span,
 }
 
 impl Table {
@@ -32,61 +32,66 @@
         if self.view.has_other_incarnation(id, incarnation) {
             return None;
         }
-        let known = self.rests.get_mut(id);
-        let known = known.filter(|(of, rest)| *of == incarnation && !rest.is_over(now));
-        let first = known.is_none();
-        if first && time == Span::ZERO {
+        let known = self.backoffs.get_mut(id);
+        let known = known.filter(|(of, backoff)| *of == incarnation && !backoff.is_over(now));
+        let is_new = known.is_none();
+        if is_new && time == Span::ZERO {
             return None;
         }
-        let rest = match known {
-            Some((_, rest)) => {
-                rest.extend(time, now);
-                *rest
+        let backoff = match known {
+            Some((_, backoff)) => {
+                backoff.extend(time, now);
+                *backoff
             }
             None => {
-                let rest = Backoff::new(time, now);
-                self.rests.insert(id.clone(), (incarnation, rest));
-                rest
+                let backoff = Backoff::new(time, now);
+                self.backoffs.insert(id.clone(), (incarnation, backoff));
+                backoff
             }
         };
         Some(BackoffUpdate {
-            first,
-            left: rest.remaining(now),
+            is_new,
+            remaining: backoff.remaining(now),
         })
     }
 
     /// Rest that an incarnation of a replica asked this host for, while it or the return from it lasts.
-    pub(super) fn rest(&self, id: &str, incarnation: Incarnation, now: Time) -> Option<&Backoff> {
-        let (of, rest) = self.rests.get(id)?;
-        (*of == incarnation && !rest.is_over(now)).then_some(rest)
+    pub(super) fn backoff(
+        &self,
+        id: &str,
+        incarnation: Incarnation,
+        now: Time,
+    ) -> Option<&Backoff> {
+        let (of, backoff) = self.backoffs.get(id)?;
+        (*of == incarnation && !backoff.is_over(now)).then_some(backoff)
     }
 
     /// Replicas that want nothing from this host now.
     pub fn backing_off(&self, now: Time) -> Vec<Name> {
         let times = self.backoffs(now).into_iter();
-        let resting = times.filter(|(_, left)| *left > Span::ZERO);
+        let resting = times.filter(|(_, remaining)| *remaining > Span::ZERO);
         resting.map(|(id, _)| id).collect()
     }
 
     /// Replicas that rest, or rested a moment ago, with the time that is left; the longest first.
     pub fn backoffs(&self, now: Time) -> Vec<(Name, Span)> {
         let holds = |id: &Name, of: &Incarnation| !self.view.has_other_incarnation(id, *of);
-        let rests = self.rests.iter().filter(|(id, (of, _))| holds(id, of));
-        let left = rests.map(|(id, (_, rest))| (id.clone(), rest.remaining(now)));
-        let mut left: Vec<(Name, Span)> = left.collect();
-        left.sort_by_key(|(_, left)| std::cmp::Reverse(*left));
-        left
+        let backoffs = self.backoffs.iter().filter(|(id, (of, _))| holds(id, of));
+        let remaining = backoffs.map(|(id, (_, backoff))| (id.clone(), backoff.remaining(now)));
+        let mut remaining: Vec<(Name, Span)> = remaining.collect();
+        remaining.sort_by_key(|(_, remaining)| std::cmp::Reverse(*remaining));
+        remaining
     }
 
     /// Takes out the replicas whose rest and the return from it are over, or that have started again.
     pub fn expire_backoffs(&mut self, now: Time) -> Vec<Name> {
         let view = &self.view;
-        let is_over = |id: &Name, of: &Incarnation, rest: &Backoff| {
-            rest.is_over(now) || view.has_other_incarnation(id, *of)
+        let is_over = |id: &Name, of: &Incarnation, backoff: &Backoff| {
+            backoff.is_over(now) || view.has_other_incarnation(id, *of)
         };
         let over = self
-            .rests
-            .extract_if(|id, (of, rest)| is_over(id, of, rest));
+            .backoffs
+            .extract_if(|id, (of, backoff)| is_over(id, of, backoff));
         over.map(|(id, _)| id).collect()
     }
 }
--- a/crates/front/src/table/demand.rs
+++ b/crates/front/src/table/demand.rs
@@ -18,15 +18,15 @@
     /// Prompt tokens a second.
     tokens: f64,
     /// Until when it has decayed.
-    last: Time,
+    updated_at: Time,
 }
 
 impl Demand {
     fn decay(&mut self, now: Time) {
-        let factor = (-now.since(self.last).secs() / DEMAND_WINDOW.secs()).exp();
+        let factor = (-now.since(self.updated_at).secs() / DEMAND_WINDOW.secs()).exp();
         self.rate *= factor;
         self.tokens *= factor;
-        self.last = self.last.max(now);
+        self.updated_at = self.updated_at.max(now);
     }
 }
 
@@ -36,7 +36,7 @@
 
 impl Demands {
     /// Notes a request with a prompt of that many tokens.
-    pub(super) fn arrived(&mut self, service: &Name, model: &Name, prompt: u64, now: Time) {
+    pub(super) fn record(&mut self, service: &Name, model: &Name, prompt: u64, now: Time) {
         let key = (service.clone(), model.clone());
         let demand = self.0.entry(key).or_default();
         demand.decay(now);
--- a/crates/front/src/table/loads.rs
+++ b/crates/front/src/table/loads.rs
@@ -17,8 +17,8 @@
 
     /// What this host has in flight.
     pub fn own_loads(&self) -> Vec<PackedLoad> {
-        let busy = self.replicas.iter().filter(|(_, s)| s.mine.requests > 0.0);
-        busy.map(|(id, s)| PackedLoad::new(id, &s.mine)).collect()
+        let busy = self.replicas.iter().filter(|(_, s)| s.own.requests > 0.0);
+        busy.map(|(id, s)| PackedLoad::new(id, &s.own)).collect()
     }
 
     /// Short names of replicas that this host found unreachable lately.
@@ -26,34 +26,34 @@
         let absent = self
             .replicas
             .iter()
-            .filter(|(_, s)| s.absence.is_suspected(now));
+            .filter(|(_, s)| s.reachability.is_suspected(now));
         absent.map(|(id, _)| replica_hash(id)).collect()
     }
 
     /// What this host has in flight, remembered as told.
     pub fn report_own_loads(&mut self, now: Time) -> Vec<PackedLoad> {
-        let set_aside = now.since(self.told_before_at) >= REPORT_LATENCY;
+        let set_aside = now.since(self.rotated_at) >= REPORT_LATENCY;
         if set_aside {
-            self.told_before_at = now;
+            self.rotated_at = now;
         }
         for state in self.replicas.values_mut() {
             if set_aside {
-                state.told_before = state.told;
+                state.reported_before = state.reported;
             }
-            state.told = state.mine;
+            state.reported = state.own;
         }
         self.own_loads()
     }
 
     /// Takes in the sums of all hosts.
     pub fn set_fleet_loads(&mut self, rows: &[PackedLoad], now: Time) {
-        for (id, load) in self.named(rows) {
+        for (id, load) in self.resolve(rows) {
             let state = self.replicas.entry(id).or_default();
             // Whether the sums hold what was told last is not known; to count some of this host's own
             // requests twice for a moment is better than to miss them.
-            let own = state.told.min(&state.told_before);
-            state.others = load.saturating_sub(&own);
-            state.others_at = now;
+            let own = state.reported.min(&state.reported_before);
+            state.fleet = load.saturating_sub(&own);
+            state.fleet_at = now;
         }
     }
 
@@ -61,16 +61,16 @@
     pub fn set_host_loads(&mut self, host: &Name, rows: &[PackedLoad], now: Time) {
         self.direct_at = now;
         for state in self.replicas.values_mut() {
-            state.hosts.remove(host);
+            state.by_host.remove(host);
         }
-        for (id, load) in self.named(rows) {
+        for (id, load) in self.resolve(rows) {
             let state = self.replicas.entry(id).or_default();
-            state.hosts.insert(host.clone(), (load, now));
+            state.by_host.insert(host.clone(), (load, now));
         }
     }
 
     /// Rows of replicas that are known, with their identities.
-    fn named(&self, rows: &[PackedLoad]) -> Vec<(Name, Load)> {
+    fn resolve(&self, rows: &[PackedLoad]) -> Vec<(Name, Load)> {
         let rows: HashMap<u32, &PackedLoad> = rows.iter().map(|r| (r.replica(), r)).collect();
         let ids = self.view.all().map(|s| &s.entry.id);
         ids.filter_map(|id| {
--- a/crates/front/src/table/pace.rs
+++ b/crates/front/src/table/pace.rs
@@ -22,27 +22,27 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Pace {
     /// Prompt tokens read in a millisecond.
-    pub(super) speed: f64,
+    pub(super) prefill_speed: f64,
     /// Time of a run from its first token to its last.
-    pub(super) run: Span,
+    pub(super) decode: Span,
 }
 
 impl Pace {
     /// Time to read what is not kept of a prompt.
-    pub(super) fn reading(&self, model: Option<&Name>, ask: &Ask, kept: u64) -> Span {
+    pub(super) fn prefill(&self, model: Option<&Name>, ask: &Ask, kept: u64) -> Span {
         if model.is_none() {
             return Span::ZERO;
         }
         let tokens = ask.prompt.saturating_sub(kept) as f64;
-        Span((tokens / self.speed * 1e3) as u64)
+        Span((tokens / self.prefill_speed * 1e3) as u64)
     }
 }
 
 impl Default for Pace {
     fn default() -> Self {
         Pace {
-            speed: DEFAULT_SPEED,
-            run: DEFAULT_DECODE,
+            prefill_speed: DEFAULT_SPEED,
+            decode: DEFAULT_DECODE,
         }
     }
 }
@@ -53,24 +53,30 @@
 
 impl Paces {
     /// Pace of a model, or of a service that runs none.
-    pub(super) fn of(&self, service: &Name, model: Option<&Name>) -> Pace {
+    pub(super) fn get(&self, service: &Name, model: Option<&Name>) -> Pace {
         let model = model.cloned().unwrap_or_else(|| "".into());
         let known = self.0.get(&(service.clone(), model));
         known.copied().unwrap_or_default()
     }
 
     /// Learns how fast prompts are read, from one that none stood before: it took that time.
-    pub(super) fn learn_speed(&mut self, service: &Name, model: &Name, tokens: f64, took: Span) {
+    pub(super) fn record_prefill_speed(
+        &mut self,
+        service: &Name,
+        model: &Name,
+        tokens: f64,
+        took: Span,
+    ) {
         let ms = took.saturating_sub(DECODE_STEP).ms().max(1.0);
         let sample = (tokens / ms).clamp(SPEED_RANGE.0, SPEED_RANGE.1);
         let pace = self.entry(service, model);
-        pace.speed += (sample - pace.speed) * SAMPLE_WEIGHT;
+        pace.prefill_speed += (sample - pace.prefill_speed) * SAMPLE_WEIGHT;
     }
 
     /// Learns how long a run takes after its first token.
-    pub(super) fn learn_run(&mut self, service: &Name, model: &Name, run: Span) {
+    pub(super) fn record_decode(&mut self, service: &Name, model: &Name, run: Span) {
         let pace = self.entry(service, model);
-        pace.run = pace.run * (1.0 - SAMPLE_WEIGHT) + run * SAMPLE_WEIGHT;
+        pace.decode = pace.decode * (1.0 - SAMPLE_WEIGHT) + run * SAMPLE_WEIGHT;
     }
 
     fn entry(&mut self, service: &Name, model: &Name) -> &mut Pace {
--- a/crates/front/src/table/permit.rs
+++ b/crates/front/src/table/permit.rs
@@ -32,7 +32,7 @@
         if let Some(closed) = self.unavailable(id, now) {
             return Err(closed);
         }
-        if let Some((_, rest)) = self.rests.get_mut(id) {
+        if let Some((_, rest)) = self.backoffs.get_mut(id) {
             rest.record_sent(now);
         }
         Ok(Permit(()))
@@ -44,7 +44,7 @@
         let Some(seen) = seen else {
             return Some(Unavailable::Leaving);
         };
-        let rest = self.rest(id, seen.entry.incarnation, now)?;
+        let rest = self.backoff(id, seen.entry.incarnation, now)?;
         rest.wait(now).map(Unavailable::BackingOff)
     }
 }
--- a/crates/front/src/table/plans.rs
+++ b/crates/front/src/table/plans.rs
@@ -12,50 +12,52 @@
 
 /// The leader's plans, as told last.
 #[derive(Default)]
-pub(super) struct Told {
+pub(super) struct Plans {
     /// When models are expected somewhere.
-    coming: HashMap<Name, Time>,
+    model_etas: HashMap<Name, Time>,
     /// Short names of replicas that several hosts could not reach, and when that was told.
-    absent: (HashSet<u32>, Time),
+    unreachable: (HashSet<u32>, Time),
     /// Replicas and the model that each has just loaded.
-    pub(super) loaded: Pairs,
+    pub(super) loaded: Assignments,
     /// Replicas and the model that each is about to give up.
-    pub(super) closing: Pairs,
+    pub(super) unloading: Assignments,
 }
 
-impl Told {
+impl Plans {
     /// Notes when models are expected somewhere, in milliseconds from now.
     pub(super) fn set_coming(&mut self, coming: &[(Name, u32)], now: Time) {
         let due = |ms: &u32| now + Span::from_ms(u64::from(*ms));
         let coming = coming.iter().map(|(model, ms)| (model.clone(), due(ms)));
-        self.coming = coming.collect();
+        self.model_etas = coming.collect();
     }
 
     /// Notes which replicas several hosts could not reach.
     pub(super) fn set_absent(&mut self, absent: Vec<u32>, now: Time) {
-        self.absent = (absent.into_iter().collect(), now);
+        self.unreachable = (absent.into_iter().collect(), now);
     }
 
     /// Whether several hosts could not reach a replica a moment ago.
-    pub(super) fn is_absent(&self, replica: &str, now: Time) -> bool {
-        let (absent, at) = &self.absent;
-        !absent.is_empty() && now.since(*at) < MAX_UNREACHABLE_AGE && absent.contains(&replica_hash(replica))
+    pub(super) fn is_unreachable(&self, replica: &str, now: Time) -> bool {
+        let (absent, at) = &self.unreachable;
+        !absent.is_empty()
+            && now.since(*at) < MAX_UNREACHABLE_AGE
+            && absent.contains(&replica_hash(replica))
     }
 
     /// Time until a model is expected somewhere.
-    pub(super) fn coming(&self, model: &Name, now: Time) -> Option<Span> {
-        self.coming.get(model).map(|at| at.since(now))
+    pub(super) fn model_eta(&self, model: &Name, now: Time) -> Option<Span> {
+        self.model_etas.get(model).map(|at| at.since(now))
     }
 }
 
 /// Replicas with a model each, and when they were told.
 #[derive(Default)]
-pub(super) struct Pairs {
+pub(super) struct Assignments {
     pairs: Vec<(Name, Name)>,
     at: Time,
 }
 
-impl Pairs {
+impl Assignments {
     /// Takes in what is told now in the place of what was told before.
     pub(super) fn set(&mut self, pairs: Vec<(Name, Name)>, now: Time) {
         self.pairs = pairs;
@@ -68,7 +70,7 @@
     }
 
     /// Whether a replica was told with a model, not too long ago.
-    pub(super) fn has(&self, replica: &Name, model: &Name, now: Time) -> bool {
+    pub(super) fn contains(&self, replica: &Name, model: &Name, now: Time) -> bool {
         let mut pairs = self.pairs.iter();
         now.since(self.at) < MAX_DIGEST_AGE && pairs.any(|(r, m)| r == replica && m == model)
     }
@@ -77,26 +79,26 @@
 impl Table {
     /// Time since the leader last told its plans.
     pub fn plans_age(&self, now: Time) -> Span {
-        now.since(self.told.loaded.at)
+        now.since(self.plans.loaded.at)
     }
 
     /// Notes which replicas have just loaded which models.
     pub fn set_loaded(&mut self, loaded: Vec<(Name, Name)>, now: Time) {
-        self.told.loaded.set(loaded, now);
+        self.plans.loaded.set(loaded, now);
     }
 
     /// Notes which replicas are about to give up which models.
     pub fn set_unloading(&mut self, closing: Vec<(Name, Name)>, now: Time) {
-        self.told.closing.set(closing, now);
+        self.plans.unloading.set(closing, now);
     }
 
     /// Notes which replicas, by their short names, several hosts could not reach.
     pub fn set_unreachable(&mut self, absent: Vec<u32>, now: Time) {
-        self.told.set_absent(absent, now);
+        self.plans.set_absent(absent, now);
     }
 
     /// Notes when models are expected somewhere, in milliseconds from now.
     pub fn set_model_etas(&mut self, coming: &[(Name, u32)], now: Time) {
-        self.told.set_coming(coming, now);
+        self.plans.set_coming(coming, now);
     }
 }
--- a/crates/front/src/table/rate_limit.rs
+++ b/crates/front/src/table/rate_limit.rs
@@ -1,6 +1,6 @@
 //! Limits that replicas name: how many requests a second they take from all hosts together.
 
-use super::choose::rank;
+use super::choose::priority_level;
 use super::replica::State;
 use super::{Criteria, Table};
 use crate::message::ReplicaLimit;
@@ -27,105 +27,109 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Change {
     /// It names one, and none was known.
-    First,
+    Advertised,
     /// It names another one than before.
-    Other(f64),
+    Changed(f64),
     /// It names none any more.
-    Over,
+    Withdrawn,
 }
 
 /// What is known of the limit of a replica, beside its entry.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Need {
+pub(super) struct LimitState {
     /// What it last said, to any host.
-    notice: Advertisement,
+    advertisement: Advertisement,
     /// When it last answered this host.
-    heard: Option<Time>,
+    answered_at: Option<Time>,
     /// What there was when it was last asked for.
-    outlook: Option<Estimate>,
+    estimate: Option<Estimate>,
     /// Requests of this host that wait for room there.
-    held: u32,
+    waiters: u32,
     /// What all hosts were told last: the rate, and whether it is over.
-    told: Option<(f64, bool)>,
+    reported: Option<(f64, bool)>,
 }
 
-/// Limit of a replica, as a request meets it.
+/// LimitState of a replica, as a request meets it.
 #[derive(Debug, Clone, Copy)]
 pub struct LimitTerms {
     /// What is told of it to whoever gives out.
-    pub limited: ReplicaLimit,
+    pub limit: ReplicaLimit,
     /// What the replica last said.
-    pub notice: Advertisement,
+    pub advertisement: Advertisement,
     /// Units that are to be left for what is more urgent.
-    pub kept: f64,
+    pub reserved: f64,
 }
 
-impl Need {
-    fn new(notice: Advertisement) -> Need {
-        Need {
-            notice,
-            heard: None,
-            outlook: None,
-            held: 0,
-            told: None,
+impl LimitState {
+    fn new(advertisement: Advertisement) -> LimitState {
+        LimitState {
+            advertisement,
+            answered_at: None,
+            estimate: None,
+            waiters: 0,
+            reported: None,
         }
     }
 
     /// Whether it is told to all hosts: while it holds, and for a while after.
-    fn is_told(&self, now: Time) -> bool {
-        let over = self.notice.withdrawn_at;
+    fn is_reportable(&self, now: Time) -> bool {
+        let over = self.advertisement.withdrawn_at;
         over.is_none_or(|at| now.since(at) < WITHDRAWN_REPORT_DURATION)
     }
 
     /// What matters of it to other hosts.
-    fn says(&self) -> (f64, bool) {
-        (self.notice.rate, self.notice.withdrawn_at.is_some())
+    fn content(&self) -> (f64, bool) {
+        (
+            self.advertisement.rate,
+            self.advertisement.withdrawn_at.is_some(),
+        )
     }
 
     /// Time until there may be room for a request; zero when there may be some now.
-    fn wait(&self, kept: f64, now: Time) -> Span {
-        let limit = self.notice.limit(1.0);
-        let outlook = self.outlook;
-        outlook.map_or(Span::ZERO, |o| {
-            o.wait(1.0 + kept, REPLICA_TOLERANCE, limit, now)
+    fn wait(&self, reserved: f64, now: Time) -> Span {
+        let limit = self.advertisement.limit(1.0);
+        let estimate = self.estimate;
+        estimate.map_or(Span::ZERO, |o| {
+            o.wait(1.0 + reserved, REPLICA_TOLERANCE, limit, now)
         })
     }
 
     /// Time until a request would have its turn that nothing else can take, behind those that wait already.
-    fn turn(&self, kept: f64, now: Time) -> Span {
-        let line = self.outlook.map_or(Span::ZERO, |o| o.queue_wait(now));
-        let before = Span::from_secs_f64(f64::from(self.held) / self.notice.limit(1.0).rate);
-        self.wait(kept, now).max(line) + before
+    fn queue_wait(&self, reserved: f64, now: Time) -> Span {
+        let line = self.estimate.map_or(Span::ZERO, |o| o.queue_wait(now));
+        let before =
+            Span::from_secs_f64(f64::from(self.waiters) / self.advertisement.limit(1.0).rate);
+        self.wait(reserved, now).max(line) + before
     }
 }
 
 impl State {
     /// What is known of its limit, while that holds.
-    pub(super) fn limit(&self, now: Time) -> Option<&Need> {
-        let need = self.need.as_ref();
-        need.filter(|need| !need.notice.is_expired(now))
+    pub(super) fn active_limit(&self, now: Time) -> Option<&LimitState> {
+        let limit = self.limit.as_ref();
+        limit.filter(|limit| !limit.advertisement.is_expired(now))
     }
 
     /// Time until a request would have its turn there; none where there may be room for it now.
-    pub(super) fn turn(&self, want: &Criteria, now: Time) -> Option<Span> {
-        let need = self.limit(now)?;
-        let kept = kept(want);
-        (need.wait(kept, now) > Span::ZERO).then(|| need.turn(kept, now))
+    pub(super) fn limit_wait(&self, criteria: &Criteria, now: Time) -> Option<Span> {
+        let limit = self.active_limit(now)?;
+        let reserved = reserved_units(criteria);
+        (limit.wait(reserved, now) > Span::ZERO).then(|| limit.queue_wait(reserved, now))
     }
 }
 
 /// Requests that a request leaves to those that are more urgent: a stream that is taken up again leaves none.
-fn kept(want: &Criteria) -> f64 {
-    match want.is_resumption {
+fn reserved_units(criteria: &Criteria) -> f64 {
+    match criteria.is_resumption {
         true => 0.0,
-        false => RESERVED_PER_LEVEL * (rank(want.priority) + 1) as f64,
+        false => RESERVED_PER_LEVEL * (priority_level(criteria.priority) + 1) as f64,
     }
 }
 
 impl Table {
     /// What is known of a replica's limit, to be changed.
-    fn need(&mut self, id: &str) -> Option<&mut Need> {
-        self.replicas.get_mut(id)?.need.as_mut()
+    fn limit_mut(&mut self, id: &str) -> Option<&mut LimitState> {
+        self.replicas.get_mut(id)?.limit.as_mut()
     }
 
     /// Takes in what an answer says: the rate that it names, if it does. Tells what that changes; nothing where another
@@ -140,23 +144,23 @@
         if self.view.get(id)?.entry.incarnation != incarnation {
             return None;
         }
-        if rate.is_none() && self.replicas.get(id)?.need.is_none() {
+        if rate.is_none() && self.replicas.get(id)?.limit.is_none() {
             return None;
         }
-        let known = &mut self.replica(id).need;
-        let before = known.map(|need| need.notice);
-        let notice = match (rate, before) {
+        let state_limit = &mut self.replica_mut(id).limit;
+        let before = state_limit.map(|limit| limit.advertisement);
+        let advertisement = match (rate, before) {
             (Some(rate), _) => Advertisement::new(rate, now),
-            (None, Some(mut notice)) => {
-                notice.withdraw(now);
-                notice
+            (None, Some(mut advertisement)) => {
+                advertisement.withdraw(now);
+                advertisement
             }
             (None, None) => return None,
         };
-        let need = known.get_or_insert_with(|| Need::new(notice));
-        need.notice = notice;
-        need.heard = Some(now);
-        change(before, &notice, now)
+        let limit = state_limit.get_or_insert_with(|| LimitState::new(advertisement));
+        limit.advertisement = advertisement;
+        limit.answered_at = Some(now);
+        change(before, &advertisement, now)
     }
 
     /// Takes in what other hosts heard; tells replicas, what they name, and what that changes.
@@ -174,63 +178,74 @@
         let named: Vec<(Name, Advertisement)> = named.collect();
         let mut changes = Vec::new();
         for (id, told) in named {
-            let known = &mut self.replica(&id).need;
-            let before = known.map(|need| need.notice);
-            let need = known.get_or_insert_with(|| Need::new(told));
-            need.notice.merge(&told);
-            let notice = need.notice;
-            if let Some(change) = change(before, &notice, now) {
-                changes.push((id, notice.rate, change));
+            let state_limit = &mut self.replica_mut(&id).limit;
+            let before = state_limit.map(|limit| limit.advertisement);
+            let limit = state_limit.get_or_insert_with(|| LimitState::new(told));
+            limit.advertisement.merge(&told);
+            let advertisement = limit.advertisement;
+            if let Some(change) = change(before, &advertisement, now) {
+                changes.push((id, advertisement.rate, change));
             }
         }
         changes
     }
 
-    /// Limit that a replica has named and that still holds, in requests a second.
+    /// LimitState that a replica has named and that still holds, in requests a second.
     pub fn limit_of(&self, id: &str, now: Time) -> Option<f64> {
-        Some(self.replicas.get(id)?.limit(now)?.notice.rate)
+        Some(self.replicas.get(id)?.active_limit(now)?.advertisement.rate)
     }
 
     /// Replicas that have named a limit, with that, or none where it is over.
     pub fn limits_by_replica(&self, now: Time) -> Vec<(Name, Option<f64>)> {
-        let named = self.replicas.iter().filter(|(_, s)| s.need.is_some());
-        let named = named.map(|(id, s)| (id.clone(), s.limit(now).map(|l| l.notice.rate)));
+        let named = self.replicas.iter().filter(|(_, s)| s.limit.is_some());
+        let named = named.map(|(id, s)| {
+            (
+                id.clone(),
+                s.active_limit(now).map(|l| l.advertisement.rate),
+            )
+        });
         named.collect()
     }
 
     /// What is known of the limit of an incarnation, by its short name.
-    pub fn notice_of(&self, replica: u32) -> Option<Advertisement> {
+    pub fn advertisement(&self, replica: u32) -> Option<Advertisement> {
         let mut entries = self.view.all().map(|seen| &seen.entry);
         let entry = entries.find(|entry| ReplicaLimit::name(entry) == replica)?;
-        Some(self.replicas.get(&entry.id)?.need?.notice)
+        Some(self.replicas.get(&entry.id)?.limit?.advertisement)
     }
 
     /// Limits that this host has heard itself lately, to be told.
     pub fn own_limits(&self, now: Time) -> Vec<ReplicaLimit> {
-        let is_own = |need: &Need| need.heard.is_some_and(|at| now.since(at) < OWN_REPORT_DURATION);
+        let is_own = |limit: &LimitState| {
+            limit
+                .answered_at
+                .is_some_and(|at| now.since(at) < OWN_REPORT_DURATION)
+        };
         self.rows(is_own, now)
     }
 
     /// Limits that hold, or are over since a while ago, to be told.
     pub fn limits(&self, now: Time) -> Vec<ReplicaLimit> {
-        self.rows(|need| need.is_told(now), now)
+        self.rows(|limit| limit.is_reportable(now), now)
     }
 
     /// Those of them that say something else than was told last, which they now are.
     pub fn take_changed_limits(&mut self, now: Time) -> Vec<ReplicaLimit> {
-        let is_news = |need: &Need| need.is_told(now) && need.told != Some(need.says());
+        let is_news = |limit: &LimitState| {
+            limit.is_reportable(now) && limit.reported != Some(limit.content())
+        };
         let changed = self.rows(is_news, now);
-        let needs = self.replicas.values_mut().filter_map(|s| s.need.as_mut());
-        for need in needs {
-            need.told = Some(need.says());
+        let needs = self.replicas.values_mut().filter_map(|s| s.limit.as_mut());
+        for limit in needs {
+            limit.reported = Some(limit.content());
         }
         changed
     }
 
-    fn rows(&self, is_told: impl Fn(&Need) -> bool, now: Time) -> Vec<ReplicaLimit> {
+    fn rows(&self, is_told: impl Fn(&LimitState) -> bool, now: Time) -> Vec<ReplicaLimit> {
         let row = |entry: &Entry| {
-            let need = self.replicas.get(&entry.id)?.need.as_ref()?;
-            is_told(need).then(|| ReplicaLimit::new(entry, &need.notice, now))
+            let limit = self.replicas.get(&entry.id)?.limit.as_ref()?;
+            is_told(limit).then(|| ReplicaLimit::new(entry, &limit.advertisement, now))
         };
         self.view
             .all()
@@ -238,23 +253,25 @@
             .collect()
     }
 
-    /// Limit that a request meets at a replica, if that has named one.
-    pub fn limit_for(&self, id: &str, want: &Criteria, now: Time) -> Option<LimitTerms> {
-        let notice = self.replicas.get(id)?.limit(now)?.notice;
+    /// LimitState that a request meets at a replica, if that has named one.
+    pub fn limit_for(&self, id: &str, criteria: &Criteria, now: Time) -> Option<LimitTerms> {
+        let advertisement = self.replicas.get(id)?.active_limit(now)?.advertisement;
         let entry = &self.view.get(id)?.entry;
         Some(LimitTerms {
-            limited: ReplicaLimit::new(entry, &notice, now),
-            notice,
-            kept: kept(want),
+            limit: ReplicaLimit::new(entry, &advertisement, now),
+            advertisement,
+            reserved: reserved_units(criteria),
         })
     }
 
     /// Notes that a request is being asked for, so that others here do not ask for the same one.
     pub fn record_claim(&mut self, id: &str, now: Time) {
-        let Some(need) = self.need(id) else { return };
-        let limit = need.notice.limit(1.0);
-        if let Some(outlook) = &mut need.outlook {
-            outlook.deduct(1.0, limit, now);
+        let Some(limit) = self.limit_mut(id) else {
+            return;
+        };
+        let bucket = limit.advertisement.limit(1.0);
+        if let Some(estimate) = &mut limit.estimate {
+            estimate.deduct(1.0, bucket, now);
         }
     }
 
@@ -265,8 +282,8 @@
         told: Option<Result<f64, Refusal>>,
         now: Time,
     ) {
-        if let Some(need) = self.need(id) {
-            need.outlook = Some(match told {
+        if let Some(limit) = self.limit_mut(id) {
+            limit.estimate = Some(match told {
                 Some(Ok(left)) => Estimate::new(left, now),
                 Some(Err(over)) => Estimate::after_refusal(over, now),
                 None => Estimate::without_answer(REPLICA_TOLERANCE, now),
@@ -277,38 +294,42 @@
     /// Notes that the leader knows of no limit of a replica.
     pub fn clear_limit(&mut self, id: &str) {
         if let Some(state) = self.replicas.get_mut(id) {
-            state.need = None;
+            state.limit = None;
         }
     }
 
     /// Counts a request of this host in that waits for room at a replica, or out.
     pub fn count_waiter(&mut self, id: &str, waits: bool) {
-        if let Some((_, rest)) = self.rests.get_mut(id) {
+        if let Some((_, rest)) = self.backoffs.get_mut(id) {
             rest.count_waiting(waits);
         }
-        if let Some(need) = self.need(id) {
-            need.held = match waits {
-                true => need.held + 1,
-                false => need.held.saturating_sub(1),
+        if let Some(limit) = self.limit_mut(id) {
+            limit.waiters = match waits {
+                true => limit.waiters + 1,
+                false => limit.waiters.saturating_sub(1),
             };
         }
     }
 
     /// Whether a replica is limited, and nothing was heard of it here for so long that it goes before others.
-    pub(super) fn is_unheard(&self, id: &str, now: Time) -> bool {
-        let need = self.replicas.get(id).and_then(|s| s.limit(now));
+    pub(super) fn needs_probe(&self, id: &str, now: Time) -> bool {
+        let limit = self.replicas.get(id).and_then(|s| s.active_limit(now));
         let is_long = |at: Time| now.since(at) >= PROBE_AFTER;
-        need.is_some_and(|need| need.heard.is_none_or(is_long))
+        limit.is_some_and(|limit| limit.answered_at.is_none_or(is_long))
     }
 }
 
 /// What has changed from one notice to the next.
-fn change(before: Option<Advertisement>, notice: &Advertisement, now: Time) -> Option<Change> {
-    let holds = |notice: &Advertisement| notice.withdrawn_at.is_none();
+fn change(
+    before: Option<Advertisement>,
+    advertisement: &Advertisement,
+    now: Time,
+) -> Option<Change> {
+    let holds = |advertisement: &Advertisement| advertisement.withdrawn_at.is_none();
     match before.filter(|before| !before.is_expired(now)) {
-        None => holds(notice).then_some(Change::First),
-        Some(before) if holds(&before) && !holds(notice) => Some(Change::Over),
-        Some(before) if !holds(&before) && holds(notice) => Some(Change::First),
-        Some(before) => (before.rate != notice.rate).then_some(Change::Other(before.rate)),
+        None => holds(advertisement).then_some(Change::Advertised),
+        Some(before) if holds(&before) && !holds(advertisement) => Some(Change::Withdrawn),
+        Some(before) if !holds(&before) && holds(advertisement) => Some(Change::Advertised),
+        Some(before) => (before.rate != advertisement.rate).then_some(Change::Changed(before.rate)),
     }
 }
--- a/crates/front/src/table/reachability.rs
+++ b/crates/front/src/table/reachability.rs
@@ -23,73 +23,73 @@
 
 /// Whether a replica is left alone.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Absence {
+pub(super) struct Reachability {
     /// Absences in a row.
-    strikes: u32,
+    failures: u32,
     /// Refusals in a row as misdirected.
     misdirected: u32,
     /// Until when it is left alone.
-    until: Time,
+    avoid_until: Time,
     /// Whether a request tries it now, after an absence.
-    tried: bool,
+    is_probing: bool,
     /// When it was last found unreachable.
-    struck: Time,
+    failed_at: Time,
     /// When it last answered this host under its identity.
-    reached: Time,
+    reached_at: Time,
 }
 
-impl Absence {
+impl Reachability {
     /// Whether the replica is left alone now.
-    pub(super) fn holds(&self, now: Time) -> bool {
-        now < self.until
+    pub(super) fn is_avoided(&self, now: Time) -> bool {
+        now < self.avoid_until
     }
 
     /// Notes that it answered under its identity.
-    pub(super) fn reached(&mut self, now: Time) {
-        *self = Absence {
-            reached: now,
-            ..Absence::default()
+    pub(super) fn record_reached(&mut self, now: Time) {
+        *self = Reachability {
+            reached_at: now,
+            ..Reachability::default()
         };
     }
 
     /// Whether it was found unreachable lately, and has not answered since.
     pub(super) fn is_suspected(&self, now: Time) -> bool {
-        self.strikes > 0 && now.since(self.struck) < REPORT_DURATION
+        self.failures > 0 && now.since(self.failed_at) < REPORT_DURATION
     }
 
     /// Whether it answered this host a moment ago, so that the word of others does not count.
     pub(super) fn was_reached(&self, now: Time) -> bool {
-        now.since(self.reached) < REACHED_VALID_FOR
+        now.since(self.reached_at) < REACHED_VALID_FOR
     }
 
     /// Notes that it could not be reached.
-    pub(super) fn strike(&mut self, now: Time) {
+    pub(super) fn record_failure(&mut self, now: Time) {
         // Requests that were on their way together fail together, and count once.
-        if self.holds(now) && !self.tried {
+        if self.is_avoided(now) && !self.is_probing {
             return;
         }
-        self.tried = false;
-        self.struck = now;
-        let doubled = INITIAL_BACKOFF * f64::from(1u32 << self.strikes.min(8));
-        self.until = now + doubled.min(MAX_BACKOFF);
-        self.strikes += 1;
+        self.is_probing = false;
+        self.failed_at = now;
+        let doubled = INITIAL_BACKOFF * f64::from(1u32 << self.failures.min(8));
+        self.avoid_until = now + doubled.min(MAX_BACKOFF);
+        self.failures += 1;
     }
 
     /// Notes that a request was refused there as meant for another replica or adapter.
     ///
     /// One alone may be about the adapter; if `whole` it is not.
-    pub(super) fn misdirected(&mut self, whole: bool, now: Time) {
+    pub(super) fn record_misdirected(&mut self, whole: bool, now: Time) {
         self.misdirected += 1;
-        if whole || self.strikes > 0 || self.misdirected >= MISDIRECTED_THRESHOLD {
-            self.strike(now);
+        if whole || self.failures > 0 || self.misdirected >= MISDIRECTED_THRESHOLD {
+            self.record_failure(now);
         }
     }
 
     /// Notes that a request goes there: after an absence no other follows it until it is answered.
-    pub(super) fn tried(&mut self, now: Time) {
-        if self.strikes > 0 {
-            self.tried = true;
-            self.until = now + INITIAL_BACKOFF;
+    pub(super) fn record_attempt(&mut self, now: Time) {
+        if self.failures > 0 {
+            self.is_probing = true;
+            self.avoid_until = now + INITIAL_BACKOFF;
         }
     }
 }
--- a/crates/front/src/view.rs
+++ b/crates/front/src/view.rs
@@ -18,7 +18,7 @@
 /// Replicas by identity.
 #[derive(Debug)]
 pub struct View {
-    seen: BTreeMap<Name, Replica>,
+    replicas: BTreeMap<Name, Replica>,
     removed: BTreeMap<Name, (u64, Time)>,
     /// Replicas that said in answers that they leave. Entries come and go meanwhile.
     departures: BTreeMap<Name, Departure>,
@@ -31,11 +31,11 @@
 struct Departure {
     incarnation: Incarnation,
     /// When it was heard first.
-    at: Time,
+    heard_at: Time,
     /// How it came here.
     origin: Origin,
     /// Whether this host need not tell it any more.
-    told: bool,
+    is_announced: bool,
 }
 
 /// How the word of a replica came to this host.
@@ -57,12 +57,12 @@
     /// Revision of that entry.
     pub revision: u64,
     /// Since when its entry has been missing, while it is not yet taken as gone.
-    pub missing: Option<Time>,
+    pub missing_since: Option<Time>,
     /// Incarnations before that of its entry, oldest first.
-    former: VecDeque<u64>,
+    former_incarnations: VecDeque<u64>,
     /// Whether this incarnation has announced that it leaves; its entry says so too while what stands in its place
     /// cannot be read.
-    has_left: bool,
+    is_leaving: bool,
 }
 
 /// Incarnations of a replica that are remembered beside the present one, against writings that come late:
@@ -70,13 +70,13 @@
 const MAX_FORMER: usize = 4;
 
 /// How a writing of an entry stands to the newest one that is known.
-enum Writing {
+enum Write {
     /// It came late: a later one is known.
-    Old,
+    Stale,
     /// It is the next one of the same incarnation.
     Next,
     /// It is of an incarnation that was not known.
-    Restarted,
+    Restart,
 }
 
 /// What news did to the view.
@@ -100,16 +100,16 @@
 
 impl Replica {
     /// A replica that was not known.
-    fn new(entry: Entry, revision: u64, has_left: bool) -> Replica {
+    fn new(entry: Entry, revision: u64, is_leaving: bool) -> Replica {
         Replica {
-            has_left,
+            is_leaving,
             entry: Entry {
-                leaving: has_left,
+                leaving: is_leaving,
                 ..entry
             },
             revision,
-            missing: None,
-            former: VecDeque::new(),
+            missing_since: None,
+            former_incarnations: VecDeque::new(),
         }
     }
 
@@ -117,38 +117,40 @@
     ///
     /// Counts begin anew with each incarnation, so they say nothing between two. One that began earlier is old if
     /// it was seen before; else the replica's clock was stepped back between its starts.
-    fn writing(&self, entry: &Entry) -> Writing {
+    fn classify(&self, entry: &Entry) -> Write {
         match (self.entry.incarnation, entry.incarnation) {
-            (Some(known), Some(told)) if told < known && self.former.contains(&told) => {
-                Writing::Old
+            (Some(known), Some(told))
+                if told < known && self.former_incarnations.contains(&told) =>
+            {
+                Write::Stale
             }
-            (known, told) if known != told => Writing::Restarted,
-            _ if entry.beat < self.entry.beat => Writing::Old,
-            _ => Writing::Next,
+            (known, told) if known != told => Write::Restart,
+            _ if entry.beat < self.entry.beat => Write::Stale,
+            _ => Write::Next,
         }
     }
 
     /// Takes the next writing of the same incarnation; tells whether it announces that the replica leaves. That
     /// is not taken back.
-    fn follow(&mut self, entry: Entry) -> bool {
-        let announces = entry.leaving && !self.has_left;
-        self.has_left |= entry.leaving;
+    fn apply_next(&mut self, entry: Entry) -> bool {
+        let announces = entry.leaving && !self.is_leaving;
+        self.is_leaving |= entry.leaving;
         self.entry = Entry {
-            leaving: self.has_left,
+            leaving: self.is_leaving,
             ..entry
         };
         announces
     }
 
     /// Takes the first writing of another incarnation, of which nothing holds that was known of the one before.
-    fn restart(&mut self, entry: Entry, has_left: bool) {
-        self.former.extend(self.entry.incarnation);
-        if self.former.len() > MAX_FORMER {
-            self.former.pop_front();
+    fn restart(&mut self, entry: Entry, is_leaving: bool) {
+        self.former_incarnations.extend(self.entry.incarnation);
+        if self.former_incarnations.len() > MAX_FORMER {
+            self.former_incarnations.pop_front();
         }
-        self.has_left = has_left;
+        self.is_leaving = is_leaving;
         self.entry = Entry {
-            leaving: has_left,
+            leaving: is_leaving,
             ..entry
         };
     }
@@ -158,7 +160,7 @@
     /// Makes an empty view of a store to which replicas write each `heartbeat`.
     pub fn new(heartbeat: Span) -> View {
         View {
-            seen: BTreeMap::new(),
+            replicas: BTreeMap::new(),
             removed: BTreeMap::new(),
             departures: BTreeMap::new(),
             contact: Contact::new(heartbeat),
@@ -167,17 +169,17 @@
 
     /// Replicas, the missing ones included.
     pub fn all(&self) -> impl Iterator<Item = &Replica> {
-        self.seen.values()
+        self.replicas.values()
     }
 
     /// Replica of an identity.
     pub fn get(&self, id: &str) -> Option<&Replica> {
-        self.seen.get(id)
+        self.replicas.get(id)
     }
 
     /// Whether another incarnation of a replica is known than this one.
     pub fn has_other_incarnation(&self, id: &str, incarnation: Incarnation) -> bool {
-        let seen = self.seen.get(id);
+        let seen = self.replicas.get(id);
         seen.is_some_and(|seen| seen.entry.incarnation != incarnation)
     }
 
@@ -200,13 +202,13 @@
         }
         let departure = Departure {
             incarnation,
-            at: now,
+            heard_at: now,
             origin,
-            told: origin == Origin::Leader,
+            is_announced: origin == Origin::Leader,
         };
         self.departures.insert(id.clone(), departure);
-        if let Some(seen) = self.seen.get_mut(id) {
-            seen.has_left = true;
+        if let Some(seen) = self.replicas.get_mut(id) {
+            seen.is_leaving = true;
             seen.entry.leaving = true;
         }
         true
@@ -214,9 +216,9 @@
 
     /// Departures that this host has to tell; they count as told.
     pub fn take_unannounced_departures(&mut self) -> Vec<(Name, Incarnation)> {
-        let untold = self.departures.iter_mut().filter(|(_, d)| !d.told);
+        let untold = self.departures.iter_mut().filter(|(_, d)| !d.is_announced);
         let told = untold.map(|(id, departure)| {
-            departure.told = true;
+            departure.is_announced = true;
             (id.clone(), departure.incarnation)
         });
         told.collect()
@@ -224,7 +226,7 @@
 
     /// Departures that this host has heard itself within the last `time`.
     pub fn recent_departures(&self, time: Span, now: Time) -> Vec<(Name, Incarnation)> {
-        let is_own = |d: &Departure| d.origin == Origin::Answer && now.since(d.at) < time;
+        let is_own = |d: &Departure| d.origin == Origin::Answer && now.since(d.heard_at) < time;
         let own = self.departures.iter().filter(|(_, d)| is_own(d));
         own.map(|(id, d)| (id.clone(), d.incarnation)).collect()
     }
@@ -242,10 +244,10 @@
         if self.removed.get(&id).is_some_and(|(at, _)| *at >= revision) {
             return None;
         }
-        let has_left = entry.leaving || self.has_departure(&id, entry.incarnation);
-        let Some(seen) = self.seen.get_mut(&id) else {
-            let seen = Replica::new(entry, revision, has_left);
-            self.seen.insert(id.clone(), seen);
+        let is_leaving = entry.leaving || self.has_departure(&id, entry.incarnation);
+        let Some(seen) = self.replicas.get_mut(&id) else {
+            let seen = Replica::new(entry, revision, is_leaving);
+            self.replicas.insert(id.clone(), seen);
             return Some(Update::Added(id));
         };
         if seen.revision >= revision {
@@ -256,16 +258,16 @@
             return self.mark_overwritten(&id, revision);
         }
         seen.revision = revision;
-        seen.missing = None;
-        match seen.writing(&entry) {
+        seen.missing_since = None;
+        match seen.classify(&entry) {
             // It shows that the replica is there, and nothing else.
-            Writing::Old => None,
-            Writing::Next => Some(match seen.follow(entry) {
+            Write::Stale => None,
+            Write::Next => Some(match seen.apply_next(entry) {
                 true => Update::Leaving(id),
                 false => Update::Changed(id),
             }),
-            Writing::Restarted => {
-                seen.restart(entry, has_left);
+            Write::Restart => {
+                seen.restart(entry, is_leaving);
                 Some(Update::Restarted(id))
             }
         }
@@ -274,7 +276,7 @@
     /// Takes in that what stands in the place of a replica's entry cannot be read, or is not its own: it names no
     /// replica to use. What runs there goes on, and an entry that can be read makes it good.
     pub fn mark_overwritten(&mut self, id: &str, revision: u64) -> Option<Update> {
-        let seen = self.seen.get_mut(id)?;
+        let seen = self.replicas.get_mut(id)?;
         if seen.revision >= revision {
             return None;
         }
@@ -286,20 +288,20 @@
     /// Takes in a removal at its revision.
     pub fn remove(&mut self, id: &str, revision: u64, now: Time) -> Option<Update> {
         let may_return = self.contact.may_reappear(now);
-        let seen = self.seen.get_mut(id)?;
+        let seen = self.replicas.get_mut(id)?;
         if seen.revision >= revision {
             return None;
         }
         let id: Name = id.into();
         if !may_return {
-            self.seen.remove(&id);
+            self.replicas.remove(&id);
             self.removed.insert(id.clone(), (revision, now));
             return Some(Update::Removed(id));
         }
         seen.revision = revision;
-        match seen.missing.replace(now) {
+        match seen.missing_since.replace(now) {
             Some(since) => {
-                seen.missing = Some(since);
+                seen.missing_since = Some(since);
                 None
             }
             None => Some(Update::Missing(id)),
@@ -309,7 +311,7 @@
     /// Compares with a whole range read at `revision`: what is not in it has been removed.
     pub fn reconcile(&mut self, present: &[Name], revision: u64, now: Time) -> Vec<Update> {
         let absent: Vec<Name> = self
-            .seen
+            .replicas
             .values()
             .filter(|s| s.revision < revision && !present.contains(&s.entry.id))
             .map(|s| s.entry.id.clone())
@@ -322,28 +324,28 @@
 
     /// Whether any entry is missing.
     pub fn has_missing(&self) -> bool {
-        self.seen.values().any(|s| s.missing.is_some())
+        self.replicas.values().any(|s| s.missing_since.is_some())
     }
 
     /// Takes as gone what is still missing after the store's return, and forgets old removals.
     pub fn expire(&mut self, now: Time) -> Vec<Update> {
         self.removed
             .retain(|_, (_, at)| now.since(*at) < REMOVAL_RETENTION);
-        let seen = &self.seen;
+        let seen = &self.replicas;
         self.departures.retain(|id, departure| {
-            seen.contains_key(id) || now.since(departure.at) < DEPARTURE_RETENTION
+            seen.contains_key(id) || now.since(departure.heard_at) < DEPARTURE_RETENTION
         });
         if self.contact.may_reappear(now) {
             return Vec::new();
         }
         let gone: Vec<Name> = self
-            .seen
+            .replicas
             .values()
-            .filter(|s| s.missing.is_some())
+            .filter(|s| s.missing_since.is_some())
             .map(|s| s.entry.id.clone())
             .collect();
         for id in &gone {
-            if let Some(seen) = self.seen.remove(id) {
+            if let Some(seen) = self.replicas.remove(id) {
                 self.removed.insert(id.clone(), (seen.revision, now));
             }
         }
--- a/crates/front/tests/view.rs
+++ b/crates/front/tests/view.rs
@@ -125,7 +125,7 @@
     view.contact.answered(at(5_000), at(5_000));
     view.put(entry(2, false), 12);
     assert!(view.expire(at(9_000)).is_empty());
-    assert_eq!(view.get("i-1").unwrap().missing, None);
+    assert_eq!(view.get("i-1").unwrap().missing_since, None);
 }
 
 #[rstest]
