--- a/crates/bundle/src/head.rs
+++ b/crates/bundle/src/head.rs
@@ -1,6 +1,6 @@
 //! Drafts of a bundle and the head that is in force.
 
-use crate::key::{Act, Signed, Trust};
+use crate::key::{OperatorSignature, Purpose, Trust};
 use crate::part::{self, Ref};
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
@@ -19,9 +19,9 @@
     /// Parts of its content.
     pub parts: Vec<Ref>,
     /// Proposer's signature.
-    pub proposal: Signed,
+    pub proposal: OperatorSignature,
     /// Signatures of those who approved.
-    pub approvals: Vec<Signed>,
+    pub approvals: Vec<OperatorSignature>,
 }
 
 /// Bundle in force: a draft at a sequence.
@@ -37,7 +37,7 @@
 
 /// Why a head or draft is not to be put in force.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-pub enum Refusal {
+pub enum Error {
     /// The sequence does not follow the one it replaces.
     #[snafu(display(
         "Bundle {sequence} claims to replace {replaces}; it must replace the one right before it."
@@ -74,42 +74,42 @@
 
 impl Draft {
     /// Hash that names the whole content.
-    pub fn root(&self) -> Name {
-        part::root(&self.parts)
+    pub fn content_hash(&self) -> Name {
+        part::content_hash(&self.parts)
     }
 
     /// Operators whose approvals are valid; never the proposer.
     pub fn valid_approvals(&self, trust: &Trust, revoked: &BTreeSet<Name>) -> BTreeSet<Name> {
-        let root = self.root();
+        let root = self.content_hash();
         self.approvals
             .iter()
             .filter(|a| a.operator != self.proposal.operator)
-            .filter(|a| trust.verifies(a, Act::Approve, &root, self.replaces, revoked))
+            .filter(|a| trust.verifies(a, Purpose::Approve, &root, self.replaces, revoked))
             .map(|a| a.operator.clone())
             .collect()
     }
 
     /// Checks the proposer's signature and the number of approvals.
-    pub fn verify(&self, trust: &Trust, revoked: &BTreeSet<Name>) -> Result<(), Refusal> {
+    pub fn verify(&self, trust: &Trust, revoked: &BTreeSet<Name>) -> Result<(), Error> {
         let proposed = trust.verifies(
             &self.proposal,
-            Act::Propose,
-            &self.root(),
+            Purpose::Propose,
+            &self.content_hash(),
             self.replaces,
             revoked,
         );
         if !proposed {
-            return Err(Refusal::Proposal {
+            return Err(Error::Proposal {
                 operator: self.proposal.operator.clone(),
             });
         }
         let valid = self.valid_approvals(trust, revoked).len();
-        if valid < trust.needed {
-            return Err(Refusal::Approvals {
+        if valid < trust.required_approvals {
+            return Err(Error::Approvals {
                 id: self.id.clone(),
                 proposer: self.proposal.operator.clone(),
                 valid,
-                needed: trust.needed,
+                needed: trust.required_approvals,
             });
         }
         Ok(())
@@ -160,9 +160,9 @@
 
 impl Head {
     /// Checks that this head may be put in force after `revoked` keys were withdrawn.
-    pub fn verify(&self, trust: &Trust, revoked: &BTreeSet<Name>) -> Result<(), Refusal> {
+    pub fn verify(&self, trust: &Trust, revoked: &BTreeSet<Name>) -> Result<(), Error> {
         if self.draft.replaces + 1 != self.sequence {
-            return Err(Refusal::Sequence {
+            return Err(Error::Sequence {
                 sequence: self.sequence,
                 replaces: self.draft.replaces,
             });
@@ -176,7 +176,7 @@
     use super::*;
 
     fn head(sequence: u64, parts: &[(&str, &str)]) -> Head {
-        let signed = Signed {
+        let signed = OperatorSignature {
             operator: "alice".into(),
             signature: "".into(),
         };
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -1,9 +1,9 @@
 //! Settings of a daemon, read from INI and checked whole.
 
 use crate::error::{Error, ReadSettingsSnafu};
-use backing::store::Bounds;
+use backing::store::Capacity;
 use bundle::ini::{self, Document, Fields, Problem, Problems, Section};
-use bundle::key::{Trust, read_public};
+use bundle::key::{Trust, parse_public_key};
 use snafu::ResultExt;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -79,7 +79,7 @@
     /// Time for an order to be answered.
     pub order_limit: Span,
     /// Bounds of the weight store.
-    pub store: Bounds,
+    pub store: Capacity,
 }
 
 /// How logs are written.
@@ -319,7 +319,7 @@
     for section in operators {
         let mut fields = Fields::new(section, problems);
         if let Some(key) = fields.required("key") {
-            if read_public(&key).is_none() {
+            if parse_public_key(&key).is_none() {
                 fields.report("key", format!("'{key}' is not an ed25519 public key in hex; 'coveford key show' prints one."));
             }
             trust.operators.insert(section.name.clone(), key);
@@ -327,13 +327,13 @@
         fields.finish();
     }
     let mut fields = Fields::new(approvals, problems);
-    trust.needed = fields.value("needed", 1, 1..=16);
+    trust.required_approvals = fields.value("needed", 1, 1..=16);
     fields.finish();
-    if trust.operators.len() <= trust.needed {
+    if trust.operators.len() <= trust.required_approvals {
         let text = format!(
             "{} operators are named, but {} approvals besides the proposer's are needed; add [operator NAME] sections.",
             trust.operators.len(),
-            trust.needed
+            trust.required_approvals
         );
         problems.add(approvals.line, text);
     }
@@ -374,12 +374,12 @@
 fn read_planner(section: &Section, problems: &mut Problems) -> Planner {
     let mut fields = Fields::new(section, problems);
     let (least, most) = (Span::from_ms(10), Span::from_secs(600));
-    let default = Bounds::default();
+    let default = Capacity::default();
     let planner = Planner {
         tick: fields.value("tick", Span::from_secs(1), least..=most),
         lease: fields.value("lease", Span::from_secs(5), Span::from_ms(100)..=most),
         order_limit: fields.value("order_limit", Span::from_secs(2), least..=most),
-        store: Bounds {
+        store: Capacity {
             loads_per_second: fields.value(
                 "loads_per_second",
                 default.loads_per_second,
--- a/crates/front/src/accounts.rs
+++ b/crates/front/src/accounts.rs
@@ -271,12 +271,15 @@
 
 /// Tells why a request is not let in.
 fn tell(state: &State, refusal: &Refusal, fault: &Rejection, refused: &Refused) {
-    state.log.metrics.ended(&refused.route.name, fault.reason);
+    state
+        .log
+        .metrics
+        .record_outcome(&refused.route.name, fault.reason);
     let key = match refusal {
         Refusal::Unknown { digest } => Some(digest.as_str()),
         _ => None,
     };
-    state.log.notable(|| {
+    state.log.rate_limited(|| {
         let (id, route) = (refused.id.as_deref(), &*refused.route.name);
         let account = refused.account.map(|a| &*a.name);
         let age_ms = data_age(state).ms();
--- a/crates/front/src/attempt/reservation.rs
+++ b/crates/front/src/attempt/reservation.rs
@@ -40,7 +40,7 @@
         let seen = table.view.get(&choice.replica);
         let incarnation = seen.and_then(|s| s.entry.incarnation);
         drop(table);
-        state.entered.notify_one();
+        state.load_added.notify_one();
         Reservation {
             state: state.clone(),
             replica: choice.replica.clone(),
@@ -66,7 +66,7 @@
         }
         drop(table);
         self.state.changed.notify_waiters();
-        self.state.eased.notify_one();
+        self.state.load_reduced.notify_one();
     }
 
     /// Notes that the whole answer has come.
@@ -123,6 +123,6 @@
             .lock()
             .finish(&self.replica, &self.footprint);
         self.state.changed.notify_waiters();
-        self.state.eased.notify_one();
+        self.state.load_reduced.notify_one();
     }
 }
--- a/crates/front/src/clock.rs
+++ b/crates/front/src/clock.rs
@@ -55,7 +55,7 @@
     }
 
     /// Times that the process has stood still so far: what waited for it meanwhile is as old as that.
-    pub fn returns(&self) -> u64 {
+    pub fn resume_count(&self) -> u64 {
         *self.returns.borrow()
     }
 
@@ -87,7 +87,7 @@
     }
 
     /// Lets the host seem suspended for a time, in which its steady clock stood still.
-    pub fn suspend(&self, span: Span) {
+    pub fn simulate_suspend(&self, span: Span) {
         self.suspended.fetch_add(span.0, Ordering::Relaxed);
     }
 }
--- a/crates/front/src/feedback.rs
+++ b/crates/front/src/feedback.rs
@@ -34,7 +34,7 @@
     match &said.rest {
         Reading::Value(rest) => record_backoff(state, from, Span::from_secs_f64(rest.as_secs_f64())),
         Reading::Absent if said.is_turned_away() => record_backoff(state, from, Span::ZERO),
-        Reading::Unreadable(value) => state.log.notable(|| {
+        Reading::Unreadable(value) => state.log.rate_limited(|| {
             warn!(target: "replica", event = "unreadable", replica = &*from.replica, id = &*from.subject, value, "what the replica asks for is no time; it counts as not asked")
         }),
         Reading::Absent => {}
@@ -86,9 +86,9 @@
 }
 
 fn announce_departure(state: &State, replica: &Name, id: Option<&str>, by: &Name) {
-    state.leaving.notify_one();
+    state.departure_heard.notify_one();
     state.changed.notify_waiters();
-    state.log.notable(|| {
+    state.log.rate_limited(|| {
         info!(target: "replica", event = "leaving", replica = &**replica, id, by = &**by, "a replica says in an answer that it leaves")
     });
 }
@@ -107,7 +107,7 @@
             .counter("coveford_rests_total", &[])
             .increment(1);
         let (asked_ms, left_ms) = (rest.ms(), remaining.ms());
-        state.log.notable(|| {
+        state.log.rate_limited(|| {
             info!(target: "replica", event = "rests", replica = &*from.replica, id = &*from.subject, by = &*state.settings.name, asked_ms, left_ms, first = is_new, "a replica turned a request away and wants nothing from this host for a time")
         });
     }
@@ -129,7 +129,7 @@
             .counter("coveford_kept_back_total", &labels)
             .increment(1);
         let placed_ms = now.since(reservation.reserved_at).ms();
-        state.log.notable(|| {
+        state.log.rate_limited(|| {
             info!(target: "replica", event = "kept_back", id = &*call.id, replica = &*reservation.replica, why = word, placed_ms, "a request was not sent to a replica that wants none")
         });
     }
--- a/crates/front/src/follow/apply.rs
+++ b/crates/front/src/follow/apply.rs
@@ -66,7 +66,7 @@
                 told(state, news, item.revision);
             }
             Err(why) => {
-                state.log.notable(|| {
+                state.log.rate_limited(|| {
                     error!(target: "view", event = "malformed", key = &*item.key, revision = item.revision, why = %why, "an entry cannot be read: it names no replica to use")
                 });
                 let id = replica::id(&item.key);
@@ -133,7 +133,7 @@
         return;
     }
     if leader.is_some() {
-        state.has_led.store(true, Ordering::Relaxed);
+        state.leader_seen.store(true, Ordering::Relaxed);
     }
     match &leader {
         Some(leader) => {
@@ -171,10 +171,10 @@
                 state.pool.close_all(id);
                 quarantine::note_replaced(state, id);
             }
-            Update::Missing(_) => state.missed.notify_one(),
+            Update::Missing(_) => state.entry_missing.notify_one(),
             _ => {}
         }
-        state.log.notable(
+        state.log.rate_limited(
             || info!(target: "view", event, replica = &**id, revision, store_back_ms, "news of a replica"),
         );
     }
--- a/crates/front/src/grant.rs
+++ b/crates/front/src/grant.rs
@@ -74,7 +74,7 @@
         queues: wanted.queues,
         alone: untold as f32,
     };
-    let answer = peers.ask_for(question, tries).await.and_then(answer);
+    let answer = peers.request_quota(question, tries).await.and_then(answer);
     let Some(answer) = answer else {
         state.shares.note_no_answer(state.now());
         return None;
@@ -100,7 +100,7 @@
             available: f64::from(left),
         })),
         QuotaResponse::Unlimited => Some(Decision::Unlimited),
-        QuotaResponse::Elsewhere => None,
+        QuotaResponse::NotLeader => None,
     }
 }
 
@@ -135,6 +135,6 @@
         state.shares.with(&self.subject, |share| {
             share.refund(self.units, self.asked);
         });
-        self.peers.give_back(self.subject, self.units, age).await;
+        self.peers.refund(self.subject, self.units, age).await;
     }
 }
--- a/crates/front/src/peers/inbox.rs
+++ b/crates/front/src/peers/inbox.rs
@@ -33,7 +33,7 @@
     /// Uses of adapters since they were taken out last.
     uses: Mutex<Vec<AdapterUse>>,
     /// Notified when an adapter or a model is wanted.
-    pub wanted: Notify,
+    pub request_received: Notify,
 }
 
 /// What one host has told.
@@ -51,7 +51,7 @@
 
 impl Inbox {
     /// Sums that still count.
-    pub fn sums(&self, now: Time) -> Vec<LoadReport> {
+    pub fn reports(&self, now: Time) -> Vec<LoadReport> {
         let mut hosts = self.hosts.lock();
         hosts.retain(|_, told| now.since(told.at) < SUMS_AGE);
         hosts.values().map(|told| told.sums.clone()).collect()
@@ -63,7 +63,7 @@
     }
 
     /// Hosts that have told anything and are not forgotten yet.
-    pub fn count(&self) -> usize {
+    pub fn host_count(&self) -> usize {
         self.hosts.lock().len()
     }
 
@@ -81,22 +81,22 @@
     }
 
     /// Takes out the adapters that are wanted.
-    pub fn wants(&self) -> Vec<AdapterRequest> {
+    pub fn take_adapter_requests(&self) -> Vec<AdapterRequest> {
         std::mem::take(&mut *self.wants.lock())
     }
 
     /// Takes out the models that are on no replica and were asked for.
-    pub fn missing(&self) -> Vec<ModelRequest> {
+    pub fn take_model_requests(&self) -> Vec<ModelRequest> {
         std::mem::take(&mut *self.missing.lock())
     }
 
     /// Takes out the adapters that were used.
-    pub fn uses(&self) -> Vec<AdapterUse> {
+    pub fn take_adapter_uses(&self) -> Vec<AdapterUse> {
         std::mem::take(&mut *self.uses.lock())
     }
 
     /// Takes in a part of what a host tells in one round; parts of the same round add up. Tells whether the host is new.
-    pub fn put(&self, mut sums: LoadReport, from: SocketAddr, now: Time) -> bool {
+    pub fn record_report(&self, mut sums: LoadReport, from: SocketAddr, now: Time) -> bool {
         self.uses.lock().append(&mut sums.adapter_uses);
         let mut hosts = self.hosts.lock();
         let known = hosts.get_mut(&sums.host);
@@ -127,7 +127,7 @@
 
     /// Takes in a part of what a host has in flight between two rounds; parts of the same telling add
     /// up, and all else it told in its last round stays.
-    pub fn put_loads(&self, sums: LoadReport, now: Time) {
+    pub fn record_loads(&self, sums: LoadReport, now: Time) {
         if let Some(told) = self.hosts.lock().get_mut(&sums.host) {
             match told.telling == Some(sums.round) {
                 true => told.sums.loads.extend(sums.loads),
@@ -142,13 +142,13 @@
     /// Takes in that a host needs an adapter.
     pub(super) fn want(&self, want: AdapterRequest) {
         self.wants.lock().push(want);
-        self.wanted.notify_one();
+        self.request_received.notify_one();
     }
 
     /// Takes in that a host has a request for a model that is on no replica.
     pub(super) fn miss(&self, missing: ModelRequest) {
         self.missing.lock().push(missing);
-        self.wanted.notify_one();
+        self.request_received.notify_one();
     }
 
     /// Short names of replicas that several hosts could not reach, and that fewer hosts have requests at.
@@ -157,7 +157,7 @@
     pub fn absent(&self, now: Time) -> Vec<u32> {
         // By replica: hosts that could not reach it, and other hosts that have requests there.
         let mut votes: HashMap<u32, (usize, usize)> = HashMap::new();
-        for sums in self.sums(now) {
+        for sums in self.reports(now) {
             for replica in &sums.absent {
                 votes.entry(*replica).or_default().0 += 1;
             }
@@ -173,7 +173,7 @@
 
     /// Short names of replicas that want nothing from most hosts now.
     pub fn resting(&self, now: Time) -> HashSet<u32> {
-        let sums = self.sums(now);
+        let sums = self.reports(now);
         let mut votes: HashMap<u32, usize> = HashMap::new();
         for replica in sums.iter().flat_map(|sums| &sums.resting) {
             *votes.entry(*replica).or_default() += 1;
--- a/crates/front/src/peers/leaving.rs
+++ b/crates/front/src/peers/leaving.rs
@@ -18,9 +18,9 @@
 
 impl Peers {
     /// Tells each word at once, until the daemon ends.
-    pub async fn tell_leaving(self: Arc<Self>) {
+    pub async fn send_departures(self: Arc<Self>) {
         loop {
-            self.state.leaving.notified().await;
+            self.state.departure_heard.notified().await;
             tokio::time::sleep(TOGETHER).await;
             let untold = self.state.table.lock().view.take_unannounced_departures();
             if self.state.leads() {
@@ -33,7 +33,7 @@
                     self.send(&message, *other).await;
                 }
                 if others.is_empty() {
-                    self.tell_leader_of(message).await;
+                    self.send_to_leader(message).await;
                 }
             }
         }
@@ -52,26 +52,26 @@
             .view
             .recent_departures(TOLD_AGAIN, now);
         for message in self.leaving(&lately) {
-            self.tell_leader_of(message).await;
+            self.send_to_leader(message).await;
         }
     }
 
     /// Tells all hosts, as the leader, which replicas that are there leave by their word.
-    pub async fn tell_departures(&self) {
+    pub async fn broadcast_departures(&self) {
         let known = self.state.table.lock().view.departures();
         self.tell_all_leaving(&known).await;
     }
 
     async fn tell_all_leaving(&self, replicas: &[(Name, Incarnation)]) {
         for message in self.leaving(replicas) {
-            self.send_all(&message).await;
+            self.broadcast(&message).await;
         }
     }
 
     /// Words as this host tells them, in datagrams.
     fn leaving(&self, replicas: &[(Name, Incarnation)]) -> Vec<Message> {
         let message = |replicas: &[(Name, Incarnation)]| {
-            Message::Leaving(Leaving {
+            Message::Departures(Leaving {
                 host: self.state.settings.name.clone(),
                 replicas: replicas.to_vec(),
             })
--- a/crates/front/src/peers/limits.rs
+++ b/crates/front/src/peers/limits.rs
@@ -14,9 +14,9 @@
 
 impl Peers {
     /// Tells each change at once, until the daemon ends.
-    pub async fn tell_limit_changes(self: Arc<Self>) {
+    pub async fn send_limit_changes(self: Arc<Self>) {
         loop {
-            self.state.limited.notified().await;
+            self.state.limits_changed.notified().await;
             tokio::time::sleep(TOGETHER).await;
             if !self.state.leads() {
                 self.tell_heard_limits().await;
@@ -25,7 +25,7 @@
             let now = self.state.now();
             let changed = self.state.table.lock().take_changed_limits(now);
             for message in self.messages(&changed) {
-                self.send_all(&message).await;
+                self.broadcast(&message).await;
             }
             self.tell_newcomers().await;
         }
@@ -61,16 +61,16 @@
                 host: self.state.settings.name.clone(),
                 limits: limits.to_vec(),
             };
-            self.send(&Message::Heard(heard), leader.peers).await;
+            self.send(&Message::LimitReport(heard), leader.peers).await;
         }
     }
 
     /// Tells all hosts, as the leader, which limits hold or are over since a while ago.
-    pub async fn tell_limits(&self) {
+    pub async fn broadcast_limits(&self) {
         let now = self.state.now();
         let limits = self.state.table.lock().limits(now);
         for message in self.messages(&limits) {
-            self.send_all(&message).await;
+            self.broadcast(&message).await;
         }
     }
 
@@ -81,7 +81,7 @@
             return Vec::new();
         };
         let message = |limits: &[ReplicaLimit]| {
-            Message::Limits(LimitDigest {
+            Message::LimitDigest(LimitDigest {
                 term,
                 host: self.state.settings.name.clone(),
                 limits: limits.to_vec(),
@@ -98,7 +98,7 @@
             return;
         }
         if self.state.leads() {
-            self.state.limited.notify_one();
+            self.state.limits_changed.notify_one();
         }
         for (replica, rate, change) in changes {
             rate_limit::log_change(&self.state, &replica, rate, change, by);
--- a/crates/front/src/planner.rs
+++ b/crates/front/src/planner.rs
@@ -78,7 +78,7 @@
 /// Works until another host leads. Orders are given while the term holds; sums are told also while the
 /// store is away and the term cannot be renewed, since hosts that hear none all choose alike.
 pub async fn run(state: Arc<State>, peers: Arc<Peers>, term: Term) {
-    peers.give_out(term.clone(), shares::tolerance(&state.settings.bounds));
+    peers.start_limiter(term.clone(), shares::tolerance(&state.settings.bounds));
     state.quarantine.take_over(state.now());
     let planner = Arc::new(open(state, peers, term));
     let quiet = planner.quiet_until();
@@ -108,7 +108,7 @@
                 }
                 next_plan = now + PLAN_INTERVAL.max(begun.elapsed() * PAUSE_FACTOR);
             }
-            _ = planner.peers.inbox.wanted.notified() => {
+            _ = planner.peers.inbox.request_received.notified() => {
                 if acts {
                     planner.sync();
                     planner.place_adapters();
@@ -122,14 +122,14 @@
                 planner.digest_changes().await;
             }
             _ = tokio::time::sleep_until(next_digest) => {
-                next_digest = tokio::time::Instant::now() + planner.peers.round();
+                next_digest = tokio::time::Instant::now() + planner.peers.report_interval();
                 round += 1;
                 planner.digest(round).await;
                 let again = round.is_multiple_of(digest::WHOLE_ROUNDS);
                 planner.tell_listing(again).await;
                 if again {
-                    planner.peers.tell_limits().await;
-                    planner.peers.tell_departures().await;
+                    planner.peers.broadcast_limits().await;
+                    planner.peers.broadcast_departures().await;
                 }
             }
             _ = planner.state.quarantine.changed.notified() => planner.tell_listing(false).await,
@@ -202,7 +202,7 @@
             known.note_unreachable(absent.contains(&replica_hash(&seen.entry.id)), now);
             known.sync(&seen.entry, now);
         }
-        book.note_uses(self.peers.inbox.uses(), now);
+        book.note_uses(self.peers.inbox.take_adapter_uses(), now);
     }
 
     /// Makes a plan beside this host's other work: on a thread of its own where there are so many replicas
@@ -237,7 +237,7 @@
     /// Notes the models that hosts have requests for and that are on no replica; tells whether the plan
     /// has not known of one.
     fn note_missing(&self) -> bool {
-        let missing = self.peers.inbox.missing();
+        let missing = self.peers.inbox.take_model_requests();
         let mut book = self.fleet.lock();
         let mut news = false;
         for ModelRequest { service, model } in missing {
--- a/crates/front/src/planner/adapters.rs
+++ b/crates/front/src/planner/adapters.rs
@@ -37,7 +37,7 @@
     pub(super) fn place_adapters(self: &Arc<Self>) {
         let now = self.state.now();
         let loads = self.peers.inbox.loads(now);
-        for want in self.peers.inbox.wants() {
+        for want in self.peers.inbox.take_adapter_requests() {
             if let Some(id) = self.place_adapter(&want, &loads, now) {
                 self.drive(id);
             }
@@ -101,7 +101,10 @@
         let planner = self.clone();
         tokio::spawn(async move {
             tokio::time::sleep(after).await;
-            planner.peers.send_all(&Message::Placed(placed)).await;
+            planner
+                .peers
+                .broadcast(&Message::AdapterPlacement(placed))
+                .await;
         });
     }
 }
--- a/crates/front/src/planner/quarantine.rs
+++ b/crates/front/src/planner/quarantine.rs
@@ -15,7 +15,9 @@
         let now = self.state.now();
         let (listing, changed) = self.state.quarantine.listing(self.term.token, now);
         if changed || (again && !listing.entries.is_empty()) {
-            self.peers.send_all(&Message::Listing(listing)).await;
+            self.peers
+                .broadcast(&Message::QuarantineList(listing))
+                .await;
         }
         self.begin_storing();
     }
@@ -59,7 +61,7 @@
                     quarantine::apply_conflict(&self.state, item);
                 }
             }
-            Err(why) => self.state.log.notable(|| {
+            Err(why) => self.state.log.rate_limited(|| {
                 warn!(target: "quarantine", event = "not_stored", why = %why, "the list of requests that are kept out could not be stored yet")
             }),
         }
--- a/crates/front/src/quota.rs
+++ b/crates/front/src/quota.rs
@@ -8,7 +8,7 @@
 use crate::grant::{self, Claim, Decision, Grant, Source};
 use crate::message::Subject;
 use crate::peers::Peers;
-use crate::peers::quota::{PATIENT, QUICK};
+use crate::peers::quota::{LAST_TRY_TIMEOUTS, TIMEOUTS};
 use crate::respond::Rejection;
 use crate::shares;
 use crate::state::State;
@@ -46,7 +46,10 @@
     let decision = decided
         .as_ref()
         .map_or_else(|fault| fault.reason, |_| "let_in");
-    state.log.metrics.account(&account.name, decision);
+    state
+        .log
+        .metrics
+        .record_account_decision(&account.name, decision);
     decided.map(|source| Some(wanted.into_grant(peers, asked, source)))
 }
 
@@ -64,14 +67,14 @@
         Decision::Denied(told) => Err(over(account, quota, wanted.units, told.retry_after)),
     };
     if state.shares.may_ask(state.now())
-        && let Some(answer) = grant::ask(state, peers, wanted, QUICK).await
+        && let Some(answer) = grant::ask(state, peers, wanted, TIMEOUTS).await
     {
         return decided(answer);
     }
     let Err(wait) = grant::spend_share(state, wanted) else {
         return Ok(Source::Share);
     };
-    match grant::ask(state, peers, wanted, PATIENT).await {
+    match grant::ask(state, peers, wanted, LAST_TRY_TIMEOUTS).await {
         Some(answer) => decided(answer),
         None => Err(without_share(account, wait)),
     }
--- a/crates/front/src/rate_limit.rs
+++ b/crates/front/src/rate_limit.rs
@@ -9,7 +9,7 @@
 use crate::grant::{self, Claim, Decision, Grant, Source};
 use crate::message::Subject;
 use crate::peers::Peers;
-use crate::peers::quota::QUICK;
+use crate::peers::quota::TIMEOUTS;
 use crate::state::State;
 use crate::table::{Change, Choice, Criteria, LimitTerms};
 use platform::answer::Reading;
@@ -19,7 +19,7 @@
 use unit::Name;
 
 /// Time for the one try of a question: another replica may take the request sooner than a second try would be answered.
-const SINGLE_TRY: &[Duration] = QUICK.split_at(1).0;
+const SINGLE_TRY: &[Duration] = TIMEOUTS.split_at(1).0;
 
 /// Takes in what an answer says of its replica's limit. One that the replica `ran` the request for and that names no
 /// limit says that none holds any more; a refusal without one says nothing.
@@ -30,7 +30,7 @@
         Reading::Absent if ran => None,
         Reading::Absent => return,
         Reading::Unreadable(value) => {
-            state.log.notable(|| {
+            state.log.rate_limited(|| {
                 warn!(target: "limit", event = "unreadable", replica = &*from.replica, value, "what the replica names is no number of requests a second; it counts as not named")
             });
             return;
@@ -42,7 +42,7 @@
         .lock()
         .record_limit(&from.replica, from.incarnation, rate, now);
     if let Some(change) = change {
-        state.limited.notify_one();
+        state.limits_changed.notify_one();
         let rate = rate.unwrap_or_default();
         log_change(state, &from.replica, rate, change, &state.settings.name);
     }
@@ -51,7 +51,7 @@
 /// Tells of a change of what is known of a limit, and which host said so.
 pub fn log_change(state: &State, replica: &Name, rate: f64, change: Change, by: &Name) {
     let (replica, by) = (&**replica, &**by);
-    state.log.notable(|| match change {
+    state.log.rate_limited(|| match change {
         Change::Advertised => info!(target: "limit", event = "named", replica, rate, by, "a replica in need takes so many requests a second from all hosts together"),
         Change::Changed(before) => info!(target: "limit", event = "changed", replica, rate, before, by, "a replica in need names another limit"),
         Change::Withdrawn => info!(target: "limit", event = "over", replica, by, "a replica names no limit any more"),
@@ -161,7 +161,7 @@
         .metrics
         .counter("coveford_limited_sendings_total", &[])
         .increment(1);
-    state.log.notable(|| {
+    state.log.rate_limited(|| {
         info!(target: "limit", event = "sent", id = &*call.id, replica = &**replica, rate, last_event, priority = call.priority, "a request goes to a replica in need")
     });
 }
--- a/crates/front/src/relay.rs
+++ b/crates/front/src/relay.rs
@@ -196,7 +196,7 @@
             let took = self.state.now().since(self.call.arrived);
             self.ttft = took;
             let metrics = &self.state.log.metrics;
-            metrics.first_byte(&self.call.route.name, took);
+            metrics.record_first_byte(&self.call.route.name, took);
         }
         Ok(())
     }
@@ -247,7 +247,7 @@
         self.state
             .log
             .metrics
-            .ended(&self.call.route.name, "complete");
+            .record_outcome(&self.call.route.name, "complete");
         let id = &self.call.id;
         let ms = self.state.now().since(self.call.arrived).ms();
         let route = &self.call.route;
@@ -259,7 +259,7 @@
             self.longest_pause.in_flight,
             self.longest_pause.prefill_backlog.ms(),
         );
-        self.state.log.routine(id, || {
+        self.state.log.sampled(id, || {
             info!(target: "request", event = "answered", id = &**id, route = &*route.name, model, ms, first_ms, target_ms, pause_ms, gap_ms, in_flight, unread_ms, "the stream is complete; pause_ms is its longest long pause, with what stood at the replica then")
         });
         None
@@ -334,11 +334,14 @@
     fn abort(&mut self, why: &Failure) -> io::Error {
         self.source = None;
         let call = &self.call;
-        self.state.log.metrics.ended(&call.route.name, "broken");
+        self.state
+            .log
+            .metrics
+            .record_outcome(&call.route.name, "broken");
         let age = self.state.now().since(call.arrived).ms();
         let history = self.history.attempted.join(",");
         let last = self.splitter.last();
-        self.state.log.notable(|| {
+        self.state.log.rate_limited(|| {
             tracing::warn!(target: "request", event = "broken", id = &*call.id, print = %call.fingerprint(), route = &*call.route.name, tried = history, last, ms = age, why = %why, "the stream is broken off")
         });
         io::Error::other(why.to_string())
@@ -350,8 +353,11 @@
         let Some(source) = &self.source else { return };
         let call = &self.call;
         let ms = self.state.now().since(call.arrived).ms();
-        self.state.log.metrics.ended(&call.route.name, "cancelled");
-        self.state.log.routine(&call.id, || {
+        self.state
+            .log
+            .metrics
+            .record_outcome(&call.route.name, "cancelled");
+        self.state.log.sampled(&call.id, || {
             info!(target: "request", event = "cancelled", id = &*call.id, route = &*call.route.name, replica = &*source.reservation.replica, ms, "the client left; the replica's connection is closed")
         });
     }
--- a/crates/front/src/relay/resume.rs
+++ b/crates/front/src/relay/resume.rs
@@ -50,7 +50,7 @@
                 grant.refund(&state).await;
             }
             self.history.record(&choice.replica, &sent);
-            state.log.notable(|| {
+            state.log.rate_limited(|| {
                 let outcome = match &sent {
                     Ok(sent) => format!("status {}", sent.response.status()),
                     Err(failed) => failed.to_string(),
--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -7,7 +7,7 @@
 use crate::peers::{self, Peers};
 use crate::quarantine::Reports;
 use crate::settings::{self, Settings};
-use crate::state::{self, State, Wanted};
+use crate::state::{self, PlacementRequests, State};
 use crate::{follow, leader, log, planner, queue, readers, respond, serve};
 use conn::{Bounds, Server};
 use hyper::body::Incoming;
@@ -76,7 +76,7 @@
 
 /// Runs a daemon by its settings until it is told to stop.
 pub fn run(path: &Path, settings: Settings) -> Result<(), Error> {
-    let guard = log::start(&settings.name, &settings.log.level);
+    let guard = log::init(&settings.name, &settings.log.level);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -170,20 +170,20 @@
 fn tasks(
     entry: &serve::Context,
     peers: &Arc<Peers>,
-    wanted: Wanted,
+    wanted: PlacementRequests,
     reports: Reports,
 ) -> JoinSet<()> {
     let mut tasks = JoinSet::new();
     let state = &entry.state;
     tasks.spawn(queue::run(state.clone(), entry.queues.clone()));
-    tasks.spawn(peers.clone().tell_directly());
+    tasks.spawn(peers.clone().send_loads());
     tasks.spawn(follow::run(state.clone()));
     tasks.spawn(peers.clone().receive());
-    tasks.spawn(peers.clone().tell());
-    tasks.spawn(peers.clone().ask(wanted));
-    tasks.spawn(peers.clone().report(reports));
-    tasks.spawn(peers.clone().tell_limit_changes());
-    tasks.spawn(peers.clone().tell_leaving());
+    tasks.spawn(peers.clone().send_reports());
+    tasks.spawn(peers.clone().forward_placement_requests(wanted));
+    tasks.spawn(peers.clone().forward_quarantine_reports(reports));
+    tasks.spawn(peers.clone().send_limit_changes());
+    tasks.spawn(peers.clone().send_departures());
     tasks.spawn(upkeep(state.clone()));
     tasks.spawn(settle(state.clone()));
     let (state, peers) = (state.clone(), peers.clone());
@@ -260,15 +260,15 @@
         tokio::time::sleep(UPKEEP).await;
         expire(&state);
         state.pool.close_expired(state.now());
-        state.log.metrics.tidy();
-        state.log.tell_left_out();
+        state.log.metrics.run_upkeep();
+        state.log.log_omitted();
     }
 }
 
 /// Takes replicas as gone as soon as their entries, which vanished, can no longer come back.
 async fn settle(state: Arc<State>) {
     loop {
-        state.missed.notified().await;
+        state.entry_missing.notified().await;
         while state.table.lock().view.has_missing() {
             tokio::time::sleep(SETTLE).await;
             expire(&state);
@@ -286,7 +286,7 @@
         metrics
             .gauge("coveford_replica_rest_seconds", &labels)
             .set(0.0);
-        state.log.notable(|| {
+        state.log.rate_limited(|| {
             info!(target: "replica", event = "rested", replica = &*replica, "a replica's rest is over, and so is the return to it");
         });
     }
@@ -315,7 +315,7 @@
     pub async fn drain(self) {
         let state = &self.state;
         let grace = state.settings.bounds.grace;
-        state.set_draining();
+        state.start_drain();
         let in_flight = state.in_flight();
         info!(target: "daemon", event = "draining", in_flight, "readiness fails; connections are taken a while longer");
         let asked = state.now();
--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -249,7 +249,7 @@
 
 /// Tells of a failed sending, and corrects what the table believed.
 fn handle_failure(state: &State, call: &Call, choice: &Choice, failed: &Failure) {
-    state.log.notable(|| {
+    state.log.rate_limited(|| {
         info!(target: "request", event = "failed", id = &*call.id, print = %call.fingerprint(), replica = &*choice.replica, addr = %choice.addr, entry = choice.revision, candidates = choice.candidate_count, why = %failed, "a sending brought no answer")
     });
     let misdirected = matches!(
--- a/crates/front/src/serve/admit.rs
+++ b/crates/front/src/serve/admit.rs
@@ -187,7 +187,7 @@
     let turn = entry.queues.lock().push(call, until, now);
     tokio::select! {
         turn = state.clock.timeout_at(until, turn) => turn.ok().and_then(Result::ok),
-        _ = state.stopping() => None,
+        _ = state.drain_started() => None,
     }
 }
 
--- a/crates/front/src/serve/read.rs
+++ b/crates/front/src/serve/read.rs
@@ -50,8 +50,8 @@
             RETRY_LATER,
         ));
     }
-    state.log.metrics.ended(&"none".into(), "no_route");
-    state.log.notable(|| {
+    state.log.metrics.record_outcome(&"none".into(), "no_route");
+    state.log.rate_limited(|| {
         info!(target: "request", event = "refused", reason = "no_route", host, path = request.uri().path(), version = routes.version, "no route")
     });
     Err(Rejection::client_error(
@@ -147,7 +147,7 @@
         .unwrap_or(UNKNOWN_LENGTH)
         .min(max as u64);
     let kb = (hint / 1_024) as u32 + 1;
-    let room = state.bodies.clone().try_acquire_many_owned(kb);
+    let room = state.body_memory.clone().try_acquire_many_owned(kb);
     room.map_err(|_| {
         let message = "This host holds as many request bodies as it may.";
         Rejection::not_run("bodies_full", message, RETRY_LATER)
--- a/crates/front/tests/fanout.rs
+++ b/crates/front/tests/fanout.rs
@@ -99,13 +99,13 @@
 #[test]
 fn parts_of_one_telling_add_up() {
     let inbox = Inbox::default();
-    inbox.put(sums(1, 0, 0), addr(1), at(0));
+    inbox.record_report(sums(1, 0, 0), addr(1), at(0));
     for part in sums(7, 100, 0).split() {
-        inbox.put_loads(part, at(10));
+        inbox.record_loads(part, at(10));
     }
     assert_eq!(inbox.loads(at(20)).len(), 100);
     for part in sums(8, 40, 0).split() {
-        inbox.put_loads(part, at(30));
+        inbox.record_loads(part, at(30));
     }
     assert_eq!(
         inbox.loads(at(40)).len(),
@@ -130,7 +130,7 @@
     let parts = sums.split();
     assert_eq!(parts.iter().map(|p| p.loads.len()).sum::<usize>(), 60);
     for part in parts {
-        let bytes = front::message::encode(&front::message::Message::Sums(part));
+        let bytes = front::message::encode(&front::message::Message::Report(part));
         assert!(
             bytes.len() <= front::message::MAX_DATAGRAM,
             "{}",
@@ -172,7 +172,7 @@
             resting,
             ..sums(1, 1, 0)
         };
-        inbox.put(sums, addr(host), at(0));
+        inbox.record_report(sums, addr(host), at(0));
     }
     assert_eq!(inbox.resting(at(10)), HashSet::from([replica_hash("i-1")]));
     assert!(inbox.resting(at(5_000)).is_empty(), "nobody tells any more");
--- a/crates/front/tests/rate_limit.rs
+++ b/crates/front/tests/rate_limit.rs
@@ -188,7 +188,7 @@
     press(&hosts, &["/stream/x"], BOUND).await;
     let from = Instant::now();
     for host in &hosts {
-        host.state().clock.suspend(AWAY);
+        host.state().clock.simulate_suspend(AWAY);
         press(&hosts, &["/stream/x"], Duration::from_millis(1_500)).await;
     }
     press(&hosts, &["/stream/x"], WINDOW).await;
@@ -385,7 +385,7 @@
         host: host.clone(),
         limits: vec![row; limit::ROWS],
     };
-    let bytes = encode(&Message::Limits(limits)).len();
+    let bytes = encode(&Message::LimitDigest(limits)).len();
     assert!(bytes <= MAX_DATAGRAM, "{bytes} bytes");
     let question = QuotaRequest {
         number: u32::MAX,
@@ -400,8 +400,8 @@
         wait_ms: 9_000,
         left: -1.5,
     };
-    let asked = encode(&Message::Question(question)).len();
-    let answered = encode(&Message::Verdict(u32::MAX, verdict)).len();
+    let asked = encode(&Message::QuotaRequest(question)).len();
+    let answered = encode(&Message::QuotaResponse(u32::MAX, verdict)).len();
     assert!(
         asked <= 140 && answered <= 50,
         "{asked} and {answered} bytes"
--- a/crates/standin/src/experiment/model/planner.rs
+++ b/crates/standin/src/experiment/model/planner.rs
@@ -2,9 +2,9 @@
 
 use super::engine::{BATCH, Engine};
 use super::workload::Figures;
-use place::demand::Demand;
+use place::demand::Estimator;
 use place::homes::{Hall, Homes};
-use place::plan::{Need, Situation, Starts, Want, plan};
+use place::plan::{Demand, Input, LoadLimiter, Spec, plan};
 use place::{Fleet, Ledger, Upstream};
 use std::collections::BTreeMap;
 use unit::engine::{Action, Weights};
@@ -37,15 +37,15 @@
 /// Planner of one hall.
 struct HallPlanner {
     ledger: Ledger,
-    demand: Demand,
-    starts: Starts,
+    demand: Estimator,
+    starts: LoadLimiter,
 }
 
 /// Planners of all halls.
 pub struct Planners {
     halls: Vec<HallPlanner>,
     homes: Homes,
-    wants: Vec<Want>,
+    wants: Vec<Spec>,
     names: Vec<Name>,
 }
 
@@ -55,12 +55,12 @@
 }
 
 /// Models of a size, as a bundle would want them.
-pub fn wants(figures: &Figures) -> Vec<Want> {
-    let want = |i: usize| Want {
+pub fn wants(figures: &Figures) -> Vec<Spec> {
+    let want = |i: usize| Spec {
         model: format!("m{i:02}").into(),
         version: "1".into(),
         memory: Bytes::from_gb(24 + (i % 4) as u64 * 4),
-        least: 1,
+        min_replicas: 1,
         priority: [9, 6, 1][i % 3],
         adapters: Vec::new(),
     };
@@ -71,8 +71,8 @@
     pub fn new(figures: &Figures) -> Planners {
         let halls = (0..figures.halls).map(|_| HallPlanner {
             ledger: Ledger::default(),
-            demand: Demand::default(),
-            starts: Starts::new(figures.loads.0, figures.loads.1, figures.halls),
+            demand: Estimator::default(),
+            starts: LoadLimiter::new(figures.loads.0, figures.loads.1, figures.halls),
         });
         Planners {
             halls: halls.collect(),
@@ -100,32 +100,34 @@
             if planner.ledger.term == 0 {
                 planner.ledger.take_over();
             }
-            let situation = Situation {
+            let input = Input {
                 now,
                 wall_ms: 0,
                 hall: &self.names[h],
                 halls: &halls,
-                wants: &self.wants,
+                specs: &self.wants,
                 fleet: &fleet,
-                elsewhere: &elsewhere,
+                other_halls: &elsewhere,
                 homes: &self.homes,
-                needs: &needs,
-                attainment: weights.0,
-                moves: weights.1,
+                demand: &needs,
+                attainment_weight: weights.0,
+                move_cost: weights.1,
             };
-            let plan = plan(&situation, &mut planner.ledger, &mut planner.starts);
+            let plan = plan(&input, &mut planner.ledger, &mut planner.starts);
             for model in &plan.joins {
                 self.homes.join(model, &self.names[h]);
             }
             for model in &plan.leaves {
                 self.homes.leave(model, &self.names[h]);
             }
-            for (name, order) in plan.orders.iter().chain(&plan.again) {
+            for (name, order) in plan.orders.iter().chain(&plan.resends) {
                 let model = self.model(&order.action);
                 let engine = engines.iter_mut().find(|e| e.name == *name);
                 let engine = engine.expect("orders go to known engines");
                 let obeyed = engine.obey(order, model, LOAD, now);
-                self.halls[h].ledger.answered(name, order.fence, obeyed);
+                self.halls[h]
+                    .ledger
+                    .record_answer(name, order.fence, obeyed);
             }
         }
     }
@@ -161,7 +163,7 @@
         engines: &[Engine],
         arriving: &[f64],
         service: &dyn Fn(usize) -> Span,
-    ) -> BTreeMap<Name, Need> {
+    ) -> BTreeMap<Name, Demand> {
         let mut all = BTreeMap::new();
         let mut work = BTreeMap::new();
         for (m, want) in self.wants.iter().enumerate() {
@@ -179,8 +181,8 @@
             work.insert(want.model.clone(), mean / BATCH as f64);
         }
         let demand = &mut self.halls[h].demand;
-        demand.take(now, &all);
-        let need = |want: &Want| Need {
+        demand.update(now, &all);
+        let need = |want: &Spec| Demand {
             rate: demand.rate(&want.model),
             work: work[&want.model],
         };
@@ -198,20 +200,20 @@
         report: e.report(),
         leaving: false,
         fencing: true,
-        silent: false,
+        unreachable: false,
     });
     Fleet {
         upstreams: upstreams.collect(),
     }
 }
 
-fn base(want: &Want) -> Weights {
+fn base(want: &Spec) -> Weights {
     want.weights()
 }
 
 /// Fills engines for the mean demand: each model once, then more of those with most demand for
 /// each replica they have.
-pub fn fill(engines: &mut [Engine], wants: &[Want], mean: &dyn Fn(usize) -> f64) {
+pub fn fill(engines: &mut [Engine], wants: &[Spec], mean: &dyn Fn(usize) -> f64) {
     let mut replicas = vec![0; wants.len()];
     loop {
         let need = |m: usize| match replicas[m] {
@@ -236,7 +238,7 @@
 }
 
 /// Puts every model everywhere.
-pub fn fill_all(engines: &mut [Engine], wants: &[Want]) {
+pub fn fill_all(engines: &mut [Engine], wants: &[Spec]) {
     for engine in engines {
         for (m, want) in wants.iter().enumerate() {
             engine.preload(m, base(want), Bytes(0));
@@ -246,7 +248,7 @@
 
 /// Loads a model that is missed where it disturbs least, evicting the least recently used; also a
 /// second replica when the first is full, as far as the store's concurrency allows.
-pub fn on_demand(engines: &mut [Engine], model: usize, want: &Want, now: Time) {
+pub fn on_demand(engines: &mut [Engine], model: usize, want: &Spec, now: Time) {
     if engines.iter().any(|e| e.has(model) && !e.ready(model)) {
         return;
     }
