--- a/crates/front/src/table.rs
+++ b/crates/front/src/table.rs
@@ -1,9 +1,10 @@
-//! Replicas, the configuration in force, and what is in flight where: one table under one lock.
+//! Routing state of one daemon, behind one lock: replicas, the configuration in force and the load in flight.
 //!
-//! Its parts: `replica` is what is known of one replica, with its `absence` and the `share` of its
-//! answers that failed; `adapters` is where adapters are and which are used, `pace` how fast models
-//! run, `demand` what is asked for here, `told` what the leader plans. `choose` places requests by
-//! all of them, and `sums` exchanges them with other hosts.
+//! `replica` holds what this host knows of one replica, with its `reachability`, `rate_limit` and moving `average`s of
+//! failures and stalls; `backoff` the times for which replicas take no requests from this host; `adapters` where
+//! adapters are loaded; `pace` the prefill speed and decode time of models; `demand` the arrival rate by model; `plans`
+//! the planner status that the leader sends. `choose` picks a replica by all of these, and `loads` exchanges loads with
+//! other hosts.
 
 mod adapters;
 mod average;
@@ -43,25 +44,24 @@
 use std::sync::Arc;
 use unit::{Name, Span, Time};
 
-/// Age at which another host's own sums are no longer used.
+/// Age beyond which the loads that another host sent directly are ignored.
 const MAX_DIRECT_AGE: Span = Span::from_ms(1_500);
 
-/// Age at which the sums of other hosts are no longer used.
+/// Age beyond which the leader's digest is ignored.
 const MAX_DIGEST_AGE: Span = Span::from_ms(3_000);
 
-/// Time of one step of a batch without any prompt, with the way of the answer; of the order of
-/// what accelerators take for a model of 70 GB.
+/// Duration of one decode step of a batch without prefill, including the way of the answer.
 const DECODE_STEP: Span = Span::from_ms(12);
 
-/// Table of one daemon.
+/// Routing state of one daemon.
 pub struct Table {
-    /// Replicas by the store's news.
+    /// Replicas, as the store lists them.
     pub view: View,
     /// Configuration in force.
     pub routes: Option<Arc<Routes>>,
-    /// Hosts that the leader knows of, this one included; 1 until one has told.
+    /// Hosts known to the leader, including this one; 1 before the first digest.
     pub host_count: usize,
-    /// Whether a leader has told how many hosts there are.
+    /// Whether a digest with the number of hosts has arrived.
     pub knows_host_count: bool,
     hall: Name,
     replicas: HashMap<Name, State>,
@@ -71,35 +71,35 @@
     retry_budgets: HashMap<Name, WindowedBudget>,
     demand: Demands,
     plans: Plans,
-    /// When what was told before was set aside.
+    /// When `replica::State::reported_before` was last replaced.
     rotated_at: Time,
-    /// Adapters that requests of this host used since they were told last.
+    /// Adapters used by requests of this host since the last report.
     adapter_uses: HashSet<AdapterUse>,
-    /// When another host last told its sums directly.
+    /// When loads last came directly from another host.
     direct_at: Time,
     rng: SmallRng,
 }
 
-/// Request to be placed.
+/// What a request requires of a replica.
 #[derive(Debug, Clone)]
 pub struct Criteria<'a> {
-    /// Service it goes to.
+    /// Service that the request goes to.
     pub service: &'a Name,
-    /// What it says of itself.
+    /// Header fields of the request.
     pub ask: &'a Ask,
-    /// Rank of urgency, 0 first.
+    /// Priority, 0 is the most urgent.
     pub priority: u8,
-    /// Longest pause between events of a stream, if it has a bound.
+    /// Longest allowed pause between events of a stream, if bounded.
     pub max_gap: Option<Span>,
-    /// Replicas it must not go to.
+    /// Replicas that must not be chosen.
     pub excluded: &'a [Name],
-    /// Whether it takes up a stream that has broken, which goes before what has not begun.
+    /// Whether a broken stream is resumed; such requests leave no units of a rate limit to others.
     pub is_resumption: bool,
 }
 
 impl Table {
-    /// Makes an empty table of a host in that hall; `seed` breaks ties differently on each host, and replicas
-    /// write to the store each `heartbeat`.
+    /// Creates an empty table. `seed` makes hosts break ties differently; `heartbeat` is the interval at which replicas
+    /// write their entries.
     pub fn new(hall: Name, seed: u64, heartbeat: Span) -> Table {
         Table {
             view: View::new(heartbeat),
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Takes a configuration unless one as new is in force; tells whether it did.
+    /// Installs a configuration if its revision is newer than the current one; returns whether it did.
     pub fn set_routes(&mut self, routes: Routes) -> bool {
         let newer = |known: &Arc<Routes>| known.revision < routes.revision;
         if !self.routes.as_ref().is_none_or(newer) {
@@ -130,11 +130,11 @@
         true
     }
 
-    /// Forgets the state of replicas that are gone, and what those knew and held that have started again.
-    pub fn apply(&mut self, news: &[Update]) {
-        for one in news {
-            match one {
-                // What it asked this host for holds on: its entry may come back.
+    /// Drops the state of removed replicas and resets that of restarted ones.
+    pub fn apply(&mut self, updates: &[Update]) {
+        for update in updates {
+            match update {
+                // A backoff or departure is kept elsewhere: the entry may reappear.
                 Update::Removed(id) => drop(self.replicas.remove(id)),
                 Update::Restarted(id) => self.reset_replica(id),
                 _ => {}
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Forgets what a replica knew and held before it started again.
+    /// Drops what belonged to an earlier incarnation of a replica.
     fn reset_replica(&mut self, id: &Name) {
         if let Some(state) = self.replicas.get_mut(id) {
             state.restart();
@@ -156,70 +156,70 @@
         self.routes.as_ref()?.service(name).cloned()
     }
 
-    /// What is known of a replica, to be changed.
+    /// State of a replica, created if missing.
     fn replica_mut(&mut self, id: &Name) -> &mut State {
         self.replicas.entry(id.clone()).or_default()
     }
 
-    /// Whether other hosts tell their sums directly.
+    /// Whether other hosts send their loads directly.
     fn is_direct(&self, now: Time) -> bool {
         now.since(self.direct_at) < MAX_DIRECT_AGE
     }
 
-    /// Whether a replica holds a model, by its entry or by the leader's word.
+    /// Whether a replica holds a model, by its entry or by the leader's digest.
     fn holds_model(&self, entry: &Entry, model: &Name, now: Time) -> bool {
         let in_entry = entry.held.iter().any(|h| h.model == *model);
         in_entry || self.plans.loaded.contains(&entry.id, model, now)
     }
 
-    /// Pace of a model: prompt tokens read in a millisecond, and the time of a run.
+    /// Prefill speed of a model in tokens per millisecond, and its decode time.
     pub fn pace(&self, service: &Name, model: &Name) -> (f64, Span) {
         let pace = self.paces.get(service, Some(model));
         (pace.prefill_speed, pace.decode)
     }
 
-    /// Share of the places of a service's replicas for a model that are taken.
+    /// Fraction of slots in use at the replicas of a service that hold the model; 1 when there are none.
     pub fn utilization(&self, criteria: &Criteria, now: Time) -> f64 {
         let model = criteria.ask.model.as_ref();
         let direct = self.is_direct(now);
-        let (mut taken, mut places) = (0.0, 0.0);
-        for seen in self.view.all() {
-            let entry = &seen.entry;
+        let (mut in_flight, mut slots) = (0.0, 0.0);
+        for replica in self.view.all() {
+            let entry = &replica.entry;
             let holds = model.is_none_or(|m| self.holds_model(entry, m, now));
             if entry.service == *criteria.service && !entry.leaving && holds {
                 let state = self.replicas.get(&entry.id);
-                // The places of a replica in need, or at rest, are not there for the asking.
-                let in_need = state.is_some_and(|s| s.active_limit(now).is_some());
-                if in_need || self.unavailable(&entry.id, now).is_some() {
+                // Replicas that limit or refuse requests have no slots to offer.
+                let is_limited = state.is_some_and(|s| s.active_limit(now).is_some());
+                if is_limited || self.unavailable(&entry.id, now).is_some() {
                     continue;
                 }
                 let load = state.map(|s| s.total_load(now, direct));
-                taken += f64::from(load.unwrap_or_default().requests);
-                places += f64::from(entry.slots);
+                in_flight += f64::from(load.unwrap_or_default().requests);
+                slots += f64::from(entry.slots);
             }
         }
-        if places == 0.0 { 1.0 } else { taken / places }
+        if slots == 0.0 { 1.0 } else { in_flight / slots }
     }
 
-    /// Requests in flight at a replica, and the time to read the prompts not read there.
+    /// Requests in flight at a replica, and the time to prefill the prompts that wait there.
     pub fn load(&self, replica: &str, now: Time) -> (f64, Span) {
         let state = self.replicas.get(replica);
         let load = state
             .map(|s| s.total_load(now, self.is_direct(now)))
             .unwrap_or_default();
-        let unread: f32 = load.prefill_ms.iter().sum();
+        let prefill_ms: f32 = load.prefill_ms.iter().sum();
         (
             f64::from(load.requests),
-            Span((f64::from(unread) * 1e3) as u64),
+            Span((f64::from(prefill_ms) * 1e3) as u64),
         )
     }
 
-    /// Time until one more copy of a model is expected, if one is on its way.
+    /// Time until another copy of a model is expected, if one is being loaded.
     pub fn model_eta(&self, model: &Name, now: Time) -> Option<Span> {
         self.plans.model_eta(model, now)
     }
 
-    /// Counts a request in at a replica.
+    /// Adds a request to a replica's load.
     pub fn begin(&mut self, replica: &Name, criteria: &Criteria, now: Time) -> Footprint {
         let pace = self
             .paces
@@ -230,89 +230,88 @@
         state.begin(criteria, &pace)
     }
 
-    /// Notes that the first token of a request has come.
-    pub fn record_first_token(&mut self, replica: &str, print: &mut Footprint) {
+    /// Records the first token of a request, which ends its prefill.
+    pub fn record_first_token(&mut self, replica: &str, footprint: &mut Footprint) {
         if let Some(state) = self.replicas.get_mut(replica) {
-            state.finish_prefill(print);
+            state.finish_prefill(footprint);
         }
-        print.prefill_ms = 0.0;
+        footprint.prefill_ms = 0.0;
     }
 
-    /// Counts a request out.
-    pub fn finish(&mut self, replica: &str, print: &Footprint) {
+    /// Removes a request from a replica's load.
+    pub fn finish(&mut self, replica: &str, footprint: &Footprint) {
         if let Some(state) = self.replicas.get_mut(replica) {
-            state.finish(print);
+            state.finish(footprint);
         }
     }
 
-    /// Learns from an answer or a failure of a replica.
+    /// Records whether an answer of a replica failed.
     pub fn record_outcome(&mut self, replica: &Name, failed: bool, now: Time) {
         let sample = f64::from(u8::from(failed));
         self.replica_mut(replica).failure_rate.record(sample, now);
     }
 
-    /// Learns that a replica took no connection.
+    /// Records that a replica refused a connection.
     pub fn record_unreachable(&mut self, replica: &Name, now: Time) {
         self.replica_mut(replica).reachability.record_failure(now);
     }
 
-    /// Learns that a replica refused a request as meant for another replica, model or adapter;
-    /// `whole` if the request named no adapter.
-    pub fn record_misdirected(&mut self, replica: &Name, whole: bool, now: Time) {
+    /// Records that a replica refused a request as meant for another replica, model or adapter.
+    pub fn record_misdirected(&mut self, replica: &Name, names_no_adapter: bool, now: Time) {
         self.replica_mut(replica)
             .reachability
-            .record_misdirected(whole, now);
+            .record_misdirected(names_no_adapter, now);
     }
 
-    /// Learns that a replica answered under its identity.
+    /// Records that a replica answered under its identity.
     pub fn record_reached(&mut self, replica: &Name, now: Time) {
         self.replica_mut(replica).reachability.record_reached(now);
     }
 
-    /// Learns that a stream of a replica paused for almost longer than it may.
+    /// Records that the pause between two events of a replica's stream was close to the allowed maximum.
     pub fn record_slow_event(&mut self, replica: &Name, now: Time) {
         self.replica_mut(replica).stall_rate.record(1.0, now);
     }
 
-    /// Learns how fast prompts are read, from one that none stood before: it took that time.
+    /// Records how long a prompt of `tokens` tokens took that waited for no other prompt.
     pub fn record_prefill_speed(&mut self, service: &Name, model: &Name, tokens: f64, took: Span) {
         self.paces
             .record_prefill_speed(service, model, tokens, took);
     }
 
-    /// Learns how long a run takes after its first token.
-    pub fn record_decode(&mut self, service: &Name, model: &Name, run: Span) {
-        self.paces.record_decode(service, model, run);
+    /// Records the time from the first token of a request to its last.
+    pub fn record_decode(&mut self, service: &Name, model: &Name, decode: Span) {
+        self.paces.record_decode(service, model, decode);
     }
 
-    /// Prompt tokens to be read for a request at a replica, if none stands before it there.
+    /// Prompt tokens of a request that a replica has not cached, if no other prompt waits there.
     pub fn unqueued_tokens(&self, replica: &str, ask: &Ask, now: Time) -> Option<f64> {
         let model = ask.model.as_ref()?;
         let state = self.replicas.get(replica);
         let load = state.map(|s| s.total_load(now, self.is_direct(now)));
-        let unread: f32 = load.unwrap_or_default().prefill_ms.iter().sum();
-        let kept = state.map_or(0, |s| s.cached_tokens(model, ask));
-        (unread <= 0.0).then(|| ask.prompt.saturating_sub(kept) as f64)
+        let prefill_ms: f32 = load.unwrap_or_default().prefill_ms.iter().sum();
+        let cached = state.map_or(0, |s| s.cached_tokens(model, ask));
+        (prefill_ms <= 0.0).then(|| ask.prompt.saturating_sub(cached) as f64)
     }
 
-    /// Notes the arrival of a request, for the demand and for the retry budget.
+    /// Counts a request in the demand of its model and in the retry budget of its service.
     pub fn record_arrival(&mut self, service: &Name, ask: &Ask, bounds: &Bounds, now: Time) {
-        let length = bounds.retry_window.into();
-        let new = || WindowedBudget::new(bounds.retry_share, bounds.retry_slack, length);
-        let window = self
+        let window = bounds.retry_window.into();
+        let open = || WindowedBudget::new(bounds.retry_share, bounds.retry_slack, window);
+        let budget = self
             .retry_budgets
             .entry(service.clone())
-            .or_insert_with(new);
-        window.record_request(now);
+            .or_insert_with(open);
+        budget.record_request(now);
         if let Some(model) = &ask.model {
             self.demand.record(service, model, ask.prompt, now);
         }
     }
 
-    /// Spends a retry of a service's budget if there is one.
+    /// Spends one retry of a service's budget; returns whether there was one.
     pub fn spend_retry(&mut self, service: &str, now: Time) -> bool {
         let hosts = self.knows_host_count.then_some(self.host_count);
-        let window = self.retry_budgets.get_mut(service);
-        window.is_some_and(|w| w.spend(now, hosts))
+        let budget = self.retry_budgets.get_mut(service);
+        budget.is_some_and(|w| w.spend(now, hosts))
     }
 }
--- a/crates/front/src/table/adapters.rs
+++ b/crates/front/src/table/adapters.rs
@@ -1,4 +1,4 @@
-//! Adapters: which replica holds which, by the leader's word or its entry, and which are used here.
+//! Adapters: which replica holds which, and which are used by requests of this host.
 
 use super::replica::State;
 use super::{Criteria, MAX_DIGEST_AGE, Table};
@@ -6,11 +6,11 @@
 use platform::replica::Entry;
 use unit::{Name, Time};
 
-/// Uses of adapters remembered between two tellings; while there is no leader they would add up.
+/// Most adapter uses kept between two reports; without a leader nothing drains them.
 const MAX_USES: usize = 256;
 
 impl Table {
-    /// Notes that a request uses an adapter, to tell the leader.
+    /// Records the adapter that a request uses, for the next report to the leader.
     pub(super) fn record_adapter_use(&mut self, replica: &Name, criteria: &Criteria) {
         let (Some(model), Some(adapter)) = (&criteria.ask.model, &criteria.ask.adapter) else {
             return;
@@ -24,12 +24,12 @@
         }
     }
 
-    /// Adapters that requests of this host used since the last call.
+    /// Adapters used by requests of this host since the last call.
     pub fn take_adapter_uses(&mut self) -> Vec<AdapterUse> {
         self.adapter_uses.drain().collect()
     }
 
-    /// Takes in where adapters are, by the leader.
+    /// Sets a replica's adapters, as model and adapter, from the leader's digest.
     pub fn set_adapters(&mut self, replica: &Name, adapters: Vec<(Name, Name)>, now: Time) {
         if self.view.get(replica).is_some() {
             let state = self.replica_mut(replica);
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Notes that a replica holds an adapter.
+    /// Adds an adapter to those that a replica holds.
     pub fn add_adapter(&mut self, replica: &Name, model: &Name, adapter: &Name) {
         if self.view.get(replica).is_some() {
             let state = self.replica_mut(replica);
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Notes that a replica turned a request for an adapter away: it is not there.
+    /// Removes an adapter from a replica that refused a request for it.
     pub fn remove_adapter(&mut self, replica: &str, model: &Name, adapter: &Name) {
         if let Some(state) = self.replicas.get_mut(replica) {
             state.adapters.retain(|(m, a)| m != model || a != adapter);
@@ -57,7 +57,7 @@
     }
 }
 
-/// Whether a replica holds an adapter: by the leader's word while that is fresh, else by its entry.
+/// Whether a replica holds an adapter: by the leader's digest while that is recent, else by its entry.
 pub(super) fn holds_adapter(
     entry: &Entry,
     state: Option<&State>,
@@ -65,13 +65,13 @@
     adapter: &Name,
     now: Time,
 ) -> bool {
-    let told = |s: &State| s.adapters.iter().any(|(m, a)| m == model && a == adapter);
+    let reported = |s: &State| s.adapters.iter().any(|(m, a)| m == model && a == adapter);
     if let Some(state) = state.filter(|s| now.since(s.adapters_at) < MAX_DIGEST_AGE) {
-        return told(state);
+        return reported(state);
     }
     let in_entry = entry
         .held
         .iter()
         .any(|h| h.model == *model && h.adapters.contains(adapter));
-    in_entry || state.is_some_and(told)
+    in_entry || state.is_some_and(reported)
 }
--- a/crates/front/src/table/backoff.rs
+++ b/crates/front/src/table/backoff.rs
@@ -1,5 +1,5 @@
-//! Times for which replicas want nothing from this host. They hold whatever becomes of a replica's entry, and end with its
-//! incarnation.
+//! Backoffs that replicas ask of this host by 503 with `Retry-After`. A backoff belongs to an incarnation and outlives
+//! changes of the replica's entry.
 
 use super::Table;
 use platform::replica::Incarnation;
@@ -7,21 +7,22 @@
 use std::collections::HashMap;
 use unit::{Name, Span, Time};
 
-/// Rests by replica, with the incarnation that asked for each.
+/// Backoffs by replica, with the incarnation that asked for each.
 pub(super) type Backoffs = HashMap<Name, (Incarnation, Backoff)>;
 
-/// What changed when a replica asked for rest.
+/// Effect of a refusal on a replica's backoff.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BackoffUpdate {
-    /// Whether it had asked for none that holds.
+    /// Whether no backoff was active before.
     pub is_new: bool,
-    /// Time that it rests now.
+    /// Time until requests may be sent again.
     pub remaining: Span,
 }
 
 impl Table {
-    /// Takes in that a replica turned a request away and wants nothing from this host for a time, of no length where it
-    /// asked for none: then only a return that is under way begins anew. Nothing where another incarnation is known by now.
+    /// Records that a replica refused a request and asked for a backoff of `time`. Zero means that it asked for none: that
+    /// only restarts the ramp-up after an active backoff. Returns `None` if nothing changed, or if the table knows another
+    /// incarnation of the replica.
     pub fn record_backoff(
         &mut self,
         id: &Name,
@@ -32,13 +33,13 @@
         if self.view.has_other_incarnation(id, incarnation) {
             return None;
         }
-        let known = self.backoffs.get_mut(id);
-        let known = known.filter(|(of, backoff)| *of == incarnation && !backoff.is_over(now));
-        let is_new = known.is_none();
+        let active = self.backoffs.get_mut(id);
+        let active = active.filter(|(of, backoff)| *of == incarnation && !backoff.is_over(now));
+        let is_new = active.is_none();
         if is_new && time == Span::ZERO {
             return None;
         }
-        let backoff = match known {
+        let backoff = match active {
             Some((_, backoff)) => {
                 backoff.extend(time, now);
                 *backoff
@@ -55,7 +56,7 @@
         })
     }
 
-    /// Rest that an incarnation of a replica asked this host for, while it or the return from it lasts.
+    /// Active backoff of an incarnation, including the ramp-up after it.
     pub(super) fn backoff(
         &self,
         id: &str,
@@ -66,14 +67,14 @@
         (*of == incarnation && !backoff.is_over(now)).then_some(backoff)
     }
 
-    /// Replicas that want nothing from this host now.
+    /// Replicas that take no requests from this host now.
     pub fn backing_off(&self, now: Time) -> Vec<Name> {
-        let times = self.backoffs(now).into_iter();
-        let resting = times.filter(|(_, remaining)| *remaining > Span::ZERO);
-        resting.map(|(id, _)| id).collect()
+        let backoffs = self.backoffs(now).into_iter();
+        let active = backoffs.filter(|(_, remaining)| *remaining > Span::ZERO);
+        active.map(|(id, _)| id).collect()
     }
 
-    /// Replicas that rest, or rested a moment ago, with the time that is left; the longest first.
+    /// Replicas with an active backoff and the time left of it, the longest first; zero during the ramp-up.
     pub fn backoffs(&self, now: Time) -> Vec<(Name, Span)> {
         let holds = |id: &Name, of: &Incarnation| !self.view.has_other_incarnation(id, *of);
         let backoffs = self.backoffs.iter().filter(|(id, (of, _))| holds(id, of));
@@ -83,15 +84,15 @@
         remaining
     }
 
-    /// Takes out the replicas whose rest and the return from it are over, or that have started again.
+    /// Removes and returns backoffs whose ramp-up is over or whose replica has restarted.
     pub fn expire_backoffs(&mut self, now: Time) -> Vec<Name> {
         let view = &self.view;
         let is_over = |id: &Name, of: &Incarnation, backoff: &Backoff| {
             backoff.is_over(now) || view.has_other_incarnation(id, *of)
         };
-        let over = self
+        let expired = self
             .backoffs
             .extract_if(|id, (of, backoff)| is_over(id, of, backoff));
-        over.map(|(id, _)| id).collect()
+        expired.map(|(id, _)| id).collect()
     }
 }
--- a/crates/front/src/table/choose.rs
+++ b/crates/front/src/table/choose.rs
@@ -13,103 +13,102 @@
 use std::net::SocketAddr;
 use unit::{Name, Span, Time};
 
-/// Steps of an event that may be expected to read as much as is allowed: the prompts of a burst are
-/// mostly read in one or two of them. At 2, prompts waited at hosts that replicas could have read.
+/// Steps of one event over which the prefill allowed between two events may be spread.
 const MAX_PREFILL_STEPS: f64 = 1.2;
 
-/// Width of the random part of a choice while hosts tell each other within some 10 ms.
+/// Random part of a candidate's cost while hosts exchange loads directly, some 10 ms old.
 const DIRECT_JITTER: Span = Span::from_ms(2);
 
-/// The same while they tell by way of the leader, within some 50 ms: half the time to read a prompt.
+/// Random part of a candidate's cost while loads come by way of the leader, some 50 ms old.
 const RELAYED_JITTER: Span = Span::from_ms(40);
 
 /// Replica chosen for a request.
 #[derive(Debug, Clone)]
 pub struct Choice {
-    /// Its identity.
+    /// Identity of the replica.
     pub replica: Name,
-    /// Where it answers.
+    /// Address of the replica.
     pub addr: SocketAddr,
-    /// Expected time to its first token.
+    /// Expected time to first token.
     pub ttft: Span,
-    /// Whether its prompt can be read there now without a long pause for those that run.
+    /// Whether the prompt can be prefilled now without stalling the streams that run there.
     pub fits_prefill_limit: bool,
-    /// Whether what is to be read there already holds up those that run for as long as it may.
+    /// Whether the prompts that wait there already stall the running streams for as long as is allowed.
     pub exceeds_prefill_limit: bool,
-    /// Whether a place was free there.
+    /// Whether any candidate has a free slot.
     pub has_free_slot: bool,
-    /// Whether its adapter is only on replicas with too much to do, and others hold the model.
+    /// Whether the replicas with the adapter are busy while one that holds only the model is not.
     pub adapter_replicas_busy: bool,
-    /// Replicas that could have taken it.
+    /// Replicas that were eligible.
     pub candidate_count: usize,
     /// Revision of the replica's entry.
     pub revision: u64,
-    /// For how long its entry has been missing, if it is: it may be gone.
+    /// How long the replica's entry has been missing from the store, if it is.
     pub missing_for: Option<Span>,
 }
 
 /// Why no replica was chosen.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Unplaceable {
-    /// No replica of the service is there.
+    /// The service has no replica.
     NoReplica,
-    /// All replicas of the service that it may go to leave.
+    /// All replicas of the service are leaving.
     Leaving,
-    /// No replica holds the model; it comes in this time, if that is known.
+    /// No replica holds the model; the time until one is expected to, if known.
     NoModel(Option<Span>),
-    /// The model is there, its adapter is not.
+    /// A replica holds the model, but none holds the adapter.
     NoAdapter,
-    /// The replicas that could take it cannot be reached at the moment.
+    /// The replicas that hold what is needed cannot be reached.
     Unreachable,
-    /// The replicas that could take it have no room now by their own word: the one where its turn comes first.
+    /// The replicas that hold what is needed take no requests now; the one with the shortest wait.
     Saturated(Saturation),
 }
 
-/// Replica that takes nothing now by its own word.
+/// Replica that takes no request now: it asked for a backoff, or its rate limit is used up.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Saturation {
-    /// Time until a request has its turn there.
+    /// Time until it takes one.
     pub wait: Span,
-    /// The replica.
+    /// Identity of the replica.
     pub replica: Name,
-    /// Whether it rests, or else names a limit.
+    /// Whether a backoff is the reason, or else the rate limit.
     pub is_backing_off: bool,
 }
 
-/// How far a replica fits a request; the better one is the greater.
+/// How well a replica fits a request, worst first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Fit {
-    /// It may not have it at all.
+    /// Of another service, or excluded.
     Excluded,
-    /// It is of the service, and leaves.
+    /// Leaving.
     Leaving,
-    /// It does not hold its model.
+    /// Does not hold the model.
     NoModel,
-    /// It holds the model without the adapter.
+    /// Holds the model, but not the adapter.
     NoAdapter,
-    /// It could take it, and is left alone, since it could not be reached.
+    /// Holds what is needed, but cannot be reached.
     Unreachable,
-    /// It could take it, and has no room now by its own word.
+    /// Holds what is needed, but takes no request now.
     Saturated,
-    /// It can take it.
+    /// Can take the request.
     Eligible,
 }
 
-/// What is the same for all candidates of a request.
+/// Inputs of the choice that are the same for all candidates.
 struct Terms<'a> {
     criteria: &'a Criteria<'a>,
-    /// Model that the request needs, where the service runs models.
+    /// Model that the request needs, if the service runs models.
     model: Option<&'a Name>,
     pace: Pace,
-    /// Tokens that a replica's memory holds; 0 when it is not limited.
+    /// Tokens that a replica's KV cache holds; 0 when it is not limited.
     token_capacity: f64,
-    /// Whether other hosts tell their sums directly.
+    /// Whether loads that other hosts sent directly are used.
     uses_direct_loads: bool,
     now: Time,
 }
 
 impl Table {
-    /// Chooses a replica for a request.
+    /// Chooses a replica for a request: one that is due to be probed, or else the cheapest.
     pub fn choose(&mut self, criteria: &Criteria, now: Time) -> Result<Choice, Unplaceable> {
         let service = self.service(criteria.service);
         let engine = service.as_ref().and_then(|s| s.engine.as_ref());
@@ -117,14 +116,14 @@
         let (mut eligible, mut without_adapter) = (Vec::new(), Vec::new());
         let mut best_fit = Fit::Excluded;
         let mut shortest_wait: Option<Saturation> = None;
-        for seen in self.view.all() {
-            let fit = self.fit(&seen.entry, criteria, model, now);
+        for replica in self.view.all() {
+            let fit = self.fit(&replica.entry, criteria, model, now);
             best_fit = best_fit.max(fit);
             match fit {
-                Fit::Eligible => eligible.push(seen),
-                Fit::NoAdapter => without_adapter.push(seen),
+                Fit::Eligible => eligible.push(replica),
+                Fit::NoAdapter => without_adapter.push(replica),
                 Fit::Saturated => {
-                    let saturation = self.saturation(&seen.entry, criteria, now);
+                    let saturation = self.saturation(&replica.entry, criteria, now);
                     shortest_wait = shortest_wait.into_iter().chain(saturation).min();
                 }
                 _ => {}
@@ -141,38 +140,39 @@
         let terms = self.terms(criteria, model, engine, now);
         let candidates = eligible
             .iter()
-            .map(|seen| self.candidate(&seen.entry, &terms));
+            .map(|replica| self.candidate(&replica.entry, &terms));
         let candidates: Vec<Candidate> = candidates.collect();
         let ask = batch_request(criteria, engine, self.jitter(now));
-        let needs_probe = |at: &usize| {
-            let id = &eligible[*at].entry.id;
-            candidates[*at].is_available(&ask) && self.needs_probe(id, now)
+        let needs_probe = |index: &usize| {
+            let id = &eligible[*index].entry.id;
+            candidates[*index].is_available(&ask) && self.needs_probe(id, now)
         };
         let probe = (0..eligible.len()).find(needs_probe);
-        let (at, ttft) = match probe {
-            Some(at) => (at, candidates[at].ttft(&ask)),
+        let (index, ttft) = match probe {
+            Some(index) => (index, candidates[index].ttft(&ask)),
             None => {
                 batch::choose(&ask, &candidates, &mut self.rng).ok_or(Unplaceable::NoReplica)?
             }
         };
-        let takes = |seen: &&Replica| self.candidate(&seen.entry, &terms).is_available(&ask);
+        let is_available =
+            |replica: &&Replica| self.candidate(&replica.entry, &terms).is_available(&ask);
         let adapter_replicas_busy =
-            !candidates[at].is_available(&ask) && without_adapter.iter().any(takes);
+            !candidates[index].is_available(&ask) && without_adapter.iter().any(is_available);
         Ok(Choice {
-            replica: eligible[at].entry.id.clone(),
-            addr: eligible[at].entry.addr,
+            replica: eligible[index].entry.id.clone(),
+            addr: eligible[index].entry.addr,
             ttft,
-            fits_prefill_limit: candidates[at].fits_prefill_limit(&ask),
-            exceeds_prefill_limit: candidates[at].exceeds_prefill_limit(&ask),
+            fits_prefill_limit: candidates[index].fits_prefill_limit(&ask),
+            exceeds_prefill_limit: candidates[index].exceeds_prefill_limit(&ask),
             has_free_slot: candidates.iter().any(Candidate::has_free_slot),
             adapter_replicas_busy,
             candidate_count: candidates.len(),
-            revision: eligible[at].revision,
-            missing_for: eligible[at].missing_since.map(|since| now.since(since)),
+            revision: eligible[index].revision,
+            missing_for: eligible[index].missing_since.map(|since| now.since(since)),
         })
     }
 
-    /// What is the same for all candidates of a request.
+    /// Collects the inputs that are the same for all candidates.
     fn terms<'a>(
         &self,
         criteria: &'a Criteria<'a>,
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Width of the random part of a choice, by the age of what other hosts told.
+    /// Random part of a candidate's cost, by the age of the loads known from other hosts.
     fn jitter(&self, now: Time) -> Span {
         match self.is_direct(now) || self.host_count == 1 {
             true => DIRECT_JITTER,
@@ -198,7 +198,7 @@
         }
     }
 
-    /// How far a replica fits a request.
+    /// How well a replica fits a request.
     fn fit(&self, entry: &Entry, criteria: &Criteria, model: Option<&Name>, now: Time) -> Fit {
         if entry.service != *criteria.service || criteria.excluded.contains(&entry.id) {
             return Fit::Excluded;
@@ -207,16 +207,16 @@
             return Fit::Leaving;
         }
         let state = self.replicas.get(&entry.id);
-        let reached = state.is_some_and(|s| s.reachability.was_reached(now));
-        let absent = state.is_some_and(|s| s.reachability.is_avoided(now))
-            || !reached && self.plans.is_unreachable(&entry.id, now);
-        let whole = match absent {
+        let was_reached = state.is_some_and(|s| s.reachability.was_reached(now));
+        let is_unreachable = state.is_some_and(|s| s.reachability.is_avoided(now))
+            || !was_reached && self.plans.is_unreachable(&entry.id, now);
+        let fit = match is_unreachable {
             true => Fit::Unreachable,
             false if self.saturation(entry, criteria, now).is_some() => Fit::Saturated,
             false => Fit::Eligible,
         };
         let Some(model) = model else {
-            return whole;
+            return fit;
         };
         if !self.holds_model(entry, model, now)
             || self.plans.unloading.contains(&entry.id, model, now)
@@ -225,12 +225,12 @@
         }
         let holds = |adapter| holds_adapter(entry, state, model, adapter, now);
         match criteria.ask.adapter.as_ref().is_none_or(holds) {
-            true => whole,
+            true => fit,
             false => Fit::NoAdapter,
         }
     }
 
-    /// Why a replica has no room now by its own word, if it has none: its rest, or else its limit.
+    /// Why a replica takes no request now, if it does not: its backoff, or else its rate limit.
     fn saturation(&self, entry: &Entry, criteria: &Criteria, now: Time) -> Option<Saturation> {
         let saturation = |wait, is_backing_off| Saturation {
             wait,
@@ -245,7 +245,7 @@
         Some(saturation(state.limit_wait(criteria, now)?, false))
     }
 
-    /// Why no replica can take a request, by the one that fits it best.
+    /// Reason why no replica is eligible, by the one that fits best.
     fn unplaceable(&self, best_fit: Fit, model: Option<&Name>, now: Time) -> Unplaceable {
         match best_fit {
             Fit::Excluded => Unplaceable::NoReplica,
@@ -256,20 +256,20 @@
         }
     }
 
-    /// A replica as the choice sees it.
+    /// Candidate for the choice, from a replica's entry and state.
     fn candidate(&self, entry: &Entry, terms: &Terms) -> Candidate {
-        let nothing = State::default();
-        let state = self.replicas.get(&entry.id).unwrap_or(&nothing);
+        let default = State::default();
+        let state = self.replicas.get(&entry.id).unwrap_or(&default);
         let load = state.total_load(terms.now, terms.uses_direct_loads);
         let (model, ask) = (terms.model, terms.criteria.ask);
-        let kept = model.map_or(0, |m| state.cached_tokens(m, ask));
+        let cached = model.map_or(0, |m| state.cached_tokens(m, ask));
         let level = priority_level(terms.criteria.priority);
         Candidate {
             slots: entry.slots,
             in_flight: f64::from(load.requests),
             prefill_ahead: ms(load.prefill_ms[..=level].iter().sum()),
             prefill_backlog: ms(load.prefill_ms.iter().sum()),
-            prefill: terms.pace.prefill(model, ask, kept),
+            prefill: terms.pace.prefill(model, ask, cached),
             reserved_tokens: f64::from(load.reserved_tokens),
             token_capacity: terms.token_capacity,
             decode: terms.pace.decode,
@@ -280,35 +280,34 @@
     }
 }
 
-/// What a request asks of a batch.
+/// What a request needs of a batch.
 fn batch_request(criteria: &Criteria, engine: Option<&Engine>, jitter: Span) -> batch::Request {
     let stride = engine.map_or(1, |e| e.stride);
     batch::Request {
         tokens: max_tokens(criteria.ask) as f64,
         prefill_limit: criteria.max_gap.map(|gap| prefill_limit(gap, stride)),
-        jitter: jitter,
+        jitter,
     }
 }
 
-/// Tokens that a request needs of a replica's memory.
+/// Most tokens of the KV cache that a request needs.
 pub(super) fn max_tokens(ask: &Ask) -> u64 {
     ask.prompt + ask.hinted_output.unwrap_or(ask.most_output)
 }
 
-/// Time of reading that may stand before the streams of a replica in one step.
+/// Time that a replica may spend on prefill in one step without delaying events by more than `gap`.
 ///
-/// An event holds `stride` tokens, which take a step each; some of these steps read prompts.
+/// An event holds `stride` tokens, one a decode step; prefill is spread over some of these steps.
 fn prefill_limit(gap: Span, stride: u32) -> Span {
     let steps = f64::from(stride.max(1));
     gap.saturating_sub(DECODE_STEP * steps) * (1.0 / steps.min(MAX_PREFILL_STEPS))
 }
 
-/// Span of so many milliseconds.
 fn ms(ms: f32) -> Span {
     Span((f64::from(ms) * 1e3) as u64)
 }
 
-/// Rank of urgency that a priority belongs to.
+/// Priority level under which a priority is counted; the last level takes all that are less urgent.
 pub(super) fn priority_level(priority: u8) -> usize {
     usize::from(priority).min(PRIORITY_LEVELS - 1)
 }
--- a/crates/front/src/table/demand.rs
+++ b/crates/front/src/table/demand.rs
@@ -1,23 +1,23 @@
-//! Demand that this host sees, by service and model.
+//! Demand at this host, by service and model.
 
 use crate::message;
 use std::collections::BTreeMap;
 use unit::{Name, Span, Time};
 
-/// Window in which demand is counted: long enough that chance moves few copies.
+/// Time constant of the moving average.
 const DEMAND_WINDOW: Span = Span::from_ms(1_500);
 
-/// Requests a second below which a model counts as not asked for.
+/// Requests per second below which a model is dropped.
 const MIN_RATE: f64 = 0.01;
 
 /// Smoothed demand for one model.
 #[derive(Debug, Clone, Copy, Default)]
 struct Demand {
-    /// Requests a second.
+    /// Requests per second.
     rate: f64,
-    /// Prompt tokens a second.
+    /// Prompt tokens per second.
     tokens: f64,
-    /// Until when it has decayed.
+    /// Time up to which the decay has been applied.
     updated_at: Time,
 }
 
@@ -35,7 +35,7 @@
 pub(super) struct Demands(BTreeMap<(Name, Name), Demand>);
 
 impl Demands {
-    /// Notes a request with a prompt of that many tokens.
+    /// Counts a request with a prompt of `prompt` tokens.
     pub(super) fn record(&mut self, service: &Name, model: &Name, prompt: u64, now: Time) {
         let key = (service.clone(), model.clone());
         let demand = self.0.entry(key).or_default();
@@ -44,7 +44,7 @@
         demand.tokens += prompt as f64 / DEMAND_WINDOW.secs();
     }
 
-    /// Demand now, as it is told; what has faded away is forgotten.
+    /// Current demand as sent to the leader; drops models without demand.
     pub(super) fn rows(&mut self, now: Time) -> Vec<message::Demand> {
         for demand in self.0.values_mut() {
             demand.decay(now);
--- a/crates/front/src/table/loads.rs
+++ b/crates/front/src/table/loads.rs
@@ -1,43 +1,43 @@
-//! Sums that are exchanged with other hosts: what is in flight here, and what is elsewhere.
+//! Loads exchanged with other hosts: what this host has in flight, and what the others have.
 
 use super::Table;
 use crate::message::{Demand, Load, PackedLoad, replica_hash};
 use std::collections::HashMap;
 use unit::{Name, Span, Time};
 
-/// Time after which what this host told the leader is in the sums that come from there: the way
-/// there, the leader's pause, and the way back.
+/// Time within which a report of this host is included in the leader's digest: the way there, the leader's interval and
+/// the way back.
 const REPORT_LATENCY: Span = Span::from_ms(60);
 
 impl Table {
-    /// Demand seen here.
+    /// Demand at this host.
     pub fn demand(&mut self, now: Time) -> Vec<Demand> {
         self.demand.rows(now)
     }
 
-    /// What this host has in flight.
+    /// Requests that this host has in flight, by replica.
     pub fn own_loads(&self) -> Vec<PackedLoad> {
         let busy = self.replicas.iter().filter(|(_, s)| s.own.requests > 0.0);
         busy.map(|(id, s)| PackedLoad::new(id, &s.own)).collect()
     }
 
-    /// Short names of replicas that this host found unreachable lately.
+    /// Hashes of replicas that this host recently found unreachable.
     pub fn unreachable_replicas(&self, now: Time) -> Vec<u32> {
-        let absent = self
+        let unreachable = self
             .replicas
             .iter()
             .filter(|(_, s)| s.reachability.is_suspected(now));
-        absent.map(|(id, _)| replica_hash(id)).collect()
+        unreachable.map(|(id, _)| replica_hash(id)).collect()
     }
 
-    /// What this host has in flight, remembered as told.
+    /// Requests that this host has in flight, remembered as reported to the leader.
     pub fn report_own_loads(&mut self, now: Time) -> Vec<PackedLoad> {
-        let set_aside = now.since(self.rotated_at) >= REPORT_LATENCY;
-        if set_aside {
+        let is_rotating = now.since(self.rotated_at) >= REPORT_LATENCY;
+        if is_rotating {
             self.rotated_at = now;
         }
         for state in self.replicas.values_mut() {
-            if set_aside {
+            if is_rotating {
                 state.reported_before = state.reported;
             }
             state.reported = state.own;
@@ -45,19 +45,19 @@
         self.own_loads()
     }
 
-    /// Takes in the sums of all hosts.
+    /// Sets the load of other hosts from the digest, which includes that of this one.
     pub fn set_fleet_loads(&mut self, rows: &[PackedLoad], now: Time) {
         for (id, load) in self.resolve(rows) {
             let state = self.replicas.entry(id).or_default();
-            // Whether the sums hold what was told last is not known; to count some of this host's own
-            // requests twice for a moment is better than to miss them.
+            // The digest may include either of the last two reports: subtracting the smaller one counts some of this
+            // host's requests twice for a moment, which is better than missing them.
             let own = state.reported.min(&state.reported_before);
             state.fleet = load.saturating_sub(&own);
             state.fleet_at = now;
         }
     }
 
-    /// Takes in what another host has in flight, as it tells itself.
+    /// Sets what another host has in flight, as it sent it directly.
     pub fn set_host_loads(&mut self, host: &Name, rows: &[PackedLoad], now: Time) {
         self.direct_at = now;
         for state in self.replicas.values_mut() {
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Rows of replicas that are known, with their identities.
+    /// Loads of the replicas known here, by identity.
     fn resolve(&self, rows: &[PackedLoad]) -> Vec<(Name, Load)> {
         let rows: HashMap<u32, &PackedLoad> = rows.iter().map(|r| (r.replica(), r)).collect();
         let ids = self.view.all().map(|s| &s.entry.id);
--- a/crates/front/src/table/pace.rs
+++ b/crates/front/src/table/pace.rs
@@ -1,39 +1,38 @@
-//! Smoothed pace of each model, learned from the requests that ran here.
+//! Smoothed prefill speed and decode time of each model, as measured on requests of this host.
 
 use super::DECODE_STEP;
 use platform::ingress::Ask;
 use std::collections::HashMap;
 use unit::{Name, Span};
 
-/// Weight of the newest sample in a model's pace.
+/// Weight of a new sample.
 const SAMPLE_WEIGHT: f64 = 0.1;
 
-/// Prompt tokens read in a millisecond while nothing is known of a model; of the order of one
-/// accelerator with a model of 70 GB.
+/// Prefill speed of a model without samples, in prompt tokens per millisecond.
 const DEFAULT_SPEED: f64 = 15.0;
 
-/// Time of a run while nothing is known of a model.
+/// Decode time of a model without samples.
 const DEFAULT_DECODE: Span = Span::from_ms(2_000);
 
-/// Least and greatest speed that one sample counts as, in prompt tokens a millisecond.
+/// Least and greatest sample of the prefill speed, in prompt tokens per millisecond.
 const SPEED_RANGE: (f64, f64) = (0.5, 1_000.0);
 
-/// Smoothed pace of one model.
+/// Smoothed speed of one model.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Pace {
-    /// Prompt tokens read in a millisecond.
+    /// Prompt tokens prefilled per millisecond.
     pub(super) prefill_speed: f64,
-    /// Time of a run from its first token to its last.
+    /// Time from the first token of a request to its last.
     pub(super) decode: Span,
 }
 
 impl Pace {
-    /// Time to read what is not kept of a prompt.
-    pub(super) fn prefill(&self, model: Option<&Name>, ask: &Ask, kept: u64) -> Span {
+    /// Time to prefill a prompt of which `kept` tokens are cached; zero without a model.
+    pub(super) fn prefill(&self, model: Option<&Name>, ask: &Ask, cached: u64) -> Span {
         if model.is_none() {
             return Span::ZERO;
         }
-        let tokens = ask.prompt.saturating_sub(kept) as f64;
+        let tokens = ask.prompt.saturating_sub(cached) as f64;
         Span((tokens / self.prefill_speed * 1e3) as u64)
     }
 }
@@ -52,14 +51,14 @@
 pub(super) struct Paces(HashMap<(Name, Name), Pace>);
 
 impl Paces {
-    /// Pace of a model, or of a service that runs none.
+    /// Pace of a model; the default one if it has no samples.
     pub(super) fn get(&self, service: &Name, model: Option<&Name>) -> Pace {
         let model = model.cloned().unwrap_or_else(|| "".into());
         let known = self.0.get(&(service.clone(), model));
         known.copied().unwrap_or_default()
     }
 
-    /// Learns how fast prompts are read, from one that none stood before: it took that time.
+    /// Records that a prompt of `tokens` tokens, which waited for no other, had its first token after `took`.
     pub(super) fn record_prefill_speed(
         &mut self,
         service: &Name,
@@ -73,10 +72,10 @@
         pace.prefill_speed += (sample - pace.prefill_speed) * SAMPLE_WEIGHT;
     }
 
-    /// Learns how long a run takes after its first token.
-    pub(super) fn record_decode(&mut self, service: &Name, model: &Name, run: Span) {
+    /// Records the time from the first token of a request to its last.
+    pub(super) fn record_decode(&mut self, service: &Name, model: &Name, decode: Span) {
         let pace = self.entry(service, model);
-        pace.decode = pace.decode * (1.0 - SAMPLE_WEIGHT) + run * SAMPLE_WEIGHT;
+        pace.decode = pace.decode * (1.0 - SAMPLE_WEIGHT) + decode * SAMPLE_WEIGHT;
     }
 
     fn entry(&mut self, service: &Name, model: &Name) -> &mut Pace {
--- a/crates/front/src/table/permit.rs
+++ b/crates/front/src/table/permit.rs
@@ -1,23 +1,23 @@
-//! Last look before anything is sent to a replica: whether it still takes it.
+//! Check made directly before anything is sent to a replica.
 
 use super::Table;
 use unit::{Span, Time};
 
-/// Leave to send one request or call to a replica; nothing can be sent without it.
+/// Permission to send one request or call to a replica.
 #[derive(Debug)]
 pub struct Permit(());
 
-/// Why a replica gets nothing from this host.
+/// Why this host sends nothing to a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Unavailable {
-    /// It leaves, or is gone.
+    /// It is leaving, or is no longer listed.
     Leaving,
-    /// It wants nothing for a time, or only little after it; the time until the next request.
+    /// It asked for a backoff; the time until the next request may be sent.
     BackingOff(Span),
 }
 
 impl Unavailable {
-    /// Word for it in logs and metrics.
+    /// Label in logs and metrics.
     pub fn label(&self) -> &'static str {
         match self {
             Unavailable::Leaving => "leaves",
@@ -27,24 +27,24 @@
 }
 
 impl Table {
-    /// Lets a request or a call be sent to a replica, unless that takes none now.
+    /// Grants one send to a replica, and counts it in the ramp-up after a backoff.
     pub fn permit(&mut self, id: &str, now: Time) -> Result<Permit, Unavailable> {
-        if let Some(closed) = self.unavailable(id, now) {
-            return Err(closed);
+        if let Some(unavailable) = self.unavailable(id, now) {
+            return Err(unavailable);
         }
-        if let Some((_, rest)) = self.backoffs.get_mut(id) {
-            rest.record_sent(now);
+        if let Some((_, backoff)) = self.backoffs.get_mut(id) {
+            backoff.record_sent(now);
         }
         Ok(Permit(()))
     }
 
-    /// Why a replica takes nothing from this host now.
+    /// Why nothing may be sent to a replica now.
     pub fn unavailable(&self, id: &str, now: Time) -> Option<Unavailable> {
-        let seen = self.view.get(id).filter(|seen| !seen.entry.leaving);
-        let Some(seen) = seen else {
+        let replica = self.view.get(id).filter(|replica| !replica.entry.leaving);
+        let Some(replica) = replica else {
             return Some(Unavailable::Leaving);
         };
-        let rest = self.backoff(id, seen.entry.incarnation, now)?;
-        rest.wait(now).map(Unavailable::BackingOff)
+        let backoff = self.backoff(id, replica.entry.incarnation, now)?;
+        backoff.wait(now).map(Unavailable::BackingOff)
     }
 }
--- a/crates/front/src/table/rate_limit.rs
+++ b/crates/front/src/table/rate_limit.rs
@@ -1,4 +1,4 @@
-//! Limits that replicas name: how many requests a second they take from all hosts together.
+//! Rate limits that replicas advertise: the requests per second that they take from all hosts together.
 
 use super::choose::priority_level;
 use super::replica::State;
@@ -9,54 +9,54 @@
 use std::collections::HashMap;
 use unit::{Name, Span, Time};
 
-/// Time for which a host tells the leader again what it heard itself, so that the next leader hears it too.
+/// Time for which a host keeps reporting a limit that it heard itself, so that a new leader learns of it.
 const OWN_REPORT_DURATION: Span = Span::from_secs(5);
 
-/// Time for which it is told that a limit is over: several whole rounds of a large fleet.
+/// Time for which the withdrawal of a limit is reported: several report rounds of a large fleet.
 const WITHDRAWN_REPORT_DURATION: Span = Span::from_secs(10);
 
-/// Time without an answer from a limited replica after which it goes before others, if there is room for a request: only an
-/// answer can say that its need is over.
+/// Time without an answer from a limited replica after which it is preferred, if it has a unit left: only an answer can
+/// withdraw the limit.
 const PROBE_AFTER: Span = Span::from_ms(1_000);
 
-/// Requests that each step of urgency leaves to those before it. All ranks together leave less than a full bucket holds, so
-/// that the least urgent has all of a limit where nothing else comes.
+/// Units that each priority level leaves to the more urgent ones. The sum over all levels is less than a full bucket, so
+/// that the least urgent level can use the whole limit where nothing else comes.
 const RESERVED_PER_LEVEL: f64 = 0.3;
 
-/// Change of what is known of a limit.
+/// Change of a replica's limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Change {
-    /// It names one, and none was known.
+    /// A limit where none was known.
     Advertised,
-    /// It names another one than before.
+    /// Another rate; the previous one.
     Changed(f64),
-    /// It names none any more.
+    /// No limit any more.
     Withdrawn,
 }
 
-/// What is known of the limit of a replica, beside its entry.
+/// Limit of a replica, as this host knows it.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct LimitState {
-    /// What it last said, to any host.
+    /// What the replica last said, to any host.
     advertisement: Advertisement,
-    /// When it last answered this host.
+    /// Time of its last answer to this host.
     answered_at: Option<Time>,
-    /// What there was when it was last asked for.
+    /// Units left, by the limiter's last answer to this host.
     estimate: Option<Estimate>,
-    /// Requests of this host that wait for room there.
+    /// Requests of this host that wait for a unit.
     waiters: u32,
-    /// What all hosts were told last: the rate, and whether it is over.
+    /// What was last reported: the rate, and whether it was withdrawn.
     reported: Option<(f64, bool)>,
 }
 
-/// LimitState of a replica, as a request meets it.
+/// Limit of a replica, as it applies to one request.
 #[derive(Debug, Clone, Copy)]
 pub struct LimitTerms {
-    /// What is told of it to whoever gives out.
+    /// The limit as sent to the limiter.
     pub limit: ReplicaLimit,
     /// What the replica last said.
     pub advertisement: Advertisement,
-    /// Units that are to be left for what is more urgent.
+    /// Units that must be left for more urgent requests.
     pub reserved: f64,
 }
 
@@ -71,13 +71,13 @@
         }
     }
 
-    /// Whether it is told to all hosts: while it holds, and for a while after.
+    /// Whether it is sent to all hosts: while it is in force, and for some time after.
     fn is_reportable(&self, now: Time) -> bool {
-        let over = self.advertisement.withdrawn_at;
-        over.is_none_or(|at| now.since(at) < WITHDRAWN_REPORT_DURATION)
+        let refusal = self.advertisement.withdrawn_at;
+        refusal.is_none_or(|at| now.since(at) < WITHDRAWN_REPORT_DURATION)
     }
 
-    /// What matters of it to other hosts.
+    /// The part that other hosts need: the rate, and whether it was withdrawn.
     fn content(&self) -> (f64, bool) {
         (
             self.advertisement.rate,
@@ -85,32 +85,32 @@
         )
     }
 
-    /// Time until there may be room for a request; zero when there may be some now.
+    /// Time until a unit may be available; zero if one may be now.
     fn wait(&self, reserved: f64, now: Time) -> Span {
         let limit = self.advertisement.limit(1.0);
         let estimate = self.estimate;
-        estimate.map_or(Span::ZERO, |o| {
-            o.wait(1.0 + reserved, REPLICA_TOLERANCE, limit, now)
+        estimate.map_or(Span::ZERO, |e| {
+            e.wait(1.0 + reserved, REPLICA_TOLERANCE, limit, now)
         })
     }
 
-    /// Time until a request would have its turn that nothing else can take, behind those that wait already.
+    /// Time until a unit is available to one more request of this host, behind those that wait already.
     fn queue_wait(&self, reserved: f64, now: Time) -> Span {
-        let line = self.estimate.map_or(Span::ZERO, |o| o.queue_wait(now));
-        let before =
+        let queue_wait = self.estimate.map_or(Span::ZERO, |e| e.queue_wait(now));
+        let previous =
             Span::from_secs_f64(f64::from(self.waiters) / self.advertisement.limit(1.0).rate);
-        self.wait(reserved, now).max(line) + before
+        self.wait(reserved, now).max(queue_wait) + previous
     }
 }
 
 impl State {
-    /// What is known of its limit, while that holds.
+    /// Its limit, if one is in force.
     pub(super) fn active_limit(&self, now: Time) -> Option<&LimitState> {
         let limit = self.limit.as_ref();
         limit.filter(|limit| !limit.advertisement.is_expired(now))
     }
 
-    /// Time until a request would have its turn there; none where there may be room for it now.
+    /// Time until a request would get a unit; `None` if it may get one now.
     pub(super) fn limit_wait(&self, criteria: &Criteria, now: Time) -> Option<Span> {
         let limit = self.active_limit(now)?;
         let reserved = reserved_units(criteria);
@@ -118,7 +118,7 @@
     }
 }
 
-/// Requests that a request leaves to those that are more urgent: a stream that is taken up again leaves none.
+/// Units that a request leaves to more urgent ones; a resumed stream leaves none.
 fn reserved_units(criteria: &Criteria) -> f64 {
     match criteria.is_resumption {
         true => 0.0,
@@ -127,13 +127,13 @@
 }
 
 impl Table {
-    /// What is known of a replica's limit, to be changed.
+    /// Limit of a replica, if one was advertised.
     fn limit_mut(&mut self, id: &str) -> Option<&mut LimitState> {
         self.replicas.get_mut(id)?.limit.as_mut()
     }
 
-    /// Takes in what an answer says: the rate that it names, if it does. Tells what that changes; nothing where another
-    /// incarnation of the replica is known by now.
+    /// Records the rate that an answer advertises, or that it advertises none; returns what that changes. Ignored if the
+    /// answer is from another incarnation than the one in the view.
     pub fn record_limit(
         &mut self,
         id: &Name,
@@ -147,9 +147,9 @@
         if rate.is_none() && self.replicas.get(id)?.limit.is_none() {
             return None;
         }
-        let state_limit = &mut self.replica_mut(id).limit;
-        let before = state_limit.map(|limit| limit.advertisement);
-        let advertisement = match (rate, before) {
+        let slot = &mut self.replica_mut(id).limit;
+        let previous = slot.map(|limit| limit.advertisement);
+        let advertisement = match (rate, previous) {
             (Some(rate), _) => Advertisement::new(rate, now),
             (None, Some(mut advertisement)) => {
                 advertisement.withdraw(now);
@@ -157,64 +157,68 @@
             }
             (None, None) => return None,
         };
-        let limit = state_limit.get_or_insert_with(|| LimitState::new(advertisement));
+        let limit = slot.get_or_insert_with(|| LimitState::new(advertisement));
         limit.advertisement = advertisement;
         limit.answered_at = Some(now);
-        change(before, &advertisement, now)
+        change(previous, &advertisement, now)
     }
 
-    /// Takes in what other hosts heard; tells replicas, what they name, and what that changes.
-    pub fn merge_limits(&mut self, told: &[ReplicaLimit], now: Time) -> Vec<(Name, f64, Change)> {
-        let told = told
+    /// Merges limits that other hosts reported; returns the replicas whose limit changed, with the rate and the change.
+    pub fn merge_limits(
+        &mut self,
+        reports: &[ReplicaLimit],
+        now: Time,
+    ) -> Vec<(Name, f64, Change)> {
+        let reports = reports
             .iter()
             .filter_map(|t| Some((t.replica, t.notice(now)?)));
-        let told: HashMap<u32, Advertisement> = told.collect();
-        if told.is_empty() {
+        let reports: HashMap<u32, Advertisement> = reports.collect();
+        if reports.is_empty() {
             return Vec::new();
         }
-        let entries = self.view.all().map(|seen| &seen.entry);
-        let named =
-            entries.filter_map(|e| Some((e.id.clone(), *told.get(&ReplicaLimit::name(e))?)));
-        let named: Vec<(Name, Advertisement)> = named.collect();
+        let entries = self.view.all().map(|replica| &replica.entry);
+        let known =
+            entries.filter_map(|e| Some((e.id.clone(), *reports.get(&ReplicaLimit::name(e))?)));
+        let known: Vec<(Name, Advertisement)> = known.collect();
         let mut changes = Vec::new();
-        for (id, told) in named {
-            let state_limit = &mut self.replica_mut(&id).limit;
-            let before = state_limit.map(|limit| limit.advertisement);
-            let limit = state_limit.get_or_insert_with(|| LimitState::new(told));
-            limit.advertisement.merge(&told);
+        for (id, reports) in known {
+            let slot = &mut self.replica_mut(&id).limit;
+            let previous = slot.map(|limit| limit.advertisement);
+            let limit = slot.get_or_insert_with(|| LimitState::new(reports));
+            limit.advertisement.merge(&reports);
             let advertisement = limit.advertisement;
-            if let Some(change) = change(before, &advertisement, now) {
+            if let Some(change) = change(previous, &advertisement, now) {
                 changes.push((id, advertisement.rate, change));
             }
         }
         changes
     }
 
-    /// LimitState that a replica has named and that still holds, in requests a second.
+    /// Limit of a replica in requests per second, if one is in force.
     pub fn limit_of(&self, id: &str, now: Time) -> Option<f64> {
         Some(self.replicas.get(id)?.active_limit(now)?.advertisement.rate)
     }
 
-    /// Replicas that have named a limit, with that, or none where it is over.
+    /// Replicas that have advertised a limit, with the rate if it is in force.
     pub fn limits_by_replica(&self, now: Time) -> Vec<(Name, Option<f64>)> {
-        let named = self.replicas.iter().filter(|(_, s)| s.limit.is_some());
-        let named = named.map(|(id, s)| {
+        let known = self.replicas.iter().filter(|(_, s)| s.limit.is_some());
+        let known = known.map(|(id, s)| {
             (
                 id.clone(),
                 s.active_limit(now).map(|l| l.advertisement.rate),
             )
         });
-        named.collect()
+        known.collect()
     }
 
-    /// What is known of the limit of an incarnation, by its short name.
+    /// What the incarnation with this hash last advertised.
     pub fn advertisement(&self, replica: u32) -> Option<Advertisement> {
-        let mut entries = self.view.all().map(|seen| &seen.entry);
+        let mut entries = self.view.all().map(|replica| &replica.entry);
         let entry = entries.find(|entry| ReplicaLimit::name(entry) == replica)?;
         Some(self.replicas.get(&entry.id)?.limit?.advertisement)
     }
 
-    /// Limits that this host has heard itself lately, to be told.
+    /// Limits that this host recently heard itself.
     pub fn own_limits(&self, now: Time) -> Vec<ReplicaLimit> {
         let is_own = |limit: &LimitState| {
             limit
@@ -224,36 +228,36 @@
         self.rows(is_own, now)
     }
 
-    /// Limits that hold, or are over since a while ago, to be told.
+    /// Limits that are in force or were withdrawn recently.
     pub fn limits(&self, now: Time) -> Vec<ReplicaLimit> {
         self.rows(|limit| limit.is_reportable(now), now)
     }
 
-    /// Those of them that say something else than was told last, which they now are.
+    /// Limits that changed since they were last reported; marks them as reported.
     pub fn take_changed_limits(&mut self, now: Time) -> Vec<ReplicaLimit> {
-        let is_news = |limit: &LimitState| {
+        let is_changed = |limit: &LimitState| {
             limit.is_reportable(now) && limit.reported != Some(limit.content())
         };
-        let changed = self.rows(is_news, now);
-        let needs = self.replicas.values_mut().filter_map(|s| s.limit.as_mut());
-        for limit in needs {
+        let changed = self.rows(is_changed, now);
+        let limits = self.replicas.values_mut().filter_map(|s| s.limit.as_mut());
+        for limit in limits {
             limit.reported = Some(limit.content());
         }
         changed
     }
 
-    fn rows(&self, is_told: impl Fn(&LimitState) -> bool, now: Time) -> Vec<ReplicaLimit> {
+    fn rows(&self, include: impl Fn(&LimitState) -> bool, now: Time) -> Vec<ReplicaLimit> {
         let row = |entry: &Entry| {
             let limit = self.replicas.get(&entry.id)?.limit.as_ref()?;
-            is_told(limit).then(|| ReplicaLimit::new(entry, &limit.advertisement, now))
+            include(limit).then(|| ReplicaLimit::new(entry, &limit.advertisement, now))
         };
         self.view
             .all()
-            .filter_map(|seen| row(&seen.entry))
+            .filter_map(|replica| row(&replica.entry))
             .collect()
     }
 
-    /// LimitState that a request meets at a replica, if that has named one.
+    /// Limit of a replica as it applies to a request, if one is in force.
     pub fn limit_for(&self, id: &str, criteria: &Criteria, now: Time) -> Option<LimitTerms> {
         let advertisement = self.replicas.get(id)?.active_limit(now)?.advertisement;
         let entry = &self.view.get(id)?.entry;
@@ -264,7 +268,7 @@
         })
     }
 
-    /// Notes that a request is being asked for, so that others here do not ask for the same one.
+    /// Deducts a unit that is about to be claimed, so that concurrent requests do not count on it as well.
     pub fn record_claim(&mut self, id: &str, now: Time) {
         let Some(limit) = self.limit_mut(id) else {
             return;
@@ -275,61 +279,67 @@
         }
     }
 
-    /// Notes how many requests there were when one was asked for: given, refused, or without an answer.
+    /// Records the limiter's answer to a claim: the units left, its refusal, or none.
     pub fn record_limiter_answer(
         &mut self,
         id: &str,
-        told: Option<Result<f64, Refusal>>,
+        reports: Option<Result<f64, Refusal>>,
         now: Time,
     ) {
         if let Some(limit) = self.limit_mut(id) {
-            limit.estimate = Some(match told {
-                Some(Ok(left)) => Estimate::new(left, now),
-                Some(Err(over)) => Estimate::after_refusal(over, now),
+            limit.estimate = Some(match reports {
+                Some(Ok(available)) => Estimate::new(available, now),
+                Some(Err(refusal)) => Estimate::after_refusal(refusal, now),
                 None => Estimate::without_answer(REPLICA_TOLERANCE, now),
             });
         }
     }
 
-    /// Notes that the leader knows of no limit of a replica.
+    /// Drops the limit of a replica, since the leader knows of none.
     pub fn clear_limit(&mut self, id: &str) {
         if let Some(state) = self.replicas.get_mut(id) {
             state.limit = None;
         }
     }
 
-    /// Counts a request of this host in that waits for room at a replica, or out.
-    pub fn count_waiter(&mut self, id: &str, waits: bool) {
-        if let Some((_, rest)) = self.backoffs.get_mut(id) {
-            rest.count_waiting(waits);
+    /// Counts one more request that waits for a replica, or one less.
+    pub fn count_waiter(&mut self, id: &str, is_added: bool) {
+        if let Some((_, backoff)) = self.backoffs.get_mut(id) {
+            backoff.count_waiting(is_added);
         }
         if let Some(limit) = self.limit_mut(id) {
-            limit.waiters = match waits {
+            limit.waiters = match is_added {
                 true => limit.waiters + 1,
                 false => limit.waiters.saturating_sub(1),
             };
         }
     }
 
-    /// Whether a replica is limited, and nothing was heard of it here for so long that it goes before others.
+    /// Whether a limited replica has not answered this host for so long that it should be preferred.
     pub(super) fn needs_probe(&self, id: &str, now: Time) -> bool {
         let limit = self.replicas.get(id).and_then(|s| s.active_limit(now));
-        let is_long = |at: Time| now.since(at) >= PROBE_AFTER;
-        limit.is_some_and(|limit| limit.answered_at.is_none_or(is_long))
+        let is_overdue = |at: Time| now.since(at) >= PROBE_AFTER;
+        limit.is_some_and(|limit| limit.answered_at.is_none_or(is_overdue))
     }
 }
 
-/// What has changed from one notice to the next.
+/// Change from one advertisement to the next.
 fn change(
-    before: Option<Advertisement>,
+    previous: Option<Advertisement>,
     advertisement: &Advertisement,
     now: Time,
 ) -> Option<Change> {
-    let holds = |advertisement: &Advertisement| advertisement.withdrawn_at.is_none();
-    match before.filter(|before| !before.is_expired(now)) {
-        None => holds(advertisement).then_some(Change::Advertised),
-        Some(before) if holds(&before) && !holds(advertisement) => Some(Change::Withdrawn),
-        Some(before) if !holds(&before) && holds(advertisement) => Some(Change::Advertised),
-        Some(before) => (before.rate != advertisement.rate).then_some(Change::Changed(before.rate)),
+    let in_force = |advertisement: &Advertisement| advertisement.withdrawn_at.is_none();
+    match previous.filter(|previous| !previous.is_expired(now)) {
+        None => in_force(advertisement).then_some(Change::Advertised),
+        Some(previous) if in_force(&previous) && !in_force(advertisement) => {
+            Some(Change::Withdrawn)
+        }
+        Some(previous) if !in_force(&previous) && in_force(advertisement) => {
+            Some(Change::Advertised)
+        }
+        Some(previous) => {
+            (previous.rate != advertisement.rate).then_some(Change::Changed(previous.rate))
+        }
     }
 }
--- a/crates/front/src/table/reachability.rs
+++ b/crates/front/src/table/reachability.rs
@@ -1,50 +1,47 @@
-//! Absence of one replica, as this host found it: the replica did not take a connection, or another
-//! one answered at its address. Its entry in the store tells that only after several heartbeats.
+//! Reachability of one replica from this host. A replica that refuses connections, or at whose address another one
+//! answers, is avoided at once; its entry in the store lapses only after several heartbeats.
 
 use unit::{Span, Time};
 
-/// Time for which a replica is left alone after its first failure to take a connection; it doubles
-/// with each further one. About the time in which a process that fell starts again.
+/// Time for which a replica is avoided after its first failure; doubled after each further one.
 const INITIAL_BACKOFF: Span = Span::from_ms(150);
 
-/// Longest time for which a replica is left alone: then one request tries it again.
+/// Longest time for which a replica is avoided before one request tries it again.
 const MAX_BACKOFF: Span = Span::from_ms(1_200);
 
-/// Time after it was found unreachable for which other hosts are told so, unless it answers: a
-/// replica that fell stands in the store for about as long.
+/// Time for which an unreachable replica is reported to other hosts: about what its entry takes to lapse.
 const REPORT_DURATION: Span = Span::from_ms(2_500);
 
-/// Age up to which a host's own answer from a replica goes before other hosts' word that it cannot be
-/// reached: several rounds of sums.
+/// Time after an answer of the replica during which reports of other hosts that it is unreachable are ignored.
 const REACHED_VALID_FOR: Span = Span::from_ms(500);
 
-/// Refusals in a row, each as "not this replica or not this adapter", that count as an absence.
+/// Consecutive refusals as misdirected after which a replica counts as unreachable.
 const MISDIRECTED_THRESHOLD: u32 = 8;
 
-/// Whether a replica is left alone.
+/// Reachability of one replica.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Reachability {
-    /// Absences in a row.
+    /// Consecutive failures.
     failures: u32,
-    /// Refusals in a row as misdirected.
+    /// Consecutive refusals as misdirected.
     misdirected: u32,
-    /// Until when it is left alone.
+    /// Time until which requests avoid the replica.
     avoid_until: Time,
-    /// Whether a request tries it now, after an absence.
+    /// Whether a request is trying the replica again.
     is_probing: bool,
-    /// When it was last found unreachable.
+    /// Time of the last failure.
     failed_at: Time,
-    /// When it last answered this host under its identity.
+    /// Time of the last answer under the replica's identity.
     reached_at: Time,
 }
 
 impl Reachability {
-    /// Whether the replica is left alone now.
+    /// Whether requests avoid the replica now.
     pub(super) fn is_avoided(&self, now: Time) -> bool {
         now < self.avoid_until
     }
 
-    /// Notes that it answered under its identity.
+    /// Records an answer under the replica's identity, which ends all failures.
     pub(super) fn record_reached(&mut self, now: Time) {
         *self = Reachability {
             reached_at: now,
@@ -52,19 +49,19 @@
         };
     }
 
-    /// Whether it was found unreachable lately, and has not answered since.
+    /// Whether it failed recently and has not answered since.
     pub(super) fn is_suspected(&self, now: Time) -> bool {
         self.failures > 0 && now.since(self.failed_at) < REPORT_DURATION
     }
 
-    /// Whether it answered this host a moment ago, so that the word of others does not count.
+    /// Whether it answered recently enough to ignore reports of other hosts.
     pub(super) fn was_reached(&self, now: Time) -> bool {
         now.since(self.reached_at) < REACHED_VALID_FOR
     }
 
-    /// Notes that it could not be reached.
+    /// Records that it could not be reached.
     pub(super) fn record_failure(&mut self, now: Time) {
-        // Requests that were on their way together fail together, and count once.
+        // Concurrent requests that fail together count once.
         if self.is_avoided(now) && !self.is_probing {
             return;
         }
@@ -75,17 +72,15 @@
         self.failures += 1;
     }
 
-    /// Notes that a request was refused there as meant for another replica or adapter.
-    ///
-    /// One alone may be about the adapter; if `whole` it is not.
-    pub(super) fn record_misdirected(&mut self, whole: bool, now: Time) {
+    /// Records a refusal as misdirected. A single one may be about the adapter alone, unless the request named none.
+    pub(super) fn record_misdirected(&mut self, names_no_adapter: bool, now: Time) {
         self.misdirected += 1;
-        if whole || self.failures > 0 || self.misdirected >= MISDIRECTED_THRESHOLD {
+        if names_no_adapter || self.failures > 0 || self.misdirected >= MISDIRECTED_THRESHOLD {
             self.record_failure(now);
         }
     }
 
-    /// Notes that a request goes there: after an absence no other follows it until it is answered.
+    /// Records that a request is sent: after a failure, no other follows until it is answered.
     pub(super) fn record_attempt(&mut self, now: Time) {
         if self.failures > 0 {
             self.is_probing = true;
--- a/crates/front/src/table/replica.rs
+++ b/crates/front/src/table/replica.rs
@@ -1,4 +1,4 @@
-//! What this daemon knows of one replica beyond its entry.
+//! State of one replica, as this host knows it beyond its entry in the store.
 
 use super::average::Average;
 use super::choose::{max_tokens, priority_level};
@@ -11,67 +11,66 @@
 use std::collections::{BTreeMap, VecDeque};
 use unit::{Name, Time};
 
-/// Parts of prompts remembered for each replica.
+/// Most prompt parts remembered per replica.
 const MAX_CACHED_PARTS: usize = 512;
 
-/// Share of a request in the table's sums.
+/// Contribution of one request to a replica's load.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Footprint {
-    /// Time to read its prompt, in milliseconds; 0 once the prompt is read.
+    /// Time to prefill its prompt, in milliseconds; 0 after its first token.
     pub(super) prefill_ms: f32,
-    /// Tokens that it needs at the most.
+    /// Most tokens of the KV cache that it needs.
     reserved_tokens: f32,
-    /// Rank of urgency, 0 first.
+    /// Priority level, 0 is the most urgent.
     level: usize,
 }
 
-/// What is known of one replica.
+/// State of one replica.
 #[derive(Default)]
 pub(super) struct State {
-    /// What this host has in flight there.
+    /// Load of this host's requests.
     pub(super) own: Load,
-    /// What of it the leader was told last.
+    /// Part of it that was last reported to the leader.
     pub(super) reported: Load,
-    /// What of it the leader was told some while before that.
+    /// Part of it that was reported one latency earlier (see `REPORT_LATENCY`).
     pub(super) reported_before: Load,
-    /// What the other hosts have in flight there, by the leader's sums, and when they came.
+    /// Load of the other hosts by the leader's digest, and when that came.
     pub(super) fleet: Load,
     pub(super) fleet_at: Time,
-    /// What each other host has in flight there, as it told itself, and when.
+    /// Load of each other host as it sent it directly, and when.
     pub(super) by_host: BTreeMap<Name, (Load, Time)>,
-    /// What is known of its limit, if it has named one.
+    /// Rate limit, if the replica has advertised one.
     pub(super) limit: Option<LimitState>,
-    /// Share of its answers that failed.
+    /// Fraction of its answers that failed.
     pub(super) failure_rate: Average,
-    /// Mark of long pauses in its streams.
+    /// Average of 1 for each long pause in its streams.
     pub(super) stall_rate: Average,
-    /// Whether it takes connections, and answers under its identity.
     pub(super) reachability: Reachability,
-    /// Parts of prompts that it likely keeps, by model; the one used last stands last.
+    /// Prompt parts that its prefix cache likely holds, by model; the most recently used is last.
     cached_parts: VecDeque<(Name, u64)>,
-    /// Adapters that it holds by the leader's word, as model and adapter, and when that came.
+    /// Adapters that it holds by the leader's digest, as model and adapter, and when that came.
     pub(super) adapters: Vec<(Name, Name)>,
     pub(super) adapters_at: Time,
 }
 
 impl State {
-    /// Keeps of a replica that has started again only what hosts have under way there, which ends by itself.
+    /// Drops everything but the requests in flight, which end by themselves.
     pub(super) fn restart(&mut self) {
-        let before = std::mem::take(self);
+        let previous = std::mem::take(self);
         *self = State {
-            own: before.own,
-            reported: before.reported,
-            reported_before: before.reported_before,
-            fleet: before.fleet,
-            fleet_at: before.fleet_at,
-            by_host: before.by_host,
+            own: previous.own,
+            reported: previous.reported,
+            reported_before: previous.reported_before,
+            fleet: previous.fleet,
+            fleet_at: previous.fleet_at,
+            by_host: previous.by_host,
             ..State::default()
         };
     }
 
     /// Load of all hosts, as far as it is known.
     ///
-    /// What hosts tell each other directly is newer than the leader's sums, and goes first.
+    /// Loads that hosts send directly are newer than the leader's digest and take precedence.
     pub(super) fn total_load(&self, now: Time, direct: bool) -> Load {
         let mut load = self.own;
         if direct {
@@ -86,12 +85,12 @@
         load
     }
 
-    /// Counts a request in.
+    /// Adds a request to the load.
     pub(super) fn begin(&mut self, criteria: &Criteria, pace: &Pace) -> Footprint {
         let model = criteria.ask.model.as_ref();
-        let kept = model.map_or(0, |m| self.cached_tokens(m, criteria.ask));
-        let print = Footprint {
-            prefill_ms: pace.prefill(model, criteria.ask, kept).ms() as f32,
+        let cached = model.map_or(0, |m| self.cached_tokens(m, criteria.ask));
+        let footprint = Footprint {
+            prefill_ms: pace.prefill(model, criteria.ask, cached).ms() as f32,
             reserved_tokens: max_tokens(criteria.ask) as f32,
             level: priority_level(criteria.priority),
         };
@@ -99,34 +98,34 @@
             self.cache_parts(model, criteria.ask);
         }
         self.own.requests += 1.0;
-        self.own.reserved_tokens += print.reserved_tokens;
-        self.own.prefill_ms[print.level] += print.prefill_ms;
-        print
+        self.own.reserved_tokens += footprint.reserved_tokens;
+        self.own.prefill_ms[footprint.level] += footprint.prefill_ms;
+        footprint
     }
 
-    /// Notes that the prompt of a request is read.
-    pub(super) fn finish_prefill(&mut self, print: &Footprint) {
-        let unread = &mut self.own.prefill_ms[print.level];
-        *unread = (*unread - print.prefill_ms).max(0.0);
+    /// Removes the prefill of a request from the load.
+    pub(super) fn finish_prefill(&mut self, footprint: &Footprint) {
+        let prefill_ms = &mut self.own.prefill_ms[footprint.level];
+        *prefill_ms = (*prefill_ms - footprint.prefill_ms).max(0.0);
     }
 
-    /// Counts a request out.
-    pub(super) fn finish(&mut self, print: &Footprint) {
+    /// Removes a request from the load.
+    pub(super) fn finish(&mut self, footprint: &Footprint) {
         self.own.requests = (self.own.requests - 1.0).max(0.0);
-        self.own.reserved_tokens = (self.own.reserved_tokens - print.reserved_tokens).max(0.0);
-        self.finish_prefill(print);
+        self.own.reserved_tokens = (self.own.reserved_tokens - footprint.reserved_tokens).max(0.0);
+        self.finish_prefill(footprint);
     }
 
-    /// Tokens at the beginning of a prompt that the replica likely keeps.
+    /// Tokens at the beginning of a prompt that the replica's prefix cache likely holds.
     pub(super) fn cached_tokens(&self, model: &Name, ask: &Ask) -> u64 {
-        let kept = ask.parts.iter().map_while(|part| {
+        let cached = ask.parts.iter().map_while(|part| {
             self.position(model, part.id)?;
             Some(part.tokens)
         });
-        kept.sum()
+        cached.sum()
     }
 
-    /// Remembers the parts of a prompt; those used longest ago are forgotten.
+    /// Remembers the parts of a prompt, evicting the least recently used.
     fn cache_parts(&mut self, model: &Name, ask: &Ask) {
         for part in &ask.parts {
             let known = self.position(model, part.id);
@@ -139,7 +138,7 @@
         }
     }
 
-    /// Where a part of a prompt stands among those that are remembered.
+    /// Index of a prompt part among the remembered ones.
     fn position(&self, model: &Name, part: u64) -> Option<usize> {
         let mut parts = self.cached_parts.iter();
         parts.position(|(m, id)| *id == part && m == model)
--- a/crates/front/src/view.rs
+++ b/crates/front/src/view.rs
@@ -1,18 +1,18 @@
-//! Which replicas there are, from the store's items; never backwards.
+//! View of the replicas that the store lists. Updates with older revisions are ignored.
 //!
-//! An entry that vanishes while the store is away is no departure: entries of living replicas are
-//! back soon after the store's return. One still missing then is gone. [`contact`](crate::contact) tells whether
-//! the store was away.
+//! An entry that vanishes during an outage of the store is not a removal: living replicas write their entries again soon
+//! after the store returns. An entry that is still missing then is removed. [`contact`](crate::contact) tells whether the
+//! store is reachable.
 
 use crate::contact::Contact;
 use platform::replica::{Entry, Incarnation};
 use std::collections::{BTreeMap, VecDeque};
 use unit::{Name, Span, Time};
 
-/// Time for which the revision of a removal is remembered, against older news from elsewhere.
+/// Time for which the revision of a removal is kept, to reject older updates from other hosts.
 const REMOVAL_RETENTION: Span = Span::from_secs(60);
 
-/// Time for which the word of a replica that it leaves is remembered without an entry of it: it is gone minutes after.
+/// Time for which a departure is kept after the replica's entry is gone.
 const DEPARTURE_RETENTION: Span = Span::from_secs(24 * 3_600);
 
 /// Replicas by identity.
@@ -20,86 +20,81 @@
 pub struct View {
     replicas: BTreeMap<Name, Replica>,
     removed: BTreeMap<Name, (u64, Time)>,
-    /// Replicas that said in answers that they leave. Entries come and go meanwhile.
+    /// Replicas that announced in an answer that they leave; kept while their entries come and go.
     departures: BTreeMap<Name, Departure>,
-    /// Whether the store is there, and since when.
+    /// Reachability of the store.
     pub contact: Contact,
 }
 
-/// Word of a replica that it leaves.
+/// Departure that a replica announced in an answer.
 #[derive(Debug, Clone, Copy)]
 struct Departure {
     incarnation: Incarnation,
-    /// When it was heard first.
+    /// When this host first heard of it.
     heard_at: Time,
-    /// How it came here.
     origin: Origin,
-    /// Whether this host need not tell it any more.
+    /// Whether this host has passed it on, or need not.
     is_announced: bool,
 }
 
-/// How the word of a replica came to this host.
+/// How a departure became known to this host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Origin {
-    /// In an answer.
+    /// By an answer of the replica.
     Answer,
-    /// From a host that tells this one, which tells all.
+    /// By another host, which told this one as the leader.
     Host,
-    /// From the host that tells all.
+    /// By the leader, which tells all hosts.
     Leader,
 }
 
-/// Replica with the news of it.
+/// Replica, as the store lists it.
 #[derive(Debug, Clone)]
 pub struct Replica {
-    /// Its newest entry.
     pub entry: Entry,
     /// Revision of that entry.
     pub revision: u64,
-    /// Since when its entry has been missing, while it is not yet taken as gone.
+    /// Since when its entry has been missing, if it is.
     pub missing_since: Option<Time>,
-    /// Incarnations before that of its entry, oldest first.
+    /// Incarnations before the current one, oldest first.
     former_incarnations: VecDeque<u64>,
-    /// Whether this incarnation has announced that it leaves; its entry says so too while what stands in its place
-    /// cannot be read.
+    /// Whether this incarnation has announced its departure. The entry is also marked as leaving while it is overwritten.
     is_leaving: bool,
 }
 
-/// Incarnations of a replica that are remembered beside the present one, against writings that come late:
-/// those that may be under way at one time.
+/// Earlier incarnations remembered per replica, to recognize entries that arrive late.
 const MAX_FORMER: usize = 4;
 
-/// How a writing of an entry stands to the newest one that is known.
+/// How an entry relates to the newest known one.
 enum Write {
-    /// It came late: a later one is known.
+    /// Older than the known one.
     Stale,
-    /// It is the next one of the same incarnation.
+    /// A later one of the same incarnation.
     Next,
-    /// It is of an incarnation that was not known.
+    /// The first one of another incarnation.
     Restart,
 }
 
-/// What news did to the view.
+/// Effect of a store change on the view.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Update {
-    /// A replica that was not known.
+    /// A new replica.
     Added(Name),
-    /// A replica has started again under its identity.
+    /// A new incarnation of a known replica.
     Restarted(Name),
-    /// A replica has announced that it leaves.
+    /// A replica announced its departure.
     Leaving(Name),
-    /// What stands in the place of a replica's entry cannot be read.
+    /// A replica's entry was replaced by something that is not a valid entry of it.
     Overwritten(Name),
-    /// Something else about a replica changed.
+    /// Another change of an entry.
     Changed(Name),
-    /// An entry is missing, and may come back.
+    /// An entry vanished while the store was unreachable, and may reappear.
     Missing(Name),
     /// A replica is gone.
     Removed(Name),
 }
 
 impl Replica {
-    /// A replica that was not known.
     fn new(entry: Entry, revision: u64, is_leaving: bool) -> Replica {
         Replica {
             is_leaving,
@@ -113,25 +108,22 @@
         }
     }
 
-    /// How a writing stands to the newest one.
+    /// Relates an entry to the newest known one.
     ///
-    /// Counts begin anew with each incarnation, so they say nothing between two. One that began earlier is old if
-    /// it was seen before; else the replica's clock was stepped back between its starts.
+    /// Heartbeat counters restart with each incarnation, so they are compared within one. An earlier start time is stale if
+    /// it was seen before; otherwise the replica's clock was set back between two starts.
     fn classify(&self, entry: &Entry) -> Write {
         match (self.entry.incarnation, entry.incarnation) {
-            (Some(known), Some(told))
-                if told < known && self.former_incarnations.contains(&told) =>
-            {
+            (Some(known), Some(new)) if new < known && self.former_incarnations.contains(&new) => {
                 Write::Stale
             }
-            (known, told) if known != told => Write::Restart,
+            (known, new) if known != new => Write::Restart,
             _ if entry.beat < self.entry.beat => Write::Stale,
             _ => Write::Next,
         }
     }
 
-    /// Takes the next writing of the same incarnation; tells whether it announces that the replica leaves. That
-    /// is not taken back.
+    /// Applies a later entry of the same incarnation; returns whether it announces the departure, which cannot be revoked.
     fn apply_next(&mut self, entry: Entry) -> bool {
         let announces = entry.leaving && !self.is_leaving;
         self.is_leaving |= entry.leaving;
@@ -142,7 +134,7 @@
         announces
     }
 
-    /// Takes the first writing of another incarnation, of which nothing holds that was known of the one before.
+    /// Applies the first entry of another incarnation.
     fn restart(&mut self, entry: Entry, is_leaving: bool) {
         self.former_incarnations.extend(self.entry.incarnation);
         if self.former_incarnations.len() > MAX_FORMER {
@@ -157,7 +149,7 @@
 }
 
 impl View {
-    /// Makes an empty view of a store to which replicas write each `heartbeat`.
+    /// Creates an empty view. `heartbeat` is the interval at which replicas write their entries.
     pub fn new(heartbeat: Span) -> View {
         View {
             replicas: BTreeMap::new(),
@@ -167,29 +159,28 @@
         }
     }
 
-    /// Replicas, the missing ones included.
+    /// All replicas, including those whose entry is missing.
     pub fn all(&self) -> impl Iterator<Item = &Replica> {
         self.replicas.values()
     }
 
-    /// Replica of an identity.
     pub fn get(&self, id: &str) -> Option<&Replica> {
         self.replicas.get(id)
     }
 
-    /// Whether another incarnation of a replica is known than this one.
+    /// Whether a replica is known with another incarnation than this one.
     pub fn has_other_incarnation(&self, id: &str, incarnation: Incarnation) -> bool {
-        let seen = self.replicas.get(id);
-        seen.is_some_and(|seen| seen.entry.incarnation != incarnation)
+        let replica = self.replicas.get(id);
+        replica.is_some_and(|replica| replica.entry.incarnation != incarnation)
     }
 
-    /// Whether an incarnation has said in an answer that it leaves.
+    /// Whether an incarnation has announced its departure in an answer.
     pub fn has_departure(&self, id: &str, incarnation: Incarnation) -> bool {
-        let said = self.departures.get(id);
-        said.is_some_and(|said| said.incarnation == incarnation)
+        let departure = self.departures.get(id);
+        departure.is_some_and(|departure| departure.incarnation == incarnation)
     }
 
-    /// Takes in that an incarnation says in an answer that it leaves, which is not taken back; tells whether that was not known.
+    /// Records that an incarnation announced its departure, which cannot be revoked; returns whether that was new.
     pub fn record_departure(
         &mut self,
         id: &Name,
@@ -207,148 +198,149 @@
             is_announced: origin == Origin::Leader,
         };
         self.departures.insert(id.clone(), departure);
-        if let Some(seen) = self.replicas.get_mut(id) {
-            seen.is_leaving = true;
-            seen.entry.leaving = true;
+        if let Some(replica) = self.replicas.get_mut(id) {
+            replica.is_leaving = true;
+            replica.entry.leaving = true;
         }
         true
     }
 
-    /// Departures that this host has to tell; they count as told.
+    /// Returns the departures that this host has to pass on, and marks them as passed on.
     pub fn take_unannounced_departures(&mut self) -> Vec<(Name, Incarnation)> {
-        let untold = self.departures.iter_mut().filter(|(_, d)| !d.is_announced);
-        let told = untold.map(|(id, departure)| {
+        let unannounced = self.departures.iter_mut().filter(|(_, d)| !d.is_announced);
+        let new = unannounced.map(|(id, departure)| {
             departure.is_announced = true;
             (id.clone(), departure.incarnation)
         });
-        told.collect()
+        new.collect()
     }
 
-    /// Departures that this host has heard itself within the last `time`.
+    /// Departures that replicas announced to this host within the last `time`.
     pub fn recent_departures(&self, time: Span, now: Time) -> Vec<(Name, Incarnation)> {
         let is_own = |d: &Departure| d.origin == Origin::Answer && now.since(d.heard_at) < time;
         let own = self.departures.iter().filter(|(_, d)| is_own(d));
         own.map(|(id, d)| (id.clone(), d.incarnation)).collect()
     }
 
-    /// Departures of replicas that are there.
+    /// Departures of replicas that are listed.
     pub fn departures(&self) -> Vec<(Name, Incarnation)> {
-        let leaves = |seen: &&Replica| self.has_departure(&seen.entry.id, seen.entry.incarnation);
-        let entries = self.all().filter(leaves).map(|seen| &seen.entry);
+        let leaves =
+            |replica: &&Replica| self.has_departure(&replica.entry.id, replica.entry.incarnation);
+        let entries = self.all().filter(leaves).map(|replica| &replica.entry);
         entries.map(|e| (e.id.clone(), e.incarnation)).collect()
     }
 
-    /// Takes in an entry at its revision; older news changes nothing.
+    /// Applies an entry written at a revision; older ones change nothing.
     pub fn put(&mut self, entry: Entry, revision: u64) -> Option<Update> {
         let id = entry.id.clone();
         if self.removed.get(&id).is_some_and(|(at, _)| *at >= revision) {
             return None;
         }
         let is_leaving = entry.leaving || self.has_departure(&id, entry.incarnation);
-        let Some(seen) = self.replicas.get_mut(&id) else {
-            let seen = Replica::new(entry, revision, is_leaving);
-            self.replicas.insert(id.clone(), seen);
+        let Some(replica) = self.replicas.get_mut(&id) else {
+            let replica = Replica::new(entry, revision, is_leaving);
+            self.replicas.insert(id.clone(), replica);
             return Some(Update::Added(id));
         };
-        if seen.revision >= revision {
+        if replica.revision >= revision {
             return None;
         }
-        if seen.entry.incarnation.is_some() && entry.incarnation.is_none() {
-            // Each writing of the replica tells its start: this one is another writer's.
+        if replica.entry.incarnation.is_some() && entry.incarnation.is_none() {
+            // Replicas always write their start time, so this entry was written by something else.
             return self.mark_overwritten(&id, revision);
         }
-        seen.revision = revision;
-        seen.missing_since = None;
-        match seen.classify(&entry) {
-            // It shows that the replica is there, and nothing else.
+        replica.revision = revision;
+        replica.missing_since = None;
+        match replica.classify(&entry) {
+            // A stale entry only proves that the replica still writes.
             Write::Stale => None,
-            Write::Next => Some(match seen.apply_next(entry) {
+            Write::Next => Some(match replica.apply_next(entry) {
                 true => Update::Leaving(id),
                 false => Update::Changed(id),
             }),
             Write::Restart => {
-                seen.restart(entry, is_leaving);
+                replica.restart(entry, is_leaving);
                 Some(Update::Restarted(id))
             }
         }
     }
 
-    /// Takes in that what stands in the place of a replica's entry cannot be read, or is not its own: it names no
-    /// replica to use. What runs there goes on, and an entry that can be read makes it good.
+    /// Records that a replica's entry was replaced by something invalid. The replica gets no new requests until a valid
+    /// entry follows; running ones go on.
     pub fn mark_overwritten(&mut self, id: &str, revision: u64) -> Option<Update> {
-        let seen = self.replicas.get_mut(id)?;
-        if seen.revision >= revision {
+        let replica = self.replicas.get_mut(id)?;
+        if replica.revision >= revision {
             return None;
         }
-        seen.revision = revision;
-        seen.entry.leaving = true;
-        Some(Update::Overwritten(seen.entry.id.clone()))
+        replica.revision = revision;
+        replica.entry.leaving = true;
+        Some(Update::Overwritten(replica.entry.id.clone()))
     }
 
-    /// Takes in a removal at its revision.
+    /// Applies a removal at a revision.
     pub fn remove(&mut self, id: &str, revision: u64, now: Time) -> Option<Update> {
-        let may_return = self.contact.may_reappear(now);
-        let seen = self.replicas.get_mut(id)?;
-        if seen.revision >= revision {
+        let may_reappear = self.contact.may_reappear(now);
+        let replica = self.replicas.get_mut(id)?;
+        if replica.revision >= revision {
             return None;
         }
         let id: Name = id.into();
-        if !may_return {
+        if !may_reappear {
             self.replicas.remove(&id);
             self.removed.insert(id.clone(), (revision, now));
             return Some(Update::Removed(id));
         }
-        seen.revision = revision;
-        match seen.missing_since.replace(now) {
+        replica.revision = revision;
+        match replica.missing_since.replace(now) {
             Some(since) => {
-                seen.missing_since = Some(since);
+                replica.missing_since = Some(since);
                 None
             }
             None => Some(Update::Missing(id)),
         }
     }
 
-    /// Compares with a whole range read at `revision`: what is not in it has been removed.
+    /// Compares with a complete listing read at `revision`: replicas that it lacks have been removed.
     pub fn reconcile(&mut self, present: &[Name], revision: u64, now: Time) -> Vec<Update> {
-        let absent: Vec<Name> = self
+        let missing: Vec<Name> = self
             .replicas
             .values()
             .filter(|s| s.revision < revision && !present.contains(&s.entry.id))
             .map(|s| s.entry.id.clone())
             .collect();
-        absent
+        missing
             .iter()
             .filter_map(|id| self.remove(id, revision, now))
             .collect()
     }
 
-    /// Whether any entry is missing.
+    /// Whether the entry of any replica is missing.
     pub fn has_missing(&self) -> bool {
         self.replicas.values().any(|s| s.missing_since.is_some())
     }
 
-    /// Takes as gone what is still missing after the store's return, and forgets old removals.
+    /// Removes replicas whose entries are still missing after the store's return, and drops old removals and departures.
     pub fn expire(&mut self, now: Time) -> Vec<Update> {
         self.removed
             .retain(|_, (_, at)| now.since(*at) < REMOVAL_RETENTION);
-        let seen = &self.replicas;
+        let replica = &self.replicas;
         self.departures.retain(|id, departure| {
-            seen.contains_key(id) || now.since(departure.heard_at) < DEPARTURE_RETENTION
+            replica.contains_key(id) || now.since(departure.heard_at) < DEPARTURE_RETENTION
         });
         if self.contact.may_reappear(now) {
             return Vec::new();
         }
-        let gone: Vec<Name> = self
+        let expired: Vec<Name> = self
             .replicas
             .values()
             .filter(|s| s.missing_since.is_some())
             .map(|s| s.entry.id.clone())
             .collect();
-        for id in &gone {
-            if let Some(seen) = self.replicas.remove(id) {
-                self.removed.insert(id.clone(), (seen.revision, now));
+        for id in &expired {
+            if let Some(replica) = self.replicas.remove(id) {
+                self.removed.insert(id.clone(), (replica.revision, now));
             }
         }
-        gone.into_iter().map(Update::Removed).collect()
+        expired.into_iter().map(Update::Removed).collect()
     }
 }
