--- a/crates/front/src/attempt.rs
+++ b/crates/front/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One sending of a request to one replica, up to the head of its answer.
+//! One send of a request to one replica, up to the head of its answer.
 
 mod call;
 mod history;
@@ -25,53 +25,52 @@
 use std::time::Duration;
 use unit::{Name, Span};
 
-/// Answer of a replica whose head has come.
+/// Exchange with a replica whose answer has begun.
 pub struct Exchange {
-    /// Place of the request there.
+    /// Reservation of the request at the replica.
     pub reservation: Reservation,
-    /// Connection that carries the answer.
     pub line: Line,
-    /// Head, and the body yet to be read.
+    /// Head of the answer, with the body still to be read.
     pub response: Response<Incoming>,
-    /// What the head says of the replica.
+    /// What the head says about the replica.
     pub feedback: Said,
 }
 
-/// Why a sending brought no answer.
+/// Why a send failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Failure {
-    /// Nothing was handed to a connection.
+    /// Nothing was written to a connection.
     Unsent(String),
-    /// The replica states that it did not run the request.
+    /// The replica refused the request without running it.
     NotRun {
-        /// Status of its answer.
+        /// Status of the answer.
         status: u16,
-        /// Whether it says that the request is meant for another replica, model or adapter.
+        /// Whether it says that the request was meant for another replica, model or adapter.
         misdirected: bool,
     },
-    /// It was sent, and no good answer came; it may have run.
+    /// The request was sent and its answer is lost; it may have run.
     Lost(String),
-    /// The replica ran it, and answered with that status, which tells of its own failure.
+    /// The replica ran the request and answered with this status, a server error.
     ServerError(u16),
-    /// Its time ran out; it may have run.
+    /// The deadline passed after the request was sent; it may have run.
     TimedOut,
-    /// Its time had run out before it was handed to a connection.
+    /// The deadline passed before the request was sent.
     DeadlinePassed,
-    /// The replica wants none by its own word; nothing was handed to a connection.
+    /// The replica takes no requests now; nothing was sent.
     Unavailable(Unavailable),
-    /// Its key does not let it go on; nothing was handed to a connection.
+    /// The client's key is no longer accepted; nothing was sent.
     Unauthorized(Refusal),
-    /// It may end what runs it, and gets this answer; nothing was handed to a connection.
+    /// The request is quarantined and answered with this rejection; nothing was sent.
     Quarantined(Rejection),
 }
 
 impl Failure {
-    /// Whether it is proven that nothing of the request reached the replica.
+    /// Whether the failure proves that the replica received nothing of the request.
     pub fn proves_unsent(&self) -> bool {
         self.proves_not_run() && !matches!(self, Failure::NotRun { .. })
     }
 
-    /// Whether it is proven that the request did not run there and will not.
+    /// Whether the failure proves that the replica did not and will not run the request.
     pub fn proves_not_run(&self) -> bool {
         matches!(
             self,
@@ -89,24 +88,28 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Failure::Unsent(why) => write!(f, "not sent: {why}"),
-            Failure::NotRun { status, .. } => write!(f, "refused unrun with status {status}"),
+            Failure::NotRun { status, .. } => {
+                write!(f, "refused by the replica with status {status}")
+            }
             Failure::Lost(why) => write!(f, "lost: {why}"),
-            Failure::ServerError(status) => write!(f, "the replica failed it with status {status}"),
-            Failure::TimedOut => f.write_str("its time ran out"),
-            Failure::DeadlinePassed => f.write_str("not sent: its time had run out"),
+            Failure::ServerError(status) => {
+                write!(f, "answered by the replica with status {status}")
+            }
+            Failure::TimedOut => f.write_str("timed out"),
+            Failure::DeadlinePassed => f.write_str("not sent: its deadline had passed"),
             Failure::Unavailable(Unavailable::Leaving) => {
-                f.write_str("not sent: the replica leaves")
+                f.write_str("not sent: the replica is leaving")
             }
             Failure::Unavailable(Unavailable::BackingOff(remaining)) => {
-                write!(f, "not sent: the replica wants nothing for {remaining}")
+                write!(f, "not sent: the replica takes no requests for {remaining}")
             }
-            Failure::Unauthorized(why) => write!(f, "not let on: {why}"),
-            Failure::Quarantined(fault) => write!(f, "not let on: {}", fault.message),
+            Failure::Unauthorized(why) => write!(f, "not sent: {why}"),
+            Failure::Quarantined(rejection) => write!(f, "not sent: {}", rejection.message),
         }
     }
 }
 
-/// Sends a request to a chosen replica and waits for the head of its answer.
+/// Sends a request to a chosen replica and waits for the head of the answer.
 pub async fn send(
     state: &Arc<State>,
     call: &Call,
@@ -114,14 +117,14 @@
     reservation: Reservation,
     last_event: Option<u64>,
 ) -> Result<Exchange, Failure> {
-    let repeatable = call.route.kind.is_repeatable();
-    let pooled = state.pool.take(&choice.replica, repeatable, state.now());
+    let is_repeatable = call.route.kind.is_repeatable();
+    let pooled = state.pool.take(&choice.replica, is_repeatable, state.now());
     let is_pooled = pooled.is_some();
     let mut line = match pooled {
         Some(line) => line,
         None => open(state, call, choice, &reservation).await?,
     };
-    // At the last moment before each sending: the key may have gone since the one before.
+    // Directly before each send, since the key may have been revoked after the last one.
     let account = accounts::reauthenticate(state, call).map_err(Failure::Unauthorized)?;
     quarantine::check(state, call).map_err(Failure::Quarantined)?;
     let account = account.as_ref().map(|a| &*a.name);
@@ -133,24 +136,24 @@
         return Err(Failure::DeadlinePassed);
     }
     rate_limit::record_send(state, call, &choice.replica, last_event);
-    let answered = state
+    let answer = state
         .clock
         .timeout_at(call.deadline, line.send(request, remaining));
-    let response = match answered.await {
+    let response = match answer.await {
         Ok(Ok(response)) => response,
         Err(Elapsed) | Ok(Err(Error::Timeout { .. })) => {
             reservation.record_bad_answer();
             return Err(Failure::TimedOut);
         }
-        Ok(Err(e)) if e.proves_unsent() => {
-            // A kept connection that was closed meanwhile says nothing of the replica.
+        Ok(Err(error)) if error.proves_unsent() => {
+            // A pooled connection that closed while idle is no sign of an unreachable replica.
             if !is_pooled {
                 reservation.record_unreachable();
             }
-            return Err(Failure::Unsent(e.to_string()));
+            return Err(Failure::Unsent(error.to_string()));
         }
-        Ok(Err(e)) => {
-            let failure = Failure::Lost(e.to_string());
+        Ok(Err(error)) => {
+            let failure = Failure::Lost(error.to_string());
             reservation.record_failure(call, &failure);
             return Err(failure);
         }
@@ -158,7 +161,6 @@
     classify(state, call, reservation, line, response).await
 }
 
-/// Opens a connection to a chosen replica.
 async fn open(
     state: &Arc<State>,
     call: &Call,
@@ -174,14 +176,14 @@
         .metrics
         .counter("coveford_connections_opened_total", &[])
         .increment(1);
-    opened.map_err(|e| {
+    opened.map_err(|error| {
         reservation.record_bad_answer();
         reservation.record_unreachable();
-        Failure::Unsent(e.to_string())
+        Failure::Unsent(error.to_string())
     })
 }
 
-/// Tells an answer to this request from a refusal and from what belongs to another.
+/// Separates an answer to this request from refusals and from answers to other requests.
 async fn classify(
     state: &Arc<State>,
     call: &Call,
@@ -193,7 +195,7 @@
     feedback::apply(state, &reservation.source(call), &feedback);
     if !feedback.answers(&call.id) {
         reservation.record_bad_answer();
-        return Err(Failure::Lost("an answer to another request came".into()));
+        return Err(Failure::Lost("the answer is to another request".into()));
     }
     if feedback.not_run {
         reservation.record_bad_answer();
@@ -206,7 +208,7 @@
     if !feedback.signed {
         reservation.record_bad_answer();
         return Err(Failure::Lost(format!(
-            "an answer with status {} without signature came",
+            "the answer with status {} is not signed",
             feedback.status
         )));
     }
@@ -218,13 +220,13 @@
     })
 }
 
-/// Longest refusal that is read to keep its connection, in bytes.
+/// Longest body of a refusal, in bytes, that is read to reuse the connection.
 const MAX_REFUSAL: usize = 64 * 1024;
 
-/// Time in which a refusal's body must have come for its connection to be kept.
+/// Time within which the body of a refusal must arrive to reuse the connection.
 const REFUSAL_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Reads what is left of a refusal and keeps its connection, if that may be kept.
+/// Reads the rest of a refusal and returns the connection to the pool, if the replica keeps it open.
 async fn drain_refusal(
     state: &State,
     replica: &Name,
@@ -244,10 +246,10 @@
     }
 }
 
-/// Time taken off what is left, for the way back of the answer.
+/// Time reserved for the way back of the answer.
 const RETURN_LATENCY: Span = Span::from_ms(5);
 
-/// Request as it goes to the replica, which needs the permit for it.
+/// Builds the request for the replica. The permit proves that it may be sent.
 fn request(
     state: &State,
     call: &Call,
--- a/crates/front/src/attempt/call.rs
+++ b/crates/front/src/attempt/call.rs
@@ -1,4 +1,4 @@
-//! Request of a client, as it is sent to replicas.
+//! Client request, as it is sent to replicas.
 
 use crate::accounts::Caller;
 use crate::quarantine::Trial;
@@ -13,45 +13,41 @@
 use tokio::sync::OwnedSemaphorePermit;
 use unit::{Fingerprint, Name, Span, Time};
 
-/// Request of a client, read whole.
+/// Client request with its complete body.
 #[derive(Debug)]
 pub struct Call {
-    /// Identity that the client gave it, or one of ours.
+    /// Identity that the client gave it, or else a generated one.
     pub id: Name,
-    /// Host that it was sent to.
+    /// Host that the client named.
     pub host: String,
-    /// Its route.
     pub route: Arc<Route>,
-    /// Service of that route that it goes to.
+    /// Service chosen among those of the route.
     pub service: Name,
-    /// Whose request it is.
+    /// Caller, by its key.
     pub caller: Caller,
-    /// Its rank of urgency, 0 first: its account's, or else its route's.
+    /// Priority, 0 is the most urgent: that of the account, or else of the route.
     pub priority: u8,
-    /// Its method.
     pub method: Method,
-    /// Its path and query.
+    /// Path and query.
     pub uri: Uri,
-    /// Its header fields.
     pub headers: HeaderMap,
-    /// Its body.
     pub body: Bytes,
-    /// Its body's part of the memory for bodies, held until the request ends.
+    /// Reservation of body memory, held until the request ends.
     pub _memory: Option<OwnedSemaphorePermit>,
-    /// What its header fields say.
+    /// What the header fields ask for.
     pub ask: Ask,
-    /// When its head had come.
+    /// When the head arrived.
     pub arrived: Time,
-    /// When nobody needs its answer any more.
+    /// When the client stops waiting for the answer.
     pub deadline: Time,
-    /// Its fingerprint, once that was needed: the body is read for it, which few requests are worth.
+    /// Fingerprint, computed on first use since it hashes the body.
     pub fingerprint: OnceLock<Fingerprint>,
-    /// Its trial, if it is suspected of ending replicas and was let in.
+    /// Trial run, if the request is suspected of crashing replicas.
     pub trial: OnceLock<Trial>,
 }
 
 impl Call {
-    /// What it has in common with its repetitions, which carry other identities.
+    /// Fingerprint that repetitions of the request share, whatever their identities.
     pub fn fingerprint(&self) -> Fingerprint {
         *self.fingerprint.get_or_init(|| {
             let account = self.caller.account.as_ref().map(|a| &*a.name);
@@ -60,12 +56,12 @@
         })
     }
 
-    /// Time left to it.
+    /// Time until the deadline.
     pub fn remaining(&self, now: Time) -> Duration {
         self.deadline.since(now).std()
     }
 
-    /// What it asks of a replica.
+    /// What the request requires of a replica, without those `excluded`.
     pub fn criteria<'a>(&'a self, excluded: &'a [Name]) -> Criteria<'a> {
         Criteria {
             service: &self.service,
--- a/crates/front/src/attempt/history.rs
+++ b/crates/front/src/attempt/history.rs
@@ -3,30 +3,30 @@
 use super::{Call, Failure};
 use unit::Name;
 
-/// Replicas that a request was sent to. A route's attempts are counted by those at which it may have run: one that turned it
-/// away has done no work, and all sendings but the first are paid for by the retry budget.
+/// Replicas that a request was sent to. Only those at which it may have run count against the attempts of its route. A
+/// replica that refused it has done no work; all sends but the first are paid for by the retry budget.
 #[derive(Debug, Clone, Default)]
 pub struct History {
-    /// All of them.
+    /// All that received the request.
     pub attempted: Vec<Name>,
-    /// Those at which it may have run.
+    /// Those that may have run it.
     pub may_have_run: Vec<Name>,
 }
 
 impl History {
-    /// Notes what came of a sending.
-    pub fn record<T>(&mut self, replica: &Name, sent: &Result<T, Failure>) {
-        let failed = sent.as_ref().err();
-        if failed.is_some_and(Failure::proves_unsent) {
+    /// Records the result of a send.
+    pub fn record<T>(&mut self, replica: &Name, result: &Result<T, Failure>) {
+        let failure = result.as_ref().err();
+        if failure.is_some_and(Failure::proves_unsent) {
             return;
         }
         add(&mut self.attempted, replica);
-        if !failed.is_some_and(Failure::proves_not_run) {
+        if !failure.is_some_and(Failure::proves_not_run) {
             add(&mut self.may_have_run, replica);
         }
     }
 
-    /// Whether it may run at one more replica.
+    /// Whether the route allows one more replica to run the request.
     pub fn may_run_again(&self, call: &Call) -> bool {
         (self.may_have_run.len() as u32) < call.route.attempts
     }
--- a/crates/front/src/attempt/reservation.rs
+++ b/crates/front/src/attempt/reservation.rs
@@ -1,4 +1,4 @@
-//! Place of a request at a replica: what the table counts and learns of it.
+//! Reservation of a request at a replica: its load in the table, and what the table learns from its outcome.
 
 use super::{Call, Failure};
 use crate::feedback::Source;
@@ -9,36 +9,36 @@
 use std::sync::Arc;
 use unit::{Name, Time};
 
-/// Place of a request at a replica; dropping it counts the request out.
+/// Reservation of a request at a replica; dropping it removes the request from the replica's load.
 pub struct Reservation {
     state: Arc<State>,
-    /// The replica.
+    /// Identity of the replica.
     pub replica: Name,
-    /// Which start of it the request was placed at.
+    /// Incarnation of the replica when the request was placed.
     pub incarnation: Incarnation,
-    /// Its share in the table's sums.
+    /// Contribution to the replica's load.
     footprint: Footprint,
     service: Name,
     model: Option<Name>,
     /// Whether the request names no adapter.
     without_adapter: bool,
-    /// When the request was counted in.
+    /// When the reservation was opened.
     pub reserved_at: Time,
-    /// Prompt tokens to be read for it, if no other prompt stood before it then.
+    /// Prompt tokens to prefill, if no other prompt waited at the replica.
     unqueued_tokens: Option<f64>,
-    /// When the first token came.
+    /// When the first token arrived.
     first_token_at: Option<Time>,
 }
 
 impl Reservation {
-    /// Counts a request in.
+    /// Adds a request to the load of the chosen replica.
     pub fn open(state: &Arc<State>, call: &Call, choice: &Choice) -> Reservation {
         let now = state.now();
         let mut table = state.table.lock();
         let unqueued_tokens = table.unqueued_tokens(&choice.replica, &call.ask, now);
         let footprint = table.begin(&choice.replica, &call.criteria(&[]), now);
-        let seen = table.view.get(&choice.replica);
-        let incarnation = seen.and_then(|s| s.entry.incarnation);
+        let listed = table.view.get(&choice.replica);
+        let incarnation = listed.and_then(|s| s.entry.incarnation);
         drop(table);
         state.load_added.notify_one();
         Reservation {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Notes that the first token has come.
+    /// Records the first token.
     pub fn record_first_token(&mut self) {
         let now = self.state.now();
         self.first_token_at = Some(now);
@@ -69,17 +69,17 @@
         self.state.load_reduced.notify_one();
     }
 
-    /// Notes that the whole answer has come.
+    /// Records a complete answer.
     pub fn record_answer(&mut self, failed: bool) {
         let now = self.state.now();
         let mut table = self.state.table.lock();
         table.record_outcome(&self.replica, failed, now);
-        if let (Some(model), Some(started)) = (&self.model, self.first_token_at) {
-            table.record_decode(&self.service, model, now.since(started));
+        if let (Some(model), Some(first_token_at)) = (&self.model, self.first_token_at) {
+            table.record_decode(&self.service, model, now.since(first_token_at));
         }
     }
 
-    /// Notes that the replica took no connection.
+    /// Records that the replica refused the connection.
     pub(super) fn record_unreachable(&self) {
         let now = self.state.now();
         self.state
@@ -88,7 +88,7 @@
             .record_unreachable(&self.replica, now);
     }
 
-    /// Where an answer to the request comes from.
+    /// Origin of answers to the request.
     pub(super) fn source(&self, call: &Call) -> Source {
         Source {
             replica: self.replica.clone(),
@@ -98,15 +98,15 @@
         }
     }
 
-    /// Notes that the replica gave no whole answer, and why: one that broke off may have been its fall.
-    pub fn record_failure(&self, call: &Call, why: &Failure) {
+    /// Records that no complete answer arrived. A lost answer may be due to a crash of the replica.
+    pub fn record_failure(&self, call: &Call, failure: &Failure) {
         self.record_bad_answer();
-        if let Failure::Lost(_) = why {
+        if let Failure::Lost(_) = failure {
             quarantine::note_broken(&self.state, call, self);
         }
     }
 
-    /// Notes that the replica gave no good answer.
+    /// Records a failed answer.
     pub fn record_bad_answer(&self) {
         let now = self.state.now();
         self.state
--- a/crates/front/src/changelog.rs
+++ b/crates/front/src/changelog.rs
@@ -1,29 +1,27 @@
-//! What stands in the store and has changed there lately, kept for hosts that hear of it from this
-//! one instead of reading the store themselves.
+//! Contents and recent changes of the store, kept for hosts that follow this one instead of reading the store.
 
 use platform::store::{Change, Item};
 use std::collections::HashMap;
 use unit::{Name, Span, Time};
 
-/// Time for which a removal is remembered. A host that asks has seen a revision this young; one
-/// that has not reads the store.
+/// Time for which a removal is kept. A host that asks for changes since an older revision must read the whole store.
 const REMOVAL_RETENTION: Span = Span::from_secs(30);
 
-/// The store's items by key with the newest change of each, as far as this host has heard.
+/// Newest change of each key in the store, as far as this host has read.
 #[derive(Debug, Default)]
 pub struct Changelog {
-    /// Newest change of each key, and when the store was known to stand past it.
+    /// Newest change of each key, and when the store was known to be past it.
     changes: HashMap<Name, (Change, Time)>,
-    /// Revision from which on nothing is missing.
+    /// Revision since which no change is missing.
     compacted_revision: u64,
-    /// Revision of the store up to which this host has heard.
+    /// Revision up to which changes are included.
     revision: u64,
-    /// When the store was last known to stand at that revision.
+    /// When the store was last known to be at that revision.
     confirmed_at: Time,
 }
 
 impl Changelog {
-    /// Takes in the whole store, as read at a revision. What went before it is not known.
+    /// Replaces the contents by the whole store, as read at a revision.
     pub fn reset(&mut self, items: &[Item], revision: u64, now: Time) {
         self.changes.clear();
         self.compacted_revision = revision;
@@ -31,7 +29,7 @@
         self.extend(written, revision, now);
     }
 
-    /// Takes in changes up to a revision, at which the store stood at `confirmed`.
+    /// Adds changes up to a revision; the store was at that revision at `confirmed`.
     pub fn extend(
         &mut self,
         changes: impl IntoIterator<Item = Change>,
@@ -39,13 +37,13 @@
         confirmed: Time,
     ) {
         for change in changes {
-            let newer = |(known, _): &(Change, Time)| known.revision() < change.revision();
-            if self.changes.get(change.key()).is_none_or(newer) {
+            let is_newer = |(known, _): &(Change, Time)| known.revision() < change.revision();
+            if self.changes.get(change.key()).is_none_or(is_newer) {
                 self.changes
                     .insert(change.key().clone(), (change, confirmed));
             }
         }
-        // Word of an older revision, from a host that is behind, confirms nothing of the newest one.
+        // A host that is behind confirms nothing about newer revisions.
         if revision >= self.revision {
             self.revision = revision;
             self.confirmed_at = self.confirmed_at.max(confirmed);
@@ -53,36 +51,37 @@
         self.compact(confirmed);
     }
 
-    /// Forgets old removals; a host that asks from before them is not answered any more.
+    /// Drops old removals; changes since before them can no longer be told.
     fn compact(&mut self, now: Time) {
-        let floor = &mut self.compacted_revision;
+        let compacted_revision = &mut self.compacted_revision;
         self.changes.retain(|_, (change, at)| {
-            let stays = matches!(change, Change::Written(_)) || now.since(*at) < REMOVAL_RETENTION;
-            if !stays {
-                *floor = (*floor).max(change.revision());
+            let is_kept =
+                matches!(change, Change::Written(_)) || now.since(*at) < REMOVAL_RETENTION;
+            if !is_kept {
+                *compacted_revision = (*compacted_revision).max(change.revision());
             }
-            stays
+            is_kept
         });
     }
 
-    /// Revision up to which this host has heard.
+    /// Revision up to which changes are included.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Time since the store was known to stand at [`Recent::revision`].
+    /// Time since the store was known to be at [`Changelog::revision`].
     pub fn age(&self, now: Time) -> Span {
         now.since(self.confirmed_at)
     }
 
-    /// The newest writing of all that stands in the store, as far as this host has heard.
+    /// Newest write of every key that exists.
     pub fn snapshot(&self) -> Vec<Change> {
         let changes = self.changes.values().map(|(change, _)| change);
-        let stands = changes.filter(|change| matches!(change, Change::Written(_)));
-        stands.cloned().collect()
+        let existing = changes.filter(|change| matches!(change, Change::Written(_)));
+        existing.cloned().collect()
     }
 
-    /// Changes after a revision, oldest first; none when some of them may be missing here.
+    /// Changes after a revision, oldest first; `None` if some may be missing here.
     pub fn since(&self, after: u64) -> Option<Vec<Change>> {
         if after < self.compacted_revision {
             return None;
--- a/crates/front/src/feedback.rs
+++ b/crates/front/src/feedback.rs
@@ -1,4 +1,4 @@
-//! Takes in what the head of an answer says of its replica, wherever one is read.
+//! Applies what the head of an answer says about its replica: departure, backoff, rate limit, reachability.
 
 use crate::attempt::{Call, Reservation};
 use crate::rate_limit;
@@ -13,58 +13,58 @@
 use tracing::{info, warn};
 use unit::{Name, Span};
 
-/// Where an answer came from, and what it answers.
+/// Origin of an answer.
 #[derive(Debug, Clone)]
 pub struct Source {
-    /// The replica.
+    /// Replica that answered.
     pub replica: Name,
-    /// Which start of it was asked.
+    /// Incarnation of the replica that the request was sent to.
     pub incarnation: Incarnation,
-    /// The request's identity, or what else was asked.
+    /// Identity of the request, or the kind of call if it was none.
     pub subject: Name,
-    /// Whether what was asked names no adapter.
+    /// Whether the request named no adapter.
     pub without_adapter: bool,
 }
 
-/// Takes in all that an answer says of its replica.
-pub fn apply(state: &State, from: &Source, said: &Said) {
-    if said.leaves {
+/// Applies everything that an answer says about its replica.
+pub fn apply(state: &State, from: &Source, feedback: &Said) {
+    if feedback.leaves {
         record_departure(state, from);
     }
-    match &said.rest {
-        Reading::Value(rest) => record_backoff(state, from, Span::from_secs_f64(rest.as_secs_f64())),
-        Reading::Absent if said.is_turned_away() => record_backoff(state, from, Span::ZERO),
+    match &feedback.rest {
+        Reading::Value(requested) => record_backoff(state, from, Span::from_secs_f64(requested.as_secs_f64())),
+        Reading::Absent if feedback.is_turned_away() => record_backoff(state, from, Span::ZERO),
         Reading::Unreadable(value) => state.log.rate_limited(|| {
-            warn!(target: "replica", event = "unreadable", replica = &*from.replica, id = &*from.subject, value, "what the replica asks for is no time; it counts as not asked")
+            warn!(target: "replica", event = "unreadable", replica = &*from.replica, id = &*from.subject, value, "invalid backoff duration in a refusal; ignored")
         }),
         Reading::Absent => {}
     }
-    let answers = said.answers(&from.subject);
-    let ran = answers && said.signed && !said.not_run;
-    rate_limit::apply(state, from, &said.limit, ran);
+    let answers = feedback.answers(&from.subject);
+    let ran = answers && feedback.signed && !feedback.not_run;
+    rate_limit::apply(state, from, &feedback.limit, ran);
     let now = state.now();
-    if answers && said.misdirected {
+    if answers && feedback.misdirected {
         let mut table = state.table.lock();
         table.record_misdirected(&from.replica, from.without_adapter, now);
-    } else if answers && (said.signed || said.not_run) {
+    } else if answers && (feedback.signed || feedback.not_run) {
         state.table.lock().record_reached(&from.replica, now);
     }
 }
 
-/// Takes in that a replica leaves, and has it told to other hosts.
+/// Records that a replica announced its departure in an answer, and passes it on to other hosts.
 pub fn record_departure(state: &State, from: &Source) {
     let now = state.now();
-    let is_news = {
+    let is_new = {
         let view = &mut state.table.lock().view;
         view.record_departure(&from.replica, from.incarnation, Origin::Answer, now)
     };
-    if is_news {
+    if is_new {
         let by = &state.settings.name;
         announce_departure(state, &from.replica, Some(&from.subject), by);
     }
 }
 
-/// Takes in that a replica has told another host that it leaves.
+/// Records a departure that another host reported.
 pub fn record_reported_departure(
     state: &State,
     replica: &Name,
@@ -76,11 +76,11 @@
         true => Origin::Host,
         false => Origin::Leader,
     };
-    let is_news = {
+    let is_new = {
         let view = &mut state.table.lock().view;
         view.record_departure(replica, incarnation, origin, now)
     };
-    if is_news {
+    if is_new {
         announce_departure(state, replica, None, by);
     }
 }
@@ -89,31 +89,31 @@
     state.departure_heard.notify_one();
     state.changed.notify_waiters();
     state.log.rate_limited(|| {
-        info!(target: "replica", event = "leaving", replica = &**replica, id, by = &**by, "a replica says in an answer that it leaves")
+        info!(target: "replica", event = "leaving", replica = &**replica, id, by = &**by, "replica announced its departure in an answer")
     });
 }
 
-/// Takes in that a replica wants nothing from this host for a time.
-fn record_backoff(state: &State, from: &Source, rest: Span) {
+/// Records that a replica refused a request and asks this host for a backoff.
+fn record_backoff(state: &State, from: &Source, requested: Span) {
     let now = state.now();
-    let asked = state
+    let update = state
         .table
         .lock()
-        .record_backoff(&from.replica, from.incarnation, rest, now);
-    if let Some(BackoffUpdate { is_new, remaining }) = asked {
+        .record_backoff(&from.replica, from.incarnation, requested, now);
+    if let Some(BackoffUpdate { is_new, remaining }) = update {
         state
             .log
             .metrics
             .counter("coveford_rests_total", &[])
             .increment(1);
-        let (asked_ms, left_ms) = (rest.ms(), remaining.ms());
+        let (asked_ms, left_ms) = (requested.ms(), remaining.ms());
         state.log.rate_limited(|| {
-            info!(target: "replica", event = "rests", replica = &*from.replica, id = &*from.subject, by = &*state.settings.name, asked_ms, left_ms, first = is_new, "a replica turned a request away and wants nothing from this host for a time")
+            info!(target: "replica", event = "rests", replica = &*from.replica, id = &*from.subject, by = &*state.settings.name, asked_ms, left_ms, first = is_new, "replica refused a request and asked this host for a backoff")
         });
     }
 }
 
-/// Lets a request be sent to the replica of its place, unless that takes none now by its own word.
+/// Grants the send of a reserved request unless its replica takes none now.
 pub fn permit(
     state: &State,
     call: &Call,
@@ -122,25 +122,25 @@
     let now = state.now();
     let permit = state.table.lock().permit(&reservation.replica, now);
     if let Err(unavailable) = &permit {
-        let word = unavailable.label();
-        let labels = [("why", word)];
+        let why = unavailable.label();
+        let labels = [("why", why)];
         let metrics = &state.log.metrics;
         metrics
             .counter("coveford_kept_back_total", &labels)
             .increment(1);
         let placed_ms = now.since(reservation.reserved_at).ms();
         state.log.rate_limited(|| {
-            info!(target: "replica", event = "kept_back", id = &*call.id, replica = &*reservation.replica, why = word, placed_ms, "a request was not sent to a replica that wants none")
+            info!(target: "replica", event = "kept_back", id = &*call.id, replica = &*reservation.replica, why, placed_ms, "request not sent: the chosen replica takes no requests now")
         });
     }
     permit
 }
 
-/// Takes in the answers that come to a request before the one with the result.
+/// Applies informational (1xx) answers, which come before the final one.
 pub fn observe_informational(state: &Arc<State>, request: &mut Request<Body>, from: Source) {
     let state = state.clone();
     hyper::ext::on_informational(request, move |response| {
-        let said = answer::read(response.status(), response.headers());
-        apply(&state, &from, &said);
+        let feedback = answer::read(response.status(), response.headers());
+        apply(&state, &from, &feedback);
     });
 }
--- a/crates/front/src/pool.rs
+++ b/crates/front/src/pool.rs
@@ -1,8 +1,7 @@
-//! Kept connections to replicas, by incarnation.
+//! Pool of idle connections to replicas.
 //!
-//! A connection is trusted by its idle age: a request that may be repeated takes one until shortly
-//! before the replica closes it; one that may not takes only one that was used a moment ago, since
-//! a connection that closes meanwhile leaves its outcome unknown.
+//! A repeatable request may use a connection until shortly before the replica closes it. Any other request uses only one
+//! that was used very recently: if the replica closes a connection while a request is sent, its outcome is unknown.
 
 use conn::{Error, Line};
 use parking_lot::Mutex;
@@ -11,19 +10,19 @@
 use std::time::Duration;
 use unit::{Name, Span, Time};
 
-/// Idle age up to which a connection carries a request that may not be repeated.
+/// Idle time up to which a connection may carry a request that is not repeatable.
 const MAX_IDLE_UNREPEATABLE: Span = Span::from_ms(800);
 
-/// Idle time of a connection whose replica does not say how long it keeps one.
+/// Keep-alive time of a replica that does not announce one.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
 
-/// Time before the replica's own limit at which a connection is no longer used.
+/// Margin before the end of the keep-alive time at which a connection is no longer used.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(1_000);
 
-/// Time allowed to open a connection: a lost opening packet is sent again after a second.
+/// Timeout for opening a connection: a lost SYN is retransmitted after one second.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// Idle connections kept for one replica.
+/// Most idle connections kept for one replica.
 const MAX_IDLE_PER_REPLICA: usize = 24;
 
 struct Idle {
@@ -32,37 +31,36 @@
     until: Time,
 }
 
-/// Pool of connections to replicas.
+/// Idle connections by replica.
 #[derive(Default)]
 pub struct Pool {
     idle: Mutex<HashMap<Name, Vec<Idle>>>,
 }
 
 impl Pool {
-    /// Takes a kept connection that may carry such a request.
-    pub fn take(&self, replica: &str, repeatable: bool, now: Time) -> Option<Line> {
+    /// Takes an idle connection that may carry the request.
+    pub fn take(&self, replica: &str, is_repeatable: bool, now: Time) -> Option<Line> {
         let mut idle = self.idle.lock();
         let lines = idle.get_mut(replica)?;
-        lines.retain(|kept| kept.until > now && kept.line.is_idle());
-        // The one used last stands last.
+        lines.retain(|idle_line| idle_line.until > now && idle_line.line.is_idle());
+        // The most recently used connection is last.
         let newest = lines.last()?;
-        if !repeatable && now.since(newest.since) > MAX_IDLE_UNREPEATABLE {
+        if !is_repeatable && now.since(newest.since) > MAX_IDLE_UNREPEATABLE {
             return None;
         }
-        lines.pop().map(|kept| kept.line)
+        lines.pop().map(|idle_line| idle_line.line)
     }
 
-    /// Opens a connection.
-    pub async fn open(&self, addr: SocketAddr, left: Duration) -> Result<Line, Error> {
-        Line::open(addr, CONNECT_TIMEOUT.min(left)).await
+    pub async fn open(&self, addr: SocketAddr, remaining: Duration) -> Result<Line, Error> {
+        Line::open(addr, CONNECT_TIMEOUT.min(remaining)).await
     }
 
-    /// Gives a connection back once its answer was read whole.
+    /// Returns a connection after its answer was read completely.
     pub fn give(&self, replica: &Name, line: Line, keeps_for: Option<Duration>, now: Time) {
         let keeps_for = keeps_for.unwrap_or(DEFAULT_KEEP_ALIVE + KEEP_ALIVE_MARGIN);
         let Some(until) = keeps_for
             .checked_sub(KEEP_ALIVE_MARGIN)
-            .map(|left| now + Span::from(left))
+            .map(|remaining| now + Span::from(remaining))
         else {
             return;
         };
@@ -77,16 +75,16 @@
         }
     }
 
-    /// Closes the connections to a replica that is gone or has failed.
+    /// Closes all idle connections to a replica.
     pub fn close_all(&self, replica: &str) {
         self.idle.lock().remove(replica);
     }
 
-    /// Closes connections that are too old to be used.
+    /// Closes connections that may no longer be used.
     pub fn close_expired(&self, now: Time) {
         let mut idle = self.idle.lock();
         for lines in idle.values_mut() {
-            lines.retain(|kept| kept.until > now && kept.line.is_idle());
+            lines.retain(|idle_line| idle_line.until > now && idle_line.line.is_idle());
         }
         idle.retain(|_, lines| !lines.is_empty());
     }
--- a/crates/front/src/queue.rs
+++ b/crates/front/src/queue.rs
@@ -1,5 +1,4 @@
-//! Requests that wait at this host until a replica can read their prompts without a long pause for
-//! the streams that run there.
+//! Queues of requests that wait until a replica can prefill their prompts without stalling the streams that run there.
 
 use crate::attempt::{Call, Reservation};
 use crate::state::State;
@@ -12,28 +11,28 @@
 use tokio::sync::oneshot;
 use unit::{Name, Time};
 
-/// Requests that may wait for one model; more are refused.
+/// Most requests in one queue; more are refused.
 const MAX_WAITING: usize = 512;
 
-/// Pause after which is tried again although nothing was heard of the replicas.
+/// Interval at which queues are retried without a change of the table.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Highest priority of a ticket, which the most urgent rank gets.
+/// Ticket priority of the most urgent requests.
 const MAX_PRIORITY: u8 = 9;
 
-/// What waits together: the same service, model and adapter.
+/// Service, model and adapter that the requests of one queue need.
 type Key = (Name, Option<Name>, Option<Name>);
 
-/// Request's turn: its replica, and its place there.
+/// Replica chosen for a queued request, and the reservation there.
 pub type Placement = (Choice, Reservation);
 
-/// Requests that wait, by what they need.
+/// Queued requests, by what they need.
 #[derive(Default)]
 pub struct Queues {
     queues: HashMap<Key, Queue<Waiter>>,
 }
 
-/// Request that waits.
+/// Queued request.
 pub struct Waiter {
     call: Arc<Call>,
     sender: oneshot::Sender<Placement>,
@@ -45,14 +44,13 @@
 }
 
 impl Queues {
-    /// Whether requests like this one wait already.
+    /// Whether requests that need the same are queued.
     pub fn has_waiters(&self, call: &Call) -> bool {
         let queue = self.queues.get(&key(call));
         queue.is_some_and(|q| !q.is_empty())
     }
 
-    /// Lets a request wait until `until`; its turn comes over the channel, which closes when it was
-    /// shed.
+    /// Queues a request until `until`. Its placement comes over the channel, which closes if the request is shed.
     pub fn push(
         &mut self,
         call: &Arc<Call>,
@@ -64,7 +62,7 @@
             .queues
             .entry(key(call))
             .or_insert_with(|| Queue::new(MAX_WAITING));
-        // A ticket that the queue sheds closes its channel by being dropped.
+        // A shed ticket is dropped, which closes its channel.
         let _ = queue.push(
             now,
             Ticket {
@@ -86,7 +84,7 @@
         self.queues.values().all(Queue::is_empty)
     }
 
-    /// Gives turns to all that can be placed now.
+    /// Places queued requests while replicas can take them.
     fn dispatch(&mut self, state: &Arc<State>) {
         let now = state.now();
         for queue in self.queues.values_mut() {
@@ -99,7 +97,7 @@
                 };
                 let Some(ticket) = queue.pop(now) else { break };
                 let reservation = Reservation::open(state, &call, &choice);
-                // A client that has left meanwhile gives its place back by dropping it.
+                // If the client has left, dropping the placement releases the reservation.
                 drop(ticket.payload.sender.send((choice, reservation)));
             }
         }
@@ -107,16 +105,16 @@
     }
 }
 
-/// Gives turns whenever something changed, until the daemon ends.
-pub async fn run(state: Arc<State>, waiting: Arc<Mutex<Queues>>) {
+/// Dispatches queued requests on every change of the table, until the daemon ends.
+pub async fn run(state: Arc<State>, queues: Arc<Mutex<Queues>>) {
     loop {
-        let idle = waiting.lock().is_empty();
+        let idle = queues.lock().is_empty();
         match idle {
             true => state.changed.notified().await,
             false => {
                 let _ = tokio::time::timeout(POLL_INTERVAL, state.changed.notified()).await;
             }
         }
-        waiting.lock().dispatch(&state);
+        queues.lock().dispatch(&state);
     }
 }
--- a/crates/front/src/rate_limit.rs
+++ b/crates/front/src/rate_limit.rs
@@ -1,8 +1,8 @@
-//! Limits that replicas in need name in their answers: the requests a second that they take from all hosts together.
+//! Rate limits that replicas advertise in their answers: the requests per second that they take from all hosts together.
 //!
-//! A limit is known to all hosts within parts of a second. From then on each sending to the replica needs one request of
-//! the limit, which the leader gives out ([`crate::grant`]); a host that gets no answer goes on by its share, or sends
-//! nothing there. A refusal keeps the replica out of this host's choice until there may be room again.
+//! Hosts learn of a limit from each other within a fraction of a second. Each send to a limited replica then needs one
+//! unit, which the limiter at the leader grants ([`crate::grant`]). A host without an answer from the limiter uses its
+//! local share, or sends nothing. After a denial the replica is not chosen until a unit may be available again.
 
 use crate::attempt::Call;
 use crate::feedback;
@@ -18,20 +18,20 @@
 use tracing::{info, warn};
 use unit::Name;
 
-/// Time for the one try of a question: another replica may take the request sooner than a second try would be answered.
+/// Timeout of a claim, which is tried once: another replica can take the request sooner than a retry is answered.
 const SINGLE_TRY: &[Duration] = TIMEOUTS.split_at(1).0;
 
-/// Takes in what an answer says of its replica's limit. One that the replica `ran` the request for and that names no
-/// limit says that none holds any more; a refusal without one says nothing.
+/// Records the limit that an answer advertises. An answer without one withdraws the limit if the replica `ran` the
+/// request; a refusal without one changes nothing.
 pub fn apply(state: &State, from: &feedback::Source, limit: &Reading<f64>, ran: bool) {
     let rate = match limit {
-        // Hosts tell each other rates in this precision, and compare them.
+        // Hosts exchange rates as `f32` and compare them.
         Reading::Value(rate) => Some(f64::from((*rate as f32).min(f32::MAX))),
         Reading::Absent if ran => None,
         Reading::Absent => return,
         Reading::Unreadable(value) => {
             state.log.rate_limited(|| {
-                warn!(target: "limit", event = "unreadable", replica = &*from.replica, value, "what the replica names is no number of requests a second; it counts as not named")
+                warn!(target: "limit", event = "unreadable", replica = &*from.replica, value, "invalid rate limit in an answer; ignored")
             });
             return;
         }
@@ -48,52 +48,52 @@
     }
 }
 
-/// Tells of a change of what is known of a limit, and which host said so.
+/// Logs a change of a replica's limit, and the host that reported it.
 pub fn log_change(state: &State, replica: &Name, rate: f64, change: Change, by: &Name) {
     let (replica, by) = (&**replica, &**by);
     state.log.rate_limited(|| match change {
-        Change::Advertised => info!(target: "limit", event = "named", replica, rate, by, "a replica in need takes so many requests a second from all hosts together"),
-        Change::Changed(before) => info!(target: "limit", event = "changed", replica, rate, before, by, "a replica in need names another limit"),
-        Change::Withdrawn => info!(target: "limit", event = "over", replica, by, "a replica names no limit any more"),
+        Change::Advertised => info!(target: "limit", event = "named", replica, rate, by, "replica advertises a limit in requests per second over all hosts"),
+        Change::Changed(before) => info!(target: "limit", event = "changed", replica, rate, before, by, "replica advertises another limit"),
+        Change::Withdrawn => info!(target: "limit", event = "over", replica, by, "replica withdrew its limit"),
     });
 }
 
-/// A replica in need has no room for a request.
+/// The limit of the chosen replica has no unit left for the request.
 #[derive(Debug)]
 pub struct Exhausted;
 
-/// Gets a request of a replica's limit, if that has named one.
+/// Claims one unit of a replica's limit; `None` if the replica has no limit.
 pub async fn admit(
     state: &State,
     peers: &Arc<Peers>,
     criteria: &Criteria<'_>,
     choice: &Choice,
 ) -> Result<Option<Grant>, Exhausted> {
-    let asked = state.now();
+    let asked_at = state.now();
     let replica = &choice.replica;
     let terms = {
         let mut table = state.table.lock();
-        let Some(terms) = table.limit_for(replica, criteria, asked) else {
+        let Some(terms) = table.limit_for(replica, criteria, asked_at) else {
             return Ok(None);
         };
-        table.record_claim(replica, asked);
+        table.record_claim(replica, asked_at);
         terms
     };
     let claim = claim(&terms, choice);
-    let answer = match state.shares.may_ask(asked) {
+    let decision = match state.shares.may_ask(asked_at) {
         true => grant::ask(state, peers, &claim, SINGLE_TRY).await,
         false => None,
     };
     let now = state.now();
     let source = {
         let mut table = state.table.lock();
-        match answer {
-            Some(Decision::Granted(given)) => {
-                table.record_limiter_answer(replica, Some(Ok(given.available)), now);
+        match decision {
+            Some(Decision::Granted(usage)) => {
+                table.record_limiter_answer(replica, Some(Ok(usage.available)), now);
                 Some(Source::Limiter)
             }
-            Some(Decision::Denied(over)) => {
-                table.record_limiter_answer(replica, Some(Err(over)), now);
+            Some(Decision::Denied(refusal)) => {
+                table.record_limiter_answer(replica, Some(Err(refusal)), now);
                 None
             }
             Some(Decision::Unlimited) => {
@@ -102,13 +102,13 @@
             }
             None => {
                 table.record_limiter_answer(replica, None, now);
-                let used = grant::spend_share(state, &claim);
-                used.is_ok().then_some(Source::Share)
+                let spent = grant::spend_share(state, &claim);
+                spent.is_ok().then_some(Source::Share)
             }
         }
     };
     match source {
-        Some(source) => Ok(Some(claim.into_grant(peers, asked, source))),
+        Some(source) => Ok(Some(claim.into_grant(peers, asked_at, source))),
         None => {
             state
                 .log
@@ -130,13 +130,13 @@
     }
 }
 
-/// Request that waits for room at a replica in need; dropping it counts it out.
+/// Guard of a request that waits for a unit of a replica's limit.
 pub struct Waiter {
     state: Arc<State>,
     replica: Name,
 }
 
-/// Counts a request in that waits for room at a replica.
+/// Counts a request as waiting for a replica until the guard is dropped.
 pub fn register_waiter(state: &Arc<State>, replica: &Name) -> Waiter {
     state.table.lock().count_waiter(replica, true);
     Waiter {
@@ -151,7 +151,7 @@
     }
 }
 
-/// Counts and tells a sending to a replica that has named a limit.
+/// Counts and logs a send to a replica that has a limit.
 pub fn record_send(state: &State, call: &Call, replica: &Name, last_event: Option<u64>) {
     let Some(rate) = state.table.lock().limit_of(replica, state.now()) else {
         return;
@@ -162,6 +162,6 @@
         .counter("coveford_limited_sendings_total", &[])
         .increment(1);
     state.log.rate_limited(|| {
-        info!(target: "limit", event = "sent", id = &*call.id, replica = &**replica, rate, last_event, priority = call.priority, "a request goes to a replica in need")
+        info!(target: "limit", event = "sent", id = &*call.id, replica = &**replica, rate, last_event, priority = call.priority, "request sent to a replica with a rate limit")
     });
 }
--- a/crates/front/src/relay.rs
+++ b/crates/front/src/relay.rs
@@ -1,7 +1,7 @@
-//! Passing a replica's answer on: whole bodies at once, streams event by event.
+//! Forwarding of a replica's answer: a body as a whole, a stream event by event.
 //!
-//! A stream that breaks is taken up at another replica behind its last whole event, if its route
-//! allows that (`resume`); otherwise the client's connection breaks, so that the answer never looks whole.
+//! A broken stream is resumed at another replica after its last complete event, if its route allows that (`resume`).
+//! Otherwise the client's connection is aborted, so that a truncated answer never looks complete.
 
 mod resume;
 
@@ -28,40 +28,40 @@
 /// Longest answer that is not a stream, in bytes.
 const MAX_ANSWER: usize = 16 << 20;
 
-/// Silence of a stream that may be resumed after which is looked whether its replica is gone.
+/// Time without data of a resumable stream after which its replica is checked.
 const SILENCE_CHECK: Span = Span::from_ms(1_000);
 
-/// Part of the longest pause in time from which a pause tells that a replica is slow.
+/// Fraction of the longest allowed pause from which a pause counts as slow.
 const LONG_PAUSE_FRACTION: f64 = 0.7;
 
-/// Whether the replica of a place is in the view, has not started again, and its entry is not missing.
+/// Whether the replica of a reservation is listed, with the same incarnation.
 fn is_present(state: &State, reservation: &Reservation) -> bool {
     let table = state.table.lock();
-    let seen = table.view.get(&reservation.replica);
-    seen.is_some_and(|s| {
+    let listed = table.view.get(&reservation.replica);
+    listed.is_some_and(|s| {
         s.missing_since.is_none() && s.entry.incarnation == reservation.incarnation
     })
 }
 
-/// Reads an answer that is not a stream whole.
+/// Reads and forwards an answer that is not a stream.
 pub async fn read_whole(
     state: &Arc<State>,
     call: &Call,
-    sent: Exchange,
+    exchange: Exchange,
 ) -> Result<Response<Body>, Failure> {
     let Exchange {
         mut reservation,
         line,
         response,
         feedback,
-    } = sent;
+    } = exchange;
     let (head, body) = response.into_parts();
     let read = Limited::new(body, MAX_ANSWER).collect();
     let read = state.clock.timeout_at(call.deadline, read).await;
     let body = match read {
         Ok(Ok(body)) => body.to_bytes(),
-        Ok(Err(e)) => {
-            let failed = Failure::Lost(format!("its answer broke off: {e}"));
+        Ok(Err(error)) => {
+            let failed = Failure::Lost(format!("its answer was cut off: {error}"));
             reservation.record_failure(call, &failed);
             return Err(failed);
         }
@@ -82,7 +82,7 @@
     Ok(response)
 }
 
-/// Gives a connection back once its answer was read whole, if the replica keeps it.
+/// Returns a connection to the pool after a complete answer, if the replica keeps it open.
 fn return_connection(state: &State, reservation: &Reservation, line: Line, feedback: &Said) {
     if feedback.keeps_connection {
         state
@@ -91,7 +91,7 @@
     }
 }
 
-/// Answer that comes as events.
+/// Forwarded event stream.
 struct Relay {
     state: Arc<State>,
     peers: Arc<Peers>,
@@ -101,24 +101,24 @@
     first_chunk: Option<Bytes>,
     history: History,
     last_event_at: Time,
-    /// Time to the first event.
+    /// Time from the arrival of the request to the first event.
     ttft: Span,
-    /// Longest pause between two events so far.
+    /// Longest slow pause between two events.
     longest_pause: Pause,
     _in_flight: InFlight,
 }
 
-/// Pause between two events of a stream, and what stood at the replica when it ended.
+/// Pause between two events, and the load of the replica at its end.
 #[derive(Default)]
 struct Pause {
     duration: Span,
-    /// Requests in flight at the replica, as far as they were known here.
+    /// Requests in flight at the replica, as far as known here.
     in_flight: f64,
-    /// Time to read the prompts that were not read there.
+    /// Time to prefill the prompts that waited there.
     prefill_backlog: Span,
 }
 
-/// Where the events come from now.
+/// Replica answer that events are read from.
 struct Source {
     reservation: Reservation,
     line: Line,
@@ -126,18 +126,18 @@
     body: Incoming,
 }
 
-/// Waits for the first whole event of an answer, then gives the answer that passes all on.
+/// Waits for the first complete event of an answer, then returns an answer that forwards the stream.
 pub async fn open_stream(
     state: &Arc<State>,
     peers: &Arc<Peers>,
     call: &Arc<Call>,
-    sent: Exchange,
+    exchange: Exchange,
     history: History,
 ) -> Result<Response<Body>, Failure> {
     let mut answer = Response::new(());
-    *answer.status_mut() = sent.response.status();
-    *answer.headers_mut() = returned(sent.response.headers());
-    let source = Source::from(sent);
+    *answer.status_mut() = exchange.response.status();
+    *answer.headers_mut() = returned(exchange.response.headers());
+    let source = Source::from(exchange);
     let mut relay = Relay {
         state: state.clone(),
         peers: peers.clone(),
@@ -159,7 +159,7 @@
     Ok(answer.map(|()| StreamBody::new(events).boxed_unsync()))
 }
 
-/// Header fields of an answer as they go on; the length is set anew by what is passed on.
+/// Header fields that are forwarded, without the length.
 fn returned(headers: &HeaderMap) -> HeaderMap {
     let mut headers = ingress::returned(headers);
     headers.remove(header::CONTENT_LENGTH);
@@ -167,27 +167,26 @@
 }
 
 impl Source {
-    /// The events of an answer whose head has come.
-    fn from(sent: Exchange) -> Source {
+    fn from(exchange: Exchange) -> Source {
         Source {
-            reservation: sent.reservation,
-            line: sent.line,
-            feedback: sent.feedback,
-            body: sent.response.into_body(),
+            reservation: exchange.reservation,
+            line: exchange.line,
+            feedback: exchange.feedback,
+            body: exchange.response.into_body(),
         }
     }
 }
 
 impl Relay {
-    /// Waits for the first whole event; a failure before it may be made good elsewhere.
+    /// Reads the first event. Until it has arrived, the request may be retried elsewhere.
     async fn read_first_event(&mut self) -> Result<(), Failure> {
         self.first_chunk = match self.read_events().await {
             Ok(first) => first,
-            Err(why) => {
+            Err(failure) => {
                 if let Some(source) = self.source.take() {
-                    source.reservation.record_failure(&self.call, &why);
+                    source.reservation.record_failure(&self.call, &failure);
                 }
-                return Err(why);
+                return Err(failure);
             }
         };
         self.last_event_at = self.state.now();
@@ -201,7 +200,7 @@
         Ok(())
     }
 
-    /// Next piece for the client; none at the end.
+    /// Next data for the client; `None` at the end of the stream.
     async fn next_chunk(&mut self) -> Option<Result<Frame<Bytes>, io::Error>> {
         if let Some(first) = self.first_chunk.take() {
             return Some(Ok(Frame::data(first)));
@@ -213,22 +212,22 @@
                     return Some(Ok(Frame::data(events)));
                 }
                 Ok(None) => return self.complete(),
-                Err(why) => match self.resume(&why).await {
+                Err(failure) => match self.resume(&failure).await {
                     true => continue,
-                    false => return Some(Err(self.abort(&why))),
+                    false => return Some(Err(self.abort(&failure))),
                 },
             }
         }
     }
 
-    /// Learns from the pause before an event, if it was long.
+    /// Records the pause before an event, if it was slow.
     fn record_pause(&mut self) {
         let now = self.state.now();
         let pause = now.since(self.last_event_at);
         self.last_event_at = now;
         let gap = self.call.route.gap.map(Span::from);
-        let long = gap.is_some_and(|gap| pause > gap * LONG_PAUSE_FRACTION);
-        if let Some(source) = self.source.as_ref().filter(|_| long) {
+        let is_long = gap.is_some_and(|gap| pause > gap * LONG_PAUSE_FRACTION);
+        if let Some(source) = self.source.as_ref().filter(|_| is_long) {
             let mut table = self.state.table.lock();
             table.record_slow_event(&source.reservation.replica, now);
             if pause > self.longest_pause.duration {
@@ -242,7 +241,7 @@
         }
     }
 
-    /// Tells that the stream is complete.
+    /// Logs the end of a complete stream.
     fn complete(&mut self) -> Option<Result<Frame<Bytes>, io::Error>> {
         self.state
             .log
@@ -260,12 +259,12 @@
             self.longest_pause.prefill_backlog.ms(),
         );
         self.state.log.sampled(id, || {
-            info!(target: "request", event = "answered", id = &**id, route = &*route.name, model, ms, first_ms, target_ms, pause_ms, gap_ms, in_flight, unread_ms, "the stream is complete; pause_ms is its longest long pause, with what stood at the replica then")
+            info!(target: "request", event = "answered", id = &**id, route = &*route.name, model, ms, first_ms, target_ms, pause_ms, gap_ms, in_flight, unread_ms, "stream complete; pause_ms is its longest slow pause, in_flight and unread_ms the load of the replica then")
         });
         None
     }
 
-    /// Reads whole events, or none when the answer has ended well.
+    /// Reads complete events; `None` if the answer has ended properly.
     async fn read_events(&mut self) -> Result<Option<Bytes>, Failure> {
         while self.source.is_some() {
             let Some(frame) = self.next_frame().await? else {
@@ -275,7 +274,8 @@
                 continue;
             };
             let events = self.splitter.push(data);
-            let events = events.map_err(|_| Failure::Lost("an event was too long".into()))?;
+            let events =
+                events.map_err(|_| Failure::Lost("an event exceeded the size limit".into()))?;
             if events.is_some() {
                 return Ok(events);
             }
@@ -283,39 +283,40 @@
         Ok(None)
     }
 
-    /// Reads one frame of the answer, or none at its end.
+    /// Reads one frame of the answer; `None` at its end.
     async fn next_frame(&mut self) -> Result<Option<Frame<Bytes>>, Failure> {
         let deadline = self.call.deadline;
         let clock = &self.state.clock;
-        let resumable = self.call.route.kind.is_repeatable();
+        let is_resumable = self.call.route.kind.is_repeatable();
         let Some(source) = &mut self.source else {
             return Ok(None);
         };
         loop {
             let silence = clock.now() + SILENCE_CHECK;
-            let until = match resumable {
+            let until = match is_resumable {
                 true => deadline.min(silence),
                 false => deadline,
             };
             match clock.timeout_at(until, source.body.frame()).await {
                 Ok(frame) => {
-                    let broken = |e| Failure::Lost(format!("its stream broke off: {e}"));
-                    return frame.transpose().map_err(broken);
+                    let to_failure =
+                        |error| Failure::Lost(format!("its stream broke off: {error}"));
+                    return frame.transpose().map_err(to_failure);
                 }
                 Err(_) if until == deadline => return Err(Failure::TimedOut),
-                // Silence alone is no reason to give a replica up: it may just be slow.
+                // Silence alone is no failure: the replica may be slow.
                 Err(_) if is_present(&self.state, &source.reservation) => {}
                 Err(_) => {
-                    return Err(Failure::Lost("the replica was silent, and is gone".into()));
+                    return Err(Failure::Lost("the replica was silent and is gone".into()));
                 }
             }
         }
     }
 
-    /// Notes that the answer has ended, unless it ended inside an event.
+    /// Records the end of the answer; fails if it ended within an event.
     fn finish_source(&mut self) -> Result<(), Failure> {
         if self.splitter.is_partial() {
-            return Err(Failure::Lost("its stream ended inside an event".into()));
+            return Err(Failure::Lost("its stream ended within an event".into()));
         }
         if let Some(mut source) = self.source.take() {
             source.reservation.record_answer(false);
@@ -330,8 +331,8 @@
         Ok(())
     }
 
-    /// Breaks the answer off, so that it does not look whole.
-    fn abort(&mut self, why: &Failure) -> io::Error {
+    /// Aborts the answer, so that it does not look complete.
+    fn abort(&mut self, failure: &Failure) -> io::Error {
         self.source = None;
         let call = &self.call;
         self.state
@@ -342,9 +343,9 @@
         let history = self.history.attempted.join(",");
         let last = self.splitter.last();
         self.state.log.rate_limited(|| {
-            tracing::warn!(target: "request", event = "broken", id = &*call.id, print = %call.fingerprint(), route = &*call.route.name, tried = history, last, ms = age, why = %why, "the stream is broken off")
+            tracing::warn!(target: "request", event = "broken", id = &*call.id, print = %call.fingerprint(), route = &*call.route.name, tried = history, last, ms = age, why = %failure, "stream aborted")
         });
-        io::Error::other(why.to_string())
+        io::Error::other(failure.to_string())
     }
 }
 
@@ -358,7 +359,7 @@
             .metrics
             .record_outcome(&call.route.name, "cancelled");
         self.state.log.sampled(&call.id, || {
-            info!(target: "request", event = "cancelled", id = &*call.id, route = &*call.route.name, replica = &*source.reservation.replica, ms, "the client left; the replica's connection is closed")
+            info!(target: "request", event = "cancelled", id = &*call.id, route = &*call.route.name, replica = &*source.reservation.replica, ms, "client disconnected; the connection to the replica is closed")
         });
     }
 }
--- a/crates/front/src/relay/resume.rs
+++ b/crates/front/src/relay/resume.rs
@@ -1,4 +1,4 @@
-//! Taking a broken stream up at another replica.
+//! Resumption of a broken stream at another replica.
 
 use super::{Relay, Source};
 use crate::attempt::{Failure, Reservation, send};
@@ -8,22 +8,22 @@
 use tracing::info;
 use unit::Span;
 
-/// Time for which a broken stream waits for room at a replica in need or at rest: clients give a stream up after a gap of two seconds.
+/// Time for which a broken stream waits for capacity: clients abandon a stream after a gap of two seconds.
 const RESUME_TIMEOUT: Span = Span::from_ms(1_500);
 
-/// Sendings of one stream that broke, the refused ones included.
+/// Most sends to resume one stream, including refused ones.
 const MAX_SENDS: usize = 5;
 
 impl Relay {
-    /// Takes the stream up at another replica; tells whether that was possible.
-    pub(super) async fn resume(&mut self, why: &Failure) -> bool {
+    /// Resumes the stream at another replica; returns whether that succeeded.
+    pub(super) async fn resume(&mut self, cause: &Failure) -> bool {
         if let Some(source) = self.source.take() {
-            source.reservation.record_failure(&self.call, why);
+            source.reservation.record_failure(&self.call, cause);
             self.state.pool.close_all(&source.reservation.replica);
         }
         let (state, call) = (self.state.clone(), self.call.clone());
-        let repeatable = call.route.kind.is_repeatable();
-        if *why == Failure::TimedOut || !repeatable || !quarantine::may_retry(&state, &call) {
+        let is_repeatable = call.route.kind.is_repeatable();
+        if *cause == Failure::TimedOut || !is_repeatable || !quarantine::may_retry(&state, &call) {
             return false;
         }
         self.splitter.rest();
@@ -42,24 +42,24 @@
                 }
                 return false;
             }
-            let place = Reservation::open(&state, &call, &choice);
-            let sent = send(&state, &call, &choice, place, last).await;
-            if let (Some(grant), Err(failed)) = (grant, &sent)
-                && failed.proves_unsent()
+            let reservation = Reservation::open(&state, &call, &choice);
+            let result = send(&state, &call, &choice, reservation, last).await;
+            if let (Some(grant), Err(failure)) = (grant, &result)
+                && failure.proves_unsent()
             {
                 grant.refund(&state).await;
             }
-            self.history.record(&choice.replica, &sent);
+            self.history.record(&choice.replica, &result);
             state.log.rate_limited(|| {
-                let outcome = match &sent {
-                    Ok(sent) => format!("status {}", sent.response.status()),
-                    Err(failed) => failed.to_string(),
+                let outcome = match &result {
+                    Ok(result) => format!("status {}", result.response.status()),
+                    Err(failure) => failure.to_string(),
                 };
-                info!(target: "request", event = "continued", id = &*call.id, replica = &*choice.replica, last, why = %why, outcome, "a broken stream is taken up elsewhere")
+                info!(target: "request", event = "continued", id = &*call.id, replica = &*choice.replica, last, why = %cause, outcome, "resuming a broken stream at another replica")
             });
-            match sent {
-                Ok(sent) if sent.response.status().is_success() => {
-                    self.source = Some(Source::from(sent));
+            match result {
+                Ok(result) if result.response.status().is_success() => {
+                    self.source = Some(Source::from(result));
                     return true;
                 }
                 Err(Failure::Unauthorized(_) | Failure::Quarantined(_)) => return false,
@@ -69,28 +69,31 @@
         false
     }
 
-    /// Replica that may take the stream up, with a part of its limit where it has named one; waits shortly for room where
-    /// all that could are in need.
+    /// Chooses a replica to resume at and claims a unit of its rate limit, if it has one. Waits if all eligible replicas are
+    /// without capacity.
     async fn next_replica(&self) -> Option<(Choice, Option<Grant>)> {
         let (state, call) = (&self.state, &self.call);
-        let give_up = state.now() + RESUME_TIMEOUT;
+        let deadline = state.now() + RESUME_TIMEOUT;
         loop {
             let now = state.now();
-            let want = Criteria {
+            let criteria = Criteria {
                 is_resumption: true,
                 ..call.criteria(&self.history.attempted)
             };
-            let chosen = state.table.lock().choose(&want, now);
+            let chosen = state.table.lock().choose(&criteria, now);
             match chosen {
                 Ok(choice) => {
-                    if let Ok(grant) = rate_limit::admit(state, &self.peers, &want, &choice).await {
+                    if let Ok(grant) =
+                        rate_limit::admit(state, &self.peers, &criteria, &choice).await
+                    {
                         return Some((choice, grant));
                     }
                 }
-                Err(Unplaceable::Saturated(full))
-                    if now + full.wait < give_up.min(call.deadline) =>
+                Err(Unplaceable::Saturated(saturation))
+                    if now + saturation.wait < deadline.min(call.deadline) =>
                 {
-                    let _ = tokio::time::timeout(full.wait.std(), state.changed.notified()).await;
+                    let _ =
+                        tokio::time::timeout(saturation.wait.std(), state.changed.notified()).await;
                 }
                 Err(_) => return None,
             }
--- a/crates/front/src/respond.rs
+++ b/crates/front/src/respond.rs
@@ -1,7 +1,7 @@
-//! Answers of coveford's own.
+//! Answers that this host gives itself.
 //!
-//! 429, 503 and 408 are given only where it is proven that the request has not run and will not;
-//! everything else that could not be answered is 502 or 504.
+//! 429, 503 and 408 are given only if it is proven that the request has not run and will not. Other failures to get an
+//! answer are 502 or 504.
 
 use bytes::Bytes;
 use http_body_util::combinators::UnsyncBoxBody;
@@ -11,24 +11,23 @@
 use std::io;
 use unit::Span;
 
-/// Body of an answer: whole, or a stream that may fail.
+/// Body of an answer: complete, or a stream that may fail.
 pub type Body = UnsyncBoxBody<Bytes, io::Error>;
 
-/// A request that coveford answers itself.
+/// Answer to a request that this host rejects.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Rejection {
-    /// Status of the answer.
     pub status: StatusCode,
-    /// One word for logs and metrics.
+    /// Short code for logs, metrics and the client.
     pub reason: &'static str,
-    /// What happened, for the client.
+    /// Description for the client.
     pub message: String,
-    /// When to come back, if the request has not run.
+    /// Value of `Retry-After`, if the request has not run.
     pub retry_after: Option<Span>,
 }
 
 impl Rejection {
-    /// The request has not run and will not; the client may come back.
+    /// 503: the request has not run and will not; the client may retry.
     pub fn not_run(
         reason: &'static str,
         message: impl Into<String>,
@@ -42,7 +41,7 @@
         }
     }
 
-    /// The request may have run, and its answer is lost.
+    /// 502: the request may have run, and its answer is lost.
     pub fn lost(reason: &'static str, message: impl Into<String>) -> Rejection {
         Rejection {
             status: StatusCode::BAD_GATEWAY,
@@ -52,7 +51,7 @@
         }
     }
 
-    /// Its time ran out at a replica.
+    /// 504: the replica did not answer before the deadline.
     pub fn timed_out(message: impl Into<String>) -> Rejection {
         Rejection {
             status: StatusCode::GATEWAY_TIMEOUT,
@@ -62,7 +61,7 @@
         }
     }
 
-    /// The request itself is at fault.
+    /// The request is invalid or not allowed.
     pub fn client_error(
         status: StatusCode,
         reason: &'static str,
@@ -76,7 +75,7 @@
         }
     }
 
-    /// The answer that tells the client.
+    /// Response that is sent to the client.
     pub fn response(&self) -> Response<Body> {
         let text = serde_json::json!({"error": self.reason, "message": self.message});
         let mut response = Response::new(full_body(text.to_string().into()));
@@ -94,14 +93,14 @@
     }
 }
 
-/// Body that is there whole.
+/// Body with complete content.
 pub fn full_body(bytes: Bytes) -> Body {
     Full::new(bytes)
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
-/// Asks the client to close the connection behind this answer.
+/// Asks the client to close the connection after this answer.
 pub fn close(response: &mut Response<Body>) {
     let headers = response.headers_mut();
     headers.insert(CONNECTION, HeaderValue::from_static("close"));
--- a/crates/front/src/routes.rs
+++ b/crates/front/src/routes.rs
@@ -1,4 +1,4 @@
-//! A configuration in the form in which requests use it.
+//! Configuration, indexed for the lookup of routes and services.
 
 use crate::accounts::{self, Accounts};
 use platform::account::Account;
@@ -11,21 +11,20 @@
 /// Configuration in force.
 #[derive(Debug)]
 pub struct Routes {
-    /// Its version.
     pub version: u64,
-    /// Revision of the store at which it was written.
+    /// Store revision at which it was written.
     pub revision: u64,
-    /// Bounds on what clients may send.
+    /// Limits on client requests.
     pub limits: Limits,
-    /// Client accounts; none when requests need no key.
+    /// Client accounts; `None` if requests need no key.
     pub accounts: Option<Accounts>,
     router: Router<Route>,
-    /// Ranks of urgency that its routes may have: one more than the highest number.
+    /// Priority levels of its routes: one more than the highest priority.
     priority_levels: u8,
     services: HashMap<Name, Arc<Service>>,
 }
 
-/// Makes the form from a configuration.
+/// Indexes a configuration.
 pub fn build(config: Config, revision: u64) -> Routes {
     let highest = config.routes.iter().map(|r| r.priority).max();
     let priority_levels = highest.unwrap_or_default().saturating_add(1);
@@ -49,12 +48,12 @@
 }
 
 impl Routes {
-    /// Route of a request.
+    /// Route for a host and path.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         self.router.find(host, path)
     }
 
-    /// Rank of a request on a route, 0 first.
+    /// Priority of a request on a route, 0 is the most urgent.
     pub fn rank(&self, account: Option<&Arc<Account>>, route: &Route) -> u8 {
         match (&self.accounts, account) {
             (Some(accounts), Some(account)) => accounts.rank(account, route, self.priority_levels),
@@ -62,12 +61,12 @@
         }
     }
 
-    /// Service of a name.
+    /// Service by name.
     pub fn service(&self, name: &str) -> Option<&Arc<Service>> {
         self.services.get(name)
     }
 
-    /// Services whose replicas run models, with their engines.
+    /// Services that run models, with their engines.
     pub fn engines(&self) -> impl Iterator<Item = (&Name, &Engine)> {
         let services = self.services.values();
         services.filter_map(|s| s.engine.as_ref().map(|e| (&s.name, e)))
--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -1,4 +1,4 @@
-//! One request of a client, from its head to its answer.
+//! Serving of one client request, from its head to its answer.
 
 mod admit;
 mod read;
@@ -22,37 +22,36 @@
 use tracing::info;
 use unit::{Span, Time};
 
-/// When a client may come back that found no configuration or no replica at all.
+/// `Retry-After` for a client that found no configuration or no replica at all.
 const RETRY_LATER: Span = Span::from_ms(1_000);
 
-/// Least and longest time after which a refused client is asked to come back.
+/// Least and greatest `Retry-After` for a refused client.
 const RETRY_RANGE: (Span, Span) = (Span::from_ms(200), Span::from_ms(3_000));
 
-/// Pause before a request goes once more to a replica that turned it away.
+/// Pause before a request is sent again to a replica that refused it.
 const RETRY_PAUSE: Duration = Duration::from_millis(40);
 
-/// Sendings of one request, the refused ones included.
+/// Most sends of one request, including refused ones.
 const MAX_SENDS: usize = 5;
 
-/// Where requests come in.
+/// What request handlers share.
 #[derive(Clone)]
 pub struct Context {
-    /// What the parts of the daemon share.
+    /// State of the daemon.
     pub state: Arc<State>,
-    /// Other hosts.
     pub peers: Arc<Peers>,
     /// Requests that wait for a replica.
     pub queues: Arc<Mutex<Queues>>,
 }
 
-/// Answers a request; the answer is given at once when the request is given up.
-pub async fn handle(entry: Context, request: Request<Incoming>) -> Response<Body> {
-    let state = &entry.state;
+/// Serves one request.
+pub async fn handle(context: Context, request: Request<Incoming>) -> Response<Body> {
+    let state = &context.state;
     let _in_flight = state.enter();
     let arrived = state.now();
-    let mut response = match answer(&entry, request, arrived).await {
+    let mut response = match answer(&context, request, arrived).await {
         Ok(response) => response,
-        Err(fault) => fault.response(),
+        Err(rejection) => rejection.response(),
     };
     if state.is_draining() {
         close(&mut response);
@@ -60,13 +59,13 @@
     response
 }
 
-/// Reads a request, sends it, and tells how it ended.
+/// Reads a request, sends it to a replica, and logs its outcome.
 async fn answer(
-    entry: &Context,
+    context: &Context,
     request: Request<Incoming>,
     arrived: Time,
 ) -> Result<Response<Body>, Rejection> {
-    let state = &entry.state;
+    let state = &context.state;
     let routes = state.table.lock().routes.clone();
     let routes = routes.ok_or_else(|| {
         let message = "This host has no configuration yet.";
@@ -74,52 +73,55 @@
     })?;
     let route = read::route(state, &routes, &request)?;
     let call = Arc::new(read::call(state, &routes, route, request, arrived).await?);
-    let answered = admit_and_send(entry, &call).await;
-    match &answered {
+    let result = admit_and_send(context, &call).await;
+    match &result {
         Ok(response) => report::answered(state, &call, response),
-        Err(fault) => report::rejected(state, &call, fault),
+        Err(rejection) => report::rejected(state, &call, rejection),
     }
-    answered
+    result
 }
 
-/// Sends a request, if its account may have it run.
-async fn admit_and_send(entry: &Context, call: &Arc<Call>) -> Result<Response<Body>, Rejection> {
-    let state = &entry.state;
-    quarantine::admit(state, &entry.peers, call).await?;
-    let grant = quota::admit(state, &entry.peers, call).await?;
+/// Admits a request by quarantine and quota, and sends it. The quota is refunded if the request has not run.
+async fn admit_and_send(context: &Context, call: &Arc<Call>) -> Result<Response<Body>, Rejection> {
+    let state = &context.state;
+    quarantine::admit(state, &context.peers, call).await?;
+    let grant = quota::admit(state, &context.peers, call).await?;
     record_arrival(state, call);
-    let answered = send_with_retries(entry, call).await;
-    let has_not_run = answered.as_ref().is_err_and(|f| f.retry_after.is_some());
+    let result = send_with_retries(context, call).await;
+    let has_not_run = result.as_ref().is_err_and(|f| f.retry_after.is_some());
     if let Some(grant) = grant.filter(|_| has_not_run) {
         grant.refund(state).await;
     }
-    answered
+    result
 }
 
-/// Counts a request in the demand and in the retry budget of its service.
+/// Counts a request in the demand and the retry budget of its service.
 fn record_arrival(state: &State, call: &Call) {
     let bounds = &state.settings.bounds;
     let mut table = state.table.lock();
     table.record_arrival(&call.service, &call.ask, bounds, call.arrived);
 }
 
-/// What was done for a request so far.
+/// State of a request between sends.
 struct Progress {
     /// Replicas that it was sent to.
     history: History,
-    /// Why the last sending brought no answer.
+    /// Failure of the last send.
     last_failure: Failure,
-    /// Whether another replica could have taken it when the last one was chosen.
+    /// Whether there were other eligible replicas at the last choice.
     has_alternatives: bool,
-    /// What it was told when no replica was found for a further sending.
+    /// Rejection of the last placement, if that ended the retries.
     rejection: Option<Rejection>,
-    /// A replica's answer that tells of its own failure; it is passed on if no better one comes.
+    /// Server error that a replica answered with; forwarded if no later send succeeds.
     answer: Option<Response<Body>>,
 }
 
-/// Sends a request until it is answered, or nothing more may be done for it.
-async fn send_with_retries(entry: &Context, call: &Arc<Call>) -> Result<Response<Body>, Rejection> {
-    let state = &entry.state;
+/// Sends a request until it is answered or may not be retried.
+async fn send_with_retries(
+    context: &Context,
+    call: &Arc<Call>,
+) -> Result<Response<Body>, Rejection> {
+    let state = &context.state;
     let mut progress = Progress {
         history: History::default(),
         last_failure: Failure::Unsent("no replica was tried".into()),
@@ -127,8 +129,8 @@
         rejection: None,
         answer: None,
     };
-    for sending in 0..MAX_SENDS {
-        if sending > 0 && !may_retry(state, call, &progress) {
+    for attempt in 0..MAX_SENDS {
+        if attempt > 0 && !may_retry(state, call, &progress) {
             break;
         }
         let admit::Placed {
@@ -136,44 +138,44 @@
             reservation,
             grant,
         } = match place(
-            entry,
+            context,
             call,
             &progress.history,
             progress.has_alternatives,
-            sending,
+            attempt,
         )
         .await
         {
             Ok(placed) => placed,
-            Err(fault) if sending == 0 => return Err(fault),
-            Err(fault) => {
-                progress.rejection = Some(fault);
+            Err(rejection) if attempt == 0 => return Err(rejection),
+            Err(rejection) => {
+                progress.rejection = Some(rejection);
                 break;
             }
         };
         progress.has_alternatives = choice.candidate_count > 1;
-        let sent = send(state, call, &choice, reservation, call.ask.last_event).await;
-        if let (Some(grant), Err(failed)) = (grant, &sent)
-            && failed.proves_unsent()
+        let exchange = send(state, call, &choice, reservation, call.ask.last_event).await;
+        if let (Some(grant), Err(failure)) = (grant, &exchange)
+            && failure.proves_unsent()
         {
             grant.refund(state).await;
         }
-        progress.history.record(&choice.replica, &sent);
-        let passed = match sent {
-            Ok(sent) => forward(entry, call, sent, &progress.history).await,
-            Err(failed) => Err(failed),
+        progress.history.record(&choice.replica, &exchange);
+        let outcome = match exchange {
+            Ok(exchange) => forward(context, call, exchange, &progress.history).await,
+            Err(failure) => Err(failure),
         };
-        let failed = match passed {
+        let failure = match outcome {
             Ok(response) if !progress.may_improve(call, &response) => return Ok(response),
             Ok(response) => {
-                let failed = Failure::ServerError(response.status().as_u16());
+                let failure = Failure::ServerError(response.status().as_u16());
                 progress.answer = Some(response);
-                failed
+                failure
             }
-            Err(failed) => failed,
+            Err(failure) => failure,
         };
-        handle_failure(state, call, &choice, &failed);
-        progress.last_failure = failed;
+        handle_failure(state, call, &choice, &failure);
+        progress.last_failure = failure;
     }
     match progress.answer {
         Some(answer) => Ok(answer),
@@ -181,53 +183,53 @@
     }
 }
 
-/// Finds a replica for the next sending of a request: another one, if there are `others`, or else, after a pause, one that
-/// turned it away unrun.
+/// Places the next send of a request: at another replica, or else, after a pause, at one that refused it without running
+/// it.
 async fn place(
-    entry: &Context,
+    context: &Context,
     call: &Arc<Call>,
     history: &History,
     has_alternatives: bool,
-    sending: usize,
+    attempt: usize,
 ) -> Result<admit::Placed, Rejection> {
     if has_alternatives {
-        let placed = admit::place(entry, call, &history.attempted, sending).await;
-        if placed.is_ok() || sending == 0 {
+        let placed = admit::place(context, call, &history.attempted, attempt).await;
+        if placed.is_ok() || attempt == 0 {
             return placed;
         }
     }
     tokio::time::sleep(RETRY_PAUSE).await;
-    admit::place(entry, call, &history.may_have_run, sending).await
+    admit::place(context, call, &history.may_have_run, attempt).await
 }
 
 impl Progress {
-    /// Whether another replica may give a better answer than this one, which a replica made whole.
+    /// Whether a retry may replace this answer, which is a server error.
     fn may_improve(&self, call: &Call, response: &Response<Body>) -> bool {
         let is_repeatable = call.route.kind.is_repeatable();
         response.status().is_server_error() && is_repeatable && self.history.may_run_again(call)
     }
 }
 
-/// Passes an answer on whose head has come: event by event, or whole.
+/// Forwards an answer whose head has arrived, as a stream or as a whole.
 async fn forward(
-    entry: &Context,
+    context: &Context,
     call: &Arc<Call>,
-    sent: Exchange,
+    exchange: Exchange,
     history: &History,
 ) -> Result<Response<Body>, Failure> {
-    let state = &entry.state;
-    match is_event_stream(call, &sent.response) {
-        true => relay::open_stream(state, &entry.peers, call, sent, history.clone()).await,
-        false => relay::read_whole(state, call, sent).await,
+    let state = &context.state;
+    match is_event_stream(call, &exchange.response) {
+        true => relay::open_stream(state, &context.peers, call, exchange, history.clone()).await,
+        false => relay::read_whole(state, call, exchange).await,
     }
 }
 
-/// Whether an answer is a stream of events.
+/// Whether an answer is an event stream.
 fn is_event_stream<B>(call: &Call, response: &Response<B>) -> bool {
     call.route.kind.is_stream() && response.status().is_success()
 }
 
-/// Whether a request may be sent once more after a failure.
+/// Whether a request may be sent again after its last failure.
 fn may_retry(state: &State, call: &Call, progress: &Progress) -> bool {
     let now = state.now();
     let last = &progress.last_failure;
@@ -243,17 +245,19 @@
         }
         Failure::NotRun { .. } | Failure::Unsent(_) | Failure::Unavailable(_) => true,
     };
-    let free = matches!(last, Failure::Unsent(_) | Failure::Unavailable(_));
-    allowed && now < call.deadline && (free || state.table.lock().spend_retry(&call.service, now))
+    let is_free = matches!(last, Failure::Unsent(_) | Failure::Unavailable(_));
+    allowed
+        && now < call.deadline
+        && (is_free || state.table.lock().spend_retry(&call.service, now))
 }
 
-/// Tells of a failed sending, and corrects what the table believed.
-fn handle_failure(state: &State, call: &Call, choice: &Choice, failed: &Failure) {
+/// Logs a failed send, and corrects the table and the pool.
+fn handle_failure(state: &State, call: &Call, choice: &Choice, failure: &Failure) {
     state.log.rate_limited(|| {
-        info!(target: "request", event = "failed", id = &*call.id, print = %call.fingerprint(), replica = &*choice.replica, addr = %choice.addr, entry = choice.revision, candidates = choice.candidate_count, why = %failed, "a sending brought no answer")
+        info!(target: "request", event = "failed", id = &*call.id, print = %call.fingerprint(), replica = &*choice.replica, addr = %choice.addr, entry = choice.revision, candidates = choice.candidate_count, why = %failure, "send failed")
     });
     let misdirected = matches!(
-        failed,
+        failure,
         Failure::NotRun {
             misdirected: true,
             ..
@@ -263,28 +267,28 @@
         let mut table = state.table.lock();
         table.remove_adapter(&choice.replica, model, adapter);
     }
-    let sound = matches!(
-        failed,
+    let is_alive = matches!(
+        failure,
         Failure::NotRun { .. } | Failure::ServerError(_) | Failure::Unavailable(_)
     );
-    if !sound {
+    if !is_alive {
         state.pool.close_all(&choice.replica);
     }
 }
 
-/// Answer to a request that is given up.
+/// Rejection of a request that could not be answered.
 fn final_rejection(state: &State, call: &Call, progress: Progress) -> Rejection {
     let may_have_run = !progress.history.may_have_run.is_empty();
     let last = &progress.last_failure;
     match last {
         Failure::Unauthorized(refusal) if !may_have_run => return refusal.fault(),
-        Failure::Quarantined(fault) if !may_have_run => return fault.clone(),
+        Failure::Quarantined(rejection) if !may_have_run => return rejection.clone(),
         _ => {}
     }
     if !may_have_run {
-        let message = format!("No replica took the request ({last}).");
-        let refused = Rejection::not_run("refused_by_replicas", message, RETRY_RANGE.0);
-        return progress.rejection.unwrap_or(refused);
+        let message = format!("No replica accepted the request ({last}).");
+        let default = Rejection::not_run("refused_by_replicas", message, RETRY_RANGE.0);
+        return progress.rejection.unwrap_or(default);
     }
     match state.now() >= call.deadline || *last == Failure::TimedOut {
         true => Rejection::timed_out("The replica did not answer in time."),
--- a/crates/front/src/serve/admit.rs
+++ b/crates/front/src/serve/admit.rs
@@ -1,4 +1,4 @@
-//! Admission: choosing a replica for a request, letting it wait for its turn, or refusing it.
+//! Admission: choosing a replica for a request, queueing it, or refusing it.
 
 use super::unavailable::{request_adapter, saturated, unplaceable};
 use super::{Context, RETRY_RANGE, report};
@@ -14,41 +14,39 @@
 use tokio::time::timeout;
 use unit::{Name, Span, Time};
 
-/// Expected time to the first token, as a part of its target, beyond which a request is refused.
+/// Expected time to first token, as a multiple of the target, above which a request is refused.
 const MAX_TTFT_FACTOR: f64 = 1.2;
 
-/// Part of its target for which a request may wait here for its model or adapter.
+/// Fraction of the target for which a request may wait for an adapter or an unreachable replica.
 const LOAD_WAIT_FRACTION: f64 = 0.25;
 
-/// Part of the target that a request may spend waiting here and in reading its prompt.
+/// Fraction of the target that queueing and prefill may take together.
 const QUEUE_WAIT_FRACTION: f64 = 0.8;
 
-/// Priority from which a request gives way: it is not sent where what is to be read already holds up
-/// the streams that run for as long as it may. Every one of them then pauses too long, some forty of a
-/// full batch; a more urgent request is sent all the same. Measured: from 1 on, requests are refused
-/// that would have been served.
+/// Priority from which a request is refused rather than sent to a replica whose prefill limit is exceeded. More urgent
+/// requests are sent although the streams that run there stall.
 const YIELDING_PRIORITY: u8 = 2;
 
-/// Time between two looks at the table while a request waits.
+/// Interval at which a waiting request retries the choice without a change of the table.
 const POLL_INTERVAL: Duration = Duration::from_millis(60);
 
-/// Part of the places of a service below which nothing is refused.
+/// Utilization of a service below which no request is refused as overloaded.
 const BUSY_UTILIZATION: f64 = 0.5;
 
-/// Where a request goes.
+/// Placement of one send.
 pub(super) struct Placed {
     pub(super) choice: Choice,
     pub(super) reservation: Reservation,
-    /// Its part of the replica's limit, if that has named one.
+    /// Unit of the replica's rate limit, if it has one.
     pub(super) grant: Option<Grant>,
 }
 
-/// Replica that was found for a request.
+/// Replica found for a request.
 struct Found {
     choice: Choice,
-    /// The request's place there, where it got that with its turn.
+    /// Reservation, if the request was queued.
     reservation: Option<Reservation>,
-    /// Whether it waited for its turn.
+    /// Whether the request was queued.
     waited: bool,
 }
 
@@ -62,22 +60,22 @@
     }
 }
 
-/// Chooses a replica, and gets a part of its limit where it has named one; a replica that has no room for the request
-/// is not chosen again until it may have.
+/// Chooses a replica and claims a unit of its rate limit, if it has one. A replica whose limit is exhausted is not chosen
+/// again until a unit may be available.
 pub(super) async fn place(
-    entry: &Context,
+    context: &Context,
     call: &Arc<Call>,
-    avoid: &[Name],
-    sending: usize,
+    excluded: &[Name],
+    attempt: usize,
 ) -> Result<Placed, Rejection> {
-    let state = &entry.state;
-    let mut held = None;
+    let state = &context.state;
+    let mut waiter = None;
     loop {
-        let found = find(entry, call, avoid, sending, &mut held).await?;
-        let criteria = call.criteria(avoid);
-        let Ok(grant) = rate_limit::admit(state, &entry.peers, &criteria, &found.choice).await
+        let found = find(context, call, excluded, attempt, &mut waiter).await?;
+        let criteria = call.criteria(excluded);
+        let Ok(grant) = rate_limit::admit(state, &context.peers, &criteria, &found.choice).await
         else {
-            // Not even this host's own word may keep others from their turn.
+            // Denials without a message to the leader complete at once: let other tasks run.
             tokio::task::yield_now().await;
             continue;
         };
@@ -86,7 +84,7 @@
             reservation,
             waited,
         } = found;
-        if sending == 0 {
+        if attempt == 0 {
             report::sent(state, call, &choice, waited);
         }
         let reservation = reservation.unwrap_or_else(|| Reservation::open(state, call, &choice));
@@ -98,100 +96,103 @@
     }
 }
 
-/// Finds a replica; waits shortly for a model or an adapter that is on its way, or for room at replicas in need.
+/// Finds a replica; waits for an adapter, a model that is being loaded, or a replica without capacity.
 async fn find(
-    entry: &Context,
+    context: &Context,
     call: &Arc<Call>,
-    avoid: &[Name],
-    sending: usize,
-    held: &mut Option<Waiter>,
+    excluded: &[Name],
+    attempt: usize,
+    waiter: &mut Option<Waiter>,
 ) -> Result<Found, Rejection> {
-    let state = &entry.state;
-    let held_until = call.arrived + Span::from(call.route.target) * LOAD_WAIT_FRACTION;
+    let state = &context.state;
+    let load_deadline = call.arrived + Span::from(call.route.target) * LOAD_WAIT_FRACTION;
     loop {
         let now = state.now();
-        let criteria = call.criteria(avoid);
+        let criteria = call.criteria(excluded);
         let chosen = state.table.lock().choose(&criteria, now);
-        let (until, fault) = match chosen {
-            Ok(choice) if sending > 0 => return Ok(Found::immediate(choice)),
+        let (deadline, rejection) = match chosen {
+            Ok(choice) if attempt > 0 => return Ok(Found::immediate(choice)),
             Ok(choice) => {
                 if choice.adapter_replicas_busy {
                     request_adapter(state, call, true);
                 }
-                return admit(entry, call, choice).await;
+                return admit(context, call, choice).await;
             }
-            Err(Unplaceable::Saturated(at)) => saturated(state, call, &at, held, now),
-            Err(nowhere) => unplaceable(state, call, nowhere, held_until, now),
+            Err(Unplaceable::Saturated(saturation)) => {
+                saturated(state, call, &saturation, waiter, now)
+            }
+            Err(reason) => unplaceable(state, call, reason, load_deadline, now),
         };
-        // A host that stops has no time for requests that only wait.
-        if now >= until.min(call.deadline) || state.is_draining() {
-            return Err(fault);
+        // A draining host does not wait.
+        if now >= deadline.min(call.deadline) || state.is_draining() {
+            return Err(rejection);
         }
-        let left = until.since(now).std().min(POLL_INTERVAL);
-        let _ = timeout(left, state.changed.notified()).await;
+        let pause = deadline.since(now).std().min(POLL_INTERVAL);
+        let _ = timeout(pause, state.changed.notified()).await;
     }
 }
 
-/// Admits a request where it can meet its target: at once, or when its turn comes. Refuses it at
-/// once where it cannot.
-async fn admit(entry: &Context, call: &Arc<Call>, choice: Choice) -> Result<Found, Rejection> {
-    let state = &entry.state;
+/// Admits a request at once or from its queue, or refuses it if it cannot meet its target.
+async fn admit(context: &Context, call: &Arc<Call>, choice: Choice) -> Result<Found, Rejection> {
+    let state = &context.state;
     let now = state.now();
     let target = Span::from(call.route.target);
     let expected = now.since(call.arrived) + choice.ttft;
-    let others_wait = entry.queues.lock().has_waiters(call);
-    if choice.fits_prefill_limit && !others_wait {
+    let is_queued = context.queues.lock().has_waiters(call);
+    if choice.fits_prefill_limit && !is_queued {
         return Ok(Found::immediate(choice));
     }
-    let (taken, model_eta) = {
+    let (utilization, model_eta) = {
         let table = state.table.lock();
         let model = call.ask.model.as_ref();
         let model_eta = model.and_then(|m| table.model_eta(m, now));
         (table.utilization(&call.criteria(&[]), now), model_eta)
     };
-    if expected > target * MAX_TTFT_FACTOR && (taken >= BUSY_UTILIZATION || !choice.has_free_slot) {
+    if expected > target * MAX_TTFT_FACTOR
+        && (utilization >= BUSY_UTILIZATION || !choice.has_free_slot)
+    {
         return Err(overloaded(expected, target, model_eta));
     }
-    let until = call.arrived + (target * QUEUE_WAIT_FRACTION).saturating_sub(choice.ttft);
-    if let Some((choice, reservation)) = wait_for_turn(entry, call, until, now).await {
+    let deadline = call.arrived + (target * QUEUE_WAIT_FRACTION).saturating_sub(choice.ttft);
+    if let Some((choice, reservation)) = wait_for_turn(context, call, deadline, now).await {
         return Ok(Found {
             choice,
             reservation: Some(reservation),
             waited: true,
         });
     }
-    // Much may have changed in the wait: the first choice may have left.
+    // The table may have changed during the wait: choose again.
     let now = state.now();
-    let again = state.table.lock().choose(&call.criteria(&[]), now);
-    match again {
+    let chosen = state.table.lock().choose(&call.criteria(&[]), now);
+    match chosen {
         Ok(choice) if choice.exceeds_prefill_limit && call.priority >= YIELDING_PRIORITY => {
             let expected = now.since(call.arrived) + choice.ttft;
             Err(overloaded(expected, target, model_eta))
         }
         Ok(choice) => Ok(Found::immediate(choice)),
-        Err(nowhere) => Err(unplaceable(state, call, nowhere, now, now).1),
+        Err(reason) => Err(unplaceable(state, call, reason, now, now).1),
     }
 }
 
-/// Waits for the turn of a request; none when it did not come by `until`.
+/// Queues a request; `None` if it was not placed by `until`.
 async fn wait_for_turn(
-    entry: &Context,
+    context: &Context,
     call: &Arc<Call>,
-    until: Time,
+    deadline: Time,
     now: Time,
 ) -> Option<Placement> {
-    if until <= now {
+    if deadline <= now {
         return None;
     }
-    let state = &entry.state;
-    let turn = entry.queues.lock().push(call, until, now);
+    let state = &context.state;
+    let placement = context.queues.lock().push(call, deadline, now);
     tokio::select! {
-        turn = state.clock.timeout_at(until, turn) => turn.ok().and_then(Result::ok),
+        placement = state.clock.timeout_at(deadline, placement) => placement.ok().and_then(Result::ok),
         _ = state.drain_started() => None,
     }
 }
 
-/// Answer to a request that would wait too long for its first token.
+/// Rejection of a request that would wait too long for its first token.
 fn overloaded(expected: Span, target: Span, model_eta: Option<Span>) -> Rejection {
     let wait = batch::retry_after(expected, target, model_eta);
     let wait = wait.max(RETRY_RANGE.0).min(RETRY_RANGE.1);
--- a/crates/front/src/serve/read.rs
+++ b/crates/front/src/serve/read.rs
@@ -1,4 +1,4 @@
-//! Reading a request: its route, its header fields, its body.
+//! Reading of a request: its route, its header fields and its body.
 
 use super::RETRY_LATER;
 use crate::accounts;
@@ -19,18 +19,16 @@
 use tracing::info;
 use unit::{Span, Time, rendezvous};
 
-/// Age of what this host knows of the store, as a part of the bound on configurations, beyond which a route that it does
-/// not know may stand in a newer one. Within it a request that is denied came before that was in force; what is left
-/// covers the request's way and the look at the table.
+/// Age of this host's data, as a fraction of the bound on configurations, beyond which an unknown route may exist in a newer
+/// configuration. The rest of the bound covers the transit of the request and the lookup.
 const MAX_AGE_FRACTION: f64 = 0.95;
 
-/// Host that a request names: in its target or in its header.
+/// Host that a request names in its target or else in its `Host` field.
 fn host(uri: &Uri, headers: &HeaderMap) -> String {
-    let named = headers.get(HOST).and_then(|h| h.to_str().ok());
-    uri.host().or(named).unwrap_or_default().to_owned()
+    let header = headers.get(HOST).and_then(|h| h.to_str().ok());
+    uri.host().or(header).unwrap_or_default().to_owned()
 }
 
-/// Finds the route of a request.
 pub(super) fn route(
     state: &State,
     routes: &Routes,
@@ -42,8 +40,8 @@
     }
     let max = Span::from(state.settings.bounds.configuration) * MAX_AGE_FRACTION;
     if state.table.lock().view.contact.is_unreachable() || accounts::data_age(state) > max {
-        // The route may stand in a newer configuration that this host cannot read.
-        let message = "No route leads there by the last configuration that this host could read.";
+        // The route may exist in a newer configuration.
+        let message = "No route matches in the last configuration that this host could read.";
         return Err(Rejection::not_run(
             "configuration_old",
             message,
@@ -52,16 +50,16 @@
     }
     state.log.metrics.record_outcome(&"none".into(), "no_route");
     state.log.rate_limited(|| {
-        info!(target: "request", event = "refused", reason = "no_route", host, path = request.uri().path(), version = routes.version, "no route")
+        info!(target: "request", event = "refused", reason = "no_route", host, path = request.uri().path(), version = routes.version, "no route matches")
     });
     Err(Rejection::client_error(
         StatusCode::NOT_FOUND,
         "no_route",
-        format!("No route of configuration {} leads there.", routes.version),
+        format!("No route of configuration {} matches.", routes.version),
     ))
 }
 
-/// Reads a request whole.
+/// Reads a complete request.
 pub(super) async fn call(
     state: &Arc<State>,
     routes: &Routes,
@@ -73,14 +71,14 @@
     let host = host(&head.uri, &head.headers);
     let caller = accounts::authenticate(state, routes, &route, &mut head.headers)?;
     let ask = ingress::ask(&head.headers);
-    let patience = ask.patience.unwrap_or(route.timeout).min(route.timeout);
-    let deadline = arrived + Span::from(patience);
-    let (body, room) = read_body(state, routes, body, deadline).await?;
+    let timeout = ask.patience.unwrap_or(route.timeout).min(route.timeout);
+    let deadline = arrived + Span::from(timeout);
+    let (body, memory) = read_body(state, routes, body, deadline).await?;
     let id = ask.id.clone().unwrap_or_else(|| "-".into());
     let hash = rendezvous::hash(id.as_bytes());
     let service = route::routing::pick_weighted(&route.services, hash);
     let service = service.cloned().ok_or_else(|| {
-        Rejection::not_run("no_service", "The route leads to no service.", RETRY_LATER)
+        Rejection::not_run("no_service", "The route has no service.", RETRY_LATER)
     })?;
     Ok(Call {
         id,
@@ -93,7 +91,7 @@
         uri: origin_form(head.uri),
         headers: head.headers,
         body,
-        _memory: room,
+        _memory: memory,
         ask,
         arrived,
         deadline,
@@ -102,13 +100,17 @@
     })
 }
 
-/// Path and query of a target, without its host.
+/// Target in origin form: path and query, without the host.
 fn origin_form(uri: Uri) -> Uri {
     let path = uri.path_and_query().cloned();
-    path.map_or(uri, |p| p.as_str().parse().expect("a path was read"))
+    path.map_or(uri, |p| {
+        p.as_str()
+            .parse()
+            .expect("path and query of a valid target")
+    })
 }
 
-/// Reads a body within its bounds of size and time; its part of the memory for bodies goes with it.
+/// Reads a body within its limits of size and time; returns it with its reservation of body memory.
 async fn read_body(
     state: &Arc<State>,
     routes: &Routes,
@@ -119,23 +121,23 @@
         return Ok((Bytes::new(), None));
     }
     let max = routes.limits.body;
-    let room = reserve_memory(state, &body, max)?;
+    let memory = reserve_memory(state, &body, max)?;
     let read = Limited::new(body, max).collect();
     match state.clock.timeout_at(deadline, read).await {
-        Ok(Ok(body)) => Ok((body.to_bytes(), Some(room))),
-        Ok(Err(why)) => Err(body_error(&*why, max)),
+        Ok(Ok(body)) => Ok((body.to_bytes(), Some(memory))),
+        Ok(Err(error)) => Err(body_error(&*error, max)),
         Err(_) => Err(Rejection::client_error(
             StatusCode::REQUEST_TIMEOUT,
             "body_late",
-            "The body did not come in time.",
+            "The body was not received in time.",
         )),
     }
 }
 
-/// Memory taken for a body whose length is not told, in bytes: most are smaller.
+/// Bytes reserved for a body of unknown length.
 const UNKNOWN_LENGTH: u64 = 64 * 1_024;
 
-/// Takes the memory that a body needs, by its length.
+/// Reserves memory for a body by its length.
 fn reserve_memory(
     state: &State,
     body: &Incoming,
@@ -147,25 +149,25 @@
         .unwrap_or(UNKNOWN_LENGTH)
         .min(max as u64);
     let kb = (hint / 1_024) as u32 + 1;
-    let room = state.body_memory.clone().try_acquire_many_owned(kb);
-    room.map_err(|_| {
-        let message = "This host holds as many request bodies as it may.";
+    let memory = state.body_memory.clone().try_acquire_many_owned(kb);
+    memory.map_err(|_| {
+        let message = "This host has no memory left for request bodies.";
         Rejection::not_run("bodies_full", message, RETRY_LATER)
     })
 }
 
-/// Answer to a request whose body could not be read whole.
-fn body_error(why: &(dyn Error + Send + Sync + 'static), max: usize) -> Rejection {
-    if why.is::<LengthLimitError>() {
+/// Rejection of a request whose body could not be read.
+fn body_error(error: &(dyn Error + Send + Sync + 'static), max: usize) -> Rejection {
+    if error.is::<LengthLimitError>() {
         return Rejection::client_error(
             StatusCode::PAYLOAD_TOO_LARGE,
             "body_too_large",
-            format!("The body is longer than {max} bytes."),
+            format!("The body exceeds {max} bytes."),
         );
     }
     Rejection::client_error(
         StatusCode::BAD_REQUEST,
         "body_broken",
-        format!("The body broke off: {why}."),
+        format!("The body could not be read: {error}."),
     )
 }
--- a/crates/front/src/serve/report.rs
+++ b/crates/front/src/serve/report.rs
@@ -1,4 +1,4 @@
-//! Telling, in logs and metrics, where a request went and how it ended.
+//! Logs and metrics of where a request was sent and how it ended.
 
 use super::is_event_stream;
 use crate::attempt::Call;
@@ -9,7 +9,7 @@
 use tracing::{info, warn};
 use unit::Span;
 
-/// Tells that a request is sent to a replica, and whether it waited for its turn.
+/// Logs the first send of a request.
 pub(super) fn sent(state: &State, call: &Call, choice: &Choice, waited: bool) {
     let missing_ms = choice.missing_for.map(Span::ms);
     if missing_ms.is_some() {
@@ -20,11 +20,11 @@
     }
     state.log.sampled(&call.id, || {
         let ms = state.now().since(call.arrived).ms();
-        info!(target: "request", event = "sent", id = &*call.id, route = &*call.route.name, model = call.ask.model.as_deref(), adapter = call.ask.adapter.as_deref(), replica = &*choice.replica, candidates = choice.candidate_count, expected_ms = choice.ttft.ms(), paced = choice.fits_prefill_limit, waited, ms, entry = choice.revision, missing_ms, "sent to the replica with the least expected time")
+        info!(target: "request", event = "sent", id = &*call.id, route = &*call.route.name, model = call.ask.model.as_deref(), adapter = call.ask.adapter.as_deref(), replica = &*choice.replica, candidates = choice.candidate_count, expected_ms = choice.ttft.ms(), paced = choice.fits_prefill_limit, waited, ms, entry = choice.revision, missing_ms, "request sent to the replica with the lowest cost")
     });
 }
 
-/// Tells of the answer of a replica, unless it is a stream: that is told of at its end.
+/// Records the answer of a replica. Event streams are recorded at their end.
 pub(super) fn answered(state: &State, call: &Call, response: &Response<Body>) {
     let status = response.status().as_u16();
     let took = state.now().since(call.arrived);
@@ -38,20 +38,20 @@
     };
     state.log.metrics.record_outcome(&call.route.name, outcome);
     state.log.sampled(&call.id, || {
-        info!(target: "request", event = "answered", id = &*call.id, route = &*call.route.name, status, ms = took.ms(), target_ms = Span::from(call.route.target).ms(), "the replica's answer was passed on")
+        info!(target: "request", event = "answered", id = &*call.id, route = &*call.route.name, status, ms = took.ms(), target_ms = Span::from(call.route.target).ms(), "answer forwarded")
     });
 }
 
-/// Tells of a request that coveford answers itself.
-pub(super) fn rejected(state: &State, call: &Call, fault: &Rejection) {
+/// Records a request that was rejected by this host.
+pub(super) fn rejected(state: &State, call: &Call, rejection: &Rejection) {
     let ms = state.now().since(call.arrived).ms();
     state
         .log
         .metrics
-        .record_outcome(&call.route.name, fault.reason);
-    let retry_after_ms = fault.retry_after.map(|s| s.ms());
+        .record_outcome(&call.route.name, rejection.reason);
+    let retry_after_ms = rejection.retry_after.map(|s| s.ms());
     let account = call.caller.account.as_ref().map(|a| &*a.name);
     state.log.rate_limited(|| {
-        warn!(target: "request", event = "refused", id = &*call.id, route = &*call.route.name, model = call.ask.model.as_deref(), adapter = call.ask.adapter.as_deref(), account, status = fault.status.as_u16(), reason = fault.reason, retry_after_ms, ms, why = fault.message, "the request is given up")
+        warn!(target: "request", event = "refused", id = &*call.id, route = &*call.route.name, model = call.ask.model.as_deref(), adapter = call.ask.adapter.as_deref(), account, status = rejection.status.as_u16(), reason = rejection.reason, retry_after_ms, ms, why = rejection.message, "request rejected")
     });
 }
--- a/crates/front/src/serve/unavailable.rs
+++ b/crates/front/src/serve/unavailable.rs
@@ -1,5 +1,4 @@
-//! What a request lacks that no replica can take now: until when it may wait for that here, and what it is told
-//! otherwise.
+//! Requests that no replica can take now: how long each may wait, and how it is rejected after that.
 
 use super::{RETRY_LATER, RETRY_RANGE};
 use crate::attempt::Call;
@@ -11,58 +10,55 @@
 use std::sync::Arc;
 use unit::{Span, Time};
 
-/// When a client may come back whose adapter had no room yet.
+/// `Retry-After` while an adapter is not loaded.
 const RETRY_ADAPTER: Span = Span::from_ms(300);
 
-/// When a client may come back whose replicas could not be reached: about a restart's time.
+/// `Retry-After` while replicas are unreachable: about the time of a restart.
 const RETRY_UNREACHABLE: Span = Span::from_ms(800);
 
-/// Time within which the leader answers when a model that is on no replica is there, if it can come: a
-/// few ways between hosts and one plan.
+/// Time for the leader to answer a request for a model that no replica holds.
 const LEADER_RESPONSE_TIME: Span = Span::from_ms(60);
 
-/// Time from a copy's arrival until all hosts know of it: a round of sums.
+/// Time from the end of a load until all hosts know of the copy.
 const PROPAGATION_TIME: Span = Span::from_ms(300);
 
-/// Part of its target for which a request may wait until a replica in need or at rest has room: the remainder is for reading
-/// its prompt.
+/// Fraction of the target for which a request may wait for capacity; the rest is left for prefill.
 const CAPACITY_WAIT_FRACTION: f64 = 0.5;
 
-/// Part of the time after which a client may come back by which the times of clients differ, so that they don't all return in
-/// one moment.
+/// Random part of `Retry-After`, as a fraction of it, so that clients do not return at the same time.
 const JITTER_FRACTION: f64 = 0.25;
 
-/// Least time by which they differ: a step of the return to a replica that rested.
+/// Least range of the random part: one step of the ramp-up after a backoff.
 const MIN_JITTER: Span = Span::from_ms(300);
 
-/// Part of the target within which a model must come for the request to wait for it.
+/// Fraction of the target within which a model must be loaded for the request to wait for it.
 const LOAD_WAIT_FRACTION: f64 = 0.8;
 
-/// Until when a request may wait for room at replicas in need or at rest, and what it is told then. One that would not have its
-/// turn in time does not wait at all.
+/// Deadline and rejection of a request whose replicas have no capacity. A request that would not get a unit in time does
+/// not wait.
 pub(super) fn saturated(
     state: &Arc<State>,
     call: &Call,
-    at: &Saturation,
-    held: &mut Option<Waiter>,
+    saturation: &Saturation,
+    waiter: &mut Option<Waiter>,
     now: Time,
 ) -> (Time, Rejection) {
-    let until = call.arrived + Span::from(call.route.target) * CAPACITY_WAIT_FRACTION;
-    if held.is_none() && now + at.wait > until {
-        return (now, saturated_rejection(call, at));
+    let deadline = call.arrived + Span::from(call.route.target) * CAPACITY_WAIT_FRACTION;
+    if waiter.is_none() && now + saturation.wait > deadline {
+        return (now, saturated_rejection(call, saturation));
     }
-    // Its adapter may be on no other replica.
+    // No other replica may hold the adapter.
     request_adapter(state, call, true);
-    held.get_or_insert_with(|| rate_limit::register_waiter(state, &at.replica));
-    (until, saturated_rejection(call, at))
+    waiter.get_or_insert_with(|| rate_limit::register_waiter(state, &saturation.replica));
+    (deadline, saturated_rejection(call, saturation))
 }
 
-/// Answer to a request whose replicas have no room by their own word.
-fn saturated_rejection(call: &Call, at: &Saturation) -> Rejection {
-    let wait = at.wait.max(RETRY_RANGE.0);
-    let spread = (wait * JITTER_FRACTION).max(MIN_JITTER);
-    let wait = wait + spread * fraction(&call.id);
-    match at.is_backing_off {
+/// Rejection of a request whose replicas have no capacity.
+fn saturated_rejection(call: &Call, saturation: &Saturation) -> Rejection {
+    let wait = saturation.wait.max(RETRY_RANGE.0);
+    let range = (wait * JITTER_FRACTION).max(MIN_JITTER);
+    let wait = wait + range * fraction(&call.id);
+    match saturation.is_backing_off {
         true => {
             let message = "The replicas that could take the request take none from this host now.";
             Rejection::not_run("resting", message, wait)
@@ -74,82 +70,81 @@
     }
 }
 
-/// Number from 0 to 1 by an identity.
+/// Maps an identity to a number from 0 to 1.
 fn fraction(id: &str) -> f64 {
     unit::rendezvous::hash(id.as_bytes()) as f64 / u64::MAX as f64
 }
 
-/// Until when a request may wait for what is on no replica, and what it is told then.
+/// Deadline and rejection of a request that no replica can take.
 pub(super) fn unplaceable(
     state: &State,
     call: &Call,
-    nowhere: Unplaceable,
-    held_until: Time,
+    reason: Unplaceable,
+    load_deadline: Time,
     now: Time,
 ) -> (Time, Rejection) {
     let target = Span::from(call.route.target);
-    match nowhere {
-        Unplaceable::NoModel(Some(coming))
-            if now.since(call.arrived) + coming < target * LOAD_WAIT_FRACTION =>
+    match reason {
+        Unplaceable::NoModel(Some(eta))
+            if now.since(call.arrived) + eta < target * LOAD_WAIT_FRACTION =>
         {
-            let until = call.arrived + target * LOAD_WAIT_FRACTION;
+            let deadline = call.arrived + target * LOAD_WAIT_FRACTION;
             let message = "The model is being loaded.";
-            (until, Rejection::not_run("model_loading", message, coming))
+            (deadline, Rejection::not_run("model_loading", message, eta))
         }
-        Unplaceable::NoModel(coming) => {
-            let until = match coming {
+        Unplaceable::NoModel(eta) => {
+            let deadline = match eta {
                 Some(_) => now,
                 None => {
                     request_model(state, call);
                     call.arrived + LEADER_RESPONSE_TIME
                 }
             };
-            let wait = coming.map_or(RETRY_LATER, |c| c + PROPAGATION_TIME);
-            let message = "No replica holds the model at the moment.";
+            let wait = eta.map_or(RETRY_LATER, |c| c + PROPAGATION_TIME);
+            let message = "No replica holds the model now.";
             let wait = wait.max(RETRY_RANGE.0);
-            (until, Rejection::not_run("no_model", message, wait))
+            (deadline, Rejection::not_run("no_model", message, wait))
         }
         Unplaceable::NoAdapter => {
             request_adapter(state, call, false);
-            let message = "The adapter is on no replica yet.";
-            let fault = Rejection::not_run("no_adapter", message, RETRY_ADAPTER);
-            (held_until, fault)
+            let message = "No replica holds the adapter yet.";
+            let rejection = Rejection::not_run("no_adapter", message, RETRY_ADAPTER);
+            (load_deadline, rejection)
         }
         Unplaceable::Unreachable => {
-            let message = "The replicas that could take the request cannot be reached.";
-            let fault = Rejection::not_run("unreachable", message, RETRY_UNREACHABLE);
-            (held_until, fault)
+            let message = "The replicas that could take the request are unreachable.";
+            let rejection = Rejection::not_run("unreachable", message, RETRY_UNREACHABLE);
+            (load_deadline, rejection)
         }
-        Unplaceable::Saturated(at) => (now, saturated_rejection(call, &at)),
+        Unplaceable::Saturated(saturation) => (now, saturated_rejection(call, &saturation)),
         Unplaceable::Leaving => {
-            let message = "All replicas of the service leave, or cannot be used.";
+            let message = "All replicas of the service are leaving or unusable.";
             (now, Rejection::not_run("leaving", message, RETRY_LATER))
         }
         Unplaceable::NoReplica => {
-            let message = "No replica of the service is there.";
+            let message = "The service has no replicas.";
             (now, Rejection::not_run("no_replica", message, RETRY_LATER))
         }
     }
 }
 
-/// Asks the leader, by way of the task that tells it, to have a request's adapter loaded; `beside`
-/// the replicas that hold it, if these have too much to do.
-pub(super) fn request_adapter(state: &State, call: &Call, beside: bool) {
+/// Asks the leader to load the adapter of a request; `additional` if replicas hold it but are busy.
+pub(super) fn request_adapter(state: &State, call: &Call, additional: bool) {
     if let (Some(model), Some(adapter)) = (&call.ask.model, &call.ask.adapter) {
-        // The task that receives lives as long as the daemon.
+        // The receiver lives as long as the daemon.
         let _ = state.wanted.send(PlacementRequest::Adapter(AdapterRequest {
             service: call.service.clone(),
             model: model.clone(),
             adapter: adapter.clone(),
-            additional: beside,
+            additional,
         }));
     }
 }
 
-/// Tells the leader that a request's model is on no replica, so that it comes before the next plan.
+/// Tells the leader that no replica holds the model of a request, without waiting for the next report.
 fn request_model(state: &State, call: &Call) {
     if let Some(model) = &call.ask.model {
-        // The task that receives lives as long as the daemon.
+        // The receiver lives as long as the daemon.
         let _ = state.wanted.send(PlacementRequest::Model(ModelRequest {
             service: call.service.clone(),
             model: model.clone(),
