--- a/crates/front/src/attempt.rs
+++ b/crates/front/src/attempt.rs
@@ -89,22 +89,22 @@
         match self {
             Failure::Unsent(why) => write!(f, "not sent: {why}"),
             Failure::NotRun { status, .. } => {
-                write!(f, "refused by the replica with status {status}")
+                write!(f, "refused unrun with status {status}")
             }
             Failure::Lost(why) => write!(f, "lost: {why}"),
             Failure::ServerError(status) => {
-                write!(f, "answered by the replica with status {status}")
+                write!(f, "the replica failed it with status {status}")
             }
-            Failure::TimedOut => f.write_str("timed out"),
-            Failure::DeadlinePassed => f.write_str("not sent: its deadline had passed"),
+            Failure::TimedOut => f.write_str("its time ran out"),
+            Failure::DeadlinePassed => f.write_str("not sent: its time had run out"),
             Failure::Unavailable(Unavailable::Leaving) => {
-                f.write_str("not sent: the replica is leaving")
+                f.write_str("not sent: the replica leaves")
             }
             Failure::Unavailable(Unavailable::BackingOff(remaining)) => {
-                write!(f, "not sent: the replica takes no requests for {remaining}")
+                write!(f, "not sent: the replica wants nothing for {remaining}")
             }
-            Failure::Unauthorized(why) => write!(f, "not sent: {why}"),
-            Failure::Quarantined(rejection) => write!(f, "not sent: {}", rejection.message),
+            Failure::Unauthorized(why) => write!(f, "not let on: {why}"),
+            Failure::Quarantined(rejection) => write!(f, "not let on: {}", rejection.message),
         }
     }
 }
@@ -195,7 +195,7 @@
     feedback::apply(state, &reservation.source(call), &feedback);
     if !feedback.answers(&call.id) {
         reservation.record_bad_answer();
-        return Err(Failure::Lost("the answer is to another request".into()));
+        return Err(Failure::Lost("an answer to another request came".into()));
     }
     if feedback.not_run {
         reservation.record_bad_answer();
@@ -208,7 +208,7 @@
     if !feedback.signed {
         reservation.record_bad_answer();
         return Err(Failure::Lost(format!(
-            "the answer with status {} is not signed",
+            "an answer with status {} without signature came",
             feedback.status
         )));
     }
--- a/crates/front/src/rate_limit.rs
+++ b/crates/front/src/rate_limit.rs
@@ -126,7 +126,7 @@
         limit: terms.advertisement.limit(1.0),
         units: 1.0,
         reserved: terms.reserved,
-        queues: choice.candidate_count == 1,
+        will_retry: choice.candidate_count == 1,
     }
 }
 
--- a/crates/front/src/readers/client.rs
+++ b/crates/front/src/readers/client.rs
@@ -1,7 +1,7 @@
 //! Asking a reader what has changed in the store.
 
 use super::message::{Answer, MOST_ANSWER, News, PATH, Question};
-use super::{note, note_whole};
+use super::{record_changes, record_snapshot};
 use crate::follow;
 use crate::state::State;
 use conn::Reply;
@@ -32,11 +32,11 @@
 
 /// What a reader told.
 #[derive(Debug)]
-pub enum Heard {
+pub enum StoreUpdate {
     /// Changes after the revision that this host had heard of.
     Changes(Listing<Change>),
     /// All that stands in the store.
-    Whole(Listing<Item>),
+    Snapshot(Listing<Item>),
 }
 
 /// Why a reader's answer cannot be rested on.
@@ -85,7 +85,7 @@
     reader: SocketAddr,
     after: u64,
     bound: Duration,
-) -> Result<Heard, Error> {
+) -> Result<StoreUpdate, Error> {
     let wait = bound.mul_f64(HELD_PART);
     let question = Question {
         after,
@@ -108,7 +108,7 @@
     // What the answer waited for this host, which may have stood still, makes it older.
     let answered = asked + Span::from_ms(u64::from(answer.held_ms));
     let confirmed = before(answered, age);
-    follow::regained(state, state.now(), |contact| {
+    follow::update_contact(state, state.now(), |contact| {
         contact.answered(confirmed, confirmed);
         if let Some(word) = answer.store {
             contact.merge(word, answered);
@@ -124,20 +124,20 @@
 
 /// Keeps what a reader told, which stood in the store at `confirmed`, to pass it on, and gives it to this
 /// host.
-fn take(state: &State, answer: Answer, after: u64, confirmed: Time) -> Result<Heard, Error> {
+fn take(state: &State, answer: Answer, after: u64, confirmed: Time) -> Result<StoreUpdate, Error> {
     let revision = answer.revision;
     match answer.news {
         News::Changes(rows) => {
             let found: Vec<Change> = rows.into_iter().map(Change::from).collect();
-            note(state, &found, revision, confirmed);
-            Ok(Heard::Changes(Listing { found, revision }))
+            record_changes(state, &found, revision, confirmed);
+            Ok(StoreUpdate::Changes(Listing { found, revision }))
         }
         News::Whole(_) if revision <= after => Err(Error::Behind { revision, after }),
         News::Whole(rows) => {
             let changes = rows.into_iter().map(Change::from);
             let found: Vec<Item> = changes.filter_map(written).collect();
-            note_whole(state, &found, revision, confirmed);
-            Ok(Heard::Whole(Listing { found, revision }))
+            record_snapshot(state, &found, revision, confirmed);
+            Ok(StoreUpdate::Snapshot(Listing { found, revision }))
         }
     }
 }
--- a/crates/front/src/relay.rs
+++ b/crates/front/src/relay.rs
@@ -61,7 +61,7 @@
     let body = match read {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) => {
-            let failed = Failure::Lost(format!("its answer was cut off: {error}"));
+            let failed = Failure::Lost(format!("its answer broke off: {error}"));
             reservation.record_failure(call, &failed);
             return Err(failed);
         }
@@ -274,8 +274,7 @@
                 continue;
             };
             let events = self.splitter.push(data);
-            let events =
-                events.map_err(|_| Failure::Lost("an event exceeded the size limit".into()))?;
+            let events = events.map_err(|_| Failure::Lost("an event was too long".into()))?;
             if events.is_some() {
                 return Ok(events);
             }
@@ -307,7 +306,7 @@
                 // Silence alone is no failure: the replica may be slow.
                 Err(_) if is_present(&self.state, &source.reservation) => {}
                 Err(_) => {
-                    return Err(Failure::Lost("the replica was silent and is gone".into()));
+                    return Err(Failure::Lost("the replica was silent, and is gone".into()));
                 }
             }
         }
@@ -316,7 +315,7 @@
     /// Records the end of the answer; fails if it ended within an event.
     fn finish_source(&mut self) -> Result<(), Failure> {
         if self.splitter.is_partial() {
-            return Err(Failure::Lost("its stream ended within an event".into()));
+            return Err(Failure::Lost("its stream ended inside an event".into()));
         }
         if let Some(mut source) = self.source.take() {
             source.reservation.record_answer(false);
@@ -341,7 +340,7 @@
             .record_outcome(&call.route.name, "broken");
         let age = self.state.now().since(call.arrived).ms();
         let history = self.history.attempted.join(",");
-        let last = self.splitter.last();
+        let last = self.splitter.last_id();
         self.state.log.rate_limited(|| {
             tracing::warn!(target: "request", event = "broken", id = &*call.id, print = %call.fingerprint(), route = &*call.route.name, tried = history, last, ms = age, why = %failure, "stream aborted")
         });
--- a/crates/front/src/relay/resume.rs
+++ b/crates/front/src/relay/resume.rs
@@ -26,8 +26,8 @@
         if *cause == Failure::TimedOut || !is_repeatable || !quarantine::may_retry(&state, &call) {
             return false;
         }
-        self.splitter.rest();
-        let last = self.splitter.last().or(call.ask.last_event);
+        self.splitter.take_remainder();
+        let last = self.splitter.last_id().or(call.ask.last_event);
         for _ in 0..MAX_SENDS {
             if !self.history.may_run_again(&call) || state.now() >= call.deadline {
                 return false;
--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -286,7 +286,7 @@
         _ => {}
     }
     if !may_have_run {
-        let message = format!("No replica accepted the request ({last}).");
+        let message = format!("No replica took the request ({last}).");
         let default = Rejection::not_run("refused_by_replicas", message, RETRY_RANGE.0);
         return progress.rejection.unwrap_or(default);
     }
--- a/crates/front/src/serve/read.rs
+++ b/crates/front/src/serve/read.rs
@@ -41,7 +41,7 @@
     let max = Span::from(state.settings.bounds.configuration) * MAX_AGE_FRACTION;
     if state.table.lock().view.contact.is_unreachable() || accounts::data_age(state) > max {
         // The route may exist in a newer configuration.
-        let message = "No route matches in the last configuration that this host could read.";
+        let message = "No route leads there by the last configuration that this host could read.";
         return Err(Rejection::not_run(
             "configuration_old",
             message,
@@ -55,7 +55,7 @@
     Err(Rejection::client_error(
         StatusCode::NOT_FOUND,
         "no_route",
-        format!("No route of configuration {} matches.", routes.version),
+        format!("No route of configuration {} leads there.", routes.version),
     ))
 }
 
@@ -78,7 +78,7 @@
     let hash = rendezvous::hash(id.as_bytes());
     let service = route::routing::pick_weighted(&route.services, hash);
     let service = service.cloned().ok_or_else(|| {
-        Rejection::not_run("no_service", "The route has no service.", RETRY_LATER)
+        Rejection::not_run("no_service", "The route leads to no service.", RETRY_LATER)
     })?;
     Ok(Call {
         id,
@@ -129,7 +129,7 @@
         Err(_) => Err(Rejection::client_error(
             StatusCode::REQUEST_TIMEOUT,
             "body_late",
-            "The body was not received in time.",
+            "The body did not come in time.",
         )),
     }
 }
@@ -151,7 +151,7 @@
     let kb = (hint / 1_024) as u32 + 1;
     let memory = state.body_memory.clone().try_acquire_many_owned(kb);
     memory.map_err(|_| {
-        let message = "This host has no memory left for request bodies.";
+        let message = "This host holds as many request bodies as it may.";
         Rejection::not_run("bodies_full", message, RETRY_LATER)
     })
 }
@@ -162,12 +162,12 @@
         return Rejection::client_error(
             StatusCode::PAYLOAD_TOO_LARGE,
             "body_too_large",
-            format!("The body exceeds {max} bytes."),
+            format!("The body is longer than {max} bytes."),
         );
     }
     Rejection::client_error(
         StatusCode::BAD_REQUEST,
         "body_broken",
-        format!("The body could not be read: {error}."),
+        format!("The body broke off: {error}."),
     )
 }
--- a/crates/front/src/serve/unavailable.rs
+++ b/crates/front/src/serve/unavailable.rs
@@ -101,28 +101,28 @@
                 }
             };
             let wait = eta.map_or(RETRY_LATER, |c| c + PROPAGATION_TIME);
-            let message = "No replica holds the model now.";
+            let message = "No replica holds the model at the moment.";
             let wait = wait.max(RETRY_RANGE.0);
             (deadline, Rejection::not_run("no_model", message, wait))
         }
         Unplaceable::NoAdapter => {
             request_adapter(state, call, false);
-            let message = "No replica holds the adapter yet.";
+            let message = "The adapter is on no replica yet.";
             let rejection = Rejection::not_run("no_adapter", message, RETRY_ADAPTER);
             (load_deadline, rejection)
         }
         Unplaceable::Unreachable => {
-            let message = "The replicas that could take the request are unreachable.";
+            let message = "The replicas that could take the request cannot be reached.";
             let rejection = Rejection::not_run("unreachable", message, RETRY_UNREACHABLE);
             (load_deadline, rejection)
         }
         Unplaceable::Saturated(saturation) => (now, saturated_rejection(call, &saturation)),
         Unplaceable::Leaving => {
-            let message = "All replicas of the service are leaving or unusable.";
+            let message = "All replicas of the service leave, or cannot be used.";
             (now, Rejection::not_run("leaving", message, RETRY_LATER))
         }
         Unplaceable::NoReplica => {
-            let message = "The service has no replicas.";
+            let message = "No replica of the service is there.";
             (now, Rejection::not_run("no_replica", message, RETRY_LATER))
         }
     }
@@ -132,12 +132,14 @@
 pub(super) fn request_adapter(state: &State, call: &Call, additional: bool) {
     if let (Some(model), Some(adapter)) = (&call.ask.model, &call.ask.adapter) {
         // The receiver lives as long as the daemon.
-        let _ = state.wanted.send(PlacementRequest::Adapter(AdapterRequest {
-            service: call.service.clone(),
-            model: model.clone(),
-            adapter: adapter.clone(),
-            additional,
-        }));
+        let _ = state
+            .placement_requests
+            .send(PlacementRequest::Adapter(AdapterRequest {
+                service: call.service.clone(),
+                model: model.clone(),
+                adapter: adapter.clone(),
+                additional,
+            }));
     }
 }
 
@@ -145,9 +147,11 @@
 fn request_model(state: &State, call: &Call) {
     if let Some(model) = &call.ask.model {
         // The receiver lives as long as the daemon.
-        let _ = state.wanted.send(PlacementRequest::Model(ModelRequest {
-            service: call.service.clone(),
-            model: model.clone(),
-        }));
+        let _ = state
+            .placement_requests
+            .send(PlacementRequest::Model(ModelRequest {
+                service: call.service.clone(),
+                model: model.clone(),
+            }));
     }
 }
--- a/crates/front/src/table/rate_limit.rs
+++ b/crates/front/src/table/rate_limit.rs
@@ -171,14 +171,18 @@
     ) -> Vec<(Name, f64, Change)> {
         let reports = reports
             .iter()
-            .filter_map(|t| Some((t.replica, t.notice(now)?)));
+            .filter_map(|t| Some((t.replica, t.advertisement(now)?)));
         let reports: HashMap<u32, Advertisement> = reports.collect();
         if reports.is_empty() {
             return Vec::new();
         }
         let entries = self.view.all().map(|replica| &replica.entry);
-        let known =
-            entries.filter_map(|e| Some((e.id.clone(), *reports.get(&ReplicaLimit::name(e))?)));
+        let known = entries.filter_map(|e| {
+            Some((
+                e.id.clone(),
+                *reports.get(&ReplicaLimit::incarnation_hash(e))?,
+            ))
+        });
         let known: Vec<(Name, Advertisement)> = known.collect();
         let mut changes = Vec::new();
         for (id, reports) in known {
@@ -214,7 +218,7 @@
     /// What the incarnation with this hash last advertised.
     pub fn advertisement(&self, replica: u32) -> Option<Advertisement> {
         let mut entries = self.view.all().map(|replica| &replica.entry);
-        let entry = entries.find(|entry| ReplicaLimit::name(entry) == replica)?;
+        let entry = entries.find(|entry| ReplicaLimit::incarnation_hash(entry) == replica)?;
         Some(self.replicas.get(&entry.id)?.limit?.advertisement)
     }
 
