--- a/crates/front/src/accounts.rs
+++ b/crates/front/src/accounts.rs
@@ -127,7 +127,7 @@
     };
     match refusal {
         Some(refusal) if !route.public => {
-            let fault = refusal.fault();
+            let fault = refusal.rejection();
             tell(
                 state,
                 &refusal,
@@ -238,7 +238,7 @@
     }
 
     /// Answer that tells the client.
-    pub fn fault(&self) -> Rejection {
+    pub fn rejection(&self) -> Rejection {
         let message = self.to_string();
         match self {
             Refusal::Stale { .. } => Rejection::not_run(self.reason(), message, RETRY_AFTER_STALE),
--- a/crates/front/src/attempt/reservation.rs
+++ b/crates/front/src/attempt/reservation.rs
@@ -102,7 +102,7 @@
     pub fn ended(&self, call: &Call, why: &Failure) {
         self.failed();
         if let Failure::Lost(_) = why {
-            quarantine::note_broken(&self.state, call, self);
+            quarantine::note_interrupted(&self.state, call, self);
         }
     }
 
--- a/crates/front/src/quarantine.rs
+++ b/crates/front/src/quarantine.rs
@@ -14,7 +14,7 @@
 mod stored;
 
 pub use admit::{Trial, admit, check, may_retry};
-pub use probe::{note_broken, note_replaced};
+pub use probe::{note_interrupted, note_replaced};
 pub use stored::KEY;
 
 use crate::message::QuarantineList;
@@ -70,13 +70,13 @@
     }
 
     /// What is held of a request, by the leader's word, the store, or else what this host has seen itself.
-    pub fn standing(&self, print: Fingerprint, now: Time) -> Status {
-        self.registry.lock().standing(print, now)
+    pub fn status(&self, fingerprint: Fingerprint, now: Time) -> Status {
+        self.registry.lock().status(fingerprint, now)
     }
 
     /// Whether nothing is held of any request, so that none needs a look.
     pub fn is_empty(&self, now: Time) -> bool {
-        self.registry.lock().is_idle(now)
+        self.registry.lock().is_empty(now)
     }
 
     /// Whether replicas have fallen lately, or requests are listed: good ends are noted only then.
@@ -85,51 +85,55 @@
     }
 
     /// Notes that a run of a request has ended well here, and tells the leader where it is listed.
-    pub fn note_success(&self, print: Fingerprint, now: Time) {
-        if self.registry.lock().record_success(print, now) {
-            self.report(Report::Succeeded(print));
+    pub fn note_success(&self, fingerprint: Fingerprint, now: Time) {
+        if self.registry.lock().record_success(fingerprint, now) {
+            self.report(Report::Succeeded(fingerprint));
         }
     }
 
     /// Takes in a fall, seen here or told by another host.
-    pub fn note_crash(&self, fall: Crash, aboard: &[Fingerprint], now: Time) {
-        let changed = self.registry.lock().record_crash(fall, aboard, now);
-        for print in &changed {
-            info!(target: "quarantine", event = "suspected", print = %print, "a request was in flight where several replicas fell");
+    pub fn note_crash(&self, crash: Crash, in_flight: &[Fingerprint], now: Time) {
+        let changed = self.registry.lock().record_crash(crash, in_flight, now);
+        for fingerprint in &changed {
+            info!(target: "quarantine", event = "suspected", print = %fingerprint, "a request was in flight where several replicas fell");
         }
         self.note(!changed.is_empty());
     }
 
     /// Takes in that a run of a request has ended well on some host.
-    pub fn note_success_anywhere(&self, print: Fingerprint) {
-        let cleared = self.registry.lock().ledger.record_success(print);
+    pub fn note_success_anywhere(&self, fingerprint: Fingerprint) {
+        let cleared = self.registry.lock().tracker.record_success(fingerprint);
         if cleared {
-            info!(target: "quarantine", event = "cleared", print = %print, "a run of the request has ended well");
+            info!(target: "quarantine", event = "cleared", print = %fingerprint, "a run of the request has ended well");
         }
         self.note(cleared);
     }
 
     /// Says, as the leader, what may be done with a request.
-    pub fn decide(&self, print: Fingerprint, ticket: RequestId, now: Time) -> Permit {
+    pub fn decide(&self, fingerprint: Fingerprint, request: RequestId, now: Time) -> Permit {
         self.registry
             .lock()
-            .ledger
-            .request_permit(print, ticket, now)
+            .tracker
+            .request_permit(fingerprint, request, now)
     }
 
     /// Takes in, as the leader, that a trial has not ended well.
-    pub fn note_trial_ended(&self, print: Fingerprint, broke: bool, now: Time) {
-        let how = match broke {
+    pub fn note_trial_ended(&self, fingerprint: Fingerprint, is_interrupted: bool, now: Time) {
+        let outcome = match is_interrupted {
             true => TrialOutcome::Interrupted,
             false => TrialOutcome::Inconclusive,
         };
-        let changed = self.registry.lock().ledger.record_trial(print, how, now);
+        let changed = self
+            .registry
+            .lock()
+            .tracker
+            .record_trial(fingerprint, outcome, now);
         self.note(changed);
     }
 
     /// Forgets what was held of a request here, by the leader's word.
-    fn lift(&self, print: Fingerprint) {
-        self.registry.lock().lift(print);
+    fn lift(&self, fingerprint: Fingerprint) {
+        self.registry.lock().lift(fingerprint);
     }
 
     fn note(&self, changed: bool) {
@@ -140,7 +144,7 @@
 
     /// Falls that the leader of a term is to be told once more.
     pub fn unreported_crashes(&self, term: u64, now: Time) -> Vec<Incident> {
-        self.registry.lock().falls.due_reports(term, now)
+        self.registry.lock().incidents.due_reports(term, now)
     }
 
     /// Takes over, as a new leader, what the one before had listed.
@@ -150,21 +154,21 @@
 
     /// What a leader is to tell all hosts, and whether it has changed since it was asked for last.
     pub fn listing(&self, term: u64, now: Time) -> (QuarantineList, bool) {
-        let mut board = self.registry.lock();
-        let (listing, news) = board.listing(term, now);
-        drop(board);
-        for print in &news.kept_out {
-            warn!(target: "quarantine", event = "kept_out", print = %print, "a request has ended each replica that began to run it, the last one on trial; no host sends it any more");
+        let mut registry = self.registry.lock();
+        let (listing, delta) = registry.listing(term, now);
+        drop(registry);
+        for fingerprint in &delta.newly_quarantined {
+            warn!(target: "quarantine", event = "kept_out", print = %fingerprint, "a request has ended each replica that began to run it, the last one on trial; no host sends it any more");
         }
-        (listing, news.changed)
+        (listing, delta.changed)
     }
 
     /// Takes in the leader's list, and tells it which of these requests have ended well here since they were first in
     /// flight at a fall.
-    pub fn apply_listing(&self, listing: QuarantineList, now: Time) {
-        let sound = self.registry.lock().apply_listing(listing, now);
-        for print in sound {
-            self.report(Report::Succeeded(print));
+    pub fn apply_listing(&self, list: QuarantineList, now: Time) {
+        let succeeded = self.registry.lock().apply_listing(list, now);
+        for fingerprint in succeeded {
+            self.report(Report::Succeeded(fingerprint));
         }
     }
 
@@ -174,8 +178,8 @@
     }
 
     /// Takes in what stands in the store at a revision.
-    pub fn stored(&self, listed: BTreeMap<Fingerprint, bool>, revision: u64) {
-        self.registry.lock().stored(listed, revision);
+    pub fn apply_stored(&self, listed: BTreeMap<Fingerprint, bool>, revision: u64) {
+        self.registry.lock().apply_stored(listed, revision);
     }
 
     /// Requests that are suspected and kept out, as far as this host knows.
@@ -187,7 +191,7 @@
 /// Takes in the list that stands in the store.
 pub fn apply_stored(state: &State, item: &Item) {
     match stored::decode(&item.value) {
-        Ok(listed) => state.quarantine.stored(listed, item.revision),
+        Ok(listed) => state.quarantine.apply_stored(listed, item.revision),
         Err(why) => {
             error!(target: "quarantine", event = "malformed", revision = item.revision, why = %why, "the list of requests that are kept out cannot be read; the last one stays in force")
         }
@@ -196,20 +200,20 @@
 
 /// Takes in that the list does not stand in the store, as of a revision.
 pub fn note_not_stored(state: &State, revision: u64) {
-    state.quarantine.registry.lock().absent(revision);
+    state.quarantine.registry.lock().clear_stored(revision);
 }
 
 /// Takes in what a leader wanted to replace in vain; a revision of 0 says that nothing stands there.
 pub fn apply_conflict(state: &State, item: &Item) {
     match item.revision {
-        0 => state.quarantine.registry.lock().mark_absent(),
+        0 => state.quarantine.registry.lock().mark_missing(),
         _ => apply_stored(state, item),
     }
 }
 
 /// Takes in that the list was removed from the store, by which operators lift all of it.
 pub fn note_removed(state: &State, revision: u64) {
-    if state.quarantine.registry.lock().removed(revision) {
+    if state.quarantine.registry.lock().apply_removed(revision) {
         warn!(target: "quarantine", event = "lifted", revision, "the list of requests that are kept out was removed from the store; all are let in again");
         state.quarantine.changed.notify_one();
     }
--- a/crates/front/src/quarantine/admit.rs
+++ b/crates/front/src/quarantine/admit.rs
@@ -25,27 +25,30 @@
 /// Trial of a request: it is sent once, and nothing that is suspected with it. Dropping it ends the trial.
 pub struct Trial {
     state: Arc<State>,
-    print: Fingerprint,
-    is_broken: AtomicBool,
+    fingerprint: Fingerprint,
+    is_interrupted: AtomicBool,
 }
 
 impl Trial {
     /// Notes that the run broke off.
-    pub(super) fn mark_broken(&self) {
-        self.is_broken.store(true, Ordering::Relaxed);
+    pub(super) fn mark_interrupted(&self) {
+        self.is_interrupted.store(true, Ordering::Relaxed);
     }
 }
 
 impl std::fmt::Debug for Trial {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "Trial({})", self.print)
+        write!(f, "Trial({})", self.fingerprint)
     }
 }
 
 impl Drop for Trial {
     fn drop(&mut self) {
         // Where the run has ended well, that was told before this.
-        let report = Report::TrialEnded(self.print, self.is_broken.load(Ordering::Relaxed));
+        let report = Report::TrialEnded(
+            self.fingerprint,
+            self.is_interrupted.load(Ordering::Relaxed),
+        );
         self.state.quarantine.report(report);
     }
 }
@@ -55,19 +58,19 @@
     if state.quarantine.is_empty(state.now()) {
         return Ok(());
     }
-    let print = call.fingerprint();
-    let ticket = RequestId(rendezvous::hash(call.id.as_bytes()));
+    let fingerprint = call.fingerprint();
+    let request = RequestId(rendezvous::hash(call.id.as_bytes()));
     let held_until = call.arrived + Span::from(call.route.target) * MAX_HELD_FRACTION;
     loop {
         let now = state.now();
-        let permit = match state.quarantine.standing(print, now) {
+        let permit = match state.quarantine.status(fingerprint, now) {
             Status::Clear => return Ok(()),
             Status::Quarantined => Permit::Quarantined(QUARANTINE_DURATION),
-            Status::Suspected => match peers.request_trial(print, ticket).await {
+            Status::Suspected => match peers.request_trial(fingerprint, request).await {
                 Some(permit) => permit,
                 // Nobody can come to lead before the store is back: what is innocent would wait for as long.
                 None if state.table.lock().view.contact.is_unreachable() => {
-                    state.quarantine.decide(print, ticket, state.now())
+                    state.quarantine.decide(fingerprint, request, state.now())
                 }
                 None => Permit::Wait,
             },
@@ -75,14 +78,14 @@
         match permit {
             Permit::Free => {
                 // Whoever decides knows better than what was seen here.
-                state.quarantine.lift(print);
+                state.quarantine.lift(fingerprint);
                 return Ok(());
             }
             Permit::Trial => {
                 begin_trial(state, call);
                 return Ok(());
             }
-            Permit::Quarantined(left) => return Err(blocked(left)),
+            Permit::Quarantined(remaining) => return Err(quarantined(remaining)),
             Permit::Wait if now >= held_until || state.is_draining() => return Err(suspected()),
             Permit::Wait => {
                 let _ = timeout(POLL_INTERVAL, state.changed.notified()).await;
@@ -94,8 +97,8 @@
 fn begin_trial(state: &Arc<State>, call: &Call) {
     let trial = Trial {
         state: state.clone(),
-        print: call.fingerprint(),
-        is_broken: AtomicBool::new(false),
+        fingerprint: call.fingerprint(),
+        is_interrupted: AtomicBool::new(false),
     };
     // A request is let in once.
     let _ = call.trial.set(trial);
@@ -108,10 +111,10 @@
     if call.trial.get().is_some() || state.quarantine.is_empty(now) {
         return Ok(());
     }
-    match state.quarantine.standing(call.fingerprint(), now) {
+    match state.quarantine.status(call.fingerprint(), now) {
         Status::Clear => Ok(()),
         Status::Suspected => Err(suspected()),
-        Status::Quarantined => Err(blocked(QUARANTINE_DURATION)),
+        Status::Quarantined => Err(quarantined(QUARANTINE_DURATION)),
     }
 }
 
@@ -121,10 +124,10 @@
 }
 
 /// Answer to a request that ends each replica that runs it.
-fn blocked(left: Span) -> Rejection {
+fn quarantined(remaining: Span) -> Rejection {
     let message =
         "The request has ended each replica that began to run it; it is not sent any more.";
-    Rejection::not_run("kept_out", message, left)
+    Rejection::not_run("kept_out", message, remaining)
 }
 
 /// Answer to a request that may be one of these, while another trial is under way.
--- a/crates/front/src/quarantine/probe.rs
+++ b/crates/front/src/quarantine/probe.rs
@@ -20,30 +20,32 @@
 const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Notes that a request broke at a replica, and looks whether that has fallen, once for all that break together.
-pub fn note_broken(state: &Arc<State>, call: &Call, place: &Reservation) {
+pub fn note_interrupted(state: &Arc<State>, call: &Call, reservation: &Reservation) {
     let now = state.now();
-    let start = (place.replica.clone(), place.incarnation);
-    let print = call.fingerprint();
+    let instance = (reservation.replica.clone(), reservation.incarnation);
+    let fingerprint = call.fingerprint();
     if let Some(trial) = call.trial.get() {
-        trial.mark_broken();
+        trial.mark_interrupted();
     }
     let is_first = {
-        let mut board = state.quarantine.registry.lock();
-        board.alert(now);
-        board.falls.record_failure(&start, print, now)
+        let mut registry = state.quarantine.registry.lock();
+        registry.alert(now);
+        registry
+            .incidents
+            .record_failure(&instance, fingerprint, now)
     };
     if !is_first {
         return;
     }
-    let seen = state.table.lock().view.get(&place.replica).cloned();
-    let Some(seen) = seen.filter(|s| s.entry.incarnation == place.incarnation) else {
-        return report_crash(state, &start);
+    let replica = state.table.lock().view.get(&reservation.replica).cloned();
+    let Some(replica) = replica.filter(|s| s.entry.incarnation == reservation.incarnation) else {
+        return report_crash(state, &instance);
     };
     let state = state.clone();
     tokio::spawn(async move {
         sleep(PROBE_DELAY).await;
-        if refuses(seen.entry.addr).await {
-            report_crash(&state, &start);
+        if refuses(replica.entry.addr).await {
+            report_crash(&state, &instance);
         }
     });
 }
@@ -55,30 +57,35 @@
 }
 
 /// Tells of a fall, unless it is known.
-fn report_crash(state: &State, start: &route::quarantine::Instance) {
-    let group = state.quarantine.registry.lock().falls.confirm_crash(start);
-    if let Some(group) = group {
-        tell(state, &start.0, group);
+fn report_crash(state: &State, instance: &route::quarantine::Instance) {
+    let incident = state
+        .quarantine
+        .registry
+        .lock()
+        .incidents
+        .confirm_crash(instance);
+    if let Some(incident) = incident {
+        report_incident(state, &instance.0, incident);
     }
 }
 
 /// Takes in that a replica is gone, or has started again: what broke there broke in a fall.
 pub fn note_replaced(state: &State, replica: &str) {
-    let seen = state.table.lock().view.get(replica).cloned();
-    let present = seen.map(|s| (s.entry.id.clone(), s.entry.incarnation));
-    let groups = {
-        let falls = &mut state.quarantine.registry.lock().falls;
-        falls.confirm_replaced(replica, present.as_ref())
+    let current = state.table.lock().view.get(replica).cloned();
+    let present = current.map(|s| (s.entry.id.clone(), s.entry.incarnation));
+    let incidents = {
+        let known = &mut state.quarantine.registry.lock().incidents;
+        known.confirm_replaced(replica, present.as_ref())
     };
-    for group in groups {
-        tell(state, replica, group);
+    for incident in incidents {
+        report_incident(state, replica, incident);
     }
 }
 
-fn tell(state: &State, replica: &str, group: Incident) {
-    let in_flight = group.in_flight.len();
+fn report_incident(state: &State, replica: &str, incident: Incident) {
+    let in_flight = incident.in_flight.len();
     state.log.rate_limited(|| {
         info!(target: "quarantine", event = "fell", replica, in_flight, "a replica fell with requests of this host in flight; the failed sendings tell which")
     });
-    state.quarantine.report(Report::Crashed(group));
+    state.quarantine.report(Report::Crashed(incident));
 }
--- a/crates/front/src/quarantine/registry.rs
+++ b/crates/front/src/quarantine/registry.rs
@@ -19,11 +19,11 @@
 #[derive(Default)]
 pub(super) struct Registry {
     /// Falls by request; all that is known of them at the host that leads.
-    pub(super) ledger: Tracker,
+    pub(super) tracker: Tracker,
     /// Requests that broke here, by replica.
-    pub(super) falls: Incidents,
+    pub(super) incidents: Incidents,
     /// The leader's list.
-    told: LeaderList,
+    leader_list: LeaderList,
     /// The list in the store.
     stored: Stored,
     /// When requests last ended well here.
@@ -62,42 +62,46 @@
 /// What has changed in a leader's list.
 pub(super) struct Delta {
     pub(super) changed: bool,
-    pub(super) kept_out: Vec<Fingerprint>,
+    pub(super) newly_quarantined: Vec<Fingerprint>,
 }
 
 /// Standing of a request that is listed.
-fn standing_of(is_out: bool) -> Status {
-    match is_out {
+fn listed_status(is_quarantined: bool) -> Status {
+    match is_quarantined {
         true => Status::Quarantined,
         false => Status::Suspected,
     }
 }
 
 impl Registry {
-    pub(super) fn standing(&self, print: Fingerprint, now: Time) -> Status {
-        let told = self
-            .told
+    pub(super) fn status(&self, fingerprint: Fingerprint, now: Time) -> Status {
+        let from_leader = self
+            .leader_list
             .listed
-            .get(&print)
+            .get(&fingerprint)
             .filter(|_| self.is_list_current(now));
-        let listed = told.into_iter().chain(self.stored.listed.get(&print));
-        let listed = listed.map(|is_out| standing_of(*is_out)).max();
+        let statuses = from_leader
+            .into_iter()
+            .chain(self.stored.listed.get(&fingerprint));
+        let statuses = statuses
+            .map(|is_quarantined| listed_status(*is_quarantined))
+            .max();
         // Only the leader keeps out; what was seen here alone is a reason to ask it.
-        let seen = self.ledger.status(print, now).min(Status::Suspected);
-        listed.unwrap_or(Status::Clear).max(seen)
+        let observed = self.tracker.status(fingerprint, now).min(Status::Suspected);
+        statuses.unwrap_or(Status::Clear).max(observed)
     }
 
     fn is_list_current(&self, now: Time) -> bool {
-        now.since(self.told.at) < LIST_VALID_FOR
+        now.since(self.leader_list.at) < LIST_VALID_FOR
     }
 
-    pub(super) fn is_idle(&self, now: Time) -> bool {
-        let told = !self.told.listed.is_empty() && self.is_list_current(now);
-        !told && self.stored.listed.is_empty() && !self.ledger.has_suspects()
+    pub(super) fn is_empty(&self, now: Time) -> bool {
+        let has_leader_list = !self.leader_list.listed.is_empty() && self.is_list_current(now);
+        !has_leader_list && self.stored.listed.is_empty() && !self.tracker.has_suspects()
     }
 
     pub(super) fn is_alert(&self, now: Time) -> bool {
-        now < self.alert_until || !self.is_idle(now)
+        now < self.alert_until || !self.is_empty(now)
     }
 
     pub(super) fn alert(&mut self, now: Time) {
@@ -105,108 +109,126 @@
     }
 
     /// Notes a good end; tells whether the leader is to know it.
-    pub(super) fn record_success(&mut self, print: Fingerprint, now: Time) -> bool {
+    pub(super) fn record_success(&mut self, fingerprint: Fingerprint, now: Time) -> bool {
         if self.successes.len() >= MAX_SUCCESSES {
             self.successes.retain(|_, at| now.since(*at) < ALERT_FOR);
         }
         if self.successes.len() < MAX_SUCCESSES {
-            self.successes.insert(print, now);
+            self.successes.insert(fingerprint, now);
         }
-        self.standing(print, now) != Status::Clear
+        self.status(fingerprint, now) != Status::Clear
     }
 
     pub(super) fn record_crash(
         &mut self,
-        fall: Crash,
-        aboard: &[Fingerprint],
+        crash: Crash,
+        in_flight: &[Fingerprint],
         now: Time,
     ) -> Vec<Fingerprint> {
         self.alert(now);
-        self.ledger.record_crash(fall, aboard, now)
+        self.tracker.record_crash(crash, in_flight, now)
     }
 
-    pub(super) fn lift(&mut self, print: Fingerprint) {
-        self.ledger.lift(print);
-        self.told.listed.remove(&print);
-        self.stored.listed.remove(&print);
+    pub(super) fn lift(&mut self, fingerprint: Fingerprint) {
+        self.tracker.lift(fingerprint);
+        self.leader_list.listed.remove(&fingerprint);
+        self.stored.listed.remove(&fingerprint);
     }
 
     pub(super) fn take_over(&mut self, now: Time) {
-        let told = self.told.listed.iter().map(|(p, out)| (*p, *out));
-        let stored = self.stored.listed.iter().map(|(p, out)| (*p, *out));
-        for (print, is_out) in told.chain(stored) {
-            self.ledger.restore(print, is_out, now);
+        let from_leader = self
+            .leader_list
+            .listed
+            .iter()
+            .map(|(fingerprint, is_quarantined)| (*fingerprint, *is_quarantined));
+        let from_store = self
+            .stored
+            .listed
+            .iter()
+            .map(|(fingerprint, is_quarantined)| (*fingerprint, *is_quarantined));
+        for (fingerprint, is_quarantined) in from_leader.chain(from_store) {
+            self.tracker.restore(fingerprint, is_quarantined, now);
         }
         self.sent = SentList::default();
     }
 
     pub(super) fn listing(&mut self, term: u64, now: Time) -> (QuarantineList, Delta) {
-        let listed = self.ledger.suspects(now);
-        let next: BTreeMap<Fingerprint, bool> = listed
+        let suspects = self.tracker.suspects(now);
+        let next: BTreeMap<Fingerprint, bool> = suspects
             .iter()
-            .map(|l| (l.fingerprint, l.is_quarantined))
+            .map(|suspect| (suspect.fingerprint, suspect.is_quarantined))
             .collect();
         let changed = next != self.sent.listed;
-        let is_new = |print: &Fingerprint| self.sent.listed.get(print) != Some(&true);
-        let out = next.iter().filter(|(_, is_out)| **is_out);
-        let kept_out = out.map(|(print, _)| *print).filter(is_new).collect();
+        let is_new = |fingerprint: &Fingerprint| self.sent.listed.get(fingerprint) != Some(&true);
+        let quarantined = next.iter().filter(|(_, is_quarantined)| **is_quarantined);
+        let newly_quarantined = quarantined
+            .map(|(fingerprint, _)| *fingerprint)
+            .filter(is_new)
+            .collect();
         if changed {
             self.sent.number += 1;
             self.sent.listed = next;
         }
-        let listed = listed.into_iter().map(|l| QuarantineEntry {
-            fingerprint: l.fingerprint,
-            is_blocked: l.is_quarantined,
-            since_ms: u32::try_from(now.since(l.since).0 / 1_000).unwrap_or(u32::MAX),
+        let suspects = suspects.into_iter().map(|suspect| QuarantineEntry {
+            fingerprint: suspect.fingerprint,
+            is_blocked: suspect.is_quarantined,
+            since_ms: u32::try_from(now.since(suspect.since).0 / 1_000).unwrap_or(u32::MAX),
         });
         let listing = QuarantineList {
             term,
             number: self.sent.number,
-            entries: listed.collect(),
+            entries: suspects.collect(),
         };
-        (listing, Delta { changed, kept_out })
+        (
+            listing,
+            Delta {
+                changed,
+                newly_quarantined,
+            },
+        )
     }
 
     /// Takes in the leader's list; gives the requests in it that have ended well here since they were suspected.
-    pub(super) fn apply_listing(&mut self, listing: QuarantineList, now: Time) -> Vec<Fingerprint> {
-        let number = (listing.term, listing.number);
-        if number < self.told.version {
+    pub(super) fn apply_listing(&mut self, list: QuarantineList, now: Time) -> Vec<Fingerprint> {
+        let version = (list.term, list.number);
+        if version < self.leader_list.version {
             return Vec::new();
         }
-        if !listing.entries.is_empty() {
+        if !list.entries.is_empty() {
             self.alert(now);
         }
-        let sound = listing.entries.iter().filter(|listed| {
-            let since = now - Span::from_ms(u64::from(listed.since_ms));
-            let ended = self.successes.get(&listed.fingerprint);
-            !listed.is_blocked && ended.is_some_and(|at| *at > since)
+        let succeeded = list.entries.iter().filter(|entry| {
+            let since = now - Span::from_ms(u64::from(entry.since_ms));
+            let succeeded_at = self.successes.get(&entry.fingerprint);
+            !entry.is_blocked && succeeded_at.is_some_and(|at| *at > since)
         });
-        let sound = sound.map(|listed| listed.fingerprint).collect();
-        self.told = LeaderList {
-            version: number,
+        let succeeded = succeeded.map(|entry| entry.fingerprint).collect();
+        self.leader_list = LeaderList {
+            version: version,
             at: now,
-            listed: listing
+            listed: list
                 .entries
                 .iter()
-                .map(|l| (l.fingerprint, l.is_blocked))
+                .map(|entry| (entry.fingerprint, entry.is_blocked))
                 .collect(),
         };
-        sound
+        succeeded
     }
 
     /// List that is to stand in the store, and the revision that it replaces; none while it stands there.
     pub(super) fn pending_write(&mut self, now: Time) -> Option<(Vec<u8>, u64)> {
-        let listed = self.ledger.suspects(now).into_iter();
-        let listed: BTreeMap<Fingerprint, bool> =
-            listed.map(|l| (l.fingerprint, l.is_quarantined)).collect();
-        let replaced = match self.stored.is_present {
+        let listed = self.tracker.suspects(now).into_iter();
+        let listed: BTreeMap<Fingerprint, bool> = listed
+            .map(|suspect| (suspect.fingerprint, suspect.is_quarantined))
+            .collect();
+        let expected_revision = match self.stored.is_present {
             true => self.stored.revision,
             false => 0,
         };
-        (listed != self.stored.listed).then(|| (stored::encode(&listed), replaced))
+        (listed != self.stored.listed).then(|| (stored::encode(&listed), expected_revision))
     }
 
-    pub(super) fn stored(&mut self, listed: BTreeMap<Fingerprint, bool>, revision: u64) {
+    pub(super) fn apply_stored(&mut self, listed: BTreeMap<Fingerprint, bool>, revision: u64) {
         if revision >= self.stored.revision {
             self.stored = Stored {
                 revision,
@@ -217,7 +239,7 @@
     }
 
     /// Takes in that no list stands in the store, as of a revision.
-    pub(super) fn absent(&mut self, revision: u64) {
+    pub(super) fn clear_stored(&mut self, revision: u64) {
         if revision >= self.stored.revision {
             self.stored = Stored {
                 revision,
@@ -227,19 +249,19 @@
     }
 
     /// Takes in that no list stands in the store now.
-    pub(super) fn mark_absent(&mut self) {
+    pub(super) fn mark_missing(&mut self) {
         self.stored.is_present = false;
     }
 
     /// Takes in that the list was removed from the store; tells whether it was the newest.
-    pub(super) fn removed(&mut self, revision: u64) -> bool {
+    pub(super) fn apply_removed(&mut self, revision: u64) -> bool {
         if revision < self.stored.revision {
             return false;
         }
-        let stored = std::mem::take(&mut self.stored.listed);
-        let told = std::mem::take(&mut self.told.listed);
-        for print in stored.into_keys().chain(told.into_keys()) {
-            self.ledger.lift(print);
+        let from_store = std::mem::take(&mut self.stored.listed);
+        let from_leader = std::mem::take(&mut self.leader_list.listed);
+        for fingerprint in from_store.into_keys().chain(from_leader.into_keys()) {
+            self.tracker.lift(fingerprint);
         }
         self.stored.revision = revision;
         self.stored.is_present = false;
@@ -247,16 +269,21 @@
     }
 
     pub(super) fn counts(&self, now: Time) -> (usize, usize) {
-        let told = self
-            .told
+        let from_leader = self
+            .leader_list
             .listed
             .iter()
             .filter(|_| self.is_list_current(now));
-        let mut listed: BTreeMap<Fingerprint, bool> = told.map(|(p, out)| (*p, *out)).collect();
-        for (print, is_out) in &self.stored.listed {
-            *listed.entry(*print).or_default() |= is_out;
+        let mut listed: BTreeMap<Fingerprint, bool> = from_leader
+            .map(|(fingerprint, quarantined)| (*fingerprint, *quarantined))
+            .collect();
+        for (fingerprint, is_quarantined) in &self.stored.listed {
+            *listed.entry(*fingerprint).or_default() |= is_quarantined;
         }
-        let out = listed.values().filter(|is_out| **is_out).count();
-        (listed.len() - out, out)
+        let quarantined = listed
+            .values()
+            .filter(|is_quarantined| **is_quarantined)
+            .count();
+        (listed.len() - quarantined, quarantined)
     }
 }
--- a/crates/front/src/quarantine/stored.rs
+++ b/crates/front/src/quarantine/stored.rs
@@ -26,8 +26,8 @@
 }
 
 pub(super) fn encode(listed: &BTreeMap<Fingerprint, bool>) -> Vec<u8> {
-    let entries = listed.iter().map(|(print, kept_out)| Entry {
-        request: print.to_string(),
+    let entries = listed.iter().map(|(fingerprint, kept_out)| Entry {
+        request: fingerprint.to_string(),
         kept_out: *kept_out,
     });
     let entries: Vec<Entry> = entries.collect();
@@ -38,8 +38,8 @@
     let entries: Vec<Entry> =
         serde_json::from_slice(value).map_err(|why| DecodeError(why.to_string()))?;
     let read = |entry: &Entry| -> Result<_, ParseIntError> {
-        let print = u64::from_str_radix(&entry.request, 16)?;
-        Ok((Fingerprint(print), entry.kept_out))
+        let hash = u64::from_str_radix(&entry.request, 16)?;
+        Ok((Fingerprint(hash), entry.kept_out))
     };
     let listed: Result<_, _> = entries.iter().map(read).collect();
     listed.map_err(|why| DecodeError(format!("An entry holds no fingerprint: {why}.")))
--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -269,7 +269,7 @@
     let may_have_run = !progress.tried.may_have_run.is_empty();
     let last = &progress.last;
     match last {
-        Failure::Unauthorized(refusal) if !may_have_run => return refusal.fault(),
+        Failure::Unauthorized(refusal) if !may_have_run => return refusal.rejection(),
         Failure::Quarantined(fault) if !may_have_run => return fault.clone(),
         _ => {}
     }
