--- a/crates/front/src/accounts.rs
+++ b/crates/front/src/accounts.rs
@@ -1,9 +1,9 @@
-//! Client accounts in force: whose request a key makes it, and whether that may be rested on.
+//! Client accounts in force: authentication of requests by key, and how fresh the accounts must be.
 //!
-//! A key that was taken away must run nothing more, also through a host that has lost the store. So a
-//! host knows how old its knowledge is: the store was asked for it at that time, and answered. The time
-//! is the host's own, steady while a process is frozen. What it was told by another host is as old as
-//! that host's word, and the time on the way is counted in.
+//! A revoked key must run nothing more, not even through a host that has lost the store. A host
+//! therefore knows the age of its data: the time since the request that the store answered last, by
+//! the host's own clock, which includes time for which it was suspended. Data from another host is
+//! as old as that host says, plus the time in transit.
 
 use crate::attempt::Call;
 use crate::readers;
@@ -21,12 +21,12 @@
 use tracing::{error, info};
 use unit::{Name, Span};
 
-/// Part of the bound on withdrawals at which a host no longer rests on what it knows of keys. What is
-/// left covers a request on its way, and a store whose watches hear nothing for a second.
+/// Fraction of the bound on revocations up to which a host's data may age. The rest covers a
+/// request in transit, and a store whose watches deliver nothing for a second.
 const MAX_AGE_FRACTION: f64 = 0.8;
 
-/// When a client may come back to a host that cannot confirm its key: such a host asks for the store
-/// several times in that, and the client's next connection may lead to another one.
+/// Retry-After of a host whose data is stale: it retries the store several times meanwhile, and the
+/// client's next connection may reach another host.
 const RETRY_AFTER_STALE: Span = Span::from_ms(500);
 
 /// Accounts of a configuration, by key and by name.
@@ -34,12 +34,12 @@
 pub struct Accounts {
     by_key: HashMap<Key, Arc<Account>>,
     by_name: HashMap<Name, Arc<Account>>,
-    /// Ranks that accounts have, the most urgent first.
+    /// Distinct priorities of the accounts, most urgent first.
     ranks: Vec<u8>,
 }
 
-/// Makes the form in which requests use them. A key that two accounts hold stands for neither: nobody
-/// could say whose request it is.
+/// Indexes the accounts of a configuration. A key of two accounts belongs to neither, since its
+/// requests could not be attributed.
 pub fn build(accounts: Vec<Account>) -> Accounts {
     let mut by_key: HashMap<Key, Option<Arc<Account>>> = HashMap::new();
     let mut by_name = HashMap::new();
@@ -50,7 +50,7 @@
                 .entry(key.clone())
                 .or_insert_with(|| Some(account.clone()));
             if holder.as_ref().is_some_and(|h| h.name != account.name) {
-                error!(target: "config", event = "shared_key", key = key.digest(), account = &*account.name, "two accounts hold one key; it stands for neither");
+                error!(target: "config", event = "shared_key", key = key.digest(), account = &*account.name, "two accounts have the same key; it is valid for neither");
                 *holder = None;
             }
         }
@@ -67,44 +67,42 @@
 }
 
 impl Accounts {
-    /// Account that a key stands for.
     pub fn find(&self, key: &Key) -> Option<&Arc<Account>> {
         self.by_key.get(key)
     }
 
-    /// Account of a name.
     pub fn get(&self, name: &str) -> Option<&Arc<Account>> {
         self.by_name.get(name)
     }
 
-    /// Rank of an account's requests on a route: the account's goes first, and the route's decides among
-    /// those of one rank. `levels` are the ranks that routes may have.
+    /// Combined rank of an account and a route: the account's priority comes first, and the route's
+    /// decides among accounts of one priority. `levels` is the number of route priorities.
     ///
-    /// Where all accounts have one rank, as where none has any, the route's rank stays as it is; with the
-    /// account's alone, look-ups that can wait went before photos that cannot.
+    /// Where all accounts have one priority, or none has any, the route's priority is the rank.
     pub fn rank(&self, account: &Account, route: &Route, levels: u8) -> u8 {
         let rank = account.priority.unwrap_or(route.priority);
-        let before = self.ranks.partition_point(|r| *r < rank) as u8;
-        before.saturating_mul(levels).saturating_add(route.priority)
+        let more_urgent = self.ranks.partition_point(|r| *r < rank) as u8;
+        more_urgent
+            .saturating_mul(levels)
+            .saturating_add(route.priority)
     }
 
-    /// All accounts.
     pub fn all(&self) -> impl Iterator<Item = &Arc<Account>> {
         self.by_name.values()
     }
 }
 
-/// Whose request one is.
+/// Client account that a request belongs to.
 #[derive(Debug, Clone, Default)]
 pub struct Caller {
-    /// Key it came with, where there are accounts.
+    /// Key of the request, if the configuration has accounts.
     pub key: Option<Key>,
-    /// Account that the key stood for when it came.
+    /// Account of the key when the request arrived.
     pub account: Option<Arc<Account>>,
 }
 
-/// Finds whose request one is by the key in its header fields, and takes the key out of them. On a
-/// public route no key is needed, and one that is not known counts as none.
+/// Authenticates a request by its key, which is removed from the headers. A public route needs no
+/// key, and treats an unknown one as none.
 pub fn authenticate(
     state: &State,
     routes: &Routes,
@@ -127,11 +125,11 @@
     };
     match refusal {
         Some(refusal) if !route.public => {
-            let fault = refusal.rejection();
-            tell(
+            let rejection = refusal.rejection();
+            log_refusal(
                 state,
                 &refusal,
-                &fault,
+                &rejection,
                 &Context {
                     id,
                     route,
@@ -139,7 +137,7 @@
                     version: routes.version,
                 },
             );
-            Err(fault)
+            Err(rejection)
         }
         _ => Ok(Caller {
             key: key.ok(),
@@ -148,7 +146,7 @@
     }
 }
 
-/// Account whose request a call is by the newest configuration, now that it is to be sent to a replica.
+/// Authenticates a call again, by the newest configuration, right before it is sent to a replica.
 pub fn reauthenticate(state: &State, call: &Call) -> Result<Option<Arc<Account>>, Refusal> {
     let routes = state.table.lock().routes.clone();
     let Some(accounts) = routes.as_ref().and_then(|r| r.accounts.as_ref()) else {
@@ -168,35 +166,35 @@
     }
 }
 
-/// Whether this host may rest on what it knows of keys.
+/// Checks that this host's data is fresh enough to accept keys.
 pub fn check_freshness(state: &State) -> Result<(), Refusal> {
     let age = data_age(state);
     match max_age(&state.settings.bounds) {
-        Some(most) if age > most => Err(Refusal::Stale { age }),
+        Some(max) if age > max => Err(Refusal::Stale { age }),
         _ => Ok(()),
     }
 }
 
-/// Whether this host can serve requests that need a key: a host that cannot tells the balancer so, which
-/// leads new connections to others.
+/// Whether this host can serve requests that need a key. If not, it tells the balancer, which
+/// directs new connections to other hosts.
 pub fn can_authenticate(state: &State) -> bool {
     let routes = state.table.lock().routes.clone();
     let has_accounts = routes.is_some_and(|r| r.accounts.is_some());
     !has_accounts || check_freshness(state).is_ok()
 }
 
-/// Age up to which a host rests on what it knows of keys; none where nothing bounds it.
+/// Age up to which this host's data is fresh; `None` without a bound.
 pub fn max_age(bounds: &Bounds) -> Option<Span> {
     let bound = bounds.withdrawal?;
     Some(Span::from(bound) * MAX_AGE_FRACTION)
 }
 
-/// Age of what this host knows of the store.
+/// Age of this host's data from the store.
 pub fn data_age(state: &State) -> Span {
     state.readers.recent.lock().age(state.now())
 }
 
-/// Refusal of a key that is not known: by a host that knows the newest configuration it is final.
+/// Refusal of an unknown key. It is final only from a host that knows the newest configuration.
 fn unknown(state: &State, key: &Key) -> Refusal {
     let age = data_age(state);
     match age > Span::from(state.settings.bounds.configuration) {
@@ -207,27 +205,24 @@
     }
 }
 
-/// Why a request is not let in by its key.
+/// Why a request fails authentication.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Refusal {
-    /// It has no key that can be read.
+    /// It has no readable key.
     Unreadable(account::Unreadable),
-    /// No account holds the key.
+    /// No account has the key.
     Unknown {
         /// Short hash of the key.
         digest: String,
     },
-    /// The key was taken away while the request waited.
+    /// The key was revoked while the request waited.
     Revoked,
-    /// What this host knows of keys is too old.
-    Stale {
-        /// Its age.
-        age: Span,
-    },
+    /// This host's data is too old to accept keys.
+    Stale { age: Span },
 }
 
 impl Refusal {
-    /// One word for logs and metrics.
+    /// Reason in logs and metrics.
     pub fn reason(&self) -> &'static str {
         match self {
             Refusal::Unreadable(_) => "no_key",
@@ -237,7 +232,7 @@
         }
     }
 
-    /// Answer that tells the client.
+    /// Rejection to send to the client.
     pub fn rejection(&self) -> Rejection {
         let message = self.to_string();
         match self {
@@ -260,31 +255,31 @@
     }
 }
 
-/// Request that is not let in by its key, as it is told.
+/// Context of a refusal, for its log line.
 struct Context<'a> {
     id: Option<Name>,
     route: &'a Route,
     account: Option<&'a Account>,
-    /// Version of the configuration that was gone by.
+    /// Version of the configuration that was applied.
     version: u64,
 }
 
-/// Tells why a request is not let in.
-fn tell(state: &State, refusal: &Refusal, fault: &Rejection, refused: &Context) {
+/// Records a refusal in the log and the metrics.
+fn log_refusal(state: &State, refusal: &Refusal, rejection: &Rejection, context: &Context) {
     state
         .log
         .metrics
-        .record_outcome(&refused.route.name, fault.reason);
+        .record_outcome(&context.route.name, rejection.reason);
     let key = match refusal {
         Refusal::Unknown { digest } => Some(digest.as_str()),
         _ => None,
     };
     state.log.rate_limited(|| {
-        let (id, route) = (refused.id.as_deref(), &*refused.route.name);
-        let account = refused.account.map(|a| &*a.name);
+        let (id, route) = (context.id.as_deref(), &*context.route.name);
+        let account = context.account.map(|a| &*a.name);
         let age_ms = data_age(state).ms();
         let store = if readers::is_cut(state) { "failing" } else { "answering" };
-        let retry_after_ms = fault.retry_after.map(|s| s.ms());
-        info!(target: "request", event = "refused", id, route, account, key, status = fault.status.as_u16(), reason = fault.reason, version = refused.version, age_ms, store, retry_after_ms, ms = 0.0, why = %refusal, "a request is not let in by its key")
+        let retry_after_ms = rejection.retry_after.map(|s| s.ms());
+        info!(target: "request", event = "refused", id, route, account, key, status = rejection.status.as_u16(), reason = rejection.reason, version = context.version, age_ms, store, retry_after_ms, ms = 0.0, why = %refusal, "a request is not let in by its key")
     });
 }
--- a/crates/front/src/contact.rs
+++ b/crates/front/src/contact.rs
@@ -1,42 +1,43 @@
-//! Since when the store has been there, by what this host heard of it and by what other hosts tell.
+//! Contact with the store: since when it has been up, by what this host and other hosts have heard
+//! from it.
 //!
-//! Entries of living replicas lapse in an outage of the store and come back after it, so an entry that
-//! vanishes then is no departure. A host that is cut off hears nothing either, and entries that vanish meanwhile
-//! are departures. Its own silence does not tell the two apart; another host that has heard from the store
-//! all the time does.
+//! Entries of running replicas lapse in a store outage and reappear after it, so an entry that
+//! vanishes then does not mean a departure. A host that is cut off hears nothing either, but
+//! entries that vanish meanwhile are departures. Its own silence cannot tell the two cases apart;
+//! another host that has heard from the store all along can.
 
 use serde::{Deserialize, Serialize};
 use unit::{Span, Time};
 
-/// Time in which entries that lapsed in an outage of the store come back after it.
+/// Time after a store outage within which lapsed entries reappear.
 const REAPPEAR_WITHIN: Span = Span::from_ms(2_000);
 
-/// Heartbeats for which the store must be silent at the least for an entry to lapse: it does after three that
-/// are missed, and the last one may have come up to one before the silence.
+/// Minimum silence of the store, in heartbeats, for an entry to lapse: it does after three missed
+/// ones, and the last may have come up to one before the silence.
 const MIN_LAPSE_HEARTBEATS: f64 = 2.0;
 
-/// Time that a word may have been on its way, by which what it tells seems younger than it is: a link on which
-/// packets wait for longer counts as harmed.
+/// Longest assumed transit of another host's ages, by which its uptime appears too young. A link on
+/// which packets wait longer counts as impaired.
 const MAX_TRANSIT: Span = Span::from_ms(500);
 
-/// Time through which the store was heard from, without a silence in which entries can lapse.
+/// Time range in which the store was heard from, without a silence long enough for entries to
+/// lapse.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Uptime {
     since: Time,
     until: Time,
 }
 
-/// Run as one host tells it to another, whose clock differs: by ages.
+/// Uptime as ages, for another host, whose clock differs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ages {
-    /// Time since the run began, in milliseconds.
+    /// Age of the start, in milliseconds.
     since_ms: u32,
-    /// Time since the store was heard from last, in milliseconds.
+    /// Age of the end, in milliseconds.
     until_ms: u32,
 }
 
 impl Uptime {
-    /// The run as it is told.
     pub fn ages(&self, now: Time) -> Ages {
         let age = |at| u32::try_from(now.since(at).0 / 1_000).unwrap_or(u32::MAX);
         Ages {
@@ -45,19 +46,19 @@
         }
     }
 
-    /// Whether no silence longer than `silence` lies between it and another run.
-    fn meets(&self, other: &Uptime, silence: Span) -> bool {
+    /// Whether the gap to another uptime is at most `max_gap`.
+    fn meets(&self, other: &Uptime, max_gap: Span) -> bool {
         let gap = self
             .since
             .max(other.since)
             .since(self.until.min(other.until));
-        gap <= silence
+        gap <= max_gap
     }
 
-    /// Both runs as one where they meet, else the later one.
-    pub fn join(self, other: Uptime, silence: Span) -> Uptime {
-        if !self.meets(&other, silence) {
-            return std::cmp::max_by_key(self, other, |run| run.until);
+    /// The union of two uptimes that meet, otherwise the later one.
+    pub fn join(self, other: Uptime, max_gap: Span) -> Uptime {
+        if !self.meets(&other, max_gap) {
+            return std::cmp::max_by_key(self, other, |uptime| uptime.until);
         }
         Uptime {
             since: self.since.min(other.since),
@@ -67,9 +68,9 @@
 }
 
 impl Ages {
-    /// The run that was told at a time.
-    pub fn uptime(&self, told: Time) -> Uptime {
-        let before = |ms: u32| told - Span::from_ms(u64::from(ms));
+    /// Uptime of ages received at `received`.
+    pub fn uptime(&self, received: Time) -> Uptime {
+        let before = |ms: u32| received - Span::from_ms(u64::from(ms));
         Uptime {
             since: before(self.since_ms),
             until: before(self.until_ms),
@@ -77,29 +78,29 @@
     }
 }
 
-/// Silence between the runs of two hosts in which no entry can have lapsed, where replicas write each
-/// `heartbeat`.
+/// Largest gap between two hosts' uptimes in which no entry can have lapsed, for replicas that
+/// write every `heartbeat`.
 pub fn max_gap_between_hosts(heartbeat: Span) -> Span {
     (heartbeat * MIN_LAPSE_HEARTBEATS).saturating_sub(MAX_TRANSIT)
 }
 
-/// What is known of the store's presence.
+/// Contact of this host with the store, directly or through other hosts.
 #[derive(Debug)]
 pub struct Contact {
-    /// Time between two writings of a replica's entry.
+    /// Interval at which replicas write their entries.
     heartbeat: Span,
-    /// The last run of this host, or of what it heard of the store through others.
+    /// Last uptime as this host heard it, directly or through another host.
     own: Option<Uptime>,
-    /// Whether a longer silence went before that.
+    /// Whether a longer silence preceded it.
     after_outage: bool,
-    /// Whether no call is answered, here or by way of another host.
+    /// Whether no call is answered, directly or through another host.
     unreachable: bool,
-    /// The last run of the hosts that told theirs.
+    /// Last uptime of the hosts that reported theirs.
     others: Option<Uptime>,
 }
 
 impl Contact {
-    /// Knows nothing yet of a store to which replicas write each `heartbeat`.
+    /// No contact yet with a store to which replicas write every `heartbeat`.
     pub fn new(heartbeat: Span) -> Contact {
         Contact {
             heartbeat,
@@ -110,17 +111,17 @@
         }
     }
 
-    /// Notes that the store answered what it was asked at a time; what another host tells of it was asked and
-    /// answered when the store told that.
+    /// Records that the store answered a call that was made at `asked`. What comes through another
+    /// host was asked and answered when the store told that host.
     pub fn answered(&mut self, asked: Time, now: Time) {
         self.unreachable = false;
         match &mut self.own {
-            Some(run) if asked.since(run.until) <= self.heartbeat * MIN_LAPSE_HEARTBEATS => {
-                run.until = run.until.max(now);
+            Some(uptime) if asked.since(uptime.until) <= self.heartbeat * MIN_LAPSE_HEARTBEATS => {
+                uptime.until = uptime.until.max(now);
             }
-            run => {
-                self.after_outage = run.is_some();
-                *run = Some(Uptime {
+            uptime => {
+                self.after_outage = uptime.is_some();
+                *uptime = Some(Uptime {
                     since: now,
                     until: now,
                 });
@@ -128,50 +129,49 @@
         }
     }
 
-    /// Notes that no call is answered, here or by way of another host.
+    /// Records that no call is answered, directly or through another host.
     pub fn failed(&mut self) {
         self.unreachable = true;
     }
 
-    /// Whether no call is answered, here or by way of another host.
     pub fn is_unreachable(&self) -> bool {
         self.unreachable
     }
 
     /// Time since the store was last known to answer.
     pub fn silence(&self, now: Time) -> Option<Span> {
-        self.own.map(|run| now.since(run.until))
+        self.own.map(|uptime| now.since(uptime.until))
     }
 
-    /// This host's run, to be told to others. What these told is not in it, so that no word is told again
-    /// as if it were new.
+    /// This host's own uptime, for other hosts. What they reported is not included, so that it is
+    /// never passed on as new.
     pub fn ages(&self, now: Time) -> Option<Ages> {
-        self.own.map(|run| run.ages(now))
+        self.own.map(|uptime| uptime.ages(now))
     }
 
-    /// Takes in another host's run.
-    pub fn merge(&mut self, word: Ages, now: Time) {
-        let run = word.uptime(now);
-        let silence = max_gap_between_hosts(self.heartbeat);
-        let joined = self.others.map(|known| known.join(run, silence));
-        self.others = joined.or(Some(run));
+    /// Merges another host's uptime.
+    pub fn merge(&mut self, ages: Ages, now: Time) {
+        let uptime = ages.uptime(now);
+        let max_gap = max_gap_between_hosts(self.heartbeat);
+        let merged = self.others.map(|others| others.join(uptime, max_gap));
+        self.others = merged.or(Some(uptime));
     }
 
-    /// Time since the store came back from an outage, while entries that lapsed in it may come back yet.
+    /// Time since the store recovered from an outage, as long as lapsed entries may still reappear.
     ///
-    /// A run of other hosts that reaches into this host's own goes before it. Without it, a host that was cut off
-    /// alone sends requests to a replica that has left for 2 s after its return, and every second one where two
-    /// replicas can take it, by `partitioned_host` of the tests.
+    /// An uptime of other hosts that overlaps this host's own extends it backwards. Otherwise a
+    /// host that alone was cut off would send requests to a departed replica for 2 s after its
+    /// return; see the test `partitioned_host`.
     pub fn since_recovery(&self, now: Time) -> Option<Span> {
         let own = self.own.filter(|_| self.after_outage)?;
-        let silence = max_gap_between_hosts(self.heartbeat);
-        let others = self.others.filter(|run| run.meets(&own, silence));
-        let since = others.map_or(own.since, |run| run.since.min(own.since));
-        let back = now.since(since);
-        (back < REAPPEAR_WITHIN).then_some(back)
+        let max_gap = max_gap_between_hosts(self.heartbeat);
+        let others = self.others.filter(|uptime| uptime.meets(&own, max_gap));
+        let since = others.map_or(own.since, |uptime| uptime.since.min(own.since));
+        let elapsed = now.since(since);
+        (elapsed < REAPPEAR_WITHIN).then_some(elapsed)
     }
 
-    /// Whether an entry that vanishes now may come back.
+    /// Whether an entry that vanishes now may reappear.
     pub fn may_reappear(&self, now: Time) -> bool {
         self.unreachable || self.since_recovery(now).is_some()
     }
--- a/crates/front/src/grant.rs
+++ b/crates/front/src/grant.rs
@@ -1,6 +1,7 @@
-//! Units of a limit over all hosts, as this host asks for them, is given them, and gives them back.
+//! Units of limits over all hosts: claiming them, using them and refunding them.
 //!
-//! The host that leads gives out. While it does not answer, this one goes on by its share of what was given out lately.
+//! The limiter on the leader grants them. While it does not answer, this host falls back to its
+//! share of the recent grants.
 
 use crate::message::{QuotaRequest, QuotaResponse, Subject};
 use crate::peers::Peers;
@@ -10,87 +11,89 @@
 use std::time::Duration;
 use unit::{Span, Time};
 
-/// Units that are wanted for one request.
+/// Claim of units for one request.
 pub struct Claim {
-    /// Whose limit it is.
+    /// Subject of the limit.
     pub subject: Subject,
-    /// The limit, as this host knows it.
+    /// The limit as this host knows it.
     pub limit: Limit,
-    /// How many.
     pub units: f64,
-    /// Units that are to be left for what is more urgent.
+    /// Units to leave for requests of higher priority.
     pub reserved: f64,
-    /// Whether nothing else can take the request, so that it comes again.
+    /// Whether a denied claim will be repeated, since nothing else can take the request.
     pub will_retry: bool,
 }
 
-/// Units that were given for one request.
+/// Units granted for one request.
 pub struct Grant {
     peers: Arc<Peers>,
     subject: Subject,
     units: f64,
-    /// When they were asked for.
+    /// When they were claimed.
     requested: Time,
     source: Source,
 }
 
-/// Where units came from.
+/// Source of granted units.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Source {
-    /// The host that gives out.
+    /// The limiter on the leader.
     Limiter,
     /// This host's share.
     Share,
 }
 
-/// What the host that gives out says.
+/// Decision about a claim.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Decision {
-    /// They are given.
+    /// The units are granted.
     Granted(Usage),
-    /// There are not enough.
+    /// The limiter has too few units.
     Denied(Refusal),
     /// There is no limit.
     Unlimited,
 }
 
-/// Asks the host that gives out, once for each time that a try may take; none when it did not answer.
+/// Asks the limiter, once per timeout; `None` if it did not answer.
 pub async fn ask(
     state: &State,
     peers: &Peers,
-    wanted: &Claim,
-    tries: &[Duration],
+    claim: &Claim,
+    timeouts: &[Duration],
 ) -> Option<Decision> {
-    let asked = state.now();
-    let untold = state
+    let requested = state.now();
+    let unreported = state
         .shares
-        .with(&wanted.subject, |share| share.unreported());
-    let question = QuotaRequest {
+        .with(&claim.subject, |share| share.unreported());
+    let request = QuotaRequest {
         number: 0,
         host: state.settings.name.clone(),
-        subject: wanted.subject.clone(),
-        units: wanted.units as f32,
-        kept: wanted.reserved as f32,
-        queues: wanted.will_retry,
-        alone: untold as f32,
+        subject: claim.subject.clone(),
+        units: claim.units as f32,
+        kept: claim.reserved as f32,
+        queues: claim.will_retry,
+        alone: unreported as f32,
     };
-    let answer = peers.request_quota(question, tries).await.and_then(answer);
-    let Some(answer) = answer else {
+    let decision = peers
+        .request_quota(request, timeouts)
+        .await
+        .and_then(decision);
+    let Some(decision) = decision else {
         state.shares.note_no_answer(state.now());
         return None;
     };
-    state.shares.with(&wanted.subject, |share| {
-        share.record_answer(asked, untold);
-        if let Decision::Granted(told) = answer {
-            share.record_grant(wanted.units, told, asked);
+    state.shares.with(&claim.subject, |share| {
+        share.record_answer(requested, unreported);
+        if let Decision::Granted(usage) = decision {
+            share.record_grant(claim.units, usage, requested);
         }
     });
-    Some(answer)
+    Some(decision)
 }
 
-/// What a verdict says; none where the host that was asked does not give out.
-fn answer(verdict: QuotaResponse) -> Option<Decision> {
-    match verdict {
+/// Decision in a response; `None` if the host that was asked is not the limiter.
+fn decision(response: QuotaResponse) -> Option<Decision> {
+    match response {
         QuotaResponse::Given { all, left } => Some(Decision::Granted(Usage {
             granted: f64::from(all),
             available: f64::from(left),
@@ -104,29 +107,29 @@
     }
 }
 
-/// Uses units of this host's own share; otherwise the time after which there will be enough, if ever.
-pub fn spend_share(state: &State, wanted: &Claim) -> Result<(), Option<Span>> {
+/// Takes units from this host's share. The error is the time until there are enough, if ever.
+pub fn spend_share(state: &State, claim: &Claim) -> Result<(), Option<Span>> {
     let now = state.now();
-    state.shares.with(&wanted.subject, |share| {
-        share.acquire_local(wanted.limit, wanted.units, now)
+    state.shares.with(&claim.subject, |share| {
+        share.acquire_local(claim.limit, claim.units, now)
     })
 }
 
 impl Claim {
-    /// Units that were given for a question of `asked`.
-    pub fn into_grant(self, peers: &Arc<Peers>, asked: Time, source: Source) -> Grant {
+    /// Turns a claim made at `requested` into a grant.
+    pub fn into_grant(self, peers: &Arc<Peers>, requested: Time, source: Source) -> Grant {
         Grant {
             peers: peers.clone(),
             subject: self.subject,
             units: self.units,
-            requested: asked,
+            requested,
             source,
         }
     }
 }
 
 impl Grant {
-    /// Gives the units back: the request did not use them.
+    /// Refunds units that the request did not use.
     pub async fn refund(self, state: &State) {
         let age = state.now().since(self.requested);
         if self.source == Source::Share || age > REFUND_WINDOW {
--- a/crates/front/src/leader.rs
+++ b/crates/front/src/leader.rs
@@ -1,9 +1,10 @@
-//! Election of the one host that gives orders: a key under a lease, whose writing begins the term.
+//! Election of the leader, the one host that sends orders. The leader's key is written under a
+//! lease, and writing it begins the term.
 //!
-//! The revision at which the key was written is the fencing token: it is unique and rises. The holder
-//! stops by its own clock, which counts the time for which it was suspended, before its lease can have ended. A host that finds an entry of its own,
-//! which an earlier process here has left, takes it over at once: the process before it is gone, since
-//! this one listens where that one did.
+//! The revision of that write is the fencing token: it is unique and increasing. By its own clock,
+//! which includes time for which the host was suspended, the leader stops before its lease can have
+//! expired. A host that finds an entry of its own, left by an earlier process, replaces it
+//! immediately: that process is gone, since this one listens on its address.
 
 use crate::clock::Clock;
 use crate::follow::set_leader;
@@ -19,37 +20,37 @@
 use tracing::{info, warn};
 use unit::{Name, Span, Time, rendezvous};
 
-/// Key of the leader.
+/// Key of the leader's entry.
 pub const KEY: &str = "coveford/leader";
 
-/// Key that the first leader of all leaves behind, so that a later one knows that it is not the first.
+/// Key that the first leader writes, by which later ones know that they are not the first.
 const FIRST_TERM_KEY: &str = "coveford/led";
 
-/// Time to live of the lease. A planner is missed for about this long when its host dies.
+/// Time to live of the lease, and about how long planning pauses when the leader dies.
 const LEASE_TTL: Duration = Duration::from_millis(3_000);
 
-/// Renewals in one time to live.
 const RENEWALS_PER_TTL: u32 = 3;
 
-/// Time before the lease's end at which its holder stops, for the way of an order that is given.
+/// Time before the end of the lease at which the leader stops, so that orders on their way arrive
+/// within it.
 const MARGIN: Span = Span::from_ms(400);
 
-/// Longest wait of a host before it tries for a free lease, by chance; hosts wait differently long,
-/// so that few try.
+/// Longest jitter before a host tries to acquire a free lease. It differs between hosts, so that
+/// few try.
 const MAX_JITTER: Duration = Duration::from_millis(200);
 
-/// Wait of a host with next to no processor beside one with [`ENOUGH_CORES`]: long enough for several
-/// stronger ones to try. At 300 hosts a leader with 0.12 of a core answered so late that hosts took it for
-/// gone.
+/// Additional delay of a host with hardly any processor time, compared to one with
+/// [`ENOUGH_CORES`]: several stronger hosts can try first. A starved leader answers so late that
+/// hosts take it for dead.
 const LOW_CPU_DELAY: Duration = Duration::from_millis(1_500);
 
-/// Processor, in cores, from which a host leads as well as any.
+/// Processor time, in cores, beyond which more does not make a better leader.
 const ENOUGH_CORES: f64 = 0.5;
 
-/// Pause between two tries to renew a lease that could not be renewed in time.
+/// Interval between attempts to renew a lease that could not be renewed in time.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Pause between looks whether the lease is free.
+/// Interval between checks of whether the lease is free.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Leader's entry in the store.
@@ -59,7 +60,7 @@
     peers: SocketAddr,
 }
 
-/// Reads the leader's entry.
+/// Decodes the leader's entry.
 pub fn decode(item: &Item) -> Result<Leader, serde_json::Error> {
     let entry: Entry = serde_json::from_slice(&item.value)?;
     Ok(Leader {
@@ -69,35 +70,33 @@
     })
 }
 
-/// Term of this host as the leader; clones share its end.
+/// Term of this host as the leader. Clones share its state.
 #[derive(Clone)]
 pub struct Term {
-    /// Fencing token.
     pub token: u64,
-    /// When it began.
     pub started: Time,
-    /// Whether no host has ever led before, so that no order can be under way.
+    /// Whether no host has led before, so that no order can be in progress.
     pub is_first: bool,
     validity: Arc<Mutex<Validity>>,
     clock: Arc<Clock>,
 }
 
-/// How long a term holds.
+/// Validity of a term.
 struct Validity {
-    /// Shortly before its lease ends, by this host's clock.
+    /// Shortly before its lease expires, by this host's clock.
     until: Time,
-    /// Whether it is over for good, since it was given up or a later holder gives orders.
+    /// Whether it has ended early: this host stepped down or a later leader sends orders.
     ended: bool,
 }
 
 impl Term {
-    /// Whether the term still holds, by this host's clock.
+    /// Whether the term is valid, by this host's clock.
     pub fn is_valid(&self) -> bool {
         let held = self.validity.lock();
         !held.ended && self.clock.now() < held.until
     }
 
-    /// Lets the term hold until shortly before its lease ends; tells whether it holds now.
+    /// Extends the term until shortly before its lease expires. Returns whether it is valid now.
     fn extend(&self, lease_ends: Time) -> bool {
         let mut held = self.validity.lock();
         held.until = held.until.max(lease_ends - MARGIN);
@@ -105,32 +104,33 @@
         self.is_valid()
     }
 
-    /// Ends the term; no order is given after this.
+    /// Ends the term; no order is sent after this.
     pub fn end(&self) {
         self.validity.lock().ended = true;
     }
 }
 
-/// Tries to lead whenever nobody does; `lead` works until the term it is given ends.
+/// Tries to become the leader whenever there is none. `lead` runs until the term that it is given
+/// ends.
 pub async fn run<F, R>(state: Arc<State>, lead: F)
 where
     F: Fn(Term) -> R,
     R: Future<Output = ()> + Send + 'static,
 {
-    let wait = election_delay(&state);
+    let delay = election_delay(&state);
     loop {
         tokio::time::sleep(POLL_INTERVAL).await;
         if !may_campaign(&state) {
             continue;
         }
         if !state.leads() {
-            tokio::time::sleep(wait).await;
+            tokio::time::sleep(delay).await;
         }
         if !may_campaign(&state) {
             continue;
         }
         if let Some((lease, term)) = acquire(&state).await {
-            // Its work ends with this task, also when the daemon is dropped.
+            // The task set ends the work with this task, also when the daemon is dropped.
             let mut work = JoinSet::new();
             work.spawn(lead(term.clone()));
             keep_renewing(&state, &lease, &term).await;
@@ -143,44 +143,46 @@
     }
 }
 
-/// Time that this host leaves to others that are stronger, or before it by chance.
+/// Delay before this host tries to become the leader: jitter, and more with little processor time.
 fn election_delay(state: &State) -> Duration {
-    let spread = rendezvous::hash(state.settings.name.as_bytes()) % MAX_JITTER.as_millis() as u64;
-    let lack = 1.0 - (state.settings.limits.cores / ENOUGH_CORES).min(1.0);
-    Duration::from_millis(spread) + LOW_CPU_DELAY.mul_f64(lack)
+    let jitter = rendezvous::hash(state.settings.name.as_bytes()) % MAX_JITTER.as_millis() as u64;
+    let shortfall = 1.0 - (state.settings.limits.cores / ENOUGH_CORES).min(1.0);
+    Duration::from_millis(jitter) + LOW_CPU_DELAY.mul_f64(shortfall)
 }
 
-/// Whether this host may try to lead: it sees the store, stays, and knows of no other leader.
+/// Whether this host may try to become the leader: it reaches the store, is not draining, and knows
+/// of no other leader.
 fn may_campaign(state: &State) -> bool {
     let table = state.table.lock();
-    let sees = table.routes.is_some() && !table.view.contact.is_unreachable();
+    let has_store = table.routes.is_some() && !table.view.contact.is_unreachable();
     drop(table);
-    sees && !state.is_draining() && !state.is_led_by_another()
+    has_store && !state.is_draining() && !state.is_led_by_another()
 }
 
-/// What came of the creation of the leader's entry.
+/// Result of creating the leader's entry.
 enum Created {
-    /// This host created it at that revision.
+    /// Created by this host at this revision.
     Confirmed(u64),
-    /// So it was found when it was read back: who wrote the mark of the first leader is not known.
+    /// Found when reading it back, at this revision. Whether the first-term key was written is
+    /// unknown.
     ReadBack(u64),
-    /// It did not.
+    /// Not created.
     Failed,
 }
 
-/// Takes a lease and creates the leader's entry under it.
+/// Acquires a lease and creates the leader's entry under it.
 async fn acquire(state: &Arc<State>) -> Option<(Lease, Term)> {
-    let asked = state.now();
+    let requested = state.now();
     let lease = match state.store.grant(LEASE_TTL).await {
         Ok(lease) => lease,
         Err(why) => {
-            info!(target: "leader", event = "no_lease", why = %why, "no lease was granted");
+            info!(target: "leader", event = "no_lease", why = %why, "the store granted no lease");
             return None;
         }
     };
     let is_first = !state.leader_seen.load(Ordering::Relaxed);
     let created = create(state, &lease, is_first).await;
-    // Whatever came of it: a host has led now, or may have.
+    // Whatever the result: a host has led, or may have.
     state.leader_seen.store(true, Ordering::Relaxed);
     let (token, is_first) = match created {
         Created::Confirmed(token) => (token, is_first),
@@ -198,13 +200,13 @@
             term: token,
         }),
     );
-    info!(target: "leader", event = "won", term = token, lease = lease.id, "this host leads");
+    info!(target: "leader", event = "won", term = token, lease = lease.id, "this host is the leader");
     let term = Term {
         token,
         started: state.now(),
         is_first,
         validity: Arc::new(Mutex::new(Validity {
-            until: asked + Span::from(lease.ttl).saturating_sub(MARGIN),
+            until: requested + Span::from(lease.ttl).saturating_sub(MARGIN),
             ended: false,
         })),
         clock: state.clock.clone(),
@@ -212,7 +214,7 @@
     Some((lease, term))
 }
 
-/// Creates the leader's entry unless there is one; the first leader of all leaves its mark too.
+/// Creates the leader's entry unless there is one, and the first-term key in the first term.
 async fn create(state: &State, lease: &Lease, is_first: bool) -> Created {
     match state.store.commit(&creation(state, lease, is_first)).await {
         Ok(Committed::Done(revision)) => Created::Confirmed(revision),
@@ -227,34 +229,35 @@
     }
 }
 
-/// Revision of the entry that a host may write anew when it tries to lead; 0 where there must be none. Another
-/// host's is never replaced: it may have become known only now, while this host was about to try.
+/// Revision that the leader's entry must have for this host to write it; 0 if it must not exist.
+/// Another host's entry is never replaced: it may have become known only now, while this host was
+/// about to write.
 pub fn expected_revision(known: Option<&Leader>, own: SocketAddr) -> u64 {
-    let left = known.filter(|leader| leader.peers == own);
-    left.map_or(0, |leader| leader.term)
+    let own_entry = known.filter(|leader| leader.peers == own);
+    own_entry.map_or(0, |leader| leader.term)
 }
 
-/// Transaction that creates the leader's entry, or takes over the one that an earlier process here left.
+/// Transaction that creates the leader's entry, or replaces one left by an earlier process here.
 fn creation(state: &State, lease: &Lease, is_first: bool) -> Transaction {
     let entry = Entry {
         name: state.settings.name.clone(),
         peers: state.settings.peers,
     };
-    let value = serde_json::to_vec(&entry).expect("an entry is plain data");
-    let left = expected_revision(state.leader.lock().as_ref(), state.settings.peers);
+    let value = serde_json::to_vec(&entry).expect("an entry is serializable");
+    let expected = expected_revision(state.leader.lock().as_ref(), state.settings.peers);
     let mut txn = Transaction {
-        expected: vec![(KEY.into(), left)],
+        expected: vec![(KEY.into(), expected)],
         writes: vec![(KEY.into(), value, lease.id)],
         removed: Vec::new(),
     };
-    if is_first && left == 0 {
+    if is_first && expected == 0 {
         txn.expected.push((FIRST_TERM_KEY.into(), 0));
         txn.writes.push((FIRST_TERM_KEY.into(), Vec::new(), 0));
     }
     txn
 }
 
-/// Takes in the leader whose entry stood in the way of a creation, if one did.
+/// Records the leader whose entry made a creation conflict, if any.
 fn note_conflict(state: &State, items: &[Item]) {
     let found = items.iter().find(|i| &*i.key == KEY && i.revision > 0);
     if let Some(Ok(leader)) = found.map(decode) {
@@ -262,25 +265,25 @@
     }
 }
 
-/// Reads back whether a creation whose answer was lost has taken effect.
+/// Reads back whether a creation without an answer has taken effect.
 async fn read_back(state: &State, lease: &Lease, why: &str) -> Option<u64> {
-    info!(target: "leader", event = "in_doubt", why, "the creation of the leader's entry is read back");
+    info!(target: "leader", event = "in_doubt", why, "no answer to the creation of the leader's entry; reading it back");
     let item = state.store.get(KEY, Freshness::Newest).await.ok()??;
     (item.lease == lease.id).then_some(item.revision)
 }
 
-/// Renews the lease until it cannot be renewed in time, or the daemon stops.
+/// Renews the lease until it cannot be renewed in time, or the daemon drains.
 async fn keep_renewing(state: &State, lease: &Lease, term: &Term) {
-    let pause = Span::from(lease.ttl / RENEWALS_PER_TTL);
+    let interval = Span::from(lease.ttl / RENEWALS_PER_TTL);
     loop {
-        let step = state.now() + pause;
-        while state.now() < step {
+        let next_renewal = state.now() + interval;
+        while state.now() < next_renewal {
             tokio::time::sleep(POLL_INTERVAL).await;
             if state.is_draining() || !term.is_valid() {
                 return;
             }
         }
-        let asked = state.now();
+        let requested = state.now();
         let until = term.validity.lock().until;
         match state
             .clock
@@ -288,14 +291,14 @@
             .await
         {
             Ok(Ok(ttl)) => {
-                term.extend(asked + Span::from(ttl));
+                term.extend(requested + Span::from(ttl));
             }
             Ok(Err(platform::Error::LeaseEnded { lease })) => {
-                warn!(target: "leader", event = "lease_ended", lease, "the lease has ended");
+                warn!(target: "leader", event = "lease_ended", lease, "the lease has expired");
                 return;
             }
             Ok(Err(why)) => {
-                warn!(target: "leader", event = "not_renewed", why = %why, "the lease could not be renewed yet");
+                warn!(target: "leader", event = "not_renewed", why = %why, "could not renew the lease; will retry");
                 tokio::time::sleep(POLL_INTERVAL).await;
             }
             Err(_) => return,
@@ -303,21 +306,21 @@
     }
 }
 
-/// Goes on with a term that could not be renewed in time, once the store answers again, if the lease has
-/// waited meanwhile: as long as the entry stands under it, nobody else can have led. Tells whether the
-/// term goes on.
+/// Resumes a term whose lease could not be renewed in time, once the store answers again and if the
+/// lease has outlived the outage: as long as the entry exists under it, no other host can have led.
+/// Returns whether the term is resumed.
 async fn resume(state: &State, lease: &Lease, term: &Term) -> bool {
     while !state.is_draining() && !state.is_led_by_another() {
-        let asked = state.now();
+        let requested = state.now();
         match renew(state, lease).await {
             Ok(Some(ttl)) => {
-                info!(target: "leader", event = "resumed", term = term.token, "the store answers again, and the term goes on");
-                return term.extend(asked + Span::from(ttl));
+                info!(target: "leader", event = "resumed", term = term.token, "the store answers again; the term is resumed");
+                return term.extend(requested + Span::from(ttl));
             }
             Ok(None) => return false,
             Err(why) => {
                 state.log.rate_limited(|| {
-                    warn!(target: "leader", event = "not_renewed", why = %why, "the lease could not be renewed yet")
+                    warn!(target: "leader", event = "not_renewed", why = %why, "could not renew the lease; will retry")
                 });
                 tokio::time::sleep(RETRY_INTERVAL).await;
             }
@@ -326,7 +329,7 @@
     false
 }
 
-/// Renews a lease under which the leader's entry still stands; none when the lease or the entry is gone.
+/// Renews a lease if the leader's entry still exists under it; returns `None` if either is gone.
 async fn renew(state: &State, lease: &Lease) -> Result<Option<Duration>, platform::Error> {
     let ttl = match state.store.renew(lease.id).await {
         Ok(ttl) => ttl,
@@ -337,13 +340,13 @@
     Ok(item.filter(|i| i.lease == lease.id).map(|_| ttl))
 }
 
-/// Ends a term and its lease.
+/// Ends a term and revokes its lease.
 async fn step_down(state: &State, lease: Lease, term: &Term) {
     term.end();
-    warn!(target: "leader", event = "lost", term = term.token, "this host no longer leads");
+    warn!(target: "leader", event = "lost", term = term.token, "this host is no longer the leader");
     let _ = state.store.end(lease.id).await;
-    let mut known = state.leader.lock();
-    if known.as_ref().is_some_and(|l| l.term == term.token) {
-        *known = None;
+    let mut leader = state.leader.lock();
+    if leader.as_ref().is_some_and(|l| l.term == term.token) {
+        *leader = None;
     }
 }
--- a/crates/front/src/planner.rs
+++ b/crates/front/src/planner.rs
@@ -2,7 +2,7 @@
 //!
 //! `demand` measures demand, `service` plans the copies of models, `adapters` places adapters on
 //! request, `prefetch` loads others ahead of requests, `dispatch` sends orders, `digest` broadcasts
-//! load and plans, and `quarantine` broadcasts and stores the list of suspected and blocked
+//! load and plans, and `quarantine` broadcasts and stores the list of suspected and quarantined
 //! requests.
 //!
 //! Lock order: the table before [`Fleet`].
--- a/crates/front/src/planner/quarantine.rs
+++ b/crates/front/src/planner/quarantine.rs
@@ -1,4 +1,4 @@
-//! Broadcasting the list of suspected and blocked requests, and writing it to the store.
+//! Broadcasting the list of suspected and quarantined requests, and writing it to the store.
 
 use super::Planner;
 use crate::leader;
--- a/crates/front/src/quarantine.rs
+++ b/crates/front/src/quarantine.rs
@@ -1,12 +1,13 @@
-//! Requests that end replicas: what this host has seen of them, and what the leader says of them.
+//! Quarantine of requests that crash the replicas that run them.
 //!
-//! Each host tells the leader which requests broke where a replica fell, and which of those that are listed have
-//! ended well. The leader counts, gives out trials, and lists what is suspected or kept out: to all hosts by
-//! datagram, and in the store, by which a host that begins or comes back knows it before it serves, and which
-//! outlasts all hosts. Where hosts are few they tell each other of falls as well, so that the next leader knows.
+//! Each host reports to the leader which requests were interrupted by the crash of a replica, and
+//! which of the listed ones succeeded. The leader counts, permits trials, and lists suspected and
+//! quarantined requests. It broadcasts the list and writes it to the store: from there hosts that
+//! start or reconnect learn it before they serve, and it outlives all hosts. Where
+//! hosts are few, they also report crashes to each other, so that the next leader knows of them.
 //!
-//! Its parts: `admit` is the way of a request through it, `probe` tells a fall from a broken connection, `registry` is what
-//! this host knows, `stored` is the form of the list in the store. [`route::quarantine`] decides.
+//! `admit` checks requests, `probe` tells a crash from a broken connection, `registry` holds what
+//! this host knows, and `stored` encodes the list for the store. [`route::quarantine`] decides.
 
 mod admit;
 mod probe;
@@ -29,29 +30,29 @@
 use tracing::{error, info, warn};
 use unit::{Fingerprint, Time};
 
-/// What a host tells others.
+/// Report of this host to the leader.
 #[derive(Debug)]
 pub enum Report {
-    /// A replica fell with these requests in flight here.
+    /// A replica crashed with these requests in flight from this host.
     Crashed(Incident),
-    /// A run of a request that is listed has ended well.
+    /// A run of a listed request succeeded.
     Succeeded(Fingerprint),
-    /// A trial has ended, and not well: whether it broke off.
+    /// A trial ended without success, and whether it was interrupted.
     TrialEnded(Fingerprint, bool),
 }
 
-/// Receiver of what this host is to tell.
+/// Receiver of this host's reports.
 pub type Reports = UnboundedReceiver<Report>;
 
-/// What this host knows of such requests. Its lock is taken last.
+/// What this host knows of suspected and quarantined requests. Its lock is taken last.
 pub struct Quarantine {
     registry: Mutex<Registry>,
     reports: UnboundedSender<Report>,
-    /// Notified when the standing of a request has changed in this host's ledger, so that a leader tells it.
+    /// Notified when the status of a request has changed here, so that a leader broadcasts it.
     pub changed: Notify,
 }
 
-/// Makes the part of the shared state.
+/// Makes the quarantine of a host, and the receiver of its reports.
 pub fn open() -> (Quarantine, Reports) {
     let (reports, receiver) = unbounded_channel();
     let quarantine = Quarantine {
@@ -63,53 +64,55 @@
 }
 
 impl Quarantine {
-    /// Hands on what is to be told.
     fn report(&self, report: Report) {
-        // The task that receives lives as long as the daemon.
+        // The receiving task lives as long as the daemon.
         let _ = self.reports.send(report);
     }
 
-    /// What is held of a request, by the leader's word, the store, or else what this host has seen itself.
+    /// Status of a request by the leader's list, the stored list, or what this host has seen
+    /// itself.
     pub fn status(&self, fingerprint: Fingerprint, now: Time) -> Status {
         self.registry.lock().status(fingerprint, now)
     }
 
-    /// Whether nothing is held of any request, so that none needs a look.
+    /// Whether no request is suspected or quarantined, so that requests need no check.
     pub fn is_empty(&self, now: Time) -> bool {
         self.registry.lock().is_empty(now)
     }
 
-    /// Whether replicas have fallen lately, or requests are listed: good ends are noted only then.
+    /// Whether replicas have crashed recently or requests are listed. Successes are recorded only
+    /// then.
     pub fn is_alert(&self, now: Time) -> bool {
         self.registry.lock().is_alert(now)
     }
 
-    /// Notes that a run of a request has ended well here, and tells the leader where it is listed.
+    /// Records that a run of a request succeeded here, and reports it if the request is suspected
+    /// or quarantined.
     pub fn note_success(&self, fingerprint: Fingerprint, now: Time) {
         if self.registry.lock().record_success(fingerprint, now) {
             self.report(Report::Succeeded(fingerprint));
         }
     }
 
-    /// Takes in a fall, seen here or told by another host.
+    /// Records a crash seen here or reported by another host.
     pub fn note_crash(&self, crash: Crash, in_flight: &[Fingerprint], now: Time) {
         let changed = self.registry.lock().record_crash(crash, in_flight, now);
         for fingerprint in &changed {
-            info!(target: "quarantine", event = "suspected", print = %fingerprint, "a request was in flight where several replicas fell");
+            info!(target: "quarantine", event = "suspected", print = %fingerprint, "request suspected: it was in flight at several replica crashes");
         }
         self.note(!changed.is_empty());
     }
 
-    /// Takes in that a run of a request has ended well on some host.
+    /// Records that a run of a request succeeded on any host.
     pub fn note_success_anywhere(&self, fingerprint: Fingerprint) {
         let cleared = self.registry.lock().tracker.record_success(fingerprint);
         if cleared {
-            info!(target: "quarantine", event = "cleared", print = %fingerprint, "a run of the request has ended well");
+            info!(target: "quarantine", event = "cleared", print = %fingerprint, "request cleared: a run succeeded");
         }
         self.note(cleared);
     }
 
-    /// Says, as the leader, what may be done with a request.
+    /// Decides, on the leader, whether a request may run.
     pub fn decide(&self, fingerprint: Fingerprint, request: RequestId, now: Time) -> Permit {
         self.registry
             .lock()
@@ -117,7 +120,7 @@
             .request_permit(fingerprint, request, now)
     }
 
-    /// Takes in, as the leader, that a trial has not ended well.
+    /// Records, on the leader, a trial that ended without success.
     pub fn note_trial_ended(&self, fingerprint: Fingerprint, is_interrupted: bool, now: Time) {
         let outcome = match is_interrupted {
             true => TrialOutcome::Interrupted,
@@ -131,7 +134,7 @@
         self.note(changed);
     }
 
-    /// Forgets what was held of a request here, by the leader's word.
+    /// Forgets a request that the leader has cleared.
     fn lift(&self, fingerprint: Fingerprint) {
         self.registry.lock().lift(fingerprint);
     }
@@ -142,29 +145,29 @@
         }
     }
 
-    /// Falls that the leader of a term is to be told once more.
+    /// Crashes to report again to the leader of a term.
     pub fn unreported_crashes(&self, term: u64, now: Time) -> Vec<Incident> {
         self.registry.lock().incidents.due_reports(term, now)
     }
 
-    /// Takes over, as a new leader, what the one before had listed.
+    /// Takes over the previous leader's list on a new leader.
     pub fn take_over(&self, now: Time) {
         self.registry.lock().take_over(now);
     }
 
-    /// What a leader is to tell all hosts, and whether it has changed since it was asked for last.
+    /// The list to broadcast, and whether it has changed since the last call.
     pub fn listing(&self, term: u64, now: Time) -> (QuarantineList, bool) {
         let mut registry = self.registry.lock();
         let (listing, delta) = registry.listing(term, now);
         drop(registry);
         for fingerprint in &delta.newly_quarantined {
-            warn!(target: "quarantine", event = "kept_out", print = %fingerprint, "a request has ended each replica that began to run it, the last one on trial; no host sends it any more");
+            warn!(target: "quarantine", event = "kept_out", print = %fingerprint, "request quarantined: every replica that started it crashed, the last one during a trial");
         }
         (listing, delta.changed)
     }
 
-    /// Takes in the leader's list, and tells it which of these requests have ended well here since they were first in
-    /// flight at a fall.
+    /// Applies the leader's list, and reports the listed requests that have succeeded here since
+    /// their first crash.
     pub fn apply_listing(&self, list: QuarantineList, now: Time) {
         let succeeded = self.registry.lock().apply_listing(list, now);
         for fingerprint in succeeded {
@@ -172,38 +175,39 @@
         }
     }
 
-    /// What is to stand in the store by this leader's ledger, and the revision that it replaces; none while it stands there.
+    /// The list to write to the store and the revision that it replaces, unless the store has it
+    /// already.
     pub fn pending_write(&self, now: Time) -> Option<(Vec<u8>, u64)> {
         self.registry.lock().pending_write(now)
     }
 
-    /// Takes in what stands in the store at a revision.
+    /// Applies the list that the store holds at a revision.
     pub fn apply_stored(&self, listed: BTreeMap<Fingerprint, bool>, revision: u64) {
         self.registry.lock().apply_stored(listed, revision);
     }
 
-    /// Requests that are suspected and kept out, as far as this host knows.
+    /// Numbers of suspected and of quarantined requests that this host knows of.
     pub fn counts(&self, now: Time) -> (usize, usize) {
         self.registry.lock().counts(now)
     }
 }
 
-/// Takes in the list that stands in the store.
+/// Applies a stored list.
 pub fn apply_stored(state: &State, item: &Item) {
     match stored::decode(&item.value) {
         Ok(listed) => state.quarantine.apply_stored(listed, item.revision),
         Err(why) => {
-            error!(target: "quarantine", event = "malformed", revision = item.revision, why = %why, "the list of requests that are kept out cannot be read; the last one stays in force")
+            error!(target: "quarantine", event = "malformed", revision = item.revision, why = %why, "stored quarantine list cannot be decoded; the last one stays in force")
         }
     }
 }
 
-/// Takes in that the list does not stand in the store, as of a revision.
+/// Records that the store holds no list, as of a revision.
 pub fn note_not_stored(state: &State, revision: u64) {
     state.quarantine.registry.lock().clear_stored(revision);
 }
 
-/// Takes in what a leader wanted to replace in vain; a revision of 0 says that nothing stands there.
+/// Applies what a conflicting write found; revision 0 means that there is no list.
 pub fn apply_conflict(state: &State, item: &Item) {
     match item.revision {
         0 => state.quarantine.registry.lock().mark_missing(),
@@ -211,15 +215,15 @@
     }
 }
 
-/// Takes in that the list was removed from the store, by which operators lift all of it.
+/// Applies the removal of the list from the store, by which operators clear it.
 pub fn note_removed(state: &State, revision: u64) {
     if state.quarantine.registry.lock().apply_removed(revision) {
-        warn!(target: "quarantine", event = "lifted", revision, "the list of requests that are kept out was removed from the store; all are let in again");
+        warn!(target: "quarantine", event = "lifted", revision, "quarantine list removed from the store; all requests are admitted again");
         state.quarantine.changed.notify_one();
     }
 }
 
-/// Notes that a run of a request has ended well.
+/// Records that a run of a request succeeded.
 pub fn note_success(state: &State, call: &crate::attempt::Call) {
     let now = state.now();
     if state.quarantine.is_alert(now) {
--- a/crates/front/src/quarantine/admit.rs
+++ b/crates/front/src/quarantine/admit.rs
@@ -1,4 +1,4 @@
-//! The way of a request through the quarantine: unnoticed, on trial, or not at all.
+//! Checks of requests against the quarantine: admitted, on trial, or rejected.
 
 use super::Report;
 use crate::attempt::Call;
@@ -12,17 +12,18 @@
 use tokio::time::timeout;
 use unit::{Fingerprint, Span, rendezvous};
 
-/// Part of its target for which a suspect may wait here for a trial, or to be cleared. What is asked for often is
-/// cleared within about the time of one run.
+/// Fraction of its target for which a suspected request waits here for a trial or to be cleared. A
+/// frequent request is cleared within about the duration of one run.
 const MAX_HELD_FRACTION: f64 = 0.25;
 
-/// When a client may come back whose request is suspected: about the time of one trial.
+/// Retry-After for a suspected request: about the duration of a trial.
 const RETRY_AFTER_SUSPECTED: Span = Span::from_ms(1_000);
 
-/// Time between two looks at what is held of a request that waits.
+/// Interval between checks of a waiting request.
 const POLL_INTERVAL: Duration = Duration::from_millis(60);
 
-/// Trial of a request: it is sent once, and nothing that is suspected with it. Dropping it ends the trial.
+/// Trial of a request, which is sent once, with no other suspect in flight. Dropping it ends the
+/// trial.
 pub struct Trial {
     state: Arc<State>,
     fingerprint: Fingerprint,
@@ -30,7 +31,6 @@
 }
 
 impl Trial {
-    /// Notes that the run broke off.
     pub(super) fn mark_interrupted(&self) {
         self.is_interrupted.store(true, Ordering::Relaxed);
     }
@@ -44,7 +44,7 @@
 
 impl Drop for Trial {
     fn drop(&mut self) {
-        // Where the run has ended well, that was told before this.
+        // A success has been reported before this.
         let report = Report::TrialEnded(
             self.fingerprint,
             self.is_interrupted.load(Ordering::Relaxed),
@@ -53,7 +53,7 @@
     }
 }
 
-/// Lets a request in if nothing is held of it, or its trial begins now.
+/// Admits a request that is not suspected, or whose trial starts now.
 pub async fn admit(state: &Arc<State>, peers: &Peers, call: &Call) -> Result<(), Rejection> {
     if state.quarantine.is_empty(state.now()) {
         return Ok(());
@@ -68,7 +68,8 @@
             Status::Quarantined => Permit::Quarantined(QUARANTINE_DURATION),
             Status::Suspected => match peers.request_trial(fingerprint, request).await {
                 Some(permit) => permit,
-                // Nobody can come to lead before the store is back: what is innocent would wait for as long.
+                // No host can become leader before the store is back, and innocent requests would
+                // wait for as long.
                 None if state.table.lock().view.contact.is_unreachable() => {
                     state.quarantine.decide(fingerprint, request, state.now())
                 }
@@ -77,7 +78,7 @@
         };
         match permit {
             Permit::Free => {
-                // Whoever decides knows better than what was seen here.
+                // The leader knows more than this host has seen.
                 state.quarantine.lift(fingerprint);
                 return Ok(());
             }
@@ -100,12 +101,12 @@
         fingerprint: call.fingerprint(),
         is_interrupted: AtomicBool::new(false),
     };
-    // A request is let in once.
+    // A request is admitted only once.
     let _ = call.trial.set(trial);
 }
 
-/// Confirms at the last moment before a sending that the request may still go: it may have waited here while others
-/// found out what it does.
+/// Checks again, right before a request is sent, that it still may: its status may have changed
+/// while it waited.
 pub fn check(state: &State, call: &Call) -> Result<(), Rejection> {
     let now = state.now();
     if call.trial.get().is_some() || state.quarantine.is_empty(now) {
@@ -118,19 +119,19 @@
     }
 }
 
-/// Whether a request that may have run may be sent once more.
+/// Whether a request that may have run may be sent again.
 pub fn may_retry(state: &State, call: &Call) -> bool {
     call.trial.get().is_none() && check(state, call).is_ok()
 }
 
-/// Answer to a request that ends each replica that runs it.
+/// Rejection of a quarantined request.
 fn quarantined(remaining: Span) -> Rejection {
     let message =
         "The request has ended each replica that began to run it; it is not sent any more.";
     Rejection::not_run("kept_out", message, remaining)
 }
 
-/// Answer to a request that may be one of these, while another trial is under way.
+/// Rejection of a suspected request while another trial is in progress.
 fn suspected() -> Rejection {
     let message =
         "The request was in flight where several replicas fell; it is tried alone, one at a time.";
--- a/crates/front/src/quarantine/probe.rs
+++ b/crates/front/src/quarantine/probe.rs
@@ -1,4 +1,4 @@
-//! Telling a replica's fall from a connection that broke.
+//! Telling the crash of a replica from a broken connection.
 
 use super::Report;
 use crate::attempt::{Call, Reservation};
@@ -12,14 +12,16 @@
 use tokio::time::{sleep, timeout};
 use tracing::info;
 
-/// Time after the first break in which the others come: all connections of a process that ends are closed within
-/// some milliseconds.
+/// Time after the first broken connection for the others to break: a process that ends closes all
+/// of them within milliseconds.
 const PROBE_DELAY: Duration = Duration::from_millis(15);
 
-/// Time for a connection to be opened or refused: hosts and replicas are milliseconds apart. Silence proves nothing.
+/// Timeout for a connection to be opened or refused; hosts and replicas are milliseconds apart. A
+/// timeout proves nothing.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Notes that a request broke at a replica, and looks whether that has fallen, once for all that break together.
+/// Records that a request was interrupted at a replica, and probes the replica once for all
+/// requests that are interrupted together.
 pub fn note_interrupted(state: &Arc<State>, call: &Call, reservation: &Reservation) {
     let now = state.now();
     let instance = (reservation.replica.clone(), reservation.incarnation);
@@ -50,13 +52,13 @@
     });
 }
 
-/// Whether nobody listens at an address.
+/// Whether an address refuses connections.
 async fn refuses(addr: SocketAddr) -> bool {
     let opened = timeout(PROBE_TIMEOUT, TcpStream::connect(addr)).await;
     matches!(opened, Ok(Err(why)) if why.kind() == ErrorKind::ConnectionRefused)
 }
 
-/// Tells of a fall, unless it is known.
+/// Reports a crash, unless it has been reported.
 fn report_crash(state: &State, instance: &route::quarantine::Instance) {
     let incident = state
         .quarantine
@@ -69,7 +71,8 @@
     }
 }
 
-/// Takes in that a replica is gone, or has started again: what broke there broke in a fall.
+/// Records that a replica has left or restarted: interrupted requests there were interrupted by a
+/// crash.
 pub fn note_replaced(state: &State, replica: &str) {
     let current = state.table.lock().view.get(replica).cloned();
     let present = current.map(|s| (s.entry.id.clone(), s.entry.incarnation));
@@ -85,7 +88,7 @@
 fn report_incident(state: &State, replica: &str, incident: Incident) {
     let in_flight = incident.in_flight.len();
     state.log.rate_limited(|| {
-        info!(target: "quarantine", event = "fell", replica, in_flight, "a replica fell with requests of this host in flight; the failed sendings tell which")
+        info!(target: "quarantine", event = "fell", replica, in_flight, "replica crashed with requests of this host in flight; their failed attempts name them")
     });
     state.quarantine.report(Report::Crashed(incident));
 }
--- a/crates/front/src/quarantine/registry.rs
+++ b/crates/front/src/quarantine/registry.rs
@@ -1,4 +1,4 @@
-//! What one host knows of requests that end replicas.
+//! What one host knows of suspected and quarantined requests.
 
 use super::stored;
 use crate::message::{QuarantineEntry, QuarantineList};
@@ -6,66 +6,62 @@
 use std::collections::{BTreeMap, HashMap};
 use unit::{Fingerprint, Span, Time};
 
-/// Time for which good ends are noted after a fall: about the longest run and then some.
+/// Time for which successes are recorded after a crash: somewhat longer than the longest run.
 const ALERT_FOR: Span = Span::from_secs(60);
 
-/// Age at which the leader's list no longer counts: it tells it every few seconds.
+/// Age at which the leader's list expires; it is broadcast every few seconds.
 const LIST_VALID_FOR: Span = Span::from_secs(10);
 
-/// Good ends remembered at once, at 16 bytes each.
+/// Limit on recorded successes, at 16 bytes each.
 const MAX_SUCCESSES: usize = 1_024;
 
-/// What this host knows.
 #[derive(Default)]
 pub(super) struct Registry {
-    /// Falls by request; all that is known of them at the host that leads.
+    /// Crashes by request, complete on the leader.
     pub(super) tracker: Tracker,
-    /// Requests that broke here, by replica.
+    /// Requests that were interrupted here, by replica.
     pub(super) incidents: Incidents,
-    /// The leader's list.
     leader_list: LeaderList,
-    /// The list in the store.
     stored: Stored,
-    /// When requests last ended well here.
+    /// Last success of each request on this host.
     successes: HashMap<Fingerprint, Time>,
     alert_until: Time,
-    /// What this host told last as the leader.
+    /// List that this host broadcast last as the leader.
     sent: SentList,
 }
 
-/// The leader's list, as it was told last.
+/// List that the leader broadcast last.
 #[derive(Default)]
 struct LeaderList {
-    /// Term and number of the list, by which a later one is known.
+    /// Term and number of the list, by which a newer one is recognized.
     version: (u64, u32),
     at: Time,
     listed: HashMap<Fingerprint, bool>,
 }
 
-/// The list in the store.
+/// List in the store.
 #[derive(Default)]
 struct Stored {
-    /// Revision of its last change.
+    /// Revision of the last change.
     revision: u64,
-    /// Whether it stands there.
+    /// Whether the store holds a list.
     is_present: bool,
     listed: BTreeMap<Fingerprint, bool>,
 }
 
-/// What this host told last as the leader.
+/// List that this host broadcast last as the leader.
 #[derive(Default)]
 struct SentList {
     number: u32,
     listed: BTreeMap<Fingerprint, bool>,
 }
 
-/// What has changed in a leader's list.
+/// Changes of a leader's list.
 pub(super) struct Delta {
     pub(super) changed: bool,
     pub(super) newly_quarantined: Vec<Fingerprint>,
 }
 
-/// Standing of a request that is listed.
 fn listed_status(is_quarantined: bool) -> Status {
     match is_quarantined {
         true => Status::Quarantined,
@@ -86,7 +82,7 @@
         let statuses = statuses
             .map(|is_quarantined| listed_status(*is_quarantined))
             .max();
-        // Only the leader keeps out; what was seen here alone is a reason to ask it.
+        // Only the leader quarantines; what this host alone has seen is a reason to ask the leader.
         let observed = self.tracker.status(fingerprint, now).min(Status::Suspected);
         statuses.unwrap_or(Status::Clear).max(observed)
     }
@@ -108,7 +104,7 @@
         self.alert_until = now + ALERT_FOR;
     }
 
-    /// Notes a good end; tells whether the leader is to know it.
+    /// Records a success, and returns whether to report it.
     pub(super) fn record_success(&mut self, fingerprint: Fingerprint, now: Time) -> bool {
         if self.successes.len() >= MAX_SUCCESSES {
             self.successes.retain(|_, at| now.since(*at) < ALERT_FOR);
@@ -188,7 +184,8 @@
         )
     }
 
-    /// Takes in the leader's list; gives the requests in it that have ended well here since they were suspected.
+    /// Applies the leader's list, and returns the suspects in it that have succeeded here since
+    /// their first crash.
     pub(super) fn apply_listing(&mut self, list: QuarantineList, now: Time) -> Vec<Fingerprint> {
         let version = (list.term, list.number);
         if version < self.leader_list.version {
@@ -215,7 +212,7 @@
         succeeded
     }
 
-    /// List that is to stand in the store, and the revision that it replaces; none while it stands there.
+    /// The list to write and the revision that it replaces, unless the store has it already.
     pub(super) fn pending_write(&mut self, now: Time) -> Option<(Vec<u8>, u64)> {
         let listed = self.tracker.suspects(now).into_iter();
         let listed: BTreeMap<Fingerprint, bool> = listed
@@ -238,7 +235,7 @@
         }
     }
 
-    /// Takes in that no list stands in the store, as of a revision.
+    /// Records that the store holds no list, as of a revision.
     pub(super) fn clear_stored(&mut self, revision: u64) {
         if revision >= self.stored.revision {
             self.stored = Stored {
@@ -248,12 +245,13 @@
         }
     }
 
-    /// Takes in that no list stands in the store now.
+    /// Records that the store no longer holds a list.
     pub(super) fn mark_missing(&mut self) {
         self.stored.is_present = false;
     }
 
-    /// Takes in that the list was removed from the store; tells whether it was the newest.
+    /// Applies the removal of the list from the store, unless a newer one is known. Returns whether
+    /// it was applied.
     pub(super) fn apply_removed(&mut self, revision: u64) -> bool {
         if revision < self.stored.revision {
             return false;
--- a/crates/front/src/quarantine/stored.rs
+++ b/crates/front/src/quarantine/stored.rs
@@ -1,21 +1,20 @@
-//! The list of suspected and kept out requests as it stands in the store.
+//! Encoding of the list of suspected and quarantined requests in the store.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::num::ParseIntError;
 use unit::Fingerprint;
 
-/// Key of the list. Operators lift all of it by removing the key.
+/// Key of the list. Operators clear the quarantine by removing it.
 pub const KEY: &str = "coveford/quarantine";
 
-/// Request in the list; its fingerprint reads as in the logs.
+/// Request in the list, with its fingerprint as in the logs.
 #[derive(Serialize, Deserialize)]
 struct Entry {
     request: String,
     kept_out: bool,
 }
 
-/// Why a list cannot be read.
 #[derive(Debug)]
 pub(super) struct DecodeError(String);
 
@@ -31,7 +30,7 @@
         kept_out: *kept_out,
     });
     let entries: Vec<Entry> = entries.collect();
-    serde_json::to_vec(&entries).expect("entries are plain data")
+    serde_json::to_vec(&entries).expect("entries are serializable")
 }
 
 pub(super) fn decode(value: &[u8]) -> Result<BTreeMap<Fingerprint, bool>, DecodeError> {
--- a/crates/front/src/quota.rs
+++ b/crates/front/src/quota.rs
@@ -1,8 +1,8 @@
-//! Whether a client account may have one more request run, by what it may use over all hosts.
+//! Admission of requests by the quota of their client account, over all hosts.
 //!
-//! The host that leads gives out what accounts may use, and is asked before a request takes a place in a
-//! queue: what is over the limit is turned away at once, so that other accounts do not feel it. While
-//! that host does not answer, this one goes on by its share of what was given out lately.
+//! The limiter on the leader is asked before a request is queued: what exceeds the quota is
+//! rejected immediately, so that other accounts are not affected. While the limiter does not
+//! answer, this host falls back to its share of the recent grants.
 
 use crate::attempt::Call;
 use crate::grant::{self, Claim, Decision, Grant, Source};
@@ -17,14 +17,13 @@
 use std::sync::Arc;
 use unit::Span;
 
-/// When a client may come back whose account has no share here, while nobody gives out: about the time
-/// until another host leads.
+/// Retry-After without a share while there is no limiter: about the time until another host leads.
 const RETRY_AFTER_NO_SHARE: Span = Span::from_ms(1_000);
 
-/// Least time after which a refused client is asked to come back.
+/// Minimum Retry-After of a rejected request.
 const MIN_RETRY_AFTER: Span = Span::from_ms(100);
 
-/// Lets a request in if its account may have it run; none where the account has no limit.
+/// Admits a request if its account's quota allows; `None` if the account has no quota.
 pub async fn admit(
     state: &State,
     peers: &Arc<Peers>,
@@ -34,70 +33,74 @@
     let Some((account, quota)) = account.and_then(|a| Some((a, a.quota?))) else {
         return Ok(None);
     };
-    let wanted = Claim {
+    let claim = Claim {
         subject: Subject::Account(account.name.clone()),
         limit: shares::limit(&quota),
         units: quota.cost(call.ask.tokens()),
         reserved: 0.0,
         will_retry: true,
     };
-    let asked = state.now();
-    let decided = decide(state, peers, account, &quota, &wanted).await;
-    let decision = decided
+    let requested = state.now();
+    let source = decide(state, peers, account, &quota, &claim).await;
+    let decision = source
         .as_ref()
-        .map_or_else(|fault| fault.reason, |_| "let_in");
+        .map_or_else(|rejection| rejection.reason, |_| "let_in");
     state
         .log
         .metrics
         .record_account_decision(&account.name, decision);
-    decided.map(|source| Some(wanted.into_grant(peers, asked, source)))
+    source.map(|source| Some(claim.into_grant(peers, requested, source)))
 }
 
-/// Asks the host that gives out; goes by this host's share where it does not answer, and asks once more
-/// before a request is refused for want of a share.
+/// Asks the limiter. Without an answer it falls back to this host's share, and asks once more
+/// before it rejects for lack of a share.
 async fn decide(
     state: &State,
     peers: &Arc<Peers>,
     account: &Account,
     quota: &Quota,
-    wanted: &Claim,
+    claim: &Claim,
 ) -> Result<Source, Rejection> {
-    let decided = |answer| match answer {
+    let to_source = |decision| match decision {
         Decision::Granted(_) | Decision::Unlimited => Ok(Source::Limiter),
-        Decision::Denied(told) => Err(over(account, quota, wanted.units, told.retry_after)),
+        Decision::Denied(refusal) => Err(over(account, quota, claim.units, refusal.retry_after)),
     };
     if state.shares.may_ask(state.now())
-        && let Some(answer) = grant::ask(state, peers, wanted, TIMEOUTS).await
+        && let Some(decision) = grant::ask(state, peers, claim, TIMEOUTS).await
     {
-        return decided(answer);
+        return to_source(decision);
     }
-    let Err(wait) = grant::spend_share(state, wanted) else {
+    let Err(retry_after) = grant::spend_share(state, claim) else {
         return Ok(Source::Share);
     };
-    match grant::ask(state, peers, wanted, LAST_TRY_TIMEOUTS).await {
-        Some(answer) => decided(answer),
-        None => Err(without_share(account, wait)),
+    match grant::ask(state, peers, claim, LAST_TRY_TIMEOUTS).await {
+        Some(decision) => to_source(decision),
+        None => Err(without_share(account, retry_after)),
     }
 }
 
-/// Answer to a request whose account's share here is used up while nobody answers that gives out.
-fn without_share(account: &Account, wait: Option<Span>) -> Rejection {
+/// Rejection when this host's share is used up and the limiter does not answer.
+fn without_share(account: &Account, retry_after: Option<Span>) -> Rejection {
     let message = format!(
         "What account {} may use is not confirmed at the moment, and its share here is used up.",
         account.name
     );
-    let wait = wait.unwrap_or(RETRY_AFTER_NO_SHARE);
-    Rejection::not_run("quota_unconfirmed", message, wait.max(MIN_RETRY_AFTER))
+    let retry_after = retry_after.unwrap_or(RETRY_AFTER_NO_SHARE);
+    Rejection::not_run(
+        "quota_unconfirmed",
+        message,
+        retry_after.max(MIN_RETRY_AFTER),
+    )
 }
 
-/// Answer to a request whose account is over its limit.
-fn over(account: &Account, quota: &Quota, units: f64, wait: Span) -> Rejection {
+/// Rejection when the account is over its quota.
+fn over(account: &Account, quota: &Quota, units: f64, retry_after: Span) -> Rejection {
     let (name, rate, burst) = (&account.name, quota.rate, quota.burst);
     let message = format!(
         "Account {name} is over its limit of {rate} a second and {burst} at once; this request uses {units}."
     );
     Rejection {
-        retry_after: Some(wait.max(MIN_RETRY_AFTER)),
+        retry_after: Some(retry_after.max(MIN_RETRY_AFTER)),
         ..Rejection::client_error(StatusCode::TOO_MANY_REQUESTS, "over_quota", message)
     }
 }
--- a/crates/front/src/shares.rs
+++ b/crates/front/src/shares.rs
@@ -1,4 +1,4 @@
-//! This host's shares of limits over all hosts, for when nobody answers that gives out.
+//! This host's shares of the limits over all hosts, for when the limiter does not answer.
 
 use crate::message::Subject;
 use crate::settings::Bounds;
@@ -9,15 +9,15 @@
 use std::hash::Hash;
 use unit::{Name, Span, Time};
 
-/// Time for which no answer is waited for after there was none: each question that is waited for in vain
-/// takes a part of its request's target.
+/// Time for which the limiter is not asked after it did not answer: each vain attempt uses up part
+/// of a request's target.
 const LIMITER_BACKOFF: Span = Span::from_ms(250);
 
-/// Shares of one kind that are kept at once. Replicas in need come and go for as long as a host runs; beyond this
-/// all are forgotten, and the host has no share until it is answered again.
+/// Limit on shares of one kind. Replicas with rate limits come and go as long as a host runs; at
+/// the limit all shares are dropped, and this host has none until the limiter answers again.
 const MAX_SHARES: usize = 4_096;
 
-/// What may be used beyond the limits of client accounts, by the settings.
+/// Tolerance of account quotas, from the settings.
 pub fn tolerance(bounds: &Bounds) -> Tolerance {
     Tolerance {
         window: bounds.quota_window.into(),
@@ -34,22 +34,22 @@
     }
 }
 
-/// Shares of all subjects.
+/// Shares of accounts and of replicas.
 pub struct Shares {
     accounts: Mutex<Table<Name>>,
-    /// By the short name of the incarnation.
+    /// By the hash of the incarnation.
     replicas: Mutex<Table<u32>>,
-    /// Until when the host that gives out is not asked.
+    /// Time until which the limiter is not asked.
     backoff_until: Mutex<Time>,
 }
 
-/// Shares of limits of one kind.
+/// Shares of one kind, by subject.
 struct Table<K> {
     tolerance: Tolerance,
     shares: HashMap<K, Share>,
 }
 
-/// Makes the shares of a host that was given nothing yet.
+/// Makes the shares of a host that has been granted nothing yet.
 pub fn open(bounds: &Bounds) -> Shares {
     Shares {
         accounts: Mutex::new(Table::new(tolerance(bounds))),
@@ -59,7 +59,7 @@
 }
 
 impl Shares {
-    /// Works with the share of a subject.
+    /// Runs `work` on the share of a subject.
     pub fn with<T>(&self, subject: &Subject, work: impl FnOnce(&mut Share) -> T) -> T {
         match subject {
             Subject::Account(name) => work(self.accounts.lock().share(name)),
@@ -67,12 +67,12 @@
         }
     }
 
-    /// Whether the host that gives out may be asked now.
+    /// Whether the limiter may be asked now.
     pub fn may_ask(&self, now: Time) -> bool {
         now >= *self.backoff_until.lock()
     }
 
-    /// Notes that it did not answer.
+    /// Records that the limiter did not answer.
     pub fn note_no_answer(&self, now: Time) {
         *self.backoff_until.lock() = now + LIMITER_BACKOFF;
     }
