--- a/crates/front/src/accounts.rs
+++ b/crates/front/src/accounts.rs
@@ -278,7 +278,7 @@
         let (id, route) = (context.id.as_deref(), &*context.route.name);
         let account = context.account.map(|a| &*a.name);
         let age_ms = data_age(state).ms();
-        let store = if readers::is_cut(state) { "failing" } else { "answering" };
+        let store = if readers::store_failed_recently(state) { "failing" } else { "answering" };
         let retry_after_ms = rejection.retry_after.map(|s| s.ms());
         info!(target: "request", event = "refused", id, route, account, key, status = rejection.status.as_u16(), reason = rejection.reason, version = context.version, age_ms, store, retry_after_ms, ms = 0.0, why = %refusal, "a request is not let in by its key")
     });
--- a/crates/front/src/events.rs
+++ b/crates/front/src/events.rs
@@ -41,12 +41,12 @@
     }
 
     /// Number of the last whole event.
-    pub fn last(&self) -> Option<u64> {
+    pub fn last_id(&self) -> Option<u64> {
         self.last
     }
 
     /// Bytes that stand behind the last whole event; gives them up.
-    pub fn rest(&mut self) -> Bytes {
+    pub fn take_remainder(&mut self) -> Bytes {
         self.rest.split().freeze()
     }
 
--- a/crates/front/src/grant.rs
+++ b/crates/front/src/grant.rs
@@ -70,9 +70,9 @@
         host: state.settings.name.clone(),
         subject: claim.subject.clone(),
         units: claim.units as f32,
-        kept: claim.reserved as f32,
-        queues: claim.will_retry,
-        alone: unreported as f32,
+        reserved: claim.reserved as f32,
+        will_retry: claim.will_retry,
+        local_use: unreported as f32,
     };
     let decision = peers
         .request_quota(request, timeouts)
@@ -94,11 +94,17 @@
 /// Decision in a response; `None` if the host that was asked is not the limiter.
 fn decision(response: QuotaResponse) -> Option<Decision> {
     match response {
-        QuotaResponse::Given { all, left } => Some(Decision::Granted(Usage {
+        QuotaResponse::Granted {
+            granted: all,
+            available: left,
+        } => Some(Decision::Granted(Usage {
             granted: f64::from(all),
             available: f64::from(left),
         })),
-        QuotaResponse::Refused { wait_ms, left } => Some(Decision::Denied(Refusal {
+        QuotaResponse::Refused {
+            retry_after_ms: wait_ms,
+            available: left,
+        } => Some(Decision::Denied(Refusal {
             retry_after: Span::from_ms(u64::from(wait_ms)),
             available: f64::from(left),
         })),
--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -1,11 +1,11 @@
 //! What daemons tell each other in datagrams.
 
-pub mod leaving;
+pub mod departures;
 pub mod limit;
 mod quarantine;
 mod quota;
 
-pub use leaving::Leaving;
+pub use departures::Departures;
 pub use limit::{LimitDigest, LimitReport, ReplicaLimit};
 pub use quarantine::{CrashReport, QuarantineEntry, QuarantineList, TrialResponse};
 pub use quota::{QuotaRequest, QuotaResponse, Refund, Subject};
@@ -65,7 +65,7 @@
     LimitDigest(LimitDigest),
     /// Replicas that leave by their own word: to the leader, and from it to all; where hosts are few, to all.
     #[serde(rename = "Leaving")]
-    Departures(Leaving),
+    Departures(Departures),
     /// A host saw a replica fall, to the leader; where hosts are few, to all.
     #[serde(rename = "Fallen")]
     CrashReport(CrashReport),
@@ -139,13 +139,13 @@
     /// Adapters that requests were sent to since the round before.
     pub adapter_uses: Vec<AdapterUse>,
     /// Short names of replicas that this host leaves alone, since it could not reach them.
-    pub absent: Vec<u32>,
+    pub unreachable: Vec<u32>,
     /// Short names of replicas that want nothing from this host now.
-    pub resting: Vec<u32>,
+    pub backing_off: Vec<u32>,
     /// Whether the store failed this host a moment ago.
     pub store_failed: bool,
     /// Time through which this host heard from the store, if it ever did.
-    pub store: Option<Ages>,
+    pub store_uptime: Option<Ages>,
 }
 
 /// Rows of sums that fit one datagram: each takes at most 40 bytes.
@@ -159,7 +159,7 @@
     /// Cuts them into parts that fit a datagram each.
     pub fn split(self) -> Vec<LoadReport> {
         // Words of absent and resting replicas are in each part, so they take their room first.
-        let named = self.absent.len() + self.resting.len();
+        let named = self.unreachable.len() + self.backing_off.len();
         let rows = ROWS.saturating_sub(named).max(LEAST_ROWS);
         if self.demand.len() + self.loads.len() + self.adapter_uses.len() <= rows {
             return vec![self];
@@ -170,12 +170,12 @@
             adapter_uses: used.to_vec(),
             host: self.host.clone(),
             hall: self.hall.clone(),
-            absent: self.absent.clone(),
-            resting: self.resting.clone(),
+            unreachable: self.unreachable.clone(),
+            backing_off: self.backing_off.clone(),
             cores: self.cores,
             round: self.round,
             store_failed: self.store_failed,
-            store: self.store,
+            store_uptime: self.store_uptime,
         };
         let demand = self.demand.chunks(rows).map(|rows| part(rows, &[], &[]));
         let loads = self.loads.chunks(rows).map(|rows| part(&[], rows, &[]));
@@ -323,13 +323,13 @@
     /// Replicas and the model that each is about to give up: it gets no new work.
     pub unloading: Vec<(Name, Name)>,
     /// Short names of replicas that several hosts could not reach, and none does.
-    pub absent: Vec<u32>,
+    pub unreachable: Vec<u32>,
     /// Hosts that read the store for their halls.
     pub readers: Vec<Reader>,
     /// Where all hosts take datagrams, while they are few enough to tell each other directly.
-    pub peers: Vec<SocketAddr>,
+    pub direct_hosts: Vec<SocketAddr>,
     /// Time through which hosts heard from the store.
-    pub store: Option<Ages>,
+    pub store_uptime: Option<Ages>,
 }
 
 /// Request for an adapter.
--- a/crates/front/src/message/quota.rs
+++ b/crates/front/src/message/quota.rs
@@ -25,22 +25,22 @@
     /// Units that the request uses at the most.
     pub units: f32,
     /// Units that are to be left for what is more urgent.
-    pub kept: f32,
+    pub reserved: f32,
     /// Whether nothing else can take the request, so that it comes again.
-    pub queues: bool,
+    pub will_retry: bool,
     /// Units that the host used by its share since it was answered last.
-    pub alone: f32,
+    pub local_use: f32,
 }
 
 impl QuotaRequest {
     /// Whether its numbers can be counted.
-    pub fn is_sound(&self) -> bool {
-        is_sound(self.units) && is_sound(self.kept) && is_sound(self.alone)
+    pub fn is_valid(&self) -> bool {
+        is_valid(self.units) && is_valid(self.reserved) && is_valid(self.local_use)
     }
 }
 
 /// Whether a number of units can be counted.
-fn is_sound(units: f32) -> bool {
+fn is_valid(units: f32) -> bool {
     units.is_finite() && units >= 0.0
 }
 
@@ -48,18 +48,19 @@
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub enum QuotaResponse {
     /// It may run.
-    Given {
+    #[serde(rename = "Given")]
+    Granted {
         /// Units that all hosts were given in the last window.
-        all: f32,
+        granted: f32,
         /// Units that could be given out at once.
-        left: f32,
+        available: f32,
     },
     /// It is over the limit.
     Refused {
         /// Time after which there will be enough, in milliseconds.
-        wait_ms: u32,
+        retry_after_ms: u32,
         /// Units that are there.
-        left: f32,
+        available: f32,
     },
     /// The replica names no limit any more.
     Unlimited,
@@ -83,7 +84,7 @@
 
 impl Refund {
     /// Whether its number can be counted.
-    pub fn is_sound(&self) -> bool {
-        is_sound(self.units)
+    pub fn is_valid(&self) -> bool {
+        is_valid(self.units)
     }
 }
--- a/crates/front/src/planner/digest.rs
+++ b/crates/front/src/planner/digest.rs
@@ -39,10 +39,10 @@
         let (status, adapters) = {
             let fleet = self.fleet.lock();
             let status = PlannerStatus {
-                absent,
+                unreachable: absent,
                 readers,
-                peers: self.peers.direct_hosts(),
-                store,
+                direct_hosts: self.peers.direct_hosts(),
+                store_uptime: store,
                 ..status(&fleet, now)
             };
             (status, adapters(&fleet, round))
@@ -74,7 +74,7 @@
     fn readers(&self, hosts: Vec<Candidate>) -> Vec<Reader> {
         match self.term.is_valid() {
             true => readers::choose(hosts, self.state.settings.peers),
-            false => self.state.readers.named(),
+            false => self.state.readers.assigned(),
         }
     }
 
@@ -129,9 +129,9 @@
             p.loading.len()
                 + p.loaded.len()
                 + p.unloading.len()
-                + p.absent.len()
+                + p.unreachable.len()
                 + p.readers.len()
-                + p.peers.len()
+                + p.direct_hosts.len()
         });
         Parts {
             all: vec![first],
--- a/crates/front/src/quarantine/registry.rs
+++ b/crates/front/src/quarantine/registry.rs
@@ -167,7 +167,7 @@
         }
         let suspects = suspects.into_iter().map(|suspect| QuarantineEntry {
             fingerprint: suspect.fingerprint,
-            is_blocked: suspect.is_quarantined,
+            is_quarantined: suspect.is_quarantined,
             since_ms: u32::try_from(now.since(suspect.since).0 / 1_000).unwrap_or(u32::MAX),
         });
         let listing = QuarantineList {
@@ -197,7 +197,7 @@
         let succeeded = list.entries.iter().filter(|entry| {
             let since = now - Span::from_ms(u64::from(entry.since_ms));
             let succeeded_at = self.successes.get(&entry.fingerprint);
-            !entry.is_blocked && succeeded_at.is_some_and(|at| *at > since)
+            !entry.is_quarantined && succeeded_at.is_some_and(|at| *at > since)
         });
         let succeeded = succeeded.map(|entry| entry.fingerprint).collect();
         self.leader_list = LeaderList {
@@ -206,7 +206,7 @@
             listed: list
                 .entries
                 .iter()
-                .map(|entry| (entry.fingerprint, entry.is_blocked))
+                .map(|entry| (entry.fingerprint, entry.is_quarantined))
                 .collect(),
         };
         succeeded
