--- a/crates/front/src/grant.rs
+++ b/crates/front/src/grant.rs
@@ -94,19 +94,16 @@
 /// Decision in a response; `None` if the host that was asked is not the limiter.
 fn decision(response: QuotaResponse) -> Option<Decision> {
     match response {
-        QuotaResponse::Granted {
-            granted: all,
-            available: left,
-        } => Some(Decision::Granted(Usage {
-            granted: f64::from(all),
-            available: f64::from(left),
+        QuotaResponse::Granted { granted, available } => Some(Decision::Granted(Usage {
+            granted: f64::from(granted),
+            available: f64::from(available),
         })),
         QuotaResponse::Refused {
-            retry_after_ms: wait_ms,
-            available: left,
+            retry_after_ms,
+            available,
         } => Some(Decision::Denied(Refusal {
-            retry_after: Span::from_ms(u64::from(wait_ms)),
-            available: f64::from(left),
+            retry_after: Span::from_ms(u64::from(retry_after_ms)),
+            available: f64::from(available),
         })),
         QuotaResponse::Unlimited => Some(Decision::Unlimited),
         QuotaResponse::NotLeader => None,
--- a/crates/front/src/planner/digest.rs
+++ b/crates/front/src/planner/digest.rs
@@ -30,19 +30,19 @@
     pub(super) async fn send_digest(&self, round: usize) {
         let now = self.state.now();
         let loads = self.peers.inbox.loads(now);
-        let absent = self.peers.inbox.absent(now);
+        let unreachable = self.peers.inbox.absent(now);
         let hosts = self.peers.inbox.candidates(now);
         let heartbeat = self.state.settings.bounds.heartbeat.into();
-        let store = self.peers.inbox.store(heartbeat, now);
+        let store_uptime = self.peers.inbox.store(heartbeat, now);
         self.peers.assign_fanout_groups(hosts.clone()).await;
         let readers = self.readers(hosts);
         let (status, adapters) = {
             let fleet = self.fleet.lock();
             let status = PlannerStatus {
-                unreachable: absent,
+                unreachable,
                 readers,
                 direct_hosts: self.peers.direct_hosts(),
-                store_uptime: store,
+                store_uptime,
                 ..status(&fleet, now)
             };
             (status, adapters(&fleet, round))
--- a/crates/front/src/quarantine/registry.rs
+++ b/crates/front/src/quarantine/registry.rs
@@ -201,7 +201,7 @@
         });
         let succeeded = succeeded.map(|entry| entry.fingerprint).collect();
         self.leader_list = LeaderList {
-            version: version,
+            version,
             at: now,
             listed: list
                 .entries
