--- a/crates/front/src/attempt/reservation.rs
+++ b/crates/front/src/attempt/reservation.rs
@@ -1,4 +1,4 @@
-//! Place of a request at a replica: what the table counts and learns of it.
+//! Reservation of a request at a replica: its load in the table, and what the table learns from its outcome.
 
 use super::{Call, Failure};
 use crate::feedback::Source;
@@ -9,78 +9,78 @@
 use std::sync::Arc;
 use unit::{Name, Time};
 
-/// Place of a request at a replica; dropping it counts the request out.
+/// Reservation of a request at a replica; dropping it removes the request from the replica's load.
 pub struct Reservation {
     state: Arc<State>,
-    /// The replica.
+    /// Identity of the replica.
     pub replica: Name,
-    /// Which start of it the request was placed at.
+    /// Incarnation of the replica when the request was placed.
     pub incarnation: Incarnation,
-    /// Its share in the table's sums.
-    print: Footprint,
+    /// Contribution to the replica's load.
+    footprint: Footprint,
     service: Name,
     model: Option<Name>,
     /// Whether the request names no adapter.
-    whole: bool,
-    /// When the request was counted in.
+    without_adapter: bool,
+    /// When the reservation was opened.
     pub reserved_at: Time,
-    /// Prompt tokens to be read for it, if no other prompt stood before it then.
-    alone: Option<f64>,
-    /// When the first token came.
-    started: Option<Time>,
+    /// Prompt tokens to prefill, if no other prompt waited at the replica.
+    unqueued_tokens: Option<f64>,
+    /// When the first token arrived.
+    first_token_at: Option<Time>,
 }
 
 impl Reservation {
-    /// Counts a request in.
-    pub fn take(state: &Arc<State>, call: &Call, choice: &Choice) -> Reservation {
+    /// Adds a request to the load of the chosen replica.
+    pub fn open(state: &Arc<State>, call: &Call, choice: &Choice) -> Reservation {
         let now = state.now();
         let mut table = state.table.lock();
-        let alone = table.unqueued_tokens(&choice.replica, &call.ask, now);
-        let print = table.begin(&choice.replica, &call.criteria(&[]), now);
-        let seen = table.view.get(&choice.replica);
-        let incarnation = seen.and_then(|s| s.entry.incarnation);
+        let unqueued_tokens = table.unqueued_tokens(&choice.replica, &call.ask, now);
+        let footprint = table.begin(&choice.replica, &call.criteria(&[]), now);
+        let listed = table.view.get(&choice.replica);
+        let incarnation = listed.and_then(|s| s.entry.incarnation);
         drop(table);
         state.load_added.notify_one();
         Reservation {
             state: state.clone(),
             replica: choice.replica.clone(),
             incarnation,
-            print,
+            footprint,
             service: call.service.clone(),
             model: call.ask.model.clone(),
-            whole: call.ask.adapter.is_none(),
+            without_adapter: call.ask.adapter.is_none(),
             reserved_at: now,
-            alone,
-            started: None,
+            unqueued_tokens,
+            first_token_at: None,
         }
     }
 
-    /// Notes that the first token has come.
-    pub fn started(&mut self) {
+    /// Records the first token.
+    pub fn record_first_token(&mut self) {
         let now = self.state.now();
-        self.started = Some(now);
+        self.first_token_at = Some(now);
         let mut table = self.state.table.lock();
-        table.record_first_token(&self.replica, &mut self.print);
-        if let (Some(model), Some(tokens)) = (&self.model, self.alone) {
-            table.record_speed(&self.service, model, tokens, now.since(self.reserved_at));
+        table.record_first_token(&self.replica, &mut self.footprint);
+        if let (Some(model), Some(tokens)) = (&self.model, self.unqueued_tokens) {
+            table.record_prefill_speed(&self.service, model, tokens, now.since(self.reserved_at));
         }
         drop(table);
         self.state.changed.notify_waiters();
         self.state.load_reduced.notify_one();
     }
 
-    /// Notes that the whole answer has come.
-    pub fn answered(&mut self, failed: bool) {
+    /// Records a complete answer.
+    pub fn record_answer(&mut self, failed: bool) {
         let now = self.state.now();
         let mut table = self.state.table.lock();
         table.record_outcome(&self.replica, failed, now);
-        if let (Some(model), Some(started)) = (&self.model, self.started) {
-            table.record_run(&self.service, model, now.since(started));
+        if let (Some(model), Some(first_token_at)) = (&self.model, self.first_token_at) {
+            table.record_decode(&self.service, model, now.since(first_token_at));
         }
     }
 
-    /// Notes that the replica took no connection.
-    pub(super) fn unreachable(&self) {
+    /// Records that the replica refused the connection.
+    pub(super) fn record_unreachable(&self) {
         let now = self.state.now();
         self.state
             .table
@@ -88,26 +88,26 @@
             .record_unreachable(&self.replica, now);
     }
 
-    /// Where an answer to the request comes from.
+    /// Origin of answers to the request.
     pub(super) fn source(&self, call: &Call) -> Source {
         Source {
             replica: self.replica.clone(),
             incarnation: self.incarnation,
             subject: call.id.clone(),
-            whole: self.whole,
+            without_adapter: self.without_adapter,
         }
     }
 
-    /// Notes that the replica gave no whole answer, and why: one that broke off may have been its fall.
-    pub fn ended(&self, call: &Call, why: &Failure) {
-        self.failed();
-        if let Failure::Lost(_) = why {
+    /// Records that no complete answer arrived. A lost answer may be due to a crash of the replica.
+    pub fn record_failure(&self, call: &Call, failure: &Failure) {
+        self.record_bad_answer();
+        if let Failure::Lost(_) = failure {
             quarantine::note_interrupted(&self.state, call, self);
         }
     }
 
-    /// Notes that the replica gave no good answer.
-    pub fn failed(&self) {
+    /// Records a failed answer.
+    pub fn record_bad_answer(&self) {
         let now = self.state.now();
         self.state
             .table
@@ -118,7 +118,10 @@
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        self.state.table.lock().finish(&self.replica, &self.print);
+        self.state
+            .table
+            .lock()
+            .finish(&self.replica, &self.footprint);
         self.state.changed.notify_waiters();
         self.state.load_reduced.notify_one();
     }
--- a/crates/front/src/planner/dispatch.rs
+++ b/crates/front/src/planner/dispatch.rs
@@ -281,7 +281,7 @@
         replica: entry.id.clone(),
         incarnation: entry.incarnation,
         subject: call.into(),
-        whole: true,
+        without_adapter: true,
     }
 }
 
