--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -281,7 +281,7 @@
     let may_have_run = !progress.history.may_have_run.is_empty();
     let last = &progress.last_failure;
     match last {
-        Failure::Unauthorized(refusal) if !may_have_run => return refusal.fault(),
+        Failure::Unauthorized(refusal) if !may_have_run => return refusal.rejection(),
         Failure::Quarantined(rejection) if !may_have_run => return rejection.clone(),
         _ => {}
     }
