--- a/crates/front/src/message/limit.rs
+++ b/crates/front/src/message/limit.rs
@@ -10,7 +10,7 @@
 const ROW_SIZE: usize = 22;
 
 /// Limits that fit one datagram, beside what stands before them.
-pub const ROWS: usize = (MAX_DATAGRAM - HEAD_SIZE) / ROW_SIZE;
+pub const MAX_LIMITS: usize = (MAX_DATAGRAM - HEAD_SIZE) / ROW_SIZE;
 
 /// Size of what stands before the rows, in bytes, with the longest name of a host.
 const HEAD_SIZE: usize = 100;
@@ -23,9 +23,9 @@
     /// Requests a second that it named last.
     pub rate: f32,
     /// Time since it did, in milliseconds.
-    pub named_ms: u32,
+    pub advertised_ms: u32,
     /// Time since the first answer after that which named none, in milliseconds.
-    pub unnamed_ms: Option<u32>,
+    pub withdrawn_ms: Option<u32>,
 }
 
 /// Limits that a host has heard itself, to the leader.
@@ -58,26 +58,26 @@
     pub fn new(entry: &Entry, notice: &Advertisement, now: Time) -> ReplicaLimit {
         let age_ms = |at: Time| now.since(at).ms() as u32;
         ReplicaLimit {
-            replica: ReplicaLimit::name(entry),
+            replica: ReplicaLimit::incarnation_hash(entry),
             rate: notice.rate as f32,
-            named_ms: age_ms(notice.advertised_at),
-            unnamed_ms: notice.withdrawn_at.map(age_ms),
+            advertised_ms: age_ms(notice.advertised_at),
+            withdrawn_ms: notice.withdrawn_at.map(age_ms),
         }
     }
 
     /// Short name of the incarnation that wrote an entry.
-    pub fn name(entry: &Entry) -> u32 {
+    pub fn incarnation_hash(entry: &Entry) -> u32 {
         incarnation(&entry.id, entry.incarnation)
     }
 
     /// What was heard, by this host's time; none where its number cannot be counted.
-    pub fn notice(&self, now: Time) -> Option<Advertisement> {
+    pub fn advertisement(&self, now: Time) -> Option<Advertisement> {
         let at = |ms: u32| now - Span::from_ms(u64::from(ms));
         let is_sound = self.rate.is_finite() && self.rate >= 0.0;
         is_sound.then(|| Advertisement {
             rate: f64::from(self.rate),
-            advertised_at: at(self.named_ms),
-            withdrawn_at: self.unnamed_ms.map(at),
+            advertised_at: at(self.advertised_ms),
+            withdrawn_at: self.withdrawn_ms.map(at),
         })
     }
 }
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -5,13 +5,13 @@
 //! sooner. A lost datagram only makes a sum older; sums past their
 //! age are not used.
 //!
-//! Its parts: `inbox` is what hosts told the leader, `quota` what is asked for and given of limits over all hosts, `limits` which of these replicas name, `leaving` which replicas leave, `load_reports` when this host tells what it has in
+//! Its parts: `inbox` is what hosts told the leader, `quota` what is asked for and given of limits over all hosts, `limits` which of these replicas name, `departures` which replicas leave, `load_reports` when this host tells what it has in
 //! flight, `fanout` which hosts pass on what the leader tells all, `quarantine` which requests end replicas, `pending`
 //! what waits for an answer. The datagrams themselves are in [`message`].
 
+mod departures;
 pub mod fanout;
 mod inbox;
-mod leaving;
 mod limits;
 mod load_reports;
 mod pending;
@@ -24,7 +24,7 @@
 use crate::readers::Candidate;
 use crate::state::{PlacementRequest, PlacementRequests, State};
 use bytes::Bytes;
-use fanout::Part;
+use fanout::Group;
 use parking_lot::Mutex;
 use pending::Questions;
 use quota::Quotas;
@@ -58,7 +58,7 @@
     /// Tellings between two rounds so far.
     tellings: AtomicU32,
     /// Parts of a large fleet, while this host leads.
-    parts: Mutex<Vec<Part>>,
+    parts: Mutex<Vec<Group>>,
     /// Limits over all hosts.
     quotas: Quotas,
     /// Hosts that have just begun, and are to be told of limits.
@@ -144,7 +144,7 @@
             Message::PeerLoads(sums) => {
                 let mut table = self.state.table.lock();
                 table.set_host_loads(&sums.host, &sums.loads, now);
-                if let Some(word) = sums.store {
+                if let Some(word) = sums.store_uptime {
                     table.view.contact.merge(word, now);
                 }
                 drop(table);
@@ -211,13 +211,13 @@
         }
         if let Some(plans) = digest.planner {
             let own = self.state.settings.peers;
-            let others = plans.peers.into_iter().filter(|p| *p != own);
+            let others = plans.direct_hosts.into_iter().filter(|p| *p != own);
             *self.others.lock() = others.collect();
-            self.state.readers.set(plans.readers, own);
-            if let Some(word) = plans.store {
+            self.state.readers.assign(plans.readers, own);
+            if let Some(word) = plans.store_uptime {
                 table.view.contact.merge(word, now);
             }
-            table.set_unreachable(plans.absent, now);
+            table.set_unreachable(plans.unreachable, now);
             table.set_model_etas(&plans.loading, now);
             table.set_loaded(plans.loaded, now);
             table.set_unloading(plans.unloading, now);
@@ -277,8 +277,8 @@
         let pass = message::encode(&Message::Forward(bytes.clone().into()));
         for part in parts {
             if part.relay == own {
-                self.send_each(&bytes, kind, part.others.into_iter()).await;
-            } else if part.others.is_empty() {
+                self.send_each(&bytes, kind, part.members.into_iter()).await;
+            } else if part.members.is_empty() {
                 self.send_bytes(&bytes, kind, part.relay).await;
             } else {
                 self.send_bytes(&pass, "pass", part.relay).await;
@@ -302,12 +302,12 @@
         if self.is_direct() {
             return;
         }
-        let parts = fanout::cut(hosts);
+        let parts = fanout::plan(hosts);
         *self.parts.lock() = parts.clone();
         let own = self.state.settings.peers;
         for part in parts {
-            if part.relay != own && !part.others.is_empty() {
-                let others = part.others.into_iter().filter(|h| *h != own).collect();
+            if part.relay != own && !part.members.is_empty() {
+                let others = part.members.into_iter().filter(|h| *h != own).collect();
                 self.send(&Message::FanoutGroup(others), part.relay).await;
             }
         }
--- a/crates/front/src/peers/inbox.rs
+++ b/crates/front/src/peers/inbox.rs
@@ -133,7 +133,7 @@
                 true => told.sums.loads.extend(sums.loads),
                 false => told.sums.loads = sums.loads,
             }
-            told.sums.store = sums.store;
+            told.sums.store_uptime = sums.store_uptime;
             told.telling = Some(sums.round);
             told.at = now;
         }
@@ -158,11 +158,11 @@
         // By replica: hosts that could not reach it, and other hosts that have requests there.
         let mut votes: HashMap<u32, (usize, usize)> = HashMap::new();
         for sums in self.reports(now) {
-            for replica in &sums.absent {
+            for replica in &sums.unreachable {
                 votes.entry(*replica).or_default().0 += 1;
             }
             let reached = sums.loads.iter().map(PackedLoad::replica);
-            for replica in reached.filter(|r| !sums.absent.contains(r)) {
+            for replica in reached.filter(|r| !sums.unreachable.contains(r)) {
                 votes.entry(replica).or_default().1 += 1;
             }
         }
@@ -175,7 +175,7 @@
     pub fn resting(&self, now: Time) -> HashSet<u32> {
         let sums = self.reports(now);
         let mut votes: HashMap<u32, usize> = HashMap::new();
-        for replica in sums.iter().flat_map(|sums| &sums.resting) {
+        for replica in sums.iter().flat_map(|sums| &sums.backing_off) {
             *votes.entry(*replica).or_default() += 1;
         }
         let most = votes
@@ -188,7 +188,7 @@
     pub fn store(&self, heartbeat: Span, now: Time) -> Option<Ages> {
         let silence = contact::max_gap_between_hosts(heartbeat);
         let hosts = self.hosts.lock();
-        let run = |told: &Told| Some(told.sums.store?.uptime(told.at));
+        let run = |told: &Told| Some(told.sums.store_uptime?.uptime(told.at));
         let runs = hosts.values().filter_map(run);
         runs.reduce(|a, b| a.join(b, silence)).map(|r| r.ages(now))
     }
--- a/crates/front/src/peers/quota.rs
+++ b/crates/front/src/peers/quota.rs
@@ -101,7 +101,7 @@
 
     /// What this host says to a question; none when it does not give out.
     fn judge(&self, question: &QuotaRequest) -> Option<QuotaResponse> {
-        if !question.is_sound() {
+        if !question.is_valid() {
             return None;
         }
         let now = self.state.now();
@@ -141,7 +141,7 @@
 
     /// Takes units back.
     pub(super) fn take_back(&self, refund: &Refund) {
-        if !refund.is_sound() {
+        if !refund.is_valid() {
             return;
         }
         let now = self.state.now();
@@ -153,7 +153,7 @@
                 self.with_accounts(|limiter| take_back(limiter, account, limit, refund, now));
             }
             Subject::Replica(limited) => {
-                let Some(notice) = limited.notice(now) else {
+                let Some(notice) = limited.advertisement(now) else {
                     return;
                 };
                 let replica = &limited.replica;
@@ -213,9 +213,9 @@
         host: &Name,
         now: Time,
     ) -> Option<Option<Advertisement>> {
-        let asked = limited.notice(now)?;
+        let asked = limited.advertisement(now)?;
         self.join_limits(std::slice::from_ref(limited), host);
-        let known = self.state.table.lock().notice_of(limited.replica);
+        let known = self.state.table.lock().advertisement(limited.replica);
         let notice = known.unwrap_or(asked);
         Some(Some(notice).filter(|notice| !notice.is_expired(now)))
     }
@@ -234,18 +234,18 @@
         limit,
         host: &question.host,
         count: f64::from(count),
-        reserved: f64::from(question.kept),
-        will_retry: question.queues,
+        reserved: f64::from(question.reserved),
+        will_retry: question.will_retry,
     };
-    limiter.record_local_use(units(question.alone), now);
+    limiter.record_local_use(units(question.local_use), now);
     match limiter.acquire(units(question.units), now) {
-        Ok(given) => QuotaResponse::Given {
-            all: given.granted as f32,
-            left: given.available as f32,
+        Ok(given) => QuotaResponse::Granted {
+            granted: given.granted as f32,
+            available: given.available as f32,
         },
         Err(over) => QuotaResponse::Refused {
-            wait_ms: over.retry_after.ms().ceil() as u32,
-            left: over.available as f32,
+            retry_after_ms: over.retry_after.ms().ceil() as u32,
+            available: over.available as f32,
         },
     }
 }
--- a/crates/front/src/quarantine/registry.rs
+++ b/crates/front/src/quarantine/registry.rs
@@ -1,4 +1,4 @@
-//! What one host knows of requests that end replicas.
+//! What one host knows of suspected and quarantined requests.
 
 use super::stored;
 use crate::message::{QuarantineEntry, QuarantineList};
@@ -6,214 +6,237 @@
 use std::collections::{BTreeMap, HashMap};
 use unit::{Fingerprint, Span, Time};
 
-/// Time for which good ends are noted after a fall: about the longest run and then some.
-const ALERT: Span = Span::from_secs(60);
+/// Time for which successes are recorded after a crash: somewhat longer than the longest run.
+const ALERT_FOR: Span = Span::from_secs(60);
 
-/// Age at which the leader's list no longer counts: it tells it every few seconds.
-const TOLD_FOR: Span = Span::from_secs(10);
+/// Age at which the leader's list expires; it is broadcast every few seconds.
+const LIST_VALID_FOR: Span = Span::from_secs(10);
 
-/// Good ends remembered at once, at 16 bytes each.
-const MOST_SOUND: usize = 1_024;
+/// Limit on recorded successes, at 16 bytes each.
+const MAX_SUCCESSES: usize = 1_024;
 
-/// What this host knows.
 #[derive(Default)]
-pub(super) struct Board {
-    /// Falls by request; all that is known of them at the host that leads.
-    pub(super) ledger: Tracker,
-    /// Requests that broke here, by replica.
-    pub(super) falls: Incidents,
-    /// The leader's list.
-    told: Told,
-    /// The list in the store.
+pub(super) struct Registry {
+    /// Crashes by request, complete on the leader.
+    pub(super) tracker: Tracker,
+    /// Requests that were interrupted here, by replica.
+    pub(super) incidents: Incidents,
+    leader_list: LeaderList,
     stored: Stored,
-    /// When requests last ended well here.
-    sound: HashMap<Fingerprint, Time>,
+    /// Last success of each request on this host.
+    successes: HashMap<Fingerprint, Time>,
     alert_until: Time,
-    /// What this host told last as the leader.
-    telling: Telling,
+    /// List that this host broadcast last as the leader.
+    sent: SentList,
 }
 
-/// The leader's list, as it was told last.
+/// List that the leader broadcast last.
 #[derive(Default)]
-struct Told {
-    /// Term and number of the list, by which a later one is known.
-    number: (u64, u32),
+struct LeaderList {
+    /// Term and number of the list, by which a newer one is recognized.
+    version: (u64, u32),
     at: Time,
     listed: HashMap<Fingerprint, bool>,
 }
 
-/// The list in the store.
+/// List in the store.
 #[derive(Default)]
 struct Stored {
-    /// Revision of its last change.
+    /// Revision of the last change.
     revision: u64,
-    /// Whether it stands there.
-    stands: bool,
+    /// Whether the store holds a list.
+    is_present: bool,
     listed: BTreeMap<Fingerprint, bool>,
 }
 
-/// What this host told last as the leader.
+/// List that this host broadcast last as the leader.
 #[derive(Default)]
-struct Telling {
+struct SentList {
     number: u32,
     listed: BTreeMap<Fingerprint, bool>,
 }
 
-/// What has changed in a leader's list.
-pub(super) struct News {
+/// Changes of a leader's list.
+pub(super) struct Delta {
     pub(super) changed: bool,
-    pub(super) kept_out: Vec<Fingerprint>,
+    pub(super) newly_quarantined: Vec<Fingerprint>,
 }
 
-/// Standing of a request that is listed.
-fn standing_of(is_out: bool) -> Status {
-    match is_out {
+fn listed_status(is_quarantined: bool) -> Status {
+    match is_quarantined {
         true => Status::Quarantined,
         false => Status::Suspected,
     }
 }
 
-impl Board {
-    pub(super) fn standing(&self, print: Fingerprint, now: Time) -> Status {
-        let told = self.told.listed.get(&print).filter(|_| self.is_told(now));
-        let listed = told.into_iter().chain(self.stored.listed.get(&print));
-        let listed = listed.map(|is_out| standing_of(*is_out)).max();
-        // Only the leader keeps out; what was seen here alone is a reason to ask it.
-        let seen = self.ledger.status(print, now).min(Status::Suspected);
-        listed.unwrap_or(Status::Clear).max(seen)
+impl Registry {
+    pub(super) fn status(&self, fingerprint: Fingerprint, now: Time) -> Status {
+        let from_leader = self
+            .leader_list
+            .listed
+            .get(&fingerprint)
+            .filter(|_| self.is_list_current(now));
+        let statuses = from_leader
+            .into_iter()
+            .chain(self.stored.listed.get(&fingerprint));
+        let statuses = statuses
+            .map(|is_quarantined| listed_status(*is_quarantined))
+            .max();
+        // Only the leader quarantines; what this host alone has seen is a reason to ask the leader.
+        let observed = self.tracker.status(fingerprint, now).min(Status::Suspected);
+        statuses.unwrap_or(Status::Clear).max(observed)
     }
 
-    fn is_told(&self, now: Time) -> bool {
-        now.since(self.told.at) < TOLD_FOR
+    fn is_list_current(&self, now: Time) -> bool {
+        now.since(self.leader_list.at) < LIST_VALID_FOR
     }
 
-    pub(super) fn is_idle(&self, now: Time) -> bool {
-        let told = !self.told.listed.is_empty() && self.is_told(now);
-        !told && self.stored.listed.is_empty() && !self.ledger.has_suspects()
+    pub(super) fn is_empty(&self, now: Time) -> bool {
+        let has_leader_list = !self.leader_list.listed.is_empty() && self.is_list_current(now);
+        !has_leader_list && self.stored.listed.is_empty() && !self.tracker.has_suspects()
     }
 
     pub(super) fn is_alert(&self, now: Time) -> bool {
-        now < self.alert_until || !self.is_idle(now)
+        now < self.alert_until || !self.is_empty(now)
     }
 
     pub(super) fn alert(&mut self, now: Time) {
-        self.alert_until = now + ALERT;
+        self.alert_until = now + ALERT_FOR;
     }
 
-    /// Notes a good end; tells whether the leader is to know it.
-    pub(super) fn note_sound(&mut self, print: Fingerprint, now: Time) -> bool {
-        if self.sound.len() >= MOST_SOUND {
-            self.sound.retain(|_, at| now.since(*at) < ALERT);
+    /// Records a success, and returns whether to report it.
+    pub(super) fn record_success(&mut self, fingerprint: Fingerprint, now: Time) -> bool {
+        if self.successes.len() >= MAX_SUCCESSES {
+            self.successes.retain(|_, at| now.since(*at) < ALERT_FOR);
         }
-        if self.sound.len() < MOST_SOUND {
-            self.sound.insert(print, now);
+        if self.successes.len() < MAX_SUCCESSES {
+            self.successes.insert(fingerprint, now);
         }
-        self.standing(print, now) != Status::Clear
+        self.status(fingerprint, now) != Status::Clear
     }
 
-    pub(super) fn fell(
+    pub(super) fn record_crash(
         &mut self,
-        fall: Crash,
-        aboard: &[Fingerprint],
+        crash: Crash,
+        in_flight: &[Fingerprint],
         now: Time,
     ) -> Vec<Fingerprint> {
         self.alert(now);
-        self.ledger.record_crash(fall, aboard, now)
+        self.tracker.record_crash(crash, in_flight, now)
     }
 
-    pub(super) fn lift(&mut self, print: Fingerprint) {
-        self.ledger.lift(print);
-        self.told.listed.remove(&print);
-        self.stored.listed.remove(&print);
+    pub(super) fn lift(&mut self, fingerprint: Fingerprint) {
+        self.tracker.lift(fingerprint);
+        self.leader_list.listed.remove(&fingerprint);
+        self.stored.listed.remove(&fingerprint);
     }
 
     pub(super) fn take_over(&mut self, now: Time) {
-        let told = self.told.listed.iter().map(|(p, out)| (*p, *out));
-        let stored = self.stored.listed.iter().map(|(p, out)| (*p, *out));
-        for (print, is_out) in told.chain(stored) {
-            self.ledger.restore(print, is_out, now);
+        let from_leader = self
+            .leader_list
+            .listed
+            .iter()
+            .map(|(fingerprint, is_quarantined)| (*fingerprint, *is_quarantined));
+        let from_store = self
+            .stored
+            .listed
+            .iter()
+            .map(|(fingerprint, is_quarantined)| (*fingerprint, *is_quarantined));
+        for (fingerprint, is_quarantined) in from_leader.chain(from_store) {
+            self.tracker.restore(fingerprint, is_quarantined, now);
         }
-        self.telling = Telling::default();
+        self.sent = SentList::default();
     }
 
-    pub(super) fn listing(&mut self, term: u64, now: Time) -> (QuarantineList, News) {
-        let listed = self.ledger.suspects(now);
-        let next: BTreeMap<Fingerprint, bool> = listed
+    pub(super) fn listing(&mut self, term: u64, now: Time) -> (QuarantineList, Delta) {
+        let suspects = self.tracker.suspects(now);
+        let next: BTreeMap<Fingerprint, bool> = suspects
             .iter()
-            .map(|l| (l.fingerprint, l.is_quarantined))
+            .map(|suspect| (suspect.fingerprint, suspect.is_quarantined))
+            .collect();
+        let changed = next != self.sent.listed;
+        let is_new = |fingerprint: &Fingerprint| self.sent.listed.get(fingerprint) != Some(&true);
+        let quarantined = next.iter().filter(|(_, is_quarantined)| **is_quarantined);
+        let newly_quarantined = quarantined
+            .map(|(fingerprint, _)| *fingerprint)
+            .filter(is_new)
             .collect();
-        let changed = next != self.telling.listed;
-        let is_new = |print: &Fingerprint| self.telling.listed.get(print) != Some(&true);
-        let out = next.iter().filter(|(_, is_out)| **is_out);
-        let kept_out = out.map(|(print, _)| *print).filter(is_new).collect();
         if changed {
-            self.telling.number += 1;
-            self.telling.listed = next;
+            self.sent.number += 1;
+            self.sent.listed = next;
         }
-        let listed = listed.into_iter().map(|l| QuarantineEntry {
-            fingerprint: l.fingerprint,
-            is_blocked: l.is_quarantined,
-            since_ms: u32::try_from(now.since(l.since).0 / 1_000).unwrap_or(u32::MAX),
+        let suspects = suspects.into_iter().map(|suspect| QuarantineEntry {
+            fingerprint: suspect.fingerprint,
+            is_quarantined: suspect.is_quarantined,
+            since_ms: u32::try_from(now.since(suspect.since).0 / 1_000).unwrap_or(u32::MAX),
         });
         let listing = QuarantineList {
             term,
-            number: self.telling.number,
-            entries: listed.collect(),
+            number: self.sent.number,
+            entries: suspects.collect(),
         };
-        (listing, News { changed, kept_out })
+        (
+            listing,
+            Delta {
+                changed,
+                newly_quarantined,
+            },
+        )
     }
 
-    /// Takes in the leader's list; gives the requests in it that have ended well here since they were suspected.
-    pub(super) fn told(&mut self, listing: QuarantineList, now: Time) -> Vec<Fingerprint> {
-        let number = (listing.term, listing.number);
-        if number < self.told.number {
+    /// Applies the leader's list, and returns the suspects in it that have succeeded here since
+    /// their first crash.
+    pub(super) fn apply_listing(&mut self, list: QuarantineList, now: Time) -> Vec<Fingerprint> {
+        let version = (list.term, list.number);
+        if version < self.leader_list.version {
             return Vec::new();
         }
-        if !listing.entries.is_empty() {
+        if !list.entries.is_empty() {
             self.alert(now);
         }
-        let sound = listing.entries.iter().filter(|listed| {
-            let since = now - Span::from_ms(u64::from(listed.since_ms));
-            let ended = self.sound.get(&listed.fingerprint);
-            !listed.is_blocked && ended.is_some_and(|at| *at > since)
+        let succeeded = list.entries.iter().filter(|entry| {
+            let since = now - Span::from_ms(u64::from(entry.since_ms));
+            let succeeded_at = self.successes.get(&entry.fingerprint);
+            !entry.is_quarantined && succeeded_at.is_some_and(|at| *at > since)
         });
-        let sound = sound.map(|listed| listed.fingerprint).collect();
-        self.told = Told {
-            number,
+        let succeeded = succeeded.map(|entry| entry.fingerprint).collect();
+        self.leader_list = LeaderList {
+            version,
             at: now,
-            listed: listing
+            listed: list
                 .entries
                 .iter()
-                .map(|l| (l.fingerprint, l.is_blocked))
+                .map(|entry| (entry.fingerprint, entry.is_quarantined))
                 .collect(),
         };
-        sound
+        succeeded
     }
 
-    /// List that is to stand in the store, and the revision that it replaces; none while it stands there.
-    pub(super) fn unstored(&mut self, now: Time) -> Option<(Vec<u8>, u64)> {
-        let listed = self.ledger.suspects(now).into_iter();
-        let listed: BTreeMap<Fingerprint, bool> =
-            listed.map(|l| (l.fingerprint, l.is_quarantined)).collect();
-        let replaced = match self.stored.stands {
+    /// The list to write and the revision that it replaces, unless the store has it already.
+    pub(super) fn pending_write(&mut self, now: Time) -> Option<(Vec<u8>, u64)> {
+        let listed = self.tracker.suspects(now).into_iter();
+        let listed: BTreeMap<Fingerprint, bool> = listed
+            .map(|suspect| (suspect.fingerprint, suspect.is_quarantined))
+            .collect();
+        let expected_revision = match self.stored.is_present {
             true => self.stored.revision,
             false => 0,
         };
-        (listed != self.stored.listed).then(|| (stored::encode(&listed), replaced))
+        (listed != self.stored.listed).then(|| (stored::encode(&listed), expected_revision))
     }
 
-    pub(super) fn stored(&mut self, listed: BTreeMap<Fingerprint, bool>, revision: u64) {
+    pub(super) fn apply_stored(&mut self, listed: BTreeMap<Fingerprint, bool>, revision: u64) {
         if revision >= self.stored.revision {
             self.stored = Stored {
                 revision,
-                stands: true,
+                is_present: true,
                 listed,
             };
         }
     }
 
-    /// Takes in that no list stands in the store, as of a revision.
-    pub(super) fn absent(&mut self, revision: u64) {
+    /// Records that the store holds no list, as of a revision.
+    pub(super) fn clear_stored(&mut self, revision: u64) {
         if revision >= self.stored.revision {
             self.stored = Stored {
                 revision,
@@ -222,33 +245,43 @@
         }
     }
 
-    /// Takes in that no list stands in the store now.
-    pub(super) fn vanished(&mut self) {
-        self.stored.stands = false;
+    /// Records that the store no longer holds a list.
+    pub(super) fn mark_missing(&mut self) {
+        self.stored.is_present = false;
     }
 
-    /// Takes in that the list was removed from the store; tells whether it was the newest.
-    pub(super) fn removed(&mut self, revision: u64) -> bool {
+    /// Applies the removal of the list from the store, unless a newer one is known. Returns whether
+    /// it was applied.
+    pub(super) fn apply_removed(&mut self, revision: u64) -> bool {
         if revision < self.stored.revision {
             return false;
         }
-        let stored = std::mem::take(&mut self.stored.listed);
-        let told = std::mem::take(&mut self.told.listed);
-        for print in stored.into_keys().chain(told.into_keys()) {
-            self.ledger.lift(print);
+        let from_store = std::mem::take(&mut self.stored.listed);
+        let from_leader = std::mem::take(&mut self.leader_list.listed);
+        for fingerprint in from_store.into_keys().chain(from_leader.into_keys()) {
+            self.tracker.lift(fingerprint);
         }
         self.stored.revision = revision;
-        self.stored.stands = false;
+        self.stored.is_present = false;
         true
     }
 
     pub(super) fn counts(&self, now: Time) -> (usize, usize) {
-        let told = self.told.listed.iter().filter(|_| self.is_told(now));
-        let mut listed: BTreeMap<Fingerprint, bool> = told.map(|(p, out)| (*p, *out)).collect();
-        for (print, is_out) in &self.stored.listed {
-            *listed.entry(*print).or_default() |= is_out;
+        let from_leader = self
+            .leader_list
+            .listed
+            .iter()
+            .filter(|_| self.is_list_current(now));
+        let mut listed: BTreeMap<Fingerprint, bool> = from_leader
+            .map(|(fingerprint, quarantined)| (*fingerprint, *quarantined))
+            .collect();
+        for (fingerprint, is_quarantined) in &self.stored.listed {
+            *listed.entry(*fingerprint).or_default() |= is_quarantined;
         }
-        let out = listed.values().filter(|is_out| **is_out).count();
-        (listed.len() - out, out)
+        let quarantined = listed
+            .values()
+            .filter(|is_quarantined| **is_quarantined)
+            .count();
+        (listed.len() - quarantined, quarantined)
     }
 }
--- a/crates/front/src/relay.rs
+++ b/crates/front/src/relay.rs
@@ -1,7 +1,7 @@
-//! Passing a replica's answer on: whole bodies at once, streams event by event.
+//! Forwarding of a replica's answer: a body as a whole, a stream event by event.
 //!
-//! A stream that breaks is taken up at another replica behind its last whole event, if its route
-//! allows that (`resume`); otherwise the client's connection breaks, so that the answer never looks whole.
+//! A broken stream is resumed at another replica after its last complete event, if its route allows that (`resume`).
+//! Otherwise the client's connection is aborted, so that a truncated answer never looks complete.
 
 mod resume;
 
@@ -26,138 +26,140 @@
 use unit::{Span, Time};
 
 /// Longest answer that is not a stream, in bytes.
-const MOST_ANSWER: usize = 16 << 20;
+const MAX_ANSWER: usize = 16 << 20;
 
-/// Silence of a stream that may be resumed after which is looked whether its replica is gone.
-const SILENCE: Span = Span::from_ms(1_000);
+/// Time without data of a resumable stream after which its replica is checked.
+const SILENCE_CHECK: Span = Span::from_ms(1_000);
 
-/// Part of the longest pause in time from which a pause tells that a replica is slow.
-const LONG_PART: f64 = 0.7;
+/// Fraction of the longest allowed pause from which a pause counts as slow.
+const LONG_PAUSE_FRACTION: f64 = 0.7;
 
-/// Whether the replica of a place is in the view, has not started again, and its entry is not missing.
-fn is_there(state: &State, place: &Reservation) -> bool {
+/// Whether the replica of a reservation is listed, with the same incarnation.
+fn is_present(state: &State, reservation: &Reservation) -> bool {
     let table = state.table.lock();
-    let seen = table.view.get(&place.replica);
-    seen.is_some_and(|s| s.missing.is_none() && s.entry.incarnation == place.incarnation)
+    let listed = table.view.get(&reservation.replica);
+    listed.is_some_and(|s| {
+        s.missing_since.is_none() && s.entry.incarnation == reservation.incarnation
+    })
 }
 
-/// Reads an answer that is not a stream whole.
+/// Reads and forwards an answer that is not a stream.
 pub async fn read_whole(
     state: &Arc<State>,
     call: &Call,
-    sent: Exchange,
+    exchange: Exchange,
 ) -> Result<Response<Body>, Failure> {
     let Exchange {
-        mut place,
+        mut reservation,
         line,
         response,
-        said,
-    } = sent;
+        feedback,
+    } = exchange;
     let (head, body) = response.into_parts();
-    let read = Limited::new(body, MOST_ANSWER).collect();
+    let read = Limited::new(body, MAX_ANSWER).collect();
     let read = state.clock.timeout_at(call.deadline, read).await;
     let body = match read {
         Ok(Ok(body)) => body.to_bytes(),
-        Ok(Err(e)) => {
-            let failed = Failure::Lost(format!("its answer broke off: {e}"));
-            place.ended(call, &failed);
+        Ok(Err(error)) => {
+            let failed = Failure::Lost(format!("its answer broke off: {error}"));
+            reservation.record_failure(call, &failed);
             return Err(failed);
         }
         Err(_) => {
-            place.failed();
+            reservation.record_bad_answer();
             return Err(Failure::TimedOut);
         }
     };
     let failed = head.status.is_server_error();
-    place.answered(failed);
+    reservation.record_answer(failed);
     if !failed {
         quarantine::note_success(state, call);
     }
-    keep(state, &place, line, &said);
+    return_connection(state, &reservation, line, &feedback);
     let mut response = Response::new(full_body(body));
     *response.status_mut() = head.status;
     *response.headers_mut() = returned(&head.headers);
     Ok(response)
 }
 
-/// Gives a connection back once its answer was read whole, if the replica keeps it.
-fn keep(state: &State, place: &Reservation, line: Line, said: &Said) {
-    if said.keeps_connection {
+/// Returns a connection to the pool after a complete answer, if the replica keeps it open.
+fn return_connection(state: &State, reservation: &Reservation, line: Line, feedback: &Said) {
+    if feedback.keeps_connection {
         state
             .pool
-            .give(&place.replica, line, said.keeps_for, state.now());
+            .give(&reservation.replica, line, feedback.keeps_for, state.now());
     }
 }
 
-/// Answer that comes as events.
+/// Forwarded event stream.
 struct Relay {
     state: Arc<State>,
     peers: Arc<Peers>,
     call: Arc<Call>,
     source: Option<Source>,
     splitter: Splitter,
-    first: Option<Bytes>,
-    tried: History,
-    last_event: Time,
-    /// Time to the first event.
-    first_after: Span,
-    /// Longest pause between two events so far.
-    longest: Pause,
+    first_chunk: Option<Bytes>,
+    history: History,
+    last_event_at: Time,
+    /// Time from the arrival of the request to the first event.
+    ttft: Span,
+    /// Longest slow pause between two events.
+    longest_pause: Pause,
     _in_flight: InFlight,
 }
 
-/// Pause between two events of a stream, and what stood at the replica when it ended.
+/// Pause between two events, and the load of the replica at its end.
 #[derive(Default)]
 struct Pause {
-    took: Span,
-    /// Requests in flight at the replica, as far as they were known here.
+    duration: Span,
+    /// Requests in flight at the replica, as far as known here.
     in_flight: f64,
-    /// Time to read the prompts that were not read there.
-    unread: Span,
+    /// Time to prefill the prompts that waited there.
+    prefill_backlog: Span,
 }
 
-/// Where the events come from now.
+/// Replica answer that events are read from.
 struct Source {
-    place: Reservation,
+    reservation: Reservation,
     line: Line,
-    said: Said,
+    feedback: Said,
     body: Incoming,
 }
 
-/// Waits for the first whole event of an answer, then gives the answer that passes all on.
+/// Waits for the first complete event of an answer, then returns an answer that forwards the stream.
 pub async fn open_stream(
     state: &Arc<State>,
     peers: &Arc<Peers>,
     call: &Arc<Call>,
-    sent: Exchange,
-    tried: History,
+    exchange: Exchange,
+    history: History,
 ) -> Result<Response<Body>, Failure> {
     let mut answer = Response::new(());
-    *answer.status_mut() = sent.response.status();
-    *answer.headers_mut() = returned(sent.response.headers());
-    let source = Source::from(sent);
+    *answer.status_mut() = exchange.response.status();
+    *answer.headers_mut() = returned(exchange.response.headers());
+    let source = Source::from(exchange);
     let mut relay = Relay {
         state: state.clone(),
         peers: peers.clone(),
         call: call.clone(),
         source: Some(source),
         splitter: Splitter::default(),
-        first: None,
-        tried,
-        last_event: state.now(),
-        first_after: Span::ZERO,
-        longest: Pause::default(),
+        first_chunk: None,
+        history,
+        last_event_at: state.now(),
+        ttft: Span::ZERO,
+        longest_pause: Pause::default(),
         _in_flight: state.enter(),
     };
-    relay.start().await?;
+    relay.read_first_event().await?;
     let events = stream::unfold(relay, |mut relay| async move {
-        let event = relay.step().await?;
+        let event = relay.next_chunk().await?;
         Some((event, relay))
     });
     Ok(answer.map(|()| StreamBody::new(events).boxed_unsync()))
 }
 
-/// Header fields of an answer as they go on; the length is set anew by what is passed on.
+/// Header fields that are forwarded, without the length.
 fn returned(headers: &HeaderMap) -> HeaderMap {
     let mut headers = ingress::returned(headers);
     headers.remove(header::CONTENT_LENGTH);
@@ -165,83 +167,82 @@
 }
 
 impl Source {
-    /// The events of an answer whose head has come.
-    fn from(sent: Exchange) -> Source {
+    fn from(exchange: Exchange) -> Source {
         Source {
-            place: sent.place,
-            line: sent.line,
-            said: sent.said,
-            body: sent.response.into_body(),
+            reservation: exchange.reservation,
+            line: exchange.line,
+            feedback: exchange.feedback,
+            body: exchange.response.into_body(),
         }
     }
 }
 
 impl Relay {
-    /// Waits for the first whole event; a failure before it may be made good elsewhere.
-    async fn start(&mut self) -> Result<(), Failure> {
-        self.first = match self.read().await {
+    /// Reads the first event. Until it has arrived, the request may be retried elsewhere.
+    async fn read_first_event(&mut self) -> Result<(), Failure> {
+        self.first_chunk = match self.read_events().await {
             Ok(first) => first,
-            Err(why) => {
+            Err(failure) => {
                 if let Some(source) = self.source.take() {
-                    source.place.ended(&self.call, &why);
+                    source.reservation.record_failure(&self.call, &failure);
                 }
-                return Err(why);
+                return Err(failure);
             }
         };
-        self.last_event = self.state.now();
+        self.last_event_at = self.state.now();
         if let Some(source) = &mut self.source {
-            source.place.started();
+            source.reservation.record_first_token();
             let took = self.state.now().since(self.call.arrived);
-            self.first_after = took;
+            self.ttft = took;
             let metrics = &self.state.log.metrics;
             metrics.record_first_byte(&self.call.route.name, took);
         }
         Ok(())
     }
 
-    /// Next piece for the client; none at the end.
-    async fn step(&mut self) -> Option<Result<Frame<Bytes>, io::Error>> {
-        if let Some(first) = self.first.take() {
+    /// Next data for the client; `None` at the end of the stream.
+    async fn next_chunk(&mut self) -> Option<Result<Frame<Bytes>, io::Error>> {
+        if let Some(first) = self.first_chunk.take() {
             return Some(Ok(Frame::data(first)));
         }
         loop {
-            match self.read().await {
+            match self.read_events().await {
                 Ok(Some(events)) => {
-                    self.note_pause();
+                    self.record_pause();
                     return Some(Ok(Frame::data(events)));
                 }
-                Ok(None) => return self.end(),
-                Err(why) => match self.resume(&why).await {
+                Ok(None) => return self.complete(),
+                Err(failure) => match self.resume(&failure).await {
                     true => continue,
-                    false => return Some(Err(self.cut(&why))),
+                    false => return Some(Err(self.abort(&failure))),
                 },
             }
         }
     }
 
-    /// Learns from the pause before an event, if it was long.
-    fn note_pause(&mut self) {
+    /// Records the pause before an event, if it was slow.
+    fn record_pause(&mut self) {
         let now = self.state.now();
-        let pause = now.since(self.last_event);
-        self.last_event = now;
+        let pause = now.since(self.last_event_at);
+        self.last_event_at = now;
         let gap = self.call.route.gap.map(Span::from);
-        let long = gap.is_some_and(|gap| pause > gap * LONG_PART);
-        if let Some(source) = self.source.as_ref().filter(|_| long) {
+        let is_long = gap.is_some_and(|gap| pause > gap * LONG_PAUSE_FRACTION);
+        if let Some(source) = self.source.as_ref().filter(|_| is_long) {
             let mut table = self.state.table.lock();
-            table.record_slow_event(&source.place.replica, now);
-            if pause > self.longest.took {
-                let (in_flight, unread) = table.load(&source.place.replica, now);
-                self.longest = Pause {
-                    took: pause,
+            table.record_slow_event(&source.reservation.replica, now);
+            if pause > self.longest_pause.duration {
+                let (in_flight, prefill_backlog) = table.load(&source.reservation.replica, now);
+                self.longest_pause = Pause {
+                    duration: pause,
                     in_flight,
-                    unread,
+                    prefill_backlog,
                 };
             }
         }
     }
 
-    /// Tells that the stream is complete.
-    fn end(&mut self) -> Option<Result<Frame<Bytes>, io::Error>> {
+    /// Logs the end of a complete stream.
+    fn complete(&mut self) -> Option<Result<Frame<Bytes>, io::Error>> {
         self.state
             .log
             .metrics
@@ -252,19 +253,22 @@
         let model = self.call.ask.model.as_deref();
         let target_ms = Span::from(route.target).ms();
         let gap_ms = route.gap.map(|gap| Span::from(gap).ms());
-        let (first_ms, pause_ms) = (self.first_after.ms(), self.longest.took.ms());
-        let (in_flight, unread_ms) = (self.longest.in_flight, self.longest.unread.ms());
+        let (first_ms, pause_ms) = (self.ttft.ms(), self.longest_pause.duration.ms());
+        let (in_flight, unread_ms) = (
+            self.longest_pause.in_flight,
+            self.longest_pause.prefill_backlog.ms(),
+        );
         self.state.log.sampled(id, || {
-            info!(target: "request", event = "answered", id = &**id, route = &*route.name, model, ms, first_ms, target_ms, pause_ms, gap_ms, in_flight, unread_ms, "the stream is complete; pause_ms is its longest long pause, with what stood at the replica then")
+            info!(target: "request", event = "answered", id = &**id, route = &*route.name, model, ms, first_ms, target_ms, pause_ms, gap_ms, in_flight, unread_ms, "stream complete; pause_ms is its longest slow pause, in_flight and unread_ms the load of the replica then")
         });
         None
     }
 
-    /// Reads whole events, or none when the answer has ended well.
-    async fn read(&mut self) -> Result<Option<Bytes>, Failure> {
+    /// Reads complete events; `None` if the answer has ended properly.
+    async fn read_events(&mut self) -> Result<Option<Bytes>, Failure> {
         while self.source.is_some() {
-            let Some(frame) = self.frame().await? else {
-                return self.ended().map(|()| None);
+            let Some(frame) = self.next_frame().await? else {
+                return self.finish_source().map(|()| None);
             };
             let Ok(data) = frame.into_data() else {
                 continue;
@@ -278,28 +282,29 @@
         Ok(None)
     }
 
-    /// Reads one frame of the answer, or none at its end.
-    async fn frame(&mut self) -> Result<Option<Frame<Bytes>>, Failure> {
+    /// Reads one frame of the answer; `None` at its end.
+    async fn next_frame(&mut self) -> Result<Option<Frame<Bytes>>, Failure> {
         let deadline = self.call.deadline;
         let clock = &self.state.clock;
-        let resumable = self.call.route.kind.is_repeatable();
+        let is_resumable = self.call.route.kind.is_repeatable();
         let Some(source) = &mut self.source else {
             return Ok(None);
         };
         loop {
-            let silence = clock.now() + SILENCE;
-            let until = match resumable {
+            let silence = clock.now() + SILENCE_CHECK;
+            let until = match is_resumable {
                 true => deadline.min(silence),
                 false => deadline,
             };
             match clock.timeout_at(until, source.body.frame()).await {
                 Ok(frame) => {
-                    let broken = |e| Failure::Lost(format!("its stream broke off: {e}"));
-                    return frame.transpose().map_err(broken);
+                    let to_failure =
+                        |error| Failure::Lost(format!("its stream broke off: {error}"));
+                    return frame.transpose().map_err(to_failure);
                 }
                 Err(_) if until == deadline => return Err(Failure::TimedOut),
-                // Silence alone is no reason to give a replica up: it may just be slow.
-                Err(_) if is_there(&self.state, &source.place) => {}
+                // Silence alone is no failure: the replica may be slow.
+                Err(_) if is_present(&self.state, &source.reservation) => {}
                 Err(_) => {
                     return Err(Failure::Lost("the replica was silent, and is gone".into()));
                 }
@@ -307,21 +312,26 @@
         }
     }
 
-    /// Notes that the answer has ended, unless it ended inside an event.
-    fn ended(&mut self) -> Result<(), Failure> {
+    /// Records the end of the answer; fails if it ended within an event.
+    fn finish_source(&mut self) -> Result<(), Failure> {
         if self.splitter.is_partial() {
             return Err(Failure::Lost("its stream ended inside an event".into()));
         }
         if let Some(mut source) = self.source.take() {
-            source.place.answered(false);
+            source.reservation.record_answer(false);
             quarantine::note_success(&self.state, &self.call);
-            keep(&self.state, &source.place, source.line, &source.said);
+            return_connection(
+                &self.state,
+                &source.reservation,
+                source.line,
+                &source.feedback,
+            );
         }
         Ok(())
     }
 
-    /// Breaks the answer off, so that it does not look whole.
-    fn cut(&mut self, why: &Failure) -> io::Error {
+    /// Aborts the answer, so that it does not look complete.
+    fn abort(&mut self, failure: &Failure) -> io::Error {
         self.source = None;
         let call = &self.call;
         self.state
@@ -329,12 +339,12 @@
             .metrics
             .record_outcome(&call.route.name, "broken");
         let age = self.state.now().since(call.arrived).ms();
-        let tried = self.tried.replicas.join(",");
-        let last = self.splitter.last();
+        let history = self.history.attempted.join(",");
+        let last = self.splitter.last_id();
         self.state.log.rate_limited(|| {
-            tracing::warn!(target: "request", event = "broken", id = &*call.id, print = %call.fingerprint(), route = &*call.route.name, tried, last, ms = age, why = %why, "the stream is broken off")
+            tracing::warn!(target: "request", event = "broken", id = &*call.id, print = %call.fingerprint(), route = &*call.route.name, tried = history, last, ms = age, why = %failure, "stream aborted")
         });
-        io::Error::other(why.to_string())
+        io::Error::other(failure.to_string())
     }
 }
 
@@ -348,7 +358,7 @@
             .metrics
             .record_outcome(&call.route.name, "cancelled");
         self.state.log.sampled(&call.id, || {
-            info!(target: "request", event = "cancelled", id = &*call.id, route = &*call.route.name, replica = &*source.place.replica, ms, "the client left; the replica's connection is closed")
+            info!(target: "request", event = "cancelled", id = &*call.id, route = &*call.route.name, replica = &*source.reservation.replica, ms, "client disconnected; the connection to the replica is closed")
         });
     }
 }
--- a/crates/front/tests/quarantine.rs
+++ b/crates/front/tests/quarantine.rs
@@ -21,8 +21,8 @@
 use platform_standin::store::Store;
 use route::quarantine::Crash;
 use site::{
-    BACK, FATAL, ask, ask_body, behind_a_proxy, daemon, fragile, fragile_engine, keep_alone,
-    request, send, settings, store, until,
+    FATAL_BODY, RESTART_TIME, ask, ask_body, crashing_engine, crashing_replica, daemon,
+    daemon_behind_proxy, isolate, request, send, settings, store, until,
 };
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -40,7 +40,7 @@
 async fn fleet(store: &Store, replicas: usize) -> Vec<Replica> {
     let mut fleet = Vec::new();
     for number in 0..replicas {
-        fleet.push(fragile(store, &format!("i-{number}")).await);
+        fleet.push(crashing_replica(store, &format!("i-{number}")).await);
     }
     fleet
 }
@@ -65,11 +65,11 @@
     let hosts = hosts(&store, 4).await;
     for number in 0..16 {
         let host = &hosts[number % hosts.len()];
-        ask_body(host, "/once/x", FATAL).await;
+        ask_body(host, "/once/x", FATAL_BODY).await;
         sleep(COMES_EACH).await;
     }
     assert!(falls(&fleet) <= KNOWN_AFTER, "{} falls", falls(&fleet));
-    sleep(BACK).await;
+    sleep(RESTART_TIME).await;
     for host in &hosts {
         assert_eq!(ask(host, "/once/x", None).await.1.status(), 200);
     }
@@ -78,7 +78,7 @@
 /// Sends the request to each host in turn until it is kept out.
 async fn keep_out(hosts: &[Daemon]) {
     for number in 0..20 {
-        let answer = ask_body(&hosts[number % hosts.len()], "/once/x", FATAL).await;
+        let answer = ask_body(&hosts[number % hosts.len()], "/once/x", FATAL_BODY).await;
         if answer.text().contains("kept_out") {
             return;
         }
@@ -88,7 +88,7 @@
 }
 
 async fn is_kept_out(host: &Daemon) -> bool {
-    let answer = ask_body(host, "/once/x", FATAL).await;
+    let answer = ask_body(host, "/once/x", FATAL_BODY).await;
     answer.status() == 503 && answer.text().contains("kept_out")
 }
 
@@ -105,7 +105,7 @@
     let hosts = hosts(&store, 1).await;
     keep_out(&hosts).await;
     let asked = Instant::now();
-    let answer = ask_body(&hosts[0], "/once/x", FATAL).await;
+    let answer = ask_body(&hosts[0], "/once/x", FATAL_BODY).await;
     assert!(asked.elapsed() < Duration::from_millis(100));
     assert_eq!(answer.status(), 503);
     let later: f64 = answer.header("retry-after").unwrap().parse().unwrap();
@@ -119,7 +119,7 @@
     let _fleet = fleet(&store, 6).await;
     let hosts = hosts(&store, 1).await;
     keep_out(&hosts).await;
-    sleep(BACK).await;
+    sleep(RESTART_TIME).await;
     assert_eq!(ask_body(&hosts[0], "/once/x", "other").await.status(), 200);
     assert_eq!(ask_body(&hosts[0], "/once/y", "body").await.status(), 200);
 }
@@ -149,7 +149,7 @@
         answers
     });
     keep_out(&hosts).await;
-    sleep(BACK * 2).await;
+    sleep(RESTART_TIME * 2).await;
     let while_back = Instant::now();
     for _ in 0..10 {
         for host in hosts.iter() {
@@ -185,7 +185,7 @@
     let hosts = hosts(&store, 2).await;
     keep_out(&hosts).await;
     until(|| store.get(KEY).is_some()).await;
-    sleep(BACK).await;
+    sleep(RESTART_TIME).await;
     let host = front::spawn(settings(&store, "later")).await.unwrap();
     until(|| host.state().is_ready()).await;
     assert!(is_kept_out(&host).await);
@@ -202,7 +202,7 @@
     until(|| store.get(KEY).is_some()).await;
     drop(before);
     store.end_leases();
-    sleep(BACK).await;
+    sleep(RESTART_TIME).await;
     let after = [daemon(&store, "e0").await, daemon(&store, "e1").await];
     for host in &after {
         assert!(is_kept_out(host).await);
@@ -217,15 +217,15 @@
     let fleet = fleet(&store, 6).await;
     let others = hosts(&store, 1).await;
     until(|| others[0].state().leads()).await;
-    let (host, way) = behind_a_proxy(&store, "cut").await;
-    let leader = keep_alone(&host);
+    let (host, way) = daemon_behind_proxy(&store, "cut").await;
+    let leader = isolate(&host);
     way.set(Mode::DeafTarget);
     until(|| host.state().table.lock().view.contact.is_unreachable()).await;
     keep_out(&others).await;
     way.set(Mode::Pass);
     *host.state().leader.lock() = leader;
     until(|| knows(&host)).await;
-    sleep(BACK).await;
+    sleep(RESTART_TIME).await;
     assert!(is_kept_out(&host).await);
     assert_eq!(falls(&fleet), KNOWN_AFTER);
 }
@@ -237,7 +237,7 @@
     let fleet = fleet(&store, 8).await;
     let mut hosts = hosts(&store, 3).await;
     for host in &hosts[..2] {
-        ask_body(host, "/once/x", FATAL).await;
+        ask_body(host, "/once/x", FATAL_BODY).await;
         sleep(COMES_EACH).await;
     }
     let leads = hosts.iter().position(|host| host.state().leads()).unwrap();
@@ -258,8 +258,8 @@
     until(|| store.get(KEY).is_some()).await;
     store.remove(KEY);
     until(|| hosts.iter().all(|host| !knows(host))).await;
-    sleep(BACK).await;
-    ask_body(&hosts[0], "/once/x", FATAL).await;
+    sleep(RESTART_TIME).await;
+    ask_body(&hosts[0], "/once/x", FATAL_BODY).await;
     assert_eq!(falls(&fleet), KNOWN_AFTER + 1);
 }
 
@@ -311,7 +311,7 @@
     })
     .await;
     for number in 0..14 {
-        ask_body(&hosts[number % hosts.len()], "/once/x", FATAL).await;
+        ask_body(&hosts[number % hosts.len()], "/once/x", FATAL_BODY).await;
         sleep(COMES_EACH).await;
     }
     assert_eq!(falls(&fleet), KNOWN_AFTER);
@@ -325,12 +325,12 @@
     let store = store().await;
     let mut fleet = Vec::new();
     for number in 0..5 {
-        fleet.push(fragile_engine(&store, &format!("i-{number}")).await);
+        fleet.push(crashing_engine(&store, &format!("i-{number}")).await);
     }
     let hosts = hosts(&store, 2).await;
     for number in 0..10 {
         let (id, mut request) = request("/resume/x", Some("m1"));
-        *request.body_mut() = conn::Body::new(FATAL.into());
+        *request.body_mut() = conn::Body::new(FATAL_BODY.into());
         send(&hosts[number % 2], (id, request)).await;
         sleep(COMES_EACH).await;
     }
--- a/crates/front/tests/quota.rs
+++ b/crates/front/tests/quota.rs
@@ -151,9 +151,9 @@
             host: "h".into(),
             subject: Subject::Account("mine".into()),
             units,
-            kept: units,
-            queues: true,
-            alone: units,
+            reserved: units,
+            will_retry: true,
+            local_use: units,
         };
         let refund = Refund {
             host: "h".into(),
--- a/crates/front/tests/readers.rs
+++ b/crates/front/tests/readers.rs
@@ -29,13 +29,13 @@
         .map(|d| Reader {
             hall: "a".into(),
             addr: d.state().settings.peers,
-            head: true,
+            root: true,
         })
         .collect();
     tokio::spawn(async move {
         loop {
             ignore_leader(&state);
-            state.readers.set(known.clone(), state.settings.peers);
+            state.readers.assign(known.clone(), state.settings.peers);
             state.table.lock().host_count = LARGE;
             sleep(Duration::from_millis(1)).await;
         }
@@ -216,7 +216,7 @@
     let named = |addr| Reader {
         hall: "a".into(),
         addr,
-        head: addr == head,
+        root: addr == head,
     };
     let known = vec![named(head), named(reader)];
     let daemons = daemons.to_vec();
@@ -224,7 +224,7 @@
         loop {
             for state in &daemons {
                 ignore_leader(state);
-                state.readers.set(known.clone(), state.settings.peers);
+                state.readers.assign(known.clone(), state.settings.peers);
                 state.table.lock().host_count = LARGE;
             }
             sleep(Duration::from_millis(1)).await;
@@ -379,7 +379,7 @@
     };
     let heads = |hosts| {
         let readers = readers::choose(hosts, ([127, 0, 0, 1], 2).into());
-        ports(readers.iter().filter(|r| r.head))
+        ports(readers.iter().filter(|r| r.root))
     };
     assert_eq!(heads(hosts()), [2, 4]);
     let mut cut = hosts();
