--- a/crates/front/tests/accounts.rs
+++ b/crates/front/tests/accounts.rs
@@ -1,4 +1,4 @@
-//! Requests with keys: whose they are, what goes on to replicas, and what a key that was taken away does.
+//! Authentication by key, what is forwarded to replicas, and revoked keys.
 
 mod site;
 
@@ -15,7 +15,7 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Store whose configuration has two accounts.
+/// Store with a configuration of two accounts.
 async fn store_with_accounts() -> Store {
     let store = store::spawn().await.unwrap();
     store.put("op/config", &two_accounts(1));
@@ -27,7 +27,7 @@
     with_accounts(version, &accounts)
 }
 
-async fn in_force(daemon: &Daemon, version: u64) {
+async fn until_in_force(daemon: &Daemon, version: u64) {
     let current = || {
         let table = daemon.state().table.lock();
         table.routes.as_ref().unwrap().version
@@ -36,15 +36,15 @@
 }
 
 #[tokio::test]
-async fn a_replica_is_told_the_account_and_never_the_key() {
+async fn replica_gets_the_account_but_never_the_key() {
     let store = store_with_accounts().await;
     let replica = web(&store, "i-1").await;
     let daemon = daemon(&store, "d1").await;
-    let (id, mut asked) = request("/again/x", None);
-    let headers = asked.headers_mut();
+    let (id, mut request) = request("/again/x", None);
+    let headers = request.headers_mut();
     headers.insert("authorization", "Token k-3".parse().unwrap());
     headers.append("tenant", "mine".parse().unwrap());
-    let (id, answer) = send(&daemon, (id, asked)).await;
+    let (id, answer) = send(&daemon, (id, request)).await;
     assert_eq!(answer.status(), 200);
     let seen = replica.seen(&id);
     assert_eq!(seen.account.as_deref(), Some("other"));
@@ -56,25 +56,28 @@
 #[case::unknown(Some("Token k-9"))]
 #[case::other_scheme(Some("Bearer k-1"))]
 #[tokio::test]
-async fn without_a_known_key_nothing_runs(#[case] key: Option<&'static str>) {
+async fn request_without_valid_key_does_not_run(#[case] key: Option<&'static str>) {
     let store = store_with_accounts().await;
     let replica = web(&store, "i-1").await;
     let daemon = daemon(&store, "d1").await;
-    let (id, mut asked) = request("/again/x", None);
+    let (id, mut request) = request("/again/x", None);
     if let Some(key) = key {
-        asked
+        request
             .headers_mut()
             .insert("authorization", key.parse().unwrap());
     }
-    let (id, answer) = send(&daemon, (id, asked)).await;
+    let (id, answer) = send(&daemon, (id, request)).await;
     assert_eq!(answer.status(), 401);
     assert!(answer.header("www-authenticate").is_some());
-    assert!(!answer.text().contains("k-9"), "an answer tells no key");
+    assert!(
+        !answer.text().contains("k-9"),
+        "the answer must not contain the key"
+    );
     assert_eq!(replica.seen(&id).arrived, 0);
 }
 
 #[tokio::test]
-async fn a_public_route_needs_no_key_and_passes_none_on() {
+async fn public_route_needs_no_key_and_forwards_none() {
     let store = store_with_accounts().await;
     let replica = web(&store, "i-1").await;
     let daemon = daemon(&store, "d1").await;
@@ -89,15 +92,15 @@
     assert_eq!(replica.seen(&id).account.as_deref(), Some("mine"));
 }
 
-/// Two accounts that hold one key: nobody could say whose request it is.
+/// Requests with a key of two accounts could be attributed to the wrong one.
 #[tokio::test]
-async fn a_key_of_two_accounts_stands_for_neither() {
+async fn key_of_two_accounts_is_invalid() {
     let store = store_with_accounts().await;
     let _replica = web(&store, "i-1").await;
     let daemon = daemon(&store, "d1").await;
     let shared = [account("mine", &["k-1", "k-2"]), account("other", &["k-1"])];
     store.put("op/config", &with_accounts(2, &shared));
-    in_force(&daemon, 2).await;
+    until_in_force(&daemon, 2).await;
     assert_eq!(
         ask_with(&daemon, "k-1", "/again/x", None).await.1.status(),
         401
@@ -109,7 +112,7 @@
 }
 
 #[tokio::test]
-async fn an_account_s_rank_goes_before_its_route_s() {
+async fn account_priority_outranks_route_priority() {
     let store = store_with_accounts().await;
     let replica = engine(&store, "i-1", &["m1"]).await;
     let daemon = daemon(&store, "d1").await;
@@ -119,7 +122,7 @@
     };
     let accounts = [ranked("mine", &["k-1"], 3), ranked("other", &["k-3"], 1)];
     store.put("op/config", &with_accounts(2, &accounts));
-    in_force(&daemon, 2).await;
+    until_in_force(&daemon, 2).await;
     let mut ranks = Vec::new();
     for (key, path) in [
         ("k-3", "/stream/x"),
@@ -134,9 +137,9 @@
     assert!(ranks.is_sorted_by(|a, b| a < b), "{ranks:?}");
 }
 
-/// Accounts of one rank: the routes' ranks stand as they would without accounts.
+/// With equal account priorities, the routes' ranks are the same as without accounts.
 #[tokio::test]
-async fn a_route_s_rank_decides_among_accounts_of_one_rank() {
+async fn route_priority_decides_among_equal_accounts() {
     let store = store_with_accounts().await;
     let replica = engine(&store, "i-1", &["m1"]).await;
     let daemon = daemon(&store, "d1").await;
@@ -145,7 +148,7 @@
         ..account("mine", &["k-1"])
     };
     store.put("op/config", &with_accounts(2, &[ranked]));
-    in_force(&daemon, 2).await;
+    until_in_force(&daemon, 2).await;
     for (path, rank) in [("/stream/x", 1), ("/later/x", 2)] {
         let (id, _) = ask_with(&daemon, "k-1", path, Some("m1")).await;
         assert_eq!(replica.seen(&id).rank, Some(rank));
@@ -153,7 +156,7 @@
 }
 
 #[tokio::test]
-async fn a_configuration_without_accounts_asks_for_no_key() {
+async fn configuration_without_accounts_requires_no_key() {
     let store = site::store().await;
     let replica = web(&store, "i-1").await;
     let daemon = daemon(&store, "d1").await;
@@ -163,7 +166,7 @@
 }
 
 #[tokio::test]
-async fn a_key_that_was_taken_away_runs_nothing_more() {
+async fn revoked_key_is_rejected() {
     let store = store_with_accounts().await;
     let replica = web(&store, "i-1").await;
     let daemon = daemon(&store, "d1").await;
@@ -171,9 +174,9 @@
         ask_with(&daemon, "k-3", "/again/x", None).await.1.status(),
         200
     );
-    let rest = [account("mine", &["k-1", "k-2"]), account("other", &[])];
-    store.put("op/config", &with_accounts(2, &rest));
-    in_force(&daemon, 2).await;
+    let remaining = [account("mine", &["k-1", "k-2"]), account("other", &[])];
+    store.put("op/config", &with_accounts(2, &remaining));
+    until_in_force(&daemon, 2).await;
     let (id, answer) = ask_with(&daemon, "k-3", "/again/x", None).await;
     assert_eq!((answer.status(), replica.seen(&id).arrived), (401, 0));
     assert_eq!(
@@ -182,9 +185,10 @@
     );
 }
 
-/// The key goes while the request waits for its model: it is judged again before it is sent.
+/// The key is revoked while the request waits for its model, and must be checked again before it is
+/// sent.
 #[tokio::test]
-async fn a_key_is_judged_again_when_a_waiting_request_is_sent() {
+async fn key_revoked_while_a_request_waits_is_rejected() {
     let store = store_with_accounts().await;
     let options = Options {
         models: vec!["m2".into()],
@@ -197,24 +201,24 @@
     let waiting = async {
         loop {
             let (id, answer) = ask_with(&daemon, "k-3", "/stream/x", Some("m1")).await;
-            // Until the load is under way a host cannot know that the model comes in time.
+            // Until the load is in progress, the host cannot know that the model arrives in time.
             if answer.status() != 503 {
                 return (id, answer);
             }
             sleep(Duration::from_millis(20)).await;
         }
     };
-    let withdrawal = async {
+    let revocation = async {
         sleep(Duration::from_millis(100)).await;
         store.put("op/config", &with_accounts(2, &[account("mine", &["k-1"])]));
     };
-    let ((id, answer), ()) = tokio::join!(waiting, withdrawal);
+    let ((id, answer), ()) = tokio::join!(waiting, revocation);
     assert_eq!((answer.status(), replica.seen(&id).ran), (401, 0));
 }
 
-/// A replica sheds the request, and the key goes before the next sending.
+/// A replica rejects the request, and the key is revoked before the next attempt.
 #[tokio::test]
-async fn a_key_is_judged_before_each_sending() {
+async fn key_is_checked_before_each_attempt() {
     let store = store_with_accounts().await;
     let replicas = [web(&store, "i-1").await, web(&store, "i-2").await];
     let daemon = daemon(&store, "d1").await;
@@ -222,43 +226,49 @@
         replica.set_fault(Fault::Sheds);
     }
     store.put("op/config", &with_accounts(2, &[account("mine", &["k-1"])]));
-    // Requests go on while the change comes into force: each ends as not run, by one reason or the other.
+    // Requests continue while the change takes effect: each fails without running, for one reason
+    // or the other.
     let end = Instant::now() + Duration::from_secs(2);
     while Instant::now() < end {
         let (_, answer) = ask_with(&daemon, "k-3", "/again/x", None).await;
         assert!([401, 503].contains(&answer.status()), "{}", answer.status());
     }
-    let runs: u32 = replicas.iter().map(|r| r.arrivals()).sum();
+    let arrivals: u32 = replicas.iter().map(|r| r.arrivals()).sum();
     let (_, answer) = ask_with(&daemon, "k-3", "/again/x", None).await;
     assert_eq!(answer.status(), 401);
-    assert_eq!(runs, replicas.iter().map(|r| r.arrivals()).sum::<u32>());
+    assert_eq!(arrivals, replicas.iter().map(|r| r.arrivals()).sum::<u32>());
 }
 
-/// The store falls silent or refuses: a host rests on what it knows for a part of the bound, then says
-/// 503 with a time, and the balancer is told; public routes go on. It serves again with the store.
+/// With the store silent or failing, a host accepts keys for part of the bound only. Then it
+/// answers 503 with Retry-After and tells the balancer, but serves public routes. It recovers with
+/// the store.
 #[rstest]
 #[case::busy(Mode::Busy)]
 #[case::silent(Mode::Silent)]
 #[case::reset(Mode::Reset)]
 #[tokio::test]
-async fn a_host_that_cannot_confirm_keys_does_not_rest_on_them(#[case] mode: Mode) {
+async fn host_with_stale_keys_rejects_requests(#[case] mode: Mode) {
     let store = store_with_accounts().await;
     let replica = web(&store, "i-1").await;
     let daemon = daemon(&store, "d1").await;
     let bound = bounds().withdrawal.unwrap();
-    let away = Instant::now();
+    let outage_start = Instant::now();
     store.set_mode(mode);
     assert_eq!(
         ask_with(&daemon, "k-1", "/again/x", None).await.1.status(),
         200
     );
     until(|| !front::accounts::can_authenticate(daemon.state())).await;
-    assert!(away.elapsed() < bound, "{:?}", away.elapsed());
+    assert!(
+        outage_start.elapsed() < bound,
+        "{:?}",
+        outage_start.elapsed()
+    );
     let before = replica.arrivals();
     let (_, answer) = ask_with(&daemon, "k-1", "/again/x", None).await;
     assert_eq!(answer.status(), 503);
     assert!(answer.header("retry-after").is_some());
-    // A key that came in the meantime would be unknown here: that is not final.
+    // A key that was added in the meantime would be unknown here, so the answer is not final.
     let (_, answer) = ask_with(&daemon, "k-9", "/again/x", None).await;
     assert_eq!(answer.status(), 503);
     assert_eq!(replica.arrivals(), before);
@@ -271,33 +281,33 @@
     );
 }
 
-/// What a host knows is as old as its question, not as the answer: the answer may have waited.
+/// Age counted from the answer would make data that waited in a long poll look fresh.
 #[tokio::test]
-async fn knowledge_is_as_old_as_the_question() {
+async fn data_age_counts_from_the_request_to_the_store() {
     let store = store_with_accounts().await;
     let daemon = daemon(&store, "d1").await;
-    // Nothing changes, so that a watch is answered only when its time is over.
+    // Nothing changes, so a watch is answered only at its timeout.
     let mut oldest = unit::Span::ZERO;
     let end = Instant::now() + Duration::from_secs(3);
     while Instant::now() < end {
         oldest = oldest.max(front::accounts::data_age(daemon.state()));
         sleep(Duration::from_millis(5)).await;
     }
-    let most = front::accounts::max_age(&bounds()).unwrap();
+    let max_age = front::accounts::max_age(&bounds()).unwrap();
     assert!(oldest > unit::Span::from_ms(500), "{oldest}");
-    assert!(oldest < most, "{oldest}");
+    assert!(oldest < max_age, "{oldest}");
 }
 
 #[tokio::test]
-async fn accounts_may_come_and_go_with_a_configuration() {
+async fn accounts_can_be_added_and_removed() {
     let store = site::store().await;
     let replica = web(&store, "i-1").await;
     let daemon = daemon(&store, "d1").await;
     store.put("op/config", &two_accounts(2));
-    in_force(&daemon, 2).await;
+    until_in_force(&daemon, 2).await;
     assert_eq!(ask(&daemon, "/again/x", None).await.1.status(), 401);
     store.put("op/config", &configuration(3));
-    in_force(&daemon, 3).await;
+    until_in_force(&daemon, 3).await;
     let (id, answer) = ask(&daemon, "/again/x", None).await;
     assert_eq!(answer.status(), 200);
     assert_eq!(replica.seen(&id).ran, 1);
--- a/crates/front/tests/adapters.rs
+++ b/crates/front/tests/adapters.rs
@@ -1,4 +1,4 @@
-//! Adapters: where they are loaded, and which one makes room for another.
+//! Placement and eviction of adapters.
 
 mod site;
 
@@ -9,8 +9,8 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Asks for an adapter until it is served.
-async fn served(daemon: &Daemon, model: &str) {
+/// Sends requests for an adapter until one is served.
+async fn request_until_served(daemon: &Daemon, model: &str) {
     let end = Instant::now() + site::WAIT_LIMIT;
     while ask(daemon, "/resume/x", Some(model)).await.1.status() != 200 {
         assert!(Instant::now() < end, "{model} is not served");
@@ -22,28 +22,28 @@
     replica.models().remove("m1").unwrap_or_default()
 }
 
-/// nqi-line-grown: the leader knew only when an adapter was loaded or missed, so that the busiest
-/// one, which was never missed, looked like the one used longest ago.
+/// Guards against evicting the busiest adapter: its uses were not reported to the leader, so it
+/// looked like the least recently used one.
 #[tokio::test]
-async fn an_adapter_in_use_does_not_make_room_for_another() {
+async fn adapter_in_use_is_not_evicted() {
     let store = store().await;
     let replica = engine(&store, "i-1", &["m1"]).await;
     let daemon = daemon(&store, "d1").await;
-    served(&daemon, "m1/a1").await;
-    served(&daemon, "m1/a2").await;
-    let until = Instant::now() + Duration::from_millis(2_200);
-    while Instant::now() < until {
-        served(&daemon, "m1/a1").await;
+    request_until_served(&daemon, "m1/a1").await;
+    request_until_served(&daemon, "m1/a2").await;
+    let end = Instant::now() + Duration::from_millis(2_200);
+    while Instant::now() < end {
+        request_until_served(&daemon, "m1/a1").await;
         sleep(Duration::from_millis(40)).await;
     }
-    served(&daemon, "m1/a3").await;
+    request_until_served(&daemon, "m1/a3").await;
     assert_eq!(adapters(&replica), ["a1", "a3"]);
 }
 
-/// nqi-line-grown scale-2: half of the spot checks name an adapter, each was on one replica, and its
-/// requests waited there while others that hold the model were idle.
+/// Guards against requests that queue at an adapter's only replica while other holders of the model
+/// are idle.
 #[tokio::test]
-async fn an_adapter_whose_replica_is_full_is_loaded_on_another() {
+async fn adapter_of_a_full_replica_is_loaded_on_another() {
     let store = store().await;
     let slow = |id: &str| Options {
         id: id.into(),
@@ -56,13 +56,13 @@
         replica::spawn(&store, slow("i-2")).await.unwrap(),
     ];
     let daemon = daemon(&store, "d1").await;
-    served(&daemon, "m1/a1").await;
+    request_until_served(&daemon, "m1/a1").await;
     let holders = || {
         let holds = |r: &&Replica| adapters(r).contains(&"a1".to_owned());
         replicas.iter().filter(holds).count()
     };
     assert_eq!(holders(), 1);
-    // Twelve at once, for a replica of eight places.
+    // Twelve concurrent requests for a replica with eight slots.
     let mut lines = Vec::new();
     for _ in 0..12 {
         let (_, request) = request("/resume/x", Some("m1/a1"));
--- a/crates/front/tests/changes.rs
+++ b/crates/front/tests/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of configuration, replicas, store and daemons while requests go on.
+//! Changes of configuration, replicas, store and daemons while requests are served.
 
 mod site;
 
@@ -12,7 +12,7 @@
 use unit::Span;
 
 #[tokio::test]
-async fn a_configuration_is_in_force_everywhere_in_seconds_and_never_reverts() {
+async fn configuration_reaches_all_hosts_and_never_reverts() {
     let store = store().await;
     let _replica = engine(&store, "i-1", &["m1"]).await;
     let daemons = [daemon(&store, "d1").await, daemon(&store, "d2").await];
@@ -34,7 +34,11 @@
     sleep(Duration::from_millis(600)).await;
     for daemon in &daemons {
         let (_, answer) = ask(daemon, "/stream/x", Some("m1")).await;
-        assert_eq!(answer.status(), 200, "the last good configuration stays");
+        assert_eq!(
+            answer.status(),
+            200,
+            "the last valid configuration must stay in force"
+        );
     }
 }
 
@@ -42,7 +46,7 @@
 #[case::announced(true)]
 #[case::silent(false)]
 #[tokio::test]
-async fn a_leaving_replica_gets_no_new_work(#[case] announced: bool) {
+async fn leaving_replica_gets_no_requests(#[case] announced: bool) {
     let store = store().await;
     let leaving = web(&store, "i-1").await;
     let _staying = web(&store, "i-2").await;
@@ -64,7 +68,7 @@
 #[case::reset(Mode::Reset)]
 #[case::silent(Mode::Silent)]
 #[tokio::test]
-async fn requests_go_on_while_the_store_is_away(#[case] mode: Mode) {
+async fn requests_are_served_during_a_store_outage(#[case] mode: Mode) {
     let store = store().await;
     let replica = web(&store, "i-1").await;
     let daemon = daemon(&store, "d1").await;
@@ -86,10 +90,9 @@
     assert_eq!(ask(&daemon, "/again/x", None).await.1.status(), 200);
 }
 
-/// ddrct-coveford mix --seed 164819185273: a watch hung on after a silent outage, and a configuration
-/// that came right after it was in force only 3.6 s later.
+/// Guards against a watch that hangs after a silent outage and delays the next configuration.
 #[tokio::test]
-async fn a_configuration_behind_a_silent_outage_is_in_force_within_three_seconds() {
+async fn configuration_after_a_silent_outage_takes_effect_in_time() {
     let store = store().await;
     let daemon = daemon(&store, "d1").await;
     store.set_mode(Mode::Silent);
@@ -110,19 +113,19 @@
 }
 
 #[tokio::test]
-async fn a_departure_in_a_forgotten_history_is_not_missed() {
+async fn departure_in_compacted_history_is_noticed() {
     let store = store().await;
-    let gone = web(&store, "i-1").await;
+    let departed = web(&store, "i-1").await;
     let _stays = web(&store, "i-2").await;
     let daemon = daemon(&store, "d1").await;
-    let known = || daemon.state().table.lock().view.all().count();
-    until(|| known() == 2).await;
-    store.remove_and_compact(&gone.key());
-    until(|| known() == 1).await;
+    let count = || daemon.state().table.lock().view.all().count();
+    until(|| count() == 2).await;
+    store.remove_and_compact(&departed.key());
+    until(|| count() == 1).await;
 }
 
 #[tokio::test]
-async fn before_any_configuration_a_daemon_is_not_ready_and_never_says_not_found() {
+async fn daemon_without_configuration_is_not_ready_and_answers_503() {
     let store = platform_standin::store::spawn().await.unwrap();
     let daemon = front::spawn(site::settings(&store, "d1")).await.unwrap();
     let (_, answer) = ask(&daemon, "/again/x", None).await;
@@ -133,13 +136,13 @@
 }
 
 #[tokio::test]
-async fn a_planned_stop_cuts_nothing() {
+async fn drain_interrupts_no_request() {
     let store = store().await;
     let replica = web(&store, "i-1").await;
     let daemon = daemon(&store, "d1").await;
     let addr = daemon.callers();
     let state = daemon.state().clone();
-    let stop = tokio::spawn(daemon.drain());
+    let drain = tokio::spawn(daemon.drain());
     let mut served = 0;
     let start = Instant::now();
     while start.elapsed() < Duration::from_millis(1_200) {
@@ -153,15 +156,15 @@
         assert_eq!(reply.headers["connection"], "close");
         served += 1;
     }
-    assert!(!state.is_ready(), "the balancer is told at once");
-    stop.await.unwrap();
+    assert!(!state.is_ready(), "the balancer must be told immediately");
+    drain.await.unwrap();
     assert!(served > 10);
     assert_eq!(replica.arrivals(), served);
 }
 
-/// ddrct-coveford hunt c1fb-7: a request waited for its model until its host had ended.
+/// Guards against a request that waits for its model until its host has ended.
 #[tokio::test]
-async fn a_request_that_waits_on_a_host_that_stops_is_refused_at_once() {
+async fn waiting_request_is_rejected_when_its_host_drains() {
     let store = store().await;
     let _replica = engine(&store, "i-1", &["m1"]).await;
     let daemon = daemon(&store, "d1").await;
@@ -169,7 +172,7 @@
     let coming = [("m9".into(), 500)];
     daemon.state().table.lock().set_model_etas(&coming, now);
     let addr = daemon.callers();
-    let asked = tokio::spawn(async move {
+    let exchange = tokio::spawn(async move {
         let (_, request) = site::request("/stream/x", Some("m9"));
         let mut line = conn::Line::open(addr, site::WAIT_LIMIT).await.unwrap();
         line.exchange(request, site::WAIT_LIMIT, 1 << 20)
@@ -178,8 +181,8 @@
     });
     until(|| daemon.state().in_flight() == 1).await;
     let start = Instant::now();
-    let stop = tokio::spawn(daemon.drain());
-    let reply = asked.await.unwrap();
+    let drain = tokio::spawn(daemon.drain());
+    let reply = exchange.await.unwrap();
     assert_eq!(reply.status.as_u16(), 503);
     assert!(reply.headers.contains_key("retry-after"));
     assert!(
@@ -187,19 +190,18 @@
         "{:?}",
         start.elapsed()
     );
-    stop.await.unwrap();
+    drain.await.unwrap();
 }
 
-/// ddrct-coveford scale-2, seed 12: a request waited for its turn and then went to a replica that had
-/// left meanwhile.
+/// Guards against sending a queued request to a replica that left while it waited.
 #[tokio::test]
-async fn a_request_that_waited_does_not_go_to_a_replica_that_left_meanwhile() {
+async fn waiting_request_is_not_sent_to_a_departed_replica() {
     let store = store().await;
     let replica = engine(&store, "i-1", &["m1"]).await;
     let daemon = daemon(&store, "d1").await;
     let state = daemon.state().clone();
     let busy = tokio::spawn(async move {
-        // Another host has prompts there that are less urgent, so that this one waits its turn.
+        // Another host has prompts of lower priority there, so this request is queued.
         let load = Load {
             requests: 1.0,
             reserved_tokens: 100.0,
@@ -213,7 +215,7 @@
     });
     sleep(Duration::from_millis(100)).await;
     let addr = daemon.callers();
-    let asked = tokio::spawn(async move {
+    let exchange = tokio::spawn(async move {
         let (_, request) = site::request("/stream/x", Some("m1"));
         let mut line = conn::Line::open(addr, site::WAIT_LIMIT).await.unwrap();
         line.exchange(request, site::WAIT_LIMIT, 1 << 20)
@@ -222,14 +224,14 @@
     });
     until(|| daemon.state().in_flight() == 1).await;
     replica.leave();
-    let reply = asked.await.unwrap();
+    let reply = exchange.await.unwrap();
     busy.abort();
     assert_eq!(replica.arrivals(), 0);
     assert_eq!(reply.status.as_u16(), 503);
 }
 
 #[tokio::test]
-async fn one_host_leads_and_another_takes_over_with_a_higher_token() {
+async fn next_leader_has_a_higher_token() {
     let store = store().await;
     let _replica = engine(&store, "i-1", &["m1"]).await;
     let first = daemon(&store, "d1").await;
@@ -244,10 +246,10 @@
     assert!(leader(&second).unwrap().term > before.term);
 }
 
-/// The leader's process is killed and comes back on its machine long before its lease ends: nobody else
-/// can lead until then, so it takes its entry over, with a higher token, and keeps it past the old lease.
+/// The leader is killed and restarted long before its lease ends. No other host can lead until
+/// then, so it must replace its own entry, with a higher token, and keep it beyond the old lease.
 #[tokio::test]
-async fn a_leader_that_was_killed_leads_again_once_it_is_back() {
+async fn restarted_leader_replaces_its_entry() {
     let store = store().await;
     let _replica = engine(&store, "i-1", &["m1"]).await;
     let first = daemon(&store, "d1").await;
@@ -259,13 +261,13 @@
     let settings = first.state().settings.clone();
     drop(first);
     sleep(Duration::from_millis(100)).await;
-    let back = Instant::now();
+    let restart = Instant::now();
     let first = front::spawn(settings).await.unwrap();
     until(|| leader(&second).is_some_and(|l| l.term > before.term)).await;
     assert!(
-        back.elapsed() < Duration::from_millis(1_500),
+        restart.elapsed() < Duration::from_millis(1_500),
         "{:?}",
-        back.elapsed()
+        restart.elapsed()
     );
     assert_eq!(&*leader(&second).unwrap().name, "d1");
     let term = leader(&first).unwrap().term;
@@ -273,10 +275,10 @@
     assert_eq!(leader(&second).map(|l| l.term), Some(term));
 }
 
-/// At 298 hosts that started at once, a host that was about to try heard of the leader just then, and took
-/// that for an entry of its own: it put the leader out, and so did others after it.
+/// Guards against a host that takes another leader's entry, learned of just before its own write,
+/// for its own and replaces it.
 #[test]
-fn another_host_s_entry_is_never_replaced() {
+fn entry_of_another_host_is_never_replaced() {
     let own = "127.0.0.1:7001".parse().unwrap();
     let leader = |peers: &str| front::state::Leader {
         name: "d1".into(),
@@ -294,10 +296,10 @@
     );
 }
 
-/// large inc-f019: after an outage of 10 s in which the lease had waited, its holder had given it up, and
-/// the next one gave its first order 4.8 s after the store's return.
+/// Guards against stepping down although the lease outlived the outage: the next leader sends its
+/// first order seconds later.
 #[tokio::test]
-async fn a_leader_goes_on_after_an_outage_in_which_its_lease_waited() {
+async fn leader_resumes_when_its_lease_outlives_an_outage() {
     let store = store().await;
     let first = daemon(&store, "d1").await;
     let second = daemon(&store, "d2").await;
@@ -308,12 +310,15 @@
         store.extend_leases();
         sleep(Duration::from_millis(100)).await;
     }
-    let sums_at = |daemon: &front::Daemon| {
+    let plans_age = |daemon: &front::Daemon| {
         let state = daemon.state();
         state.table.lock().plans_age(state.now())
     };
-    let age = sums_at(&second);
-    assert!(age < Span::from_secs(1), "sums are told on: {age}");
+    let age = plans_age(&second);
+    assert!(
+        age < Span::from_secs(1),
+        "load must still be broadcast: {age}"
+    );
     store.set_mode(Mode::Up);
     let engine = engine(&store, "i-1", &["m1"]).await;
     let start = Instant::now();
@@ -326,7 +331,7 @@
 
 /// A lease that ended in the outage is not resumed: another host may have led meanwhile.
 #[tokio::test]
-async fn a_leader_whose_lease_ended_in_an_outage_starts_a_new_term() {
+async fn leader_starts_a_new_term_when_its_lease_ended_in_an_outage() {
     let store = store().await;
     let first = daemon(&store, "d1").await;
     let leader = |daemon: &front::Daemon| daemon.state().leader.lock().clone();
@@ -339,24 +344,25 @@
 }
 
 #[tokio::test]
-async fn a_model_that_nobody_holds_is_loaded_and_served() {
+async fn unloaded_model_is_loaded_and_served() {
     let store = store().await;
     let replicas = [
         engine(&store, "i-1", &["m1"]).await,
         engine(&store, "i-2", &["m1"]).await,
     ];
     let daemon = daemon(&store, "d1").await;
-    // A load takes 0.2 s of a target of a second: a request waits for it once the leader has said so.
+    // A load takes 0.2 s of a target of 1 s: a request waits for it once the leader has announced
+    // it.
     let m2 = "m2".into();
-    let awaited = || {
+    let is_loading = || {
         let state = daemon.state();
         let coming = state.table.lock().model_eta(&m2, state.now());
         coming.is_some() || replicas.iter().any(|r| r.models().contains_key("m2"))
     };
-    until(awaited).await;
+    until(is_loading).await;
     let (_, answer) = ask(&daemon, "/stream/x", Some("m2")).await;
     assert_eq!(answer.status(), 200);
-    // A model that cannot come is refused once the leader has had time to say so.
+    // A model that cannot be loaded is rejected once the leader has had time to announce it.
     let start = Instant::now();
     let (_, answer) = ask(&daemon, "/stream/x", Some("m9")).await;
     assert_eq!(answer.status(), 503);
@@ -371,7 +377,7 @@
 }
 
 #[tokio::test]
-async fn adapters_are_fetched_on_demand_and_never_beyond_the_places() {
+async fn adapters_load_on_demand_within_the_slots() {
     let store = store().await;
     let replica = engine(&store, "i-1", &["m1"]).await;
     let daemon = daemon(&store, "d1").await;
@@ -395,7 +401,7 @@
 }
 
 #[tokio::test]
-async fn the_creation_of_the_lease_survives_a_lost_answer() {
+async fn leader_entry_creation_survives_a_lost_answer() {
     let store = store().await;
     store.set_mode(Mode::Lossy);
     let daemon = front::spawn(site::settings(&store, "d1")).await.unwrap();
@@ -404,7 +410,7 @@
 }
 
 #[tokio::test]
-async fn a_failing_replica_loses_its_share() {
+async fn failing_replica_gets_fewer_requests() {
     let store = store().await;
     let bad = web(&store, "i-1").await;
     let good = web(&store, "i-2").await;
--- a/crates/front/tests/quarantine.rs
+++ b/crates/front/tests/quarantine.rs
@@ -1,15 +1,7 @@
-//! A request that ends each replica that begins to run it.
+//! Quarantine of requests that crash the replicas that run them.
 //!
-//! Seen: a request of one caller came again and again, each time with another identity and at another host; each
-//! time the replica that ran it was down a tenth of a second later, with all else that ran there. Fifteen replicas
-//! ended in twelve seconds, ten of them after three had ended under the same request.
-//!
-//! How: each host forwarded it as if it were new. What it had done was known on the host that had sent it, for
-//! the one connection that broke, and nowhere else: a broken answer counted against the replica, never against
-//! the request, and hosts told each other of replicas, not of requests.
-//!
-//! Proof: the fingerprint over path, account and body, told at each failed sending; one and the same stands in the logs
-//! at each fall, while the others that broke there were answered elsewhere.
+//! Guards against one request crashing replica after replica: it comes back with new identities and
+//! through other hosts, while each host counts the failures against the replicas only.
 
 mod site;
 
@@ -30,12 +22,12 @@
 use tokio::time::{Instant, sleep};
 use unit::Fingerprint;
 
-/// Falls after which a request that causes them is known for what it is: two may be chance, the third, with the request on
-/// trial, is not.
-const KNOWN_AFTER: usize = 3;
+/// Crashes after which a request is quarantined: two may be chance, the third happens during its
+/// trial.
+const QUARANTINED_AFTER: usize = 3;
 
-/// Pause between two comings of the request: replicas are back before the third.
-const COMES_EACH: Duration = Duration::from_millis(250);
+/// Interval between repetitions of the request; replicas restart before the third.
+const REPEAT_INTERVAL: Duration = Duration::from_millis(250);
 
 async fn fleet(store: &Store, replicas: usize) -> Vec<Replica> {
     let mut fleet = Vec::new();
@@ -53,89 +45,93 @@
     hosts
 }
 
-fn falls(fleet: &[Replica]) -> usize {
+fn crashes(fleet: &[Replica]) -> usize {
     fleet.iter().map(|replica| replica.falls().len()).sum()
 }
 
-/// The incident: other hosts than the one before get the request each time.
+/// Each repetition arrives at another host.
 #[tokio::test]
-async fn a_request_that_ends_replicas_is_stopped_on_all_hosts() {
+async fn crashing_request_is_quarantined_on_all_hosts() {
     let store = store().await;
     let fleet = fleet(&store, 6).await;
     let hosts = hosts(&store, 4).await;
     for number in 0..16 {
         let host = &hosts[number % hosts.len()];
         ask_body(host, "/once/x", FATAL_BODY).await;
-        sleep(COMES_EACH).await;
+        sleep(REPEAT_INTERVAL).await;
     }
-    assert!(falls(&fleet) <= KNOWN_AFTER, "{} falls", falls(&fleet));
+    assert!(
+        crashes(&fleet) <= QUARANTINED_AFTER,
+        "{} crashes",
+        crashes(&fleet)
+    );
     sleep(RESTART_TIME).await;
     for host in &hosts {
         assert_eq!(ask(host, "/once/x", None).await.1.status(), 200);
     }
 }
 
-/// Sends the request to each host in turn until it is kept out.
-async fn keep_out(hosts: &[Daemon]) {
+/// Sends the request to each host in turn until it is quarantined.
+async fn until_quarantined(hosts: &[Daemon]) {
     for number in 0..20 {
         let answer = ask_body(&hosts[number % hosts.len()], "/once/x", FATAL_BODY).await;
         if answer.text().contains("kept_out") {
             return;
         }
-        sleep(COMES_EACH).await;
+        sleep(REPEAT_INTERVAL).await;
     }
-    panic!("the request is not kept out");
+    panic!("the request is not quarantined");
 }
 
-async fn is_kept_out(host: &Daemon) -> bool {
+async fn is_quarantined(host: &Daemon) -> bool {
     let answer = ask_body(host, "/once/x", FATAL_BODY).await;
     answer.status() == 503 && answer.text().contains("kept_out")
 }
 
-fn knows(host: &Daemon) -> bool {
+fn has_quarantine(host: &Daemon) -> bool {
     let state = host.state();
     state.quarantine.counts(state.now()).1 == 1
 }
 
-/// It is told that it has not run, and when to come back: after the time for which it is kept out.
+/// Retry-After must cover the quarantine.
 #[tokio::test]
-async fn what_is_kept_out_is_told_so_at_once() {
+async fn quarantined_request_is_rejected_immediately() {
     let store = store().await;
     let _fleet = fleet(&store, 6).await;
     let hosts = hosts(&store, 1).await;
-    keep_out(&hosts).await;
-    let asked = Instant::now();
+    until_quarantined(&hosts).await;
+    let start = Instant::now();
     let answer = ask_body(&hosts[0], "/once/x", FATAL_BODY).await;
-    assert!(asked.elapsed() < Duration::from_millis(100));
+    assert!(start.elapsed() < Duration::from_millis(100));
     assert_eq!(answer.status(), 503);
-    let later: f64 = answer.header("retry-after").unwrap().parse().unwrap();
-    assert!(later > 3_000.0, "{later}");
+    let retry_after: f64 = answer.header("retry-after").unwrap().parse().unwrap();
+    assert!(retry_after > 3_000.0, "{retry_after}");
 }
 
-/// Another caller's, another path's, another body's: none of them is the same request.
+/// Another path or body makes another request.
 #[tokio::test]
-async fn only_the_same_request_is_kept_out() {
+async fn only_identical_requests_are_quarantined() {
     let store = store().await;
     let _fleet = fleet(&store, 6).await;
     let hosts = hosts(&store, 1).await;
-    keep_out(&hosts).await;
+    until_quarantined(&hosts).await;
     sleep(RESTART_TIME).await;
     assert_eq!(ask_body(&hosts[0], "/once/x", "other").await.status(), 200);
     assert_eq!(ask_body(&hosts[0], "/once/y", "body").await.status(), 200);
 }
 
-/// What is asked for all the time is in flight at each fall: it is not taken for the cause.
+/// A frequent request is in flight at every crash, and must not be taken for the cause.
 #[tokio::test]
-async fn what_only_ran_beside_it_stays_served() {
+async fn concurrent_request_stays_served() {
     let store = store().await;
     let fleet = fleet(&store, 5).await;
     let hosts = Arc::new(hosts(&store, 3).await);
     let ended = Arc::new(AtomicBool::new(false));
-    let (popular, until) = (hosts.clone(), ended.clone());
-    let asking = tokio::spawn(async move {
+    let (clients, stop) = (hosts.clone(), ended.clone());
+    let requests = tokio::spawn(async move {
         let mut answers = Vec::new();
-        while !until.load(Ordering::Relaxed) {
-            let round = popular
+        while !stop.load(Ordering::Relaxed) {
+            let round = clients
                 .iter()
                 .map(|host| ask_body(host, "/again/x", "popular"));
             answers.extend(
@@ -148,18 +144,18 @@
         }
         answers
     });
-    keep_out(&hosts).await;
+    until_quarantined(&hosts).await;
     sleep(RESTART_TIME * 2).await;
-    let while_back = Instant::now();
+    let start = Instant::now();
     for _ in 0..10 {
         for host in hosts.iter() {
             assert_eq!(ask_body(host, "/again/x", "popular").await.status(), 200);
         }
     }
-    assert!(while_back.elapsed() < Duration::from_secs(3));
+    assert!(start.elapsed() < Duration::from_secs(3));
     ended.store(true, Ordering::Relaxed);
-    let answers = asking.await.unwrap();
-    assert_eq!(falls(&fleet), KNOWN_AFTER);
+    let answers = requests.await.unwrap();
+    assert_eq!(crashes(&fleet), QUARANTINED_AFTER);
     let kept_out = answers
         .iter()
         .filter(|(_, text)| text.contains("kept_out"))
@@ -169,7 +165,7 @@
         .filter(|(_, text)| text.contains("suspected"))
         .count();
     assert_eq!(kept_out, 0);
-    // One in twenty, as in the loads of `route`.
+    // The same share as in the simulated loads of `route`.
     assert!(
         suspected * 20 <= answers.len(),
         "{suspected} of {}",
@@ -177,110 +173,110 @@
     );
 }
 
-/// A host that was not there when it was found out knows before it serves.
+/// A host that was not running at the time learns of it before it serves.
 #[tokio::test]
-async fn a_host_that_begins_later_sends_it_to_nobody() {
+async fn host_started_later_knows_the_quarantine() {
     let store = store().await;
     let fleet = fleet(&store, 6).await;
     let hosts = hosts(&store, 2).await;
-    keep_out(&hosts).await;
+    until_quarantined(&hosts).await;
     until(|| store.get(KEY).is_some()).await;
     sleep(RESTART_TIME).await;
     let host = front::spawn(settings(&store, "later")).await.unwrap();
     until(|| host.state().is_ready()).await;
-    assert!(is_kept_out(&host).await);
-    assert_eq!(falls(&fleet), KNOWN_AFTER);
+    assert!(is_quarantined(&host).await);
+    assert_eq!(crashes(&fleet), QUARANTINED_AFTER);
 }
 
-/// All hosts lose power at a moment: what was found out stands in the store.
+/// The stored list outlives all hosts.
 #[tokio::test]
-async fn it_stays_out_when_all_hosts_begin_anew() {
+async fn quarantine_survives_a_restart_of_all_hosts() {
     let store = store().await;
     let fleet = fleet(&store, 6).await;
     let before = hosts(&store, 3).await;
-    keep_out(&before).await;
+    until_quarantined(&before).await;
     until(|| store.get(KEY).is_some()).await;
     drop(before);
     store.end_leases();
     sleep(RESTART_TIME).await;
     let after = [daemon(&store, "e0").await, daemon(&store, "e1").await];
     for host in &after {
-        assert!(is_kept_out(host).await);
+        assert!(is_quarantined(host).await);
     }
-    assert_eq!(falls(&fleet), KNOWN_AFTER);
+    assert_eq!(crashes(&fleet), QUARANTINED_AFTER);
 }
 
-/// A host that was cut off from the store and all others while it was found out.
+/// A host that was cut off from the store and all other hosts at the time.
 #[tokio::test]
-async fn a_host_that_was_cut_off_knows_at_its_return() {
+async fn host_learns_the_quarantine_after_a_partition() {
     let store = store().await;
     let fleet = fleet(&store, 6).await;
     let others = hosts(&store, 1).await;
     until(|| others[0].state().leads()).await;
-    let (host, way) = daemon_behind_proxy(&store, "cut").await;
+    let (host, proxy) = daemon_behind_proxy(&store, "cut").await;
     let leader = isolate(&host);
-    way.set(Mode::DeafTarget);
+    proxy.set(Mode::DeafTarget);
     until(|| host.state().table.lock().view.contact.is_unreachable()).await;
-    keep_out(&others).await;
-    way.set(Mode::Pass);
+    until_quarantined(&others).await;
+    proxy.set(Mode::Pass);
     *host.state().leader.lock() = leader;
-    until(|| knows(&host)).await;
+    until(|| has_quarantine(&host)).await;
     sleep(RESTART_TIME).await;
-    assert!(is_kept_out(&host).await);
-    assert_eq!(falls(&fleet), KNOWN_AFTER);
+    assert!(is_quarantined(&host).await);
+    assert_eq!(crashes(&fleet), QUARANTINED_AFTER);
 }
 
-/// The host that leads ends between the falls: the others have heard of them.
+/// The leader ends between the crashes, which the other hosts have heard of.
 #[tokio::test]
-async fn the_next_leader_counts_the_falls_before_its_term() {
+async fn next_leader_counts_earlier_crashes() {
     let store = store().await;
     let fleet = fleet(&store, 8).await;
     let mut hosts = hosts(&store, 3).await;
     for host in &hosts[..2] {
         ask_body(host, "/once/x", FATAL_BODY).await;
-        sleep(COMES_EACH).await;
+        sleep(REPEAT_INTERVAL).await;
     }
-    let leads = hosts.iter().position(|host| host.state().leads()).unwrap();
-    drop(hosts.remove(leads));
+    let leader = hosts.iter().position(|host| host.state().leads()).unwrap();
+    drop(hosts.remove(leader));
     store.end_leases();
     until(|| hosts.iter().any(|host| host.state().leads())).await;
-    keep_out(&hosts).await;
-    assert_eq!(falls(&fleet), KNOWN_AFTER);
+    until_quarantined(&hosts).await;
+    assert_eq!(crashes(&fleet), QUARANTINED_AFTER);
 }
 
-/// An operator who knows better removes the list.
+/// Operators clear the quarantine by removing the list.
 #[tokio::test]
-async fn an_operator_lets_all_in_again() {
+async fn operator_clears_the_quarantine() {
     let store = store().await;
     let fleet = fleet(&store, 6).await;
     let hosts = hosts(&store, 2).await;
-    keep_out(&hosts).await;
+    until_quarantined(&hosts).await;
     until(|| store.get(KEY).is_some()).await;
     store.remove(KEY);
-    until(|| hosts.iter().all(|host| !knows(host))).await;
+    until(|| hosts.iter().all(|host| !has_quarantine(host))).await;
     sleep(RESTART_TIME).await;
     ask_body(&hosts[0], "/once/x", FATAL_BODY).await;
-    assert_eq!(falls(&fleet), KNOWN_AFTER + 1);
+    assert_eq!(crashes(&fleet), QUARANTINED_AFTER + 1);
 }
 
-/// What another writer puts there is told, and changes nothing.
+/// A list by another writer is logged and changes nothing.
 #[tokio::test]
-async fn a_list_that_cannot_be_read_leaves_the_last_one_in_force() {
+async fn malformed_list_leaves_the_last_one_in_force() {
     let store = store().await;
     let _fleet = fleet(&store, 6).await;
     let hosts = hosts(&store, 2).await;
-    keep_out(&hosts).await;
+    until_quarantined(&hosts).await;
     until(|| store.get(KEY).is_some()).await;
     store.put_bytes(KEY, b"[{\"request\": 5}]");
     sleep(Duration::from_millis(900)).await;
     for host in &hosts {
-        assert!(is_kept_out(host).await);
+        assert!(is_quarantined(host).await);
     }
 }
 
-/// A connection that breaks while its replica lives is no fall.
+/// Failures without a crash of the replica must not make a request suspected.
 #[tokio::test]
-async fn a_replica_that_loses_answers_proves_nothing_against_requests() {
+async fn broken_connection_to_a_running_replica_is_no_crash() {
     let store = store().await;
     let fleet = fleet(&store, 2).await;
     let hosts = hosts(&store, 1).await;
@@ -298,9 +294,9 @@
     assert_eq!(ask_body(&hosts[0], "/once/x", "body").await.status(), 200);
 }
 
-/// Hosts too many to tell each other: the leader alone counts.
+/// With too many hosts for direct reports, the leader alone counts crashes.
 #[tokio::test]
-async fn it_is_stopped_where_hosts_only_tell_the_leader() {
+async fn quarantine_works_where_only_the_leader_gets_reports() {
     let store = store().await;
     let fleet = fleet(&store, 8).await;
     let hosts = hosts(&store, 18).await;
@@ -312,16 +308,16 @@
     .await;
     for number in 0..14 {
         ask_body(&hosts[number % hosts.len()], "/once/x", FATAL_BODY).await;
-        sleep(COMES_EACH).await;
+        sleep(REPEAT_INTERVAL).await;
     }
-    assert_eq!(falls(&fleet), KNOWN_AFTER);
-    until(|| hosts.iter().all(knows)).await;
+    assert_eq!(crashes(&fleet), QUARANTINED_AFTER);
+    until(|| hosts.iter().all(has_quarantine)).await;
 }
 
-/// A stream that may be resumed is not taken up at replica after replica: one client attempt brings two falls at the
-/// most, as its route allows.
+/// A resumable stream must not be resumed at one replica after the other: a client attempt causes
+/// at most two crashes, as its route allows.
 #[tokio::test]
-async fn a_stream_that_ends_its_replicas_is_stopped() {
+async fn crashing_stream_is_quarantined() {
     let store = store().await;
     let mut fleet = Vec::new();
     for number in 0..5 {
@@ -332,28 +328,32 @@
         let (id, mut request) = request("/resume/x", Some("m1"));
         *request.body_mut() = conn::Body::new(FATAL_BODY.into());
         send(&hosts[number % 2], (id, request)).await;
-        sleep(COMES_EACH).await;
+        sleep(REPEAT_INTERVAL).await;
     }
-    assert!(falls(&fleet) <= KNOWN_AFTER + 1, "{} falls", falls(&fleet));
+    assert!(
+        crashes(&fleet) <= QUARANTINED_AFTER + 1,
+        "{} crashes",
+        crashes(&fleet)
+    );
 }
 
-/// Nobody leads, and nobody can while the store is away: each host tries what it suspects by itself, so that what is
-/// innocent comes back.
+/// No host can become leader while the store is unreachable: each host then permits its own trials,
+/// so that innocent requests are cleared.
 #[tokio::test]
-async fn a_suspect_is_tried_also_while_nobody_can_lead() {
+async fn suspect_gets_a_trial_while_no_host_can_lead() {
     let store = store().await;
     let _fleet = fleet(&store, 3).await;
     let mut hosts = hosts(&store, 2).await;
-    let print = Fingerprint::of("a.example", "/again/x", None, b"popular");
-    let leads = hosts.iter().position(|host| host.state().leads()).unwrap();
-    drop(hosts.remove(leads));
+    let fingerprint = Fingerprint::of("a.example", "/again/x", None, b"popular");
+    let leader = hosts.iter().position(|host| host.state().leads()).unwrap();
+    drop(hosts.remove(leader));
     store.set_mode(platform_standin::store::Mode::Silent);
     let state = hosts[0].state();
     until(|| state.table.lock().view.contact.is_unreachable()).await;
-    for fall in 0..2 {
+    for crash in 0..2 {
         state
             .quarantine
-            .note_crash(Crash(fall), &[print], state.now());
+            .note_crash(Crash(crash), &[fingerprint], state.now());
     }
     assert_eq!(
         ask_body(&hosts[0], "/again/x", "popular").await.status(),
--- a/crates/front/tests/quota.rs
+++ b/crates/front/tests/quota.rs
@@ -1,4 +1,4 @@
-//! What client accounts may use over all hosts: the surplus is turned away, and nobody else feels it.
+//! Account quotas over all hosts: the excess is rejected, and other accounts are not affected.
 
 mod site;
 
@@ -12,7 +12,7 @@
 use tokio::net::UdpSocket;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Each request of the site's model service uses 120 tokens at the most, and may use 500 a second.
+/// Rate and burst in tokens. A request to the test site's model service uses at most 120 tokens.
 const LIMIT: (f64, f64) = (500.0, 500.0);
 
 fn limited(name: &'static str, key: &'static str, tokens: (f64, f64)) -> Account {
@@ -29,8 +29,9 @@
     store
 }
 
-/// Sends one request after the other for a time; gives how many ran and the last refusal's status and wait.
-async fn press(daemon: &Daemon, key: &str, time: Duration) -> (u32, Option<(u16, f64)>) {
+/// Sends requests one after the other for a time. Returns how many ran, and the last rejection's
+/// status and Retry-After.
+async fn send_for(daemon: &Daemon, key: &str, time: Duration) -> (u32, Option<(u16, f64)>) {
     let end = Instant::now() + time;
     let (mut ran, mut refusal) = (0, None);
     while Instant::now() < end {
@@ -47,40 +48,42 @@
 }
 
 #[tokio::test]
-async fn what_is_over_the_limit_is_turned_away_with_a_time() {
+async fn request_over_quota_is_rejected_with_retry_after() {
     let store = store_with_limits().await;
     let _replica = engine(&store, "i-1", &["m1"]).await;
     let daemon = daemon(&store, "d1").await;
     sleep(Duration::from_millis(1_500)).await;
-    let (ran, refusal) = press(&daemon, "k-1", Duration::from_secs(2)).await;
-    // 500 at once, 500 that may be overdrawn, and 500 a second: 2,000 tokens of 120 each.
+    let (ran, refusal) = send_for(&daemon, "k-1", Duration::from_secs(2)).await;
+    // A burst of 500, an overdraft of 500 and 500 per second: 2,000 tokens at 120 each.
     assert!((10..=17).contains(&ran), "{ran} ran");
     let (status, wait) = refusal.unwrap();
     assert_eq!(status, 429);
-    assert!((0.1..=10.0).contains(&wait), "come back after {wait} s");
-    let (ran, refusal) = press(&daemon, "k-3", Duration::from_millis(500)).await;
-    assert!(ran > 5, "another account is not touched: {ran} ran");
+    assert!((0.1..=10.0).contains(&wait), "Retry-After of {wait} s");
+    let (ran, refusal) = send_for(&daemon, "k-3", Duration::from_millis(500)).await;
+    assert!(ran > 5, "another account must not be affected: {ran} ran");
     assert_eq!(refusal, None);
 }
 
-/// Two hosts, one limit: both together have it, not each.
+/// Two hosts share one quota.
 #[tokio::test]
-async fn a_limit_holds_over_all_hosts() {
+async fn quota_holds_across_hosts() {
     let store = store_with_limits().await;
     let _replica = engine(&store, "i-1", &["m1"]).await;
     let hosts = [daemon(&store, "d1").await, daemon(&store, "d2").await];
     until(|| hosts[1].state().leader.lock().is_some()).await;
     sleep(Duration::from_millis(1_500)).await;
     let time = Duration::from_secs(2);
-    let (first, second) =
-        tokio::join!(press(&hosts[0], "k-1", time), press(&hosts[1], "k-1", time));
+    let (first, second) = tokio::join!(
+        send_for(&hosts[0], "k-1", time),
+        send_for(&hosts[1], "k-1", time)
+    );
     let ran = first.0 + second.0;
     assert!((10..=17).contains(&ran), "{ran} ran");
 }
 
-/// The host that gives out ends; the other one goes on by its share, and no more than that.
+/// The leader with the limiter ends; the other host continues within its share.
 #[tokio::test]
-async fn a_host_goes_on_by_its_share_while_nobody_gives_out() {
+async fn host_falls_back_to_its_share_without_a_limiter() {
     let store = store::spawn().await.unwrap();
     let wide = (20_000.0, 20_000.0);
     let accounts = [limited("mine", "k-1", wide), limited("new", "k-2", wide)];
@@ -91,62 +94,62 @@
     let second = daemon(&store, "d2").await;
     until(|| second.state().leader.lock().is_some()).await;
     sleep(Duration::from_millis(1_500)).await;
-    let (usual, _) = press(&second, "k-1", Duration::from_secs(2)).await;
+    let (before, _) = send_for(&second, "k-1", Duration::from_secs(2)).await;
     drop(first);
-    let (alone, refusal) = press(&second, "k-1", Duration::from_secs(1)).await;
-    assert!(alone > 0, "it goes on by its share; usual were {usual}");
+    let (ran, refusal) = send_for(&second, "k-1", Duration::from_secs(1)).await;
+    assert!(ran > 0, "none ran within the share; {before} ran before");
     assert!(refusal.is_none_or(|(status, _)| status == 503));
-    // An account that had nothing here lately has no share here.
-    let (ran, refusal) = press(&second, "k-2", Duration::from_millis(300)).await;
+    // An account without recent grants has no share.
+    let (ran, refusal) = send_for(&second, "k-2", Duration::from_millis(300)).await;
     assert_eq!(ran, 0);
     assert_eq!(refusal.unwrap().0, 503);
     until(|| second.state().leads()).await;
     sleep(Duration::from_millis(500)).await;
-    let (ran, _) = press(&second, "k-2", Duration::from_millis(500)).await;
-    assert!(ran > 0, "the next one gives out");
+    let (ran, _) = send_for(&second, "k-2", Duration::from_millis(500)).await;
+    assert!(ran > 0, "the next leader must grant units");
 }
 
-/// Replicas refuse all: what did not run is given back, so that the account is not used up by it.
+/// All replicas reject: units of requests that did not run must not use up the quota.
 #[tokio::test]
-async fn what_did_not_run_is_given_back() {
+async fn units_of_requests_that_did_not_run_are_refunded() {
     let store = store_with_limits().await;
     let replica = engine(&store, "i-1", &["m1"]).await;
     let daemon = daemon(&store, "d1").await;
     sleep(Duration::from_millis(1_500)).await;
     replica.set_fault(Fault::Sheds);
-    let (ran, refusal) = press(&daemon, "k-1", Duration::from_secs(1)).await;
+    let (ran, refusal) = send_for(&daemon, "k-1", Duration::from_secs(1)).await;
     assert_eq!((ran, refusal.unwrap().0), (0, 503));
     replica.set_fault(Fault::None);
-    let (ran, _) = press(&daemon, "k-1", Duration::from_millis(600)).await;
+    let (ran, _) = send_for(&daemon, "k-1", Duration::from_millis(600)).await;
     assert!(ran >= 5, "{ran} ran");
 }
 
 #[tokio::test]
-async fn a_lower_limit_binds() {
+async fn lowered_quota_takes_effect() {
     let store = store_with_limits().await;
     let _replica = engine(&store, "i-1", &["m1"]).await;
     let daemon = daemon(&store, "d1").await;
-    let lower = [
+    let lowered = [
         limited("mine", "k-1", (130.0, 130.0)),
         account("other", &["k-3"]),
     ];
-    store.put("op/config", &with_accounts(2, &lower));
+    store.put("op/config", &with_accounts(2, &lowered));
     until(|| daemon.state().table.lock().routes.as_ref().unwrap().version == 2).await;
-    let (_, _) = press(&daemon, "k-1", Duration::from_secs(1)).await;
-    let (ran, _) = press(&daemon, "k-1", Duration::from_secs(2)).await;
+    let (_, _) = send_for(&daemon, "k-1", Duration::from_secs(1)).await;
+    let (ran, _) = send_for(&daemon, "k-1", Duration::from_secs(2)).await;
     assert!((1..=4).contains(&ran), "{ran} ran");
 }
 
-/// Numbers that cannot be counted, from whoever: they are not answered with units, and take none.
+/// NaN, infinite or negative units are not granted and take none.
 #[tokio::test]
-async fn a_question_with_odd_numbers_takes_nothing() {
+async fn malformed_quota_request_takes_no_units() {
     let store = store_with_limits().await;
     let _replica = engine(&store, "i-1", &["m1"]).await;
     let daemon = daemon(&store, "d1").await;
     sleep(Duration::from_millis(1_500)).await;
-    let stranger = UdpSocket::bind("127.0.0.1:0").await.unwrap();
+    let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     for units in [f32::NAN, f32::INFINITY, -1.0] {
-        let question = QuotaRequest {
+        let request = QuotaRequest {
             number: 7,
             host: "h".into(),
             subject: Subject::Account("mine".into()),
@@ -163,11 +166,11 @@
         };
         let to = daemon.state().settings.peers;
         let bytes = encode(&Message::Refund(refund));
-        stranger.send_to(&bytes, to).await.unwrap();
-        let bytes = encode(&Message::QuotaRequest(question));
-        stranger.send_to(&bytes, to).await.unwrap();
+        socket.send_to(&bytes, to).await.unwrap();
+        let bytes = encode(&Message::QuotaRequest(request));
+        socket.send_to(&bytes, to).await.unwrap();
         let mut buffer = [0; 1_400];
-        let received = timeout(Duration::from_secs(5), stranger.recv(&mut buffer));
+        let received = timeout(Duration::from_secs(5), socket.recv(&mut buffer));
         let length = received.await.unwrap().unwrap();
         let answer = decode(&buffer[..length]).unwrap();
         assert!(matches!(
@@ -175,6 +178,6 @@
             Message::QuotaResponse(7, QuotaResponse::NotLeader)
         ));
     }
-    let (ran, _) = press(&daemon, "k-1", Duration::from_millis(300)).await;
+    let (ran, _) = send_for(&daemon, "k-1", Duration::from_millis(300)).await;
     assert!(ran > 0);
 }
--- a/crates/front/tests/suspended.rs
+++ b/crates/front/tests/suspended.rs
@@ -1,5 +1,5 @@
-//! A host that is suspended for seconds: its steady clock stands still, and all that rests on an age must count the
-//! time in which it was away.
+//! A host that is suspended for seconds: its monotonic clock stops, but every age must include the
+//! time of the suspension.
 
 mod site;
 
@@ -16,19 +16,19 @@
 use tokio::time::{Instant, sleep, timeout};
 use unit::Span;
 
-/// Time for which a host is suspended: longer than each bound of the site.
-const AWAY: Span = Span::from_secs(6);
+/// Duration of the suspension, longer than any bound of the test site.
+const SUSPENSION: Span = Span::from_secs(6);
 
-/// Time in which a host that is back must have noticed.
-const NOTICED: Duration = Duration::from_millis(300);
+/// Time in which a resumed host must have noticed.
+const NOTICE_TIME: Duration = Duration::from_millis(300);
 
 fn suspend(host: &Daemon) {
-    host.state().clock.simulate_suspend(AWAY);
+    host.state().clock.simulate_suspend(SUSPENSION);
 }
 
-/// Another host may lead by now: it gives no order in the old term.
+/// Another host may lead by now, so no order may be sent in the old term.
 #[tokio::test]
-async fn its_lease_is_over() {
+async fn leader_loses_its_lease() {
     let store = store().await;
     let replica = engine(&store, "i-1", &["m1"]).await;
     let host = daemon(&store, "d1").await;
@@ -37,22 +37,22 @@
     store.end_leases();
     suspend(&host);
     let orders = replica.orders().len();
-    sleep(NOTICED).await;
+    sleep(NOTICE_TIME).await;
     let known = host.state().leader.lock().as_ref().map(|l| l.term);
-    assert_ne!(known, term, "the old term goes on");
+    assert_ne!(known, term, "the old term is still in force");
     assert_eq!(replica.orders().len(), orders);
 }
 
-/// Keys may have been taken away meanwhile: it rests on none until the store has told it.
+/// Keys may have been revoked meanwhile, so none is accepted until the store has answered.
 #[tokio::test]
-async fn it_rests_on_no_key_that_it_knew() {
+async fn keys_are_stale_after_suspension() {
     let store = store().await;
     store.put(
         "op/config",
         &with_accounts(2, &[account("a", &["key-of-a"])]),
     );
     let _web = web(&store, "i-1").await;
-    let (host, way) = daemon_behind_proxy(&store, "d1").await;
+    let (host, proxy) = daemon_behind_proxy(&store, "d1").await;
     assert_eq!(
         ask_with(&host, "key-of-a", "/again/x", None)
             .await
@@ -60,7 +60,7 @@
             .status(),
         200
     );
-    way.set(Mode::DeafTarget);
+    proxy.set(Mode::DeafTarget);
     isolate(&host);
     suspend(&host);
     assert_eq!(
@@ -70,7 +70,7 @@
             .status(),
         503
     );
-    way.set(Mode::Pass);
+    proxy.set(Mode::Pass);
     let end = Instant::now() + Duration::from_secs(5);
     while ask_with(&host, "key-of-a", "/again/x", None)
         .await
@@ -78,102 +78,102 @@
         .status()
         != 200
     {
-        assert!(Instant::now() < end, "the key is not confirmed again");
+        assert!(Instant::now() < end, "the key is not accepted again");
         sleep(Duration::from_millis(50)).await;
     }
 }
 
-/// A route that it does not know may stand in a configuration that is in force by now: the bound on that has passed since
-/// it last heard, though the store is not taken for away yet.
+/// The unknown route may be in a newer configuration: the bound has passed, though the store does
+/// not count as unreachable yet.
 #[tokio::test]
-async fn it_denies_no_route_by_news_older_than_the_bound() {
+async fn stale_configuration_answers_503_instead_of_404() {
     let store = store().await;
     let _web = web(&store, "i-1").await;
-    let (host, way) = daemon_behind_proxy(&store, "d1").await;
+    let (host, proxy) = daemon_behind_proxy(&store, "d1").await;
     assert_eq!(ask(&host, "/nowhere/x", None).await.1.status(), 404);
-    way.set(Mode::DeafTarget);
+    proxy.set(Mode::DeafTarget);
     isolate(&host);
     let bound = host.state().settings.bounds.configuration;
     host.state().clock.simulate_suspend(bound.into());
     assert_eq!(ask(&host, "/nowhere/x", None).await.1.status(), 503);
 }
 
-/// What an account may use has come back meanwhile.
+/// Buckets refill during the suspension.
 #[tokio::test]
-async fn quotas_have_refilled() {
+async fn quotas_refill_during_suspension() {
     let store = store().await;
     let limited = platform_standin::Account {
-        // A request counts 200: without the time away the next one comes after four seconds.
+        // A request costs 200: without the suspension the next one is admitted after four seconds.
         tokens: Some((50.0, 400.0)),
         ..account("a", &["key-of-a"])
     };
     store.put("op/config", &with_accounts(2, &[limited]));
     let _web = web(&store, "i-1").await;
     let host = daemon(&store, "d1").await;
-    let asked = async || {
+    let status = async || {
         ask_with(&host, "key-of-a", "/again/x", None)
             .await
             .1
             .status()
     };
     let end = Instant::now() + Duration::from_secs(5);
-    while asked().await != 429 {
-        assert!(Instant::now() < end, "the account is never over its limit");
+    while status().await != 429 {
+        assert!(Instant::now() < end, "the account is never over its quota");
     }
     suspend(&host);
-    // Its keys must be confirmed again first.
-    until_status(200, asked).await;
+    // Its keys must be confirmed first.
+    until_status(200, status).await;
 }
 
-async fn until_status(status: u16, asked: impl AsyncFn() -> u16) {
+async fn until_status(status: u16, current: impl AsyncFn() -> u16) {
     let end = Instant::now() + Duration::from_millis(900);
-    while asked().await != status {
-        assert!(Instant::now() < end, "status {status} does not come");
+    while current().await != status {
+        assert!(Instant::now() < end, "status {status} was not returned");
         sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// An entry that vanished while the store was away is gone: its time to come back is over.
+/// An entry that vanished during a store outage can no longer reappear.
 #[tokio::test]
-async fn entries_that_were_missing_are_gone() {
+async fn missing_entries_are_removed() {
     let store = store().await;
-    let gone = web(&store, "i-1").await;
+    let departed = web(&store, "i-1").await;
     let _stays = web(&store, "i-2").await;
     let host = daemon(&store, "d1").await;
     until(|| host.state().table.lock().view.all().count() == 2).await;
     store.set_mode(platform_standin::store::Mode::Silent);
     sleep(Duration::from_millis(3_000)).await;
-    gone.vanish();
+    departed.vanish();
     store.set_mode(platform_standin::store::Mode::Up);
     until(|| host.state().table.lock().view.has_missing()).await;
     suspend(&host);
-    sleep(NOTICED).await;
+    sleep(NOTICE_TIME).await;
     assert!(!host.state().table.lock().view.has_missing());
 }
 
-/// Its deadline has passed: the client gets its answer at the return, not so much later.
+/// The client gets its answer on resume, not after the rest of the deadline.
 #[tokio::test]
-async fn a_request_whose_time_ran_out_is_answered_at_the_return() {
+async fn request_past_its_deadline_is_answered_on_resume() {
     let store = store().await;
     let replica = web(&store, "i-1").await;
     let host = daemon(&store, "d1").await;
     replica.set_fault(Fault::Hangs);
-    let asking = ask(&host, "/once/x", None);
+    let request = ask(&host, "/once/x", None);
     let suspending = async {
         until(|| replica.arrivals() == 1).await;
         suspend(&host);
     };
-    let asked = Instant::now();
-    let answers = async { tokio::join!(asking, suspending).0 };
+    let start = Instant::now();
+    let answers = async { tokio::join!(request, suspending).0 };
     let answer = timeout(Duration::from_secs(2), answers).await;
-    let (_, answer): (String, Answer) = answer.expect("it is answered at the return");
+    let (_, answer): (String, Answer) = answer.expect("must be answered on resume");
     assert_eq!(answer.status(), 504);
-    assert!(asked.elapsed() < Duration::from_secs(1));
+    assert!(start.elapsed() < Duration::from_secs(1));
 }
 
-/// A request whose body comes after its deadline has passed is sent to nobody.
+/// A request whose body arrives after its deadline is not sent.
 #[tokio::test]
-async fn what_came_whole_behind_its_deadline_is_sent_to_nobody() {
+async fn request_completed_after_its_deadline_is_not_sent() {
     let store = store().await;
     let replica = web(&store, "i-1").await;
     let host = daemon(&store, "d1").await;
@@ -186,13 +186,13 @@
     client.write_all(b"body").await.unwrap();
     let mut answer = [0; 12];
     let read = timeout(Duration::from_secs(1), client.read_exact(&mut answer)).await;
-    assert!(read.is_ok(), "it is not answered");
+    assert!(read.is_ok(), "not answered");
     assert_eq!(replica.seen("r-late").arrived, 0);
 }
 
-/// The replica has closed its kept connections long since: what may not be repeated goes over a new one.
+/// The replica has closed its idle connections: an unrepeatable request must go over a new one.
 #[tokio::test]
-async fn kept_connections_are_as_old_as_they_are() {
+async fn pooled_connections_age_during_suspension() {
     let store = store().await;
     let _web = web(&store, "i-1").await;
     let host = daemon(&store, "d1").await;
@@ -211,9 +211,9 @@
     assert_eq!(opened(), Some(2.0));
 }
 
-/// What other hosts told while it was suspended is as old as its absence: datagrams that waited for it are dropped.
+/// Datagrams that queued during the suspension are as old as it, and are dropped.
 #[tokio::test]
-async fn datagrams_that_waited_for_it_are_not_taken_as_new() {
+async fn queued_datagrams_are_dropped_on_resume() {
     let store = store().await;
     let _web = web(&store, "i-1").await;
     let host = daemon(&store, "d1").await;
@@ -229,6 +229,6 @@
     let hosts = host.state().table.lock().host_count;
     suspend(&host);
     other.send_to(&bytes, host.state().settings.peers).unwrap();
-    sleep(NOTICED).await;
+    sleep(NOTICE_TIME).await;
     assert_eq!(host.state().table.lock().host_count, hosts);
 }
