--- a/crates/front/tests/backoff.rs
+++ b/crates/front/tests/backoff.rs
@@ -1,4 +1,4 @@
-//! Replicas that turn a request away with 503 and a time want nothing from that host for so long.
+//! Replicas that refuse a request with 503 and `Retry-After` get no requests from that host for so long.
 
 mod site;
 
@@ -11,31 +11,30 @@
 use tokio::time::{Instant, sleep};
 use unit::Span;
 
-/// Time after a refusal in which requests may still come that were on their way.
-const ON_THEIR_WAY: Duration = Duration::from_millis(500);
+/// Time after a refusal in which requests that were already sent may arrive.
+const IN_TRANSIT: Duration = Duration::from_millis(500);
 
-/// Requests that may come in what is left of the time.
+/// Requests that may arrive during the remaining backoff.
 const ALLOWED: usize = 2;
 
-fn ask_for_rest(replica: &Replica, seconds: Option<&str>) {
+fn request_backoff(replica: &Replica, seconds: Option<&str>) {
     replica.set_words(Words {
         leaves: false,
         rest: seconds.map(str::to_owned),
     });
 }
 
-/// The most requests that came to a replica from a host in a time for which it had asked that host for rest, in any order of
-/// longer and shorter times.
-fn most_in_a_rest(replica: &Replica, host: &str) -> usize {
+/// Most requests that a replica received from a host during any backoff that it asked of that host.
+fn max_during_backoff(replica: &Replica, host: &str) -> usize {
     let arrivals = replica.arrived_from(host);
-    let said = replica.said();
-    let of_host = said.iter().filter(|asked| asked.host == host);
-    let within = of_host.map(|asked| {
-        let Word::Rests(seconds) = asked.word else {
+    let announcements = replica.said();
+    let of_host = announcements.iter().filter(|request| request.host == host);
+    let within = of_host.map(|request| {
+        let Word::Rests(seconds) = request.word else {
             return 0;
         };
-        let end = asked.at + Duration::from_secs_f64(seconds.max(0.0));
-        let from = asked.at + ON_THEIR_WAY;
+        let end = request.at + Duration::from_secs_f64(seconds.max(0.0));
+        let from = request.at + IN_TRANSIT;
         arrivals
             .iter()
             .filter(|at| **at > from && **at < end)
@@ -44,18 +43,18 @@
     within.max().unwrap_or(0)
 }
 
-fn most_from_any(replica: &Replica, hosts: &[Daemon]) -> usize {
+fn max_from_any_host(replica: &Replica, hosts: &[Daemon]) -> usize {
     let each = hosts
         .iter()
-        .map(|host| most_in_a_rest(replica, &host.callers().to_string()));
+        .map(|host| max_during_backoff(replica, &host.callers().to_string()));
     each.max().unwrap_or(0)
 }
 
-/// Guards against requests that go on to a replica which has asked for rest: 6 to 9 came from each host in 2 s.
+/// Guards against requests to a replica that asked for a backoff.
 #[tokio::test]
-async fn a_replica_that_asks_for_rest_gets_it_from_each_host() {
+async fn each_host_keeps_a_backoff() {
     let store = store().await;
-    let tired = engine(&store, "i-1", &["m1"]).await;
+    let refusing = engine(&store, "i-1", &["m1"]).await;
     let _others = [
         engine(&store, "i-2", &["m1"]).await,
         engine(&store, "i-3", &["m1"]).await,
@@ -68,150 +67,140 @@
         Duration::from_millis(500),
     )
     .await;
-    ask_for_rest(&tired, Some("2"));
+    request_backoff(&refusing, Some("2"));
     let statuses = send_load(&hosts, &["/stream/x", "/resume/x"], Duration::from_secs(5)).await;
-    let most = most_from_any(&tired, &hosts);
-    assert!(
-        most <= ALLOWED,
-        "{most} from one host; {ALLOWED} are allowed"
-    );
+    let max = max_from_any_host(&refusing, &hosts);
+    assert!(max <= ALLOWED, "{max} from one host; {ALLOWED} are allowed");
     let served = statuses.iter().filter(|s| **s == 200).count();
-    assert_eq!(served, statuses.len(), "the others serve all");
+    assert_eq!(served, statuses.len(), "the other replicas serve all");
 }
 
-/// Guards against the same where all replicas of a service ask for it: 28 came to one.
+/// Guards against the same where all replicas of a service ask for a backoff.
 #[tokio::test]
-async fn replicas_of_a_service_that_all_ask_for_rest_get_it() {
+async fn backoffs_of_all_replicas_of_a_service_are_kept() {
     let store = store().await;
     let all = [web(&store, "w-1").await, web(&store, "w-2").await];
     let hosts = hosts(&store, 3).await;
     send_load(&hosts, &["/once/x", "/again/x"], Duration::from_millis(500)).await;
     for (replica, seconds) in all.iter().zip(["2.5", "1.5"]) {
-        ask_for_rest(replica, Some(seconds));
+        request_backoff(replica, Some(seconds));
     }
     send_load(&hosts, &["/once/x", "/again/x"], Duration::from_secs(5)).await;
     for replica in &all {
-        let most = most_from_any(replica, &hosts);
-        assert!(
-            most <= ALLOWED,
-            "{most} from one host; {ALLOWED} are allowed"
-        );
+        let max = max_from_any_host(replica, &hosts);
+        assert!(max <= ALLOWED, "{max} from one host; {ALLOWED} are allowed");
     }
 }
 
-/// Repeatable and unrepeatable requests of the plain service.
-const PLAIN: &[&str] = &["/once/x", "/again/x"];
+/// Unrepeatable and repeatable requests to the service without models.
+const PLAIN_PATHS: &[&str] = &["/once/x", "/again/x"];
 
-/// Lets a replica ask a host for rest once, with the next request that it gets from it; gives when it did.
-async fn ask_once(replica: &Replica, host: &Daemon, seconds: &str) -> Instant {
+/// Lets a replica ask a host for a backoff once, with its next request; returns when it did.
+async fn request_backoff_once(replica: &Replica, host: &Daemon, seconds: &str) -> Instant {
     let before = replica.said().len();
-    ask_for_rest(replica, Some(seconds));
+    request_backoff(replica, Some(seconds));
     while replica.said().len() == before {
         ask(host, "/again/x", None).await;
     }
-    ask_for_rest(replica, None);
+    request_backoff(replica, None);
     replica.said()[before].at
 }
 
-/// Guards against callers who are refused while a replica has room: a third were where four of five turn all away.
+/// Guards against callers that are refused while one of five replicas still accepts requests.
 #[tokio::test]
-async fn callers_hardly_notice_where_four_of_five_replicas_turn_all_away() {
+async fn callers_are_served_while_four_of_five_replicas_refuse() {
     let store = store().await;
-    let tired = [
+    let refusing = [
         web(&store, "w-1").await,
         web(&store, "w-2").await,
         web(&store, "w-3").await,
         web(&store, "w-4").await,
     ];
-    let _fifth = web(&store, "w-5").await;
+    let _accepting = web(&store, "w-5").await;
     let hosts = hosts(&store, 3).await;
-    send_load(&hosts, PLAIN, Duration::from_millis(500)).await;
-    for replica in &tired {
-        ask_for_rest(replica, Some("3"));
+    send_load(&hosts, PLAIN_PATHS, Duration::from_millis(500)).await;
+    for replica in &refusing {
+        request_backoff(replica, Some("3"));
     }
-    let statuses = send_load(&hosts, PLAIN, Duration::from_secs(4)).await;
+    let statuses = send_load(&hosts, PLAIN_PATHS, Duration::from_secs(4)).await;
     let served = statuses.iter().filter(|s| **s == 200).count();
     assert!(
         served * 100 >= statuses.len() * 97,
         "{served} of {} are served",
         statuses.len()
     );
-    for replica in &tired {
-        let most = most_from_any(replica, &hosts);
-        assert!(
-            most <= ALLOWED,
-            "{most} from one host; {ALLOWED} are allowed"
-        );
+    for replica in &refusing {
+        let max = max_from_any_host(replica, &hosts);
+        assert!(max <= ALLOWED, "{max} from one host; {ALLOWED} are allowed");
     }
 }
 
-/// Guards against a request that is lost or runs twice because the first replica turned it away unrun.
+/// Guards against a request that is lost or runs twice because the first replica refused it.
 #[tokio::test]
-async fn an_unrepeatable_request_that_was_turned_away_runs_once_elsewhere() {
+async fn a_refused_unrepeatable_request_runs_once_elsewhere() {
     let store = store().await;
-    let (tired, other) = (web(&store, "w-1").await, web(&store, "w-2").await);
+    let (refusing, other) = (web(&store, "w-1").await, web(&store, "w-2").await);
     let host = daemon(&store, "d1").await;
-    ask_for_rest(&tired, Some("0.5"));
-    let mut turned_away = 0;
+    request_backoff(&refusing, Some("0.5"));
+    let mut refused = 0;
     for _ in 0..40 {
         let (id, answer) = ask(&host, "/once/x", None).await;
         assert_eq!(answer.status(), 200);
-        assert_eq!((tired.seen(&id).ran, other.seen(&id).ran), (0, 1));
-        turned_away += tired.seen(&id).arrived;
+        assert_eq!((refusing.seen(&id).ran, other.seen(&id).ran), (0, 1));
+        refused += refusing.seen(&id).arrived;
         sleep(Duration::from_millis(50)).await;
     }
-    assert!(turned_away > 0);
+    assert!(refused > 0);
 }
 
-/// Guards against a time that is read from what is none, and a replica that is then not used.
+/// Guards against a replica that is not used because of an invalid `Retry-After`.
 #[rstest]
-#[case::no_number("NaN")]
+#[case::not_a_number("NaN")]
 #[case::negative("-3")]
-#[case::endless("inf")]
-#[case::beyond_all_numbers("1e999")]
+#[case::infinite("inf")]
+#[case::out_of_range("1e999")]
 #[case::words("a while")]
 #[case::date("Wed, 21 Oct 2026 07:28:00 GMT")]
-#[case::nothing("0")]
+#[case::zero("0")]
 #[tokio::test]
-async fn what_is_no_time_asks_for_nothing(#[case] value: &str) {
+async fn an_invalid_backoff_is_ignored(#[case] value: &str) {
     let store = store().await;
     let replica = web(&store, "w-1").await;
     let host = daemon(&store, "d1").await;
-    ask_once(&replica, &host, value).await;
+    request_backoff_once(&replica, &host, value).await;
     assert_eq!(ask(&host, "/again/x", None).await.1.status(), 200);
 }
 
-/// Guards against a replica that is lost for good by a time of hours: other replicas serve, the operator sees it, and it ends
-/// with the incarnation.
+/// Guards against a backoff of hours that outlives the incarnation.
 #[rstest]
 #[case::hours("7200")]
-#[case::longer_than_anyone_lives("1e18")]
+#[case::far_future("1e18")]
 #[tokio::test]
-async fn a_rest_of_hours_ends_with_the_incarnation(#[case] value: &str) {
+async fn a_backoff_of_hours_ends_with_the_incarnation(#[case] value: &str) {
     let store = store().await;
     let replica = web(&store, "w-1").await;
     let host = daemon(&store, "d1").await;
-    ask_once(&replica, &host, value).await;
-    let resting = || {
+    request_backoff_once(&replica, &host, value).await;
+    let backing_off = || {
         let state = host.state();
         state.table.lock().backing_off(state.now()).len()
     };
-    assert_eq!(resting(), 1);
+    assert_eq!(backing_off(), 1);
     let (_, answer) = ask(&host, "/again/x", None).await;
     assert_eq!(answer.status(), 503);
     replica.restart();
-    until(|| resting() == 0).await;
+    until(|| backing_off() == 0).await;
     assert_eq!(ask(&host, "/again/x", None).await.1.status(), 200);
 }
 
-/// Guards against a shorter time that ends a longer one which was asked for before.
+/// Guards against a shorter backoff that ends a longer one.
 #[tokio::test]
-async fn a_longer_rest_that_was_asked_for_before_holds_on() {
+async fn a_shorter_backoff_does_not_end_a_longer_one() {
     let store = store().await;
-    let tired = web(&store, "w-1").await;
+    let refusing = web(&store, "w-1").await;
     let _other = web(&store, "w-2").await;
     let host = daemon(&store, "d1").await;
-    let at = ask_once(&tired, &host, "2").await;
+    let at = request_backoff_once(&refusing, &host, "2").await;
     {
         let state = host.state();
         let mut table = state.table.lock();
@@ -221,132 +210,139 @@
     while at.elapsed() < Duration::from_millis(1_900) {
         ask(&host, "/again/x", None).await;
     }
-    let arrived = tired.arrived_after(at);
-    assert_eq!(arrived.len(), 0, "{arrived:?} within the rest");
+    let arrived = refusing.arrived_after(at);
+    assert_eq!(arrived.len(), 0, "{arrived:?} during the backoff");
 }
 
-/// Guards against a rest that binds hosts which were not asked.
+/// Guards against a backoff that is applied by hosts that were not asked for it.
 #[tokio::test]
-async fn a_rest_binds_the_host_that_was_asked_alone() {
+async fn a_backoff_applies_to_the_asked_host_only() {
     let store = store().await;
     let replica = web(&store, "w-1").await;
     let hosts = hosts(&store, 2).await;
-    ask_once(&replica, &hosts[0], "3").await;
+    request_backoff_once(&replica, &hosts[0], "3").await;
     assert_eq!(ask(&hosts[0], "/again/x", None).await.1.status(), 503);
     assert_eq!(ask(&hosts[1], "/again/x", None).await.1.status(), 200);
 }
 
-/// Guards against a rest that a host loses while it is suspended, or whose age stands still meanwhile.
+/// Guards against a backoff that ends or is extended because its host is suspended.
 #[tokio::test]
-async fn the_age_of_a_rest_counts_the_time_for_which_a_host_was_suspended() {
+async fn a_backoff_elapses_while_its_host_is_suspended() {
     let store = store().await;
     let replica = web(&store, "w-1").await;
     let host = daemon(&store, "d1").await;
-    ask_once(&replica, &host, "8").await;
+    request_backoff_once(&replica, &host, "8").await;
     host.state().clock.simulate_suspend(Span::from_secs(4));
     let (_, answer) = ask(&host, "/again/x", None).await;
-    assert_eq!(answer.status(), 503, "half of it is left");
+    assert_eq!(answer.status(), 503, "half of the backoff is left");
     host.state().clock.simulate_suspend(Span::from_secs(4));
     assert_eq!(ask(&host, "/again/x", None).await.1.status(), 200);
 }
 
-/// Guards against a rest that ends with the store, or with a change of the entry.
+/// Guards against a backoff that ends with a store outage or a change of the entry.
 #[tokio::test]
-async fn a_rest_holds_with_the_store_away_and_the_entry_gone_for_a_while() {
+async fn a_backoff_is_kept_during_a_store_outage_and_without_an_entry() {
     let store = store().await;
-    let tired = web(&store, "w-1").await;
+    let refusing = web(&store, "w-1").await;
     let _other = web(&store, "w-2").await;
     let host = daemon(&store, "d1").await;
-    let at = ask_once(&tired, &host, "3").await;
-    tired.vanish();
+    let at = request_backoff_once(&refusing, &host, "3").await;
+    refusing.vanish();
     sleep(Duration::from_millis(400)).await;
-    tired.beat();
+    refusing.beat();
     sleep(Duration::from_millis(400)).await;
     store.set_mode(Mode::Silent);
     while at.elapsed() < Duration::from_millis(2_900) {
         ask(&host, "/again/x", None).await;
     }
-    assert_eq!(tired.arrived_after(at).len(), 0);
+    assert_eq!(refusing.arrived_after(at).len(), 0);
 }
 
-/// Guards against a replica that all requests come back to at once, and against one that is kept out after its rest.
+/// Guards against full load directly after a backoff, and against a replica that stays unused after it.
 #[tokio::test]
-async fn a_replica_is_used_again_after_its_rest_at_first_carefully() {
+async fn load_ramps_up_after_a_backoff() {
     let store = store().await;
-    let tired = engine(&store, "i-1", &["m1"]).await;
+    let refusing = engine(&store, "i-1", &["m1"]).await;
     let _other = engine(&store, "i-2", &["m1"]).await;
     let hosts = hosts(&store, 1).await;
-    ask_for_rest(&tired, Some("1"));
+    request_backoff(&refusing, Some("1"));
     let first = loop {
         ask(&hosts[0], "/stream/x", Some("m1")).await;
-        if let Some(asked) = tired.said().first() {
-            break asked.at;
+        if let Some(request) = refusing.said().first() {
+            break request.at;
         }
     };
-    ask_for_rest(&tired, None);
+    request_backoff(&refusing, None);
     let end = first + Duration::from_secs(1);
     send_load(&hosts, &["/stream/x"], Duration::from_millis(3_200)).await;
-    let arrived = tired.arrived_after(first);
-    let by = |ms| {
+    let arrived = refusing.arrived_after(first);
+    let arrivals_by = |ms| {
         arrived
             .iter()
             .filter(|at| **at < end + Duration::from_millis(ms))
             .count()
     };
-    assert_eq!(by(0), 0, "within the rest");
-    assert!(by(290) <= 1, "{} in the first step", by(290));
-    assert!(by(590) <= 3, "{} in two steps", by(590));
-    assert!(by(2_000) >= 1, "it is not used within 2 s");
+    assert_eq!(arrivals_by(0), 0, "during the backoff");
+    assert!(
+        arrivals_by(290) <= 1,
+        "{} in the first step",
+        arrivals_by(290)
+    );
+    assert!(arrivals_by(590) <= 3, "{} in two steps", arrivals_by(590));
+    assert!(
+        arrivals_by(2_000) >= 1,
+        "the replica is not used within 2 s"
+    );
 }
 
-/// Guards against a return that goes on although the replica turns a request away again.
+/// Guards against a ramp-up that continues although the replica refuses again.
 #[tokio::test]
-async fn a_further_refusal_ends_the_return() {
+async fn a_further_refusal_ends_the_ramp_up() {
     let store = store().await;
-    let tired = engine(&store, "i-1", &["m1"]).await;
+    let refusing = engine(&store, "i-1", &["m1"]).await;
     let _other = engine(&store, "i-2", &["m1"]).await;
     let hosts = hosts(&store, 1).await;
-    ask_for_rest(&tired, Some("1"));
+    request_backoff(&refusing, Some("1"));
     send_load(&hosts, &["/stream/x"], Duration::from_millis(5_500)).await;
-    let asked = tired.said().len();
+    let refusals = refusing.said().len();
     assert!(
-        (3..=6).contains(&asked),
-        "{asked} requests in 5.5 s at a replica that asks for 1 s each time"
+        (3..=6).contains(&refusals),
+        "{refusals} requests in 5.5 s at a replica that asks for a backoff of 1 s each time"
     );
 }
 
-/// Guards against requests that wait out their deadline for a rest: they are refused at once, with the soonest end as the time
-/// to return, and not all with the same.
+/// Guards against requests that wait for a long backoff instead of being refused at once, and against clients that are all
+/// told to retry at the same time.
 #[tokio::test]
-async fn what_no_replica_takes_in_time_is_refused_with_the_soonest_end() {
+async fn requests_during_long_backoffs_are_refused_with_the_earliest_end() {
     let store = store().await;
     let all = [web(&store, "w-1").await, web(&store, "w-2").await];
     let host = daemon(&store, "d1").await;
     for (replica, seconds) in all.iter().zip(["9", "4"]) {
-        ask_for_rest(replica, Some(seconds));
+        request_backoff(replica, Some(seconds));
     }
-    let told = || all.iter().all(|r| !r.said().is_empty());
-    while !told() {
+    let all_refused = || all.iter().all(|r| !r.said().is_empty());
+    while !all_refused() {
         ask(&host, "/again/x", None).await;
     }
     let mut waits = Vec::new();
     for _ in 0..20 {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let (_, answer) = ask(&host, "/once/x", None).await;
         assert_eq!(answer.status(), 503);
         assert!(
-            begun.elapsed() < Duration::from_millis(200),
-            "held for {:?}",
-            begun.elapsed()
+            started_at.elapsed() < Duration::from_millis(200),
+            "waited {:?}",
+            started_at.elapsed()
         );
         let wait: f64 = answer.header("retry-after").unwrap().parse().unwrap();
-        assert!((3.0..=5.1).contains(&wait), "come back after {wait} s");
+        assert!((3.0..=5.1).contains(&wait), "retry after {wait} s");
         waits.push(wait);
     }
-    let least = waits.iter().copied().fold(f64::MAX, f64::min);
-    let most = waits.iter().copied().fold(0.0, f64::max);
+    let min = waits.iter().copied().fold(f64::MAX, f64::min);
+    let max = waits.iter().copied().fold(0.0, f64::max);
     assert!(
-        most - least > 0.5,
-        "{least} to {most}: all return in one moment"
+        max - min > 0.5,
+        "{min} to {max}: all retry at the same time"
     );
 }
--- a/crates/front/tests/invalid_entries.rs
+++ b/crates/front/tests/invalid_entries.rs
@@ -1,4 +1,4 @@
-//! Entries by another writer, or that cannot be read: they name no replica to use, and the others hold.
+//! Invalid entries, and entries by another writer: their replicas get no requests, and other entries stay in use.
 
 mod site;
 
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Entry in good form of a replica that is not there.
+/// Valid entry of a replica that does not exist.
 fn entry() -> Value {
     json!({"service": "web", "address": "127.0.0.1:9", "zone": "a", "version": "v1", "slots": 8,
            "state": "ready", "cold_remaining_ms": 0, "models": [], "sequence": 900, "born": 1})
@@ -29,8 +29,8 @@
     entry.to_string().into_bytes()
 }
 
-/// Tells how many of twenty requests reach a replica; all are served.
-async fn reach(daemon: &Daemon, replica: &Replica) -> u32 {
+/// Sends twenty requests, which must all be served; returns how many reached a replica.
+async fn requests_reaching(daemon: &Daemon, replica: &Replica) -> u32 {
     let before = replica.arrivals();
     for _ in 0..20 {
         assert_eq!(ask(daemon, "/again/x", None).await.1.status(), 200);
@@ -46,65 +46,69 @@
 }
 
 #[rstest]
-#[case::a_state_that_is_not_known(with("state", json!("resting")))]
-#[case::a_state_of_another_type(with("state", json!(3)))]
+#[case::unknown_state(with("state", json!("resting")))]
+#[case::state_of_wrong_type(with("state", json!(3)))]
 #[case::no_address(without("address"))]
-#[case::an_address_that_is_none(with("address", json!("here")))]
-#[case::a_start_that_is_no_whole_number(with("born", json!(1.5)))]
-#[case::no_start_where_one_was_told(without("born"))]
+#[case::invalid_address(with("address", json!("here")))]
+#[case::fractional_start_time(with("born", json!(1.5)))]
+#[case::missing_start_time(without("born"))]
 #[case::bytes(vec![0, 159, 146, 150])]
-#[case::nothing(Vec::new())]
+#[case::empty(Vec::new())]
 #[tokio::test]
-async fn an_entry_that_is_overwritten_names_no_replica_until_it_can_be_read(
-    #[case] value: Vec<u8>,
-) {
+async fn an_overwritten_replica_is_not_used_until_its_entry_is_valid(#[case] value: Vec<u8>) {
     let (store, first, second, daemon) = site().await;
     store.put_bytes(&first.key(), &value);
     sleep(Duration::from_millis(900)).await;
-    assert_eq!(reach(&daemon, &first).await, 0);
-    assert_eq!(reach(&daemon, &second).await, 20);
+    assert_eq!(requests_reaching(&daemon, &first).await, 0);
+    assert_eq!(requests_reaching(&daemon, &second).await, 20);
     first.beat();
     sleep(Duration::from_millis(900)).await;
-    assert!(reach(&daemon, &first).await > 0, "it can be read again");
+    assert!(
+        requests_reaching(&daemon, &first).await > 0,
+        "the replica is not used although its entry is valid again"
+    );
 }
 
 #[rstest]
-#[case::a_service_that_is_not_known(with("service", json!("other")))]
-#[case::a_state_that_is_not_known(with("state", json!("resting")))]
-#[case::a_number_as_service(with("service", json!(3)))]
-#[case::models_of_another_type(with("models", json!("m1")))]
+#[case::unknown_service(with("service", json!("other")))]
+#[case::unknown_state(with("state", json!("resting")))]
+#[case::service_of_wrong_type(with("service", json!(3)))]
+#[case::models_of_wrong_type(with("models", json!("m1")))]
 #[case::bytes(vec![0xff; 64])]
 #[tokio::test]
-async fn the_others_hold_beside_a_strange_entry(#[case] value: Vec<u8>) {
+async fn an_invalid_entry_does_not_affect_others(#[case] value: Vec<u8>) {
     let (store, first, second, daemon) = site().await;
     store.put_bytes("servers/strange", &value);
     store.forget_history();
     sleep(Duration::from_millis(900)).await;
-    let (to_first, to_second) = (reach(&daemon, &first).await, reach(&daemon, &second).await);
+    let (to_first, to_second) = (
+        requests_reaching(&daemon, &first).await,
+        requests_reaching(&daemon, &second).await,
+    );
     assert!(to_first > 0 && to_second > 0);
 }
 
-/// An identity that cannot stand in a header field could not be asked for by name: whoever has the address
-/// would run the request.
+/// Guards against a replica whose identity cannot be sent in a header field: any replica at its address would run the
+/// request.
 #[tokio::test]
-async fn an_identity_that_cannot_be_asked_for_names_no_replica() {
+async fn an_identity_that_is_no_header_value_is_ignored() {
     let (store, first, _second, daemon) = site().await;
-    let mut here = entry();
-    here["address"] = json!(first.addr.to_string());
-    store.put("servers/i\n-9", &here);
-    store.put("servers/", &here);
+    let mut unnameable = entry();
+    unnameable["address"] = json!(first.addr.to_string());
+    store.put("servers/i\n-9", &unnameable);
+    store.put("servers/", &unnameable);
     sleep(Duration::from_millis(900)).await;
     assert_eq!(daemon.state().table.lock().view.all().count(), 2);
 }
 
-/// One item of the store in no good form hides none of the others.
+/// Guards against a malformed item of the store that hides the others.
 #[rstest]
-#[case::a_value_that_is_no_text(json!({"key": "servers/strange", "value": 7, "revision": 1}))]
-#[case::a_value_in_another_coding(json!({"key": "servers/strange", "value": "%%", "revision": 1}))]
+#[case::value_of_wrong_type(json!({"key": "servers/strange", "value": 7, "revision": 1}))]
+#[case::value_in_wrong_encoding(json!({"key": "servers/strange", "value": "%%", "revision": 1}))]
 #[case::no_revision(json!({"key": "servers/strange", "value": ""}))]
-#[case::no_item(json!("strange"))]
+#[case::not_an_item(json!("strange"))]
 #[tokio::test]
-async fn an_item_in_no_good_form_hides_no_other(#[case] item: Value) {
+async fn a_malformed_item_hides_no_other(#[case] item: Value) {
     let store = store().await;
     store.list_odd(item);
     let _replica = engine(&store, "i-1", &["m1"]).await;
--- a/crates/front/tests/responses.rs
+++ b/crates/front/tests/responses.rs
@@ -1,4 +1,4 @@
-//! What clients get, with replicas that fail in each of the ways they may.
+//! Responses to clients for each way in which replicas may fail.
 
 mod site;
 
@@ -10,7 +10,7 @@
 use tokio::net::TcpStream;
 
 #[tokio::test]
-async fn a_stream_is_passed_on_whole_and_signed() {
+async fn a_stream_is_forwarded_complete_and_signed() {
     let store = store().await;
     let replica = engine(&store, "i-1", &["m1"]).await;
     let daemon = daemon(&store, "d1").await;
@@ -20,17 +20,17 @@
     assert!(answer.header("server-stamp").is_some());
     let seen = replica.seen(&id);
     assert_eq!((seen.arrived, seen.ran), (1, 1));
-    assert!(seen.deadline_ms <= 3_000, "what is left is passed on");
+    assert!(seen.deadline_ms <= 3_000, "the remaining time is forwarded");
 }
 
 #[tokio::test]
-async fn a_path_without_a_route_is_not_found() {
+async fn an_unknown_path_is_not_found() {
     let store = store().await;
     let daemon = daemon(&store, "d1").await;
     assert_eq!(ask(&daemon, "/nowhere/x", None).await.1.status(), 404);
 }
 
-/// Each fault, for a request that may not be repeated: it runs at most once, and the status is true.
+/// Guards against a request that runs twice although it is not repeatable, and against a status that hides that it ran.
 #[rstest]
 #[case::sheds(Fault::Sheds, 503, 0)]
 #[case::loses_answers(Fault::LosesAnswers, 502, 1)]
@@ -39,7 +39,11 @@
 #[case::fails(Fault::Fails, 500, 1)]
 #[case::hangs(Fault::Hangs, 504, 1)]
 #[tokio::test]
-async fn an_unrepeatable_request(#[case] fault: Fault, #[case] status: u16, #[case] ran: u32) {
+async fn an_unrepeatable_request_runs_at_most_once(
+    #[case] fault: Fault,
+    #[case] status: u16,
+    #[case] ran: u32,
+) {
     let store = store().await;
     let replicas = [web(&store, "i-1").await, web(&store, "i-2").await];
     let daemon = daemon(&store, "d1").await;
@@ -51,18 +55,21 @@
     let runs: u32 = replicas.iter().map(|r| r.seen(&id).ran).sum();
     assert_eq!(runs, ran);
     if status == 503 {
-        assert!(answer.header("retry-after").is_some(), "when to come back");
+        assert!(
+            answer.header("retry-after").is_some(),
+            "retry-after is missing"
+        );
     }
     if status != 500 {
         assert_eq!(
             answer.header("server-stamp"),
             None,
-            "it is no replica's answer"
+            "not an answer of a replica"
         );
     }
 }
 
-/// Each fault of one replica, for a request that may be repeated: the other one answers.
+/// Guards against a repeatable request that is not retried at a healthy replica.
 #[rstest]
 #[case::sheds(Fault::Sheds)]
 #[case::loses_answers(Fault::LosesAnswers)]
@@ -70,12 +77,12 @@
 #[case::unsigned(Fault::Unsigned)]
 #[case::fails(Fault::Fails)]
 #[tokio::test]
-async fn a_repeatable_request_is_answered_by_the_other_replica(#[case] fault: Fault) {
+async fn a_repeatable_request_is_retried_at_another_replica(#[case] fault: Fault) {
     let store = store().await;
-    let bad = web(&store, "i-1").await;
-    let _good = web(&store, "i-2").await;
+    let faulty = web(&store, "i-1").await;
+    let _healthy = web(&store, "i-2").await;
     let daemon = daemon(&store, "d1").await;
-    bad.set_fault(fault);
+    faulty.set_fault(fault);
     for _ in 0..12 {
         let (id, answer) = ask(&daemon, "/again/x", None).await;
         assert_eq!(answer.status(), 200);
@@ -88,7 +95,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_with_a_failure_is_passed_on_where_no_other_is_to_be_had() {
+async fn a_server_error_is_forwarded_if_no_replica_succeeds() {
     let store = store().await;
     let replicas = [web(&store, "i-1").await, web(&store, "i-2").await];
     let daemon = daemon(&store, "d1").await;
@@ -99,15 +106,18 @@
     assert_eq!(answer.status(), 500);
     assert!(answer.header("server-stamp").is_some());
     let runs: u32 = replicas.iter().map(|r| r.seen(&id).ran).sum();
-    assert_eq!(runs, 2, "each was asked once");
+    assert_eq!(runs, 2, "each replica ran it once");
 }
 
-/// kvikbud-dk: a prompt that was sent where 200 ms of prompts waited made forty streams pause too long.
+/// Guards against a less urgent prompt that is sent to a replica whose prefill backlog already stalls its streams.
 #[rstest]
-#[case::a_less_urgent_one_gives_way("/later/x", 503)]
-#[case::an_urgent_one_is_sent("/stream/x", 200)]
+#[case::less_urgent_is_refused("/later/x", 503)]
+#[case::urgent_is_sent("/stream/x", 200)]
 #[tokio::test]
-async fn a_request_whose_turn_does_not_come(#[case] path: &str, #[case] status: u16) {
+async fn a_request_at_a_replica_with_a_full_prefill_backlog(
+    #[case] path: &str,
+    #[case] status: u16,
+) {
     let store = store().await;
     let replica = engine(&store, "i-1", &["m1"]).await;
     let daemon = daemon(&store, "d1").await;
@@ -129,7 +139,7 @@
 }
 
 #[tokio::test]
-async fn a_client_that_leaves_before_its_request_is_read_leaves_nothing_behind() {
+async fn a_disconnect_during_the_body_releases_the_request() {
     let store = store().await;
     let replica = web(&store, "i-1").await;
     let daemon = daemon(&store, "d1").await;
@@ -143,35 +153,35 @@
 }
 
 #[tokio::test]
-async fn a_stream_that_breaks_never_looks_whole() {
+async fn a_broken_stream_never_looks_complete() {
     let store = store().await;
     let replica = engine(&store, "i-1", &["m1"]).await;
     let daemon = daemon(&store, "d1").await;
     replica.set_fault(Fault::CutsEvents);
     let (id, answer) = ask(&daemon, "/stream/x", Some("m1")).await;
-    assert_eq!(answer.status(), 0, "the connection breaks");
+    assert_eq!(answer.status(), 0, "the connection is aborted");
     assert_eq!(replica.seen(&id).ran, 1);
 }
 
 #[tokio::test]
-async fn a_resumable_stream_goes_on_elsewhere_behind_its_last_whole_event() {
+async fn a_resumable_stream_continues_after_its_last_complete_event() {
     let store = store().await;
-    let bad = engine(&store, "i-1", &["m1"]).await;
-    let good = engine(&store, "i-2", &["m1"]).await;
+    let faulty = engine(&store, "i-1", &["m1"]).await;
+    let healthy = engine(&store, "i-2", &["m1"]).await;
     let daemon = daemon(&store, "d1").await;
-    bad.set_fault(Fault::CutsEvents);
+    faulty.set_fault(Fault::CutsEvents);
     let mut resumed = 0;
     for _ in 0..8 {
         let (id, answer) = ask(&daemon, "/resume/x", Some("m1")).await;
         assert_eq!(answer.status(), 200);
         assert_eq!(answer.events(), [1, 2, 3, 4, 5]);
-        resumed += bad.seen(&id).ran * good.seen(&id).ran;
+        resumed += faulty.seen(&id).ran * healthy.seen(&id).ran;
     }
-    assert!(resumed > 0, "some went to the bad one first");
+    assert!(resumed > 0, "none was sent to the faulty replica first");
 }
 
 #[tokio::test]
-async fn a_client_that_leaves_frees_the_replica_at_once() {
+async fn a_disconnect_stops_the_run_at_the_replica() {
     let store = store().await;
     let replica = web(&store, "i-1").await;
     let daemon = daemon(&store, "d1").await;
@@ -183,14 +193,14 @@
     let sent = line
         .send(request, std::time::Duration::from_millis(200))
         .await;
-    assert!(sent.is_err(), "it hangs");
+    assert!(sent.is_err(), "the replica hangs");
     assert_eq!(replica.running().0, 1);
     drop(line);
     until(|| replica.running().0 == 0).await;
 }
 
 #[tokio::test]
-async fn a_body_beyond_the_limit_is_refused_unsent() {
+async fn a_body_over_the_limit_is_refused_unsent() {
     let store = store().await;
     let replica = web(&store, "i-1").await;
     let daemon = daemon(&store, "d1").await;
--- a/crates/front/tests/restarts.rs
+++ b/crates/front/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! Replicas that start again under the identity that they had: they hold nothing, and count anew.
+//! Replicas that restart under the same identity: they hold no models, and their counters start again.
 
 mod site;
 
@@ -7,22 +7,22 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Writings of an entry before the restart: more than follow in a test.
-const BEATS: u32 = 40;
+/// Heartbeats before the restart: more than follow in a test.
+const HEARTBEATS: u32 = 40;
 
-fn beats(replica: &Replica) {
-    for _ in 0..BEATS {
+fn send_heartbeats(replica: &Replica) {
+    for _ in 0..HEARTBEATS {
         replica.beat();
     }
 }
 
-/// A leaving that is told after a restart has a lower number than what the replica told before.
+/// Guards against a departure that is ignored because its heartbeat number is lower than those before the restart.
 #[tokio::test]
-async fn a_replica_that_leaves_after_a_restart_gets_nothing_more() {
+async fn a_replica_that_leaves_after_a_restart_gets_no_requests() {
     let store = store().await;
     let leaving = web(&store, "i-1").await;
     let _staying = web(&store, "i-2").await;
-    beats(&leaving);
+    send_heartbeats(&leaving);
     let daemon = daemon(&store, "d1").await;
     leaving.restart();
     sleep(Duration::from_millis(300)).await;
@@ -36,7 +36,7 @@
 }
 
 #[tokio::test]
-async fn a_replica_that_had_announced_its_leaving_and_starts_again_is_used() {
+async fn a_leaving_replica_that_restarts_is_used() {
     let store = store().await;
     let replica = web(&store, "i-1").await;
     let daemon = daemon(&store, "d1").await;
@@ -51,20 +51,20 @@
     assert_eq!(ask(&daemon, "/again/x", None).await.1.status(), 200);
 }
 
-/// What it held is gone: the leader finds that, and has it loaded again under the new count of orders.
+/// Guards against a leader that does not reload the models of a restarted replica, whose order numbers start again.
 #[tokio::test]
-async fn what_a_replica_held_before_a_restart_is_loaded_again() {
+async fn models_held_before_a_restart_are_loaded_again() {
     let store = store().await;
     let replica = engine(&store, "i-1", &["m1"]).await;
-    beats(&replica);
+    send_heartbeats(&replica);
     let daemon = daemon(&store, "d1").await;
-    // Orders are counted before the restart, so that the count after it is another.
+    // Wait for an order, so that the numbers after the restart differ from those before.
     until(|| !replica.orders().is_empty()).await;
     assert_eq!(ask(&daemon, "/stream/x", Some("m1")).await.1.status(), 200);
     replica.restart();
-    let end = Instant::now() + Duration::from_secs(6);
+    let deadline = Instant::now() + Duration::from_secs(6);
     while ask(&daemon, "/stream/x", Some("m1")).await.1.status() != 200 {
-        assert!(Instant::now() < end, "the model does not come back");
+        assert!(Instant::now() < deadline, "the model is not loaded again");
         sleep(Duration::from_millis(100)).await;
     }
     assert!(!replica.is_overcommitted());
--- a/crates/front/tests/view.rs
+++ b/crates/front/tests/view.rs
@@ -1,4 +1,4 @@
-//! The view of replicas never goes backwards, and outages of the store are no departures.
+//! The view never applies older updates, and does not take an outage of the store for removals.
 
 mod site;
 
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn older_news_change_nothing() {
+fn older_updates_are_ignored() {
     let mut view = View::new(HEARTBEAT);
     assert_eq!(
         view.put(entry(5, false), 10),
@@ -28,13 +28,13 @@
     assert_eq!(
         view.put(entry(4, true), 11),
         None,
-        "an old writing at a newer revision"
+        "a stale entry at a newer revision"
     );
     assert!(!view.get("i-1").unwrap().entry.leaving);
 }
 
 #[test]
-fn leaving_counts_at_once_and_is_not_taken_back() {
+fn leaving_is_not_revoked() {
     let mut view = View::new(HEARTBEAT);
     view.put(entry(1, false), 10);
     assert_eq!(
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_replica_that_starts_again_counts_anew() {
+fn a_restarted_replica_is_not_leaving() {
     let mut view = View::new(HEARTBEAT);
     view.put(incarnation(1_000, 50, true), 10);
     let restarted = Some(Update::Restarted("i-1".into()));
@@ -64,18 +64,18 @@
 }
 
 #[test]
-fn a_late_writing_of_an_earlier_incarnation_changes_nothing() {
+fn a_late_entry_of_an_earlier_incarnation_is_ignored() {
     let mut view = View::new(HEARTBEAT);
     view.put(incarnation(1_000, 50, false), 10);
     view.put(incarnation(2_000, 2, true), 11);
     assert_eq!(view.put(incarnation(1_000, 51, false), 12), None);
-    let seen = &view.get("i-1").unwrap().entry;
-    assert_eq!((seen.incarnation, seen.leaving), (Some(2_000), true));
+    let replica = &view.get("i-1").unwrap().entry;
+    assert_eq!((replica.incarnation, replica.leaving), (Some(2_000), true));
 }
 
-/// A replica's start is told by its own clock, which may have been stepped back between two starts.
+/// Guards against an incarnation that is ignored because the replica's clock was set back before its start.
 #[test]
-fn a_start_that_seems_earlier_and_was_never_seen_is_a_new_one() {
+fn an_unknown_earlier_start_is_a_new_incarnation() {
     let mut view = View::new(HEARTBEAT);
     view.put(incarnation(5_000, 50, false), 10);
     let restarted = Some(Update::Restarted("i-1".into()));
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_removal_is_a_departure_while_the_store_is_there() {
+fn a_removal_applies_while_the_store_is_reachable() {
     let mut view = View::new(HEARTBEAT);
     view.put(entry(1, false), 10);
     assert_eq!(
@@ -94,13 +94,13 @@
     assert_eq!(
         view.put(entry(1, false), 10),
         None,
-        "older news bring nothing back"
+        "an older update restores nothing"
     );
     assert!(view.get("i-1").is_none());
 }
 
 #[test]
-fn an_entry_that_lapses_in_an_outage_stays_until_after_the_return() {
+fn an_entry_that_lapses_in_an_outage_is_kept_until_the_store_returns() {
     let mut view = View::new(HEARTBEAT);
     view.put(entry(1, false), 10);
     view.contact.answered(at(0), at(0));
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn an_entry_that_is_back_in_time_was_never_gone() {
+fn an_entry_that_reappears_in_time_was_never_removed() {
     let mut view = View::new(HEARTBEAT);
     view.put(entry(1, false), 10);
     view.contact.answered(at(0), at(0));
@@ -131,47 +131,46 @@
 #[rstest]
 #[case::absent(&[], true)]
 #[case::present(&["i-1"], false)]
-fn a_whole_range_tells_what_left_in_the_gap(#[case] present: &[&str], #[case] gone: bool) {
+fn a_full_listing_removes_absent_replicas(#[case] present: &[&str], #[case] is_removed: bool) {
     let mut view = View::new(HEARTBEAT);
     view.put(entry(1, false), 10);
     let present: Vec<_> = present.iter().map(|p| (*p).into()).collect();
-    let news = view.reconcile(&present, 20, at(0));
-    assert_eq!(!news.is_empty(), gone);
+    let updates = view.reconcile(&present, 20, at(0));
+    assert_eq!(!updates.is_empty(), is_removed);
 }
 
 #[test]
-fn a_range_read_before_an_entry_was_written_does_not_remove_it() {
+fn a_listing_older_than_an_entry_does_not_remove_it() {
     let mut view = View::new(HEARTBEAT);
     view.put(entry(1, false), 21);
     assert!(view.reconcile(&[], 20, at(0)).is_empty());
 }
 
-/// Guards against a leaving replica that is used again because its entry changes: the entry lapses and returns, is
-/// overwritten, or goes on saying that it stays.
+/// Guards against a departure that is forgotten when the entry lapses and returns, is overwritten, or does not show it.
 #[test]
-fn the_word_of_an_answer_outlives_the_entry() {
+fn a_departure_outlives_the_entry() {
     let mut view = View::new(HEARTBEAT);
     let id = "i-1".into();
     view.put(incarnation(7, 1, false), 10);
     assert!(view.record_departure(&id, Some(7), Origin::Answer, at(0)));
     assert!(
         !view.record_departure(&id, Some(7), Origin::Answer, at(1)),
-        "it is no news"
+        "it is known already"
     );
     let leaves = |view: &View| view.get("i-1").unwrap().entry.leaving;
     assert!(leaves(&view));
     view.put(incarnation(7, 2, false), 11);
-    assert!(leaves(&view), "its entry says that it stays");
+    assert!(leaves(&view), "its entry does not show the departure");
     view.mark_overwritten("i-1", 12);
     view.put(incarnation(7, 3, false), 13);
-    assert!(leaves(&view), "its entry was another writer's for a while");
+    assert!(leaves(&view), "its entry was overwritten for a while");
     view.remove("i-1", 14, at(2));
     view.expire(at(60_000));
     assert!(view.get("i-1").is_none());
     view.put(incarnation(7, 4, false), 15);
-    assert!(leaves(&view), "its entry was gone for a while");
+    assert!(leaves(&view), "its entry was missing for a while");
     view.put(incarnation(8, 1, false), 16);
-    assert!(!leaves(&view), "another incarnation is there");
+    assert!(!leaves(&view), "this is another incarnation");
     assert!(
         !view.record_departure(&id, Some(7), Origin::Answer, at(3)),
         "a late answer"
@@ -179,7 +178,7 @@
     assert!(!leaves(&view));
 }
 
-/// What may become known of one replica.
+/// Update about one replica.
 #[derive(Debug, Clone)]
 enum Event {
     Answer(u64),
@@ -202,41 +201,41 @@
 }
 
 proptest! {
-    /// Whatever order news come in, an incarnation that said in an answer that it leaves never counts as staying, and
-    /// one that never said so, there or in its entry, is not counted as leaving while its entry can be read.
+    /// In any order of updates, an incarnation that announced its departure is always leaving, and one that did not, in
+    /// an answer or in its entry, is not leaving while its entry is valid.
     #[test]
-    fn a_word_holds_for_its_incarnation_and_for_no_other(events in events()) {
+    fn a_departure_applies_to_its_incarnation_only(events in events()) {
         let mut view = View::new(HEARTBEAT);
         let id = "i-1".into();
-        let mut said: Option<u64> = None;
+        let mut departed: Option<u64> = None;
         let mut announced: Vec<u64> = Vec::new();
-        let (mut revision, mut now, mut readable) = (1, 0, true);
+        let (mut revision, mut now, mut is_valid) = (1, 0, true);
         for event in events {
             revision += 1;
             match event {
                 Event::Answer(of) => {
                     let current = view.get("i-1").map(|s| s.entry.incarnation);
-                    let heard = view.record_departure(&id, Some(of), Origin::Answer, at(now));
+                    let is_new = view.record_departure(&id, Some(of), Origin::Answer, at(now));
                     let is_late = current.is_some_and(|known| known != Some(of));
-                    prop_assert!(!(heard && is_late), "a late answer is news");
+                    prop_assert!(!(is_new && is_late), "a late answer counts as new");
                     if !is_late {
-                        // A replica runs one incarnation at a time: a later word is of a later one.
-                        said = Some(of);
+                        // A replica runs one incarnation at a time: a later announcement is from a later one.
+                        departed = Some(of);
                     }
                 }
                 Event::Entry(of, leaving) => {
                     view.put(incarnation(of, revision, leaving), revision);
-                    let seen = view.get("i-1").filter(|s| s.revision == revision);
-                    // A late writing of an earlier incarnation does not replace what cannot be read.
-                    let is_newest = seen.is_some_and(|s| s.entry.incarnation == Some(of));
-                    readable |= is_newest;
+                    let replica = view.get("i-1").filter(|s| s.revision == revision);
+                    // A stale entry does not replace an invalid one.
+                    let is_newest = replica.is_some_and(|s| s.entry.incarnation == Some(of));
+                    is_valid |= is_newest;
                     if leaving && is_newest {
                         announced.push(of);
                     }
                 }
                 Event::Overwritten => {
                     view.mark_overwritten("i-1", revision);
-                    readable = false;
+                    is_valid = false;
                 }
                 Event::Removed => {
                     view.remove("i-1", revision, at(now));
@@ -246,14 +245,14 @@
                     view.expire(at(now));
                 }
             }
-            if let Some(seen) = view.get("i-1") {
-                let of = seen.entry.incarnation.unwrap();
+            if let Some(replica) = view.get("i-1") {
+                let of = replica.entry.incarnation.unwrap();
                 prop_assert!(
-                    said != Some(of) || seen.entry.leaving,
-                    "{of} said that it leaves and counts as staying"
+                    departed != Some(of) || replica.entry.leaving,
+                    "{of} announced its departure and is not leaving"
                 );
-                if said != Some(of) && !announced.contains(&of) && readable {
-                    prop_assert!(!seen.entry.leaving, "{of} never said so");
+                if departed != Some(of) && !announced.contains(&of) && is_valid {
+                    prop_assert!(!replica.entry.leaving, "{of} never announced a departure");
                 }
             }
         }
