--- a/crates/front/src/changelog.rs
+++ b/crates/front/src/changelog.rs
@@ -51,7 +51,7 @@
         self.compact(confirmed);
     }
 
-    /// Drops old removals; changes since before them can no longer be told.
+    /// Drops old removals; changes since before them are no longer returned.
     fn compact(&mut self, now: Time) {
         let compacted_revision = &mut self.compacted_revision;
         self.changes.retain(|_, (change, at)| {
--- a/crates/front/src/feedback.rs
+++ b/crates/front/src/feedback.rs
@@ -27,40 +27,40 @@
 }
 
 /// Applies everything that an answer says about its replica.
-pub fn apply(state: &State, from: &Source, feedback: &Said) {
+pub fn apply(state: &State, source: &Source, feedback: &Said) {
     if feedback.leaves {
-        record_departure(state, from);
+        record_departure(state, source);
     }
     match &feedback.rest {
-        Reading::Value(requested) => record_backoff(state, from, Span::from_secs_f64(requested.as_secs_f64())),
-        Reading::Absent if feedback.is_turned_away() => record_backoff(state, from, Span::ZERO),
+        Reading::Value(requested) => record_backoff(state, source, Span::from_secs_f64(requested.as_secs_f64())),
+        Reading::Absent if feedback.is_turned_away() => record_backoff(state, source, Span::ZERO),
         Reading::Unreadable(value) => state.log.rate_limited(|| {
-            warn!(target: "replica", event = "unreadable", replica = &*from.replica, id = &*from.subject, value, "invalid backoff duration in a refusal; ignored")
+            warn!(target: "replica", event = "unreadable", replica = &*source.replica, id = &*source.subject, value, "invalid backoff duration in a refusal; ignored")
         }),
         Reading::Absent => {}
     }
-    let answers = feedback.answers(&from.subject);
+    let answers = feedback.answers(&source.subject);
     let ran = answers && feedback.signed && !feedback.not_run;
-    rate_limit::apply(state, from, &feedback.limit, ran);
+    rate_limit::apply(state, source, &feedback.limit, ran);
     let now = state.now();
     if answers && feedback.misdirected {
         let mut table = state.table.lock();
-        table.record_misdirected(&from.replica, from.without_adapter, now);
+        table.record_misdirected(&source.replica, source.without_adapter, now);
     } else if answers && (feedback.signed || feedback.not_run) {
-        state.table.lock().record_reached(&from.replica, now);
+        state.table.lock().record_reached(&source.replica, now);
     }
 }
 
 /// Records that a replica announced its departure in an answer, and passes it on to other hosts.
-pub fn record_departure(state: &State, from: &Source) {
+pub fn record_departure(state: &State, source: &Source) {
     let now = state.now();
     let is_new = {
         let view = &mut state.table.lock().view;
-        view.record_departure(&from.replica, from.incarnation, Origin::Answer, now)
+        view.record_departure(&source.replica, source.incarnation, Origin::Answer, now)
     };
     if is_new {
         let by = &state.settings.name;
-        announce_departure(state, &from.replica, Some(&from.subject), by);
+        announce_departure(state, &source.replica, Some(&source.subject), by);
     }
 }
 
@@ -94,12 +94,13 @@
 }
 
 /// Records that a replica refused a request and asks this host for a backoff.
-fn record_backoff(state: &State, from: &Source, requested: Span) {
+fn record_backoff(state: &State, source: &Source, requested: Span) {
     let now = state.now();
-    let update = state
-        .table
-        .lock()
-        .record_backoff(&from.replica, from.incarnation, requested, now);
+    let update =
+        state
+            .table
+            .lock()
+            .record_backoff(&source.replica, source.incarnation, requested, now);
     if let Some(BackoffUpdate { is_new, remaining }) = update {
         state
             .log
@@ -108,7 +109,7 @@
             .increment(1);
         let (asked_ms, left_ms) = (requested.ms(), remaining.ms());
         state.log.rate_limited(|| {
-            info!(target: "replica", event = "rests", replica = &*from.replica, id = &*from.subject, by = &*state.settings.name, asked_ms, left_ms, first = is_new, "replica refused a request and asked this host for a backoff")
+            info!(target: "replica", event = "rests", replica = &*source.replica, id = &*source.subject, by = &*state.settings.name, asked_ms, left_ms, first = is_new, "replica refused a request and asked this host for a backoff")
         });
     }
 }
@@ -137,10 +138,10 @@
 }
 
 /// Applies informational (1xx) answers, which come before the final one.
-pub fn observe_informational(state: &Arc<State>, request: &mut Request<Body>, from: Source) {
+pub fn observe_informational(state: &Arc<State>, request: &mut Request<Body>, source: Source) {
     let state = state.clone();
     hyper::ext::on_informational(request, move |response| {
         let feedback = answer::read(response.status(), response.headers());
-        apply(&state, &from, &feedback);
+        apply(&state, &source, &feedback);
     });
 }
--- a/crates/front/src/rate_limit.rs
+++ b/crates/front/src/rate_limit.rs
@@ -11,7 +11,7 @@
 use crate::peers::Peers;
 use crate::peers::quota::TIMEOUTS;
 use crate::state::State;
-use crate::table::{Change, Choice, Criteria, LimitTerms};
+use crate::table::{Choice, Criteria, LimitChange, LimitTerms};
 use platform::answer::Reading;
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,7 +23,7 @@
 
 /// Records the limit that an answer advertises. An answer without one withdraws the limit if the replica `ran` the
 /// request; a refusal without one changes nothing.
-pub fn apply(state: &State, from: &feedback::Source, limit: &Reading<f64>, ran: bool) {
+pub fn apply(state: &State, source: &feedback::Source, limit: &Reading<f64>, ran: bool) {
     let rate = match limit {
         // Hosts exchange rates as `f32` and compare them.
         Reading::Value(rate) => Some(f64::from((*rate as f32).min(f32::MAX))),
@@ -31,7 +31,7 @@
         Reading::Absent => return,
         Reading::Unreadable(value) => {
             state.log.rate_limited(|| {
-                warn!(target: "limit", event = "unreadable", replica = &*from.replica, value, "invalid rate limit in an answer; ignored")
+                warn!(target: "limit", event = "unreadable", replica = &*source.replica, value, "invalid rate limit in an answer; ignored")
             });
             return;
         }
@@ -40,21 +40,21 @@
     let change = state
         .table
         .lock()
-        .record_limit(&from.replica, from.incarnation, rate, now);
+        .record_limit(&source.replica, source.incarnation, rate, now);
     if let Some(change) = change {
         state.limits_changed.notify_one();
         let rate = rate.unwrap_or_default();
-        log_change(state, &from.replica, rate, change, &state.settings.name);
+        log_change(state, &source.replica, rate, change, &state.settings.name);
     }
 }
 
 /// Logs a change of a replica's limit, and the host that reported it.
-pub fn log_change(state: &State, replica: &Name, rate: f64, change: Change, by: &Name) {
+pub fn log_change(state: &State, replica: &Name, rate: f64, change: LimitChange, by: &Name) {
     let (replica, by) = (&**replica, &**by);
     state.log.rate_limited(|| match change {
-        Change::Advertised => info!(target: "limit", event = "named", replica, rate, by, "replica advertises a limit in requests per second over all hosts"),
-        Change::Changed(before) => info!(target: "limit", event = "changed", replica, rate, before, by, "replica advertises another limit"),
-        Change::Withdrawn => info!(target: "limit", event = "over", replica, by, "replica withdrew its limit"),
+        LimitChange::Advertised => info!(target: "limit", event = "named", replica, rate, by, "replica advertises a limit in requests per second over all hosts"),
+        LimitChange::Changed(before) => info!(target: "limit", event = "changed", replica, rate, before, by, "replica advertises another limit"),
+        LimitChange::Withdrawn => info!(target: "limit", event = "over", replica, by, "replica withdrew its limit"),
     });
 }
 
@@ -131,21 +131,21 @@
 }
 
 /// Guard of a request that waits for a unit of a replica's limit.
-pub struct Waiter {
+pub struct WaitGuard {
     state: Arc<State>,
     replica: Name,
 }
 
 /// Counts a request as waiting for a replica until the guard is dropped.
-pub fn register_waiter(state: &Arc<State>, replica: &Name) -> Waiter {
+pub fn register_waiter(state: &Arc<State>, replica: &Name) -> WaitGuard {
     state.table.lock().count_waiter(replica, true);
-    Waiter {
+    WaitGuard {
         state: state.clone(),
         replica: replica.clone(),
     }
 }
 
-impl Drop for Waiter {
+impl Drop for WaitGuard {
     fn drop(&mut self) {
         self.state.table.lock().count_waiter(&self.replica, false);
     }
--- a/crates/front/src/relay.rs
+++ b/crates/front/src/relay.rs
@@ -61,9 +61,9 @@
     let body = match read {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) => {
-            let failed = Failure::Lost(format!("its answer broke off: {error}"));
-            reservation.record_failure(call, &failed);
-            return Err(failed);
+            let failure = Failure::Lost(format!("its answer broke off: {error}"));
+            reservation.record_failure(call, &failure);
+            return Err(failure);
         }
         Err(_) => {
             reservation.record_bad_answer();
--- a/crates/front/src/relay/resume.rs
+++ b/crates/front/src/relay/resume.rs
@@ -52,14 +52,14 @@
             self.history.record(&choice.replica, &result);
             state.log.rate_limited(|| {
                 let outcome = match &result {
-                    Ok(result) => format!("status {}", result.response.status()),
+                    Ok(exchange) => format!("status {}", exchange.response.status()),
                     Err(failure) => failure.to_string(),
                 };
                 info!(target: "request", event = "continued", id = &*call.id, replica = &*choice.replica, last, why = %cause, outcome, "resuming a broken stream at another replica")
             });
             match result {
-                Ok(result) if result.response.status().is_success() => {
-                    self.source = Some(Source::from(result));
+                Ok(exchange) if exchange.response.status().is_success() => {
+                    self.source = Some(Source::from(exchange));
                     return true;
                 }
                 Err(Failure::Unauthorized(_) | Failure::Quarantined(_)) => return false,
--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -23,10 +23,10 @@
 use unit::{Span, Time};
 
 /// `Retry-After` for a client that found no configuration or no replica at all.
-const RETRY_LATER: Span = Span::from_ms(1_000);
+const RETRY_AFTER_DEFAULT: Span = Span::from_ms(1_000);
 
 /// Least and greatest `Retry-After` for a refused client.
-const RETRY_RANGE: (Span, Span) = (Span::from_ms(200), Span::from_ms(3_000));
+const RETRY_AFTER_RANGE: (Span, Span) = (Span::from_ms(200), Span::from_ms(3_000));
 
 /// Pause before a request is sent again to a replica that refused it.
 const RETRY_PAUSE: Duration = Duration::from_millis(40);
@@ -69,7 +69,7 @@
     let routes = state.table.lock().routes.clone();
     let routes = routes.ok_or_else(|| {
         let message = "This host has no configuration yet.";
-        Rejection::not_run("no_configuration", message, RETRY_LATER)
+        Rejection::not_run("no_configuration", message, RETRY_AFTER_DEFAULT)
     })?;
     let route = read::route(state, &routes, &request)?;
     let call = Arc::new(read::call(state, &routes, route, request, arrived).await?);
@@ -133,7 +133,7 @@
         if attempt > 0 && !may_retry(state, call, &progress) {
             break;
         }
-        let admit::Placed {
+        let admit::Admission {
             choice,
             reservation,
             grant,
@@ -146,7 +146,7 @@
         )
         .await
         {
-            Ok(placed) => placed,
+            Ok(admission) => admission,
             Err(rejection) if attempt == 0 => return Err(rejection),
             Err(rejection) => {
                 progress.rejection = Some(rejection);
@@ -191,11 +191,11 @@
     history: &History,
     has_alternatives: bool,
     attempt: usize,
-) -> Result<admit::Placed, Rejection> {
+) -> Result<admit::Admission, Rejection> {
     if has_alternatives {
-        let placed = admit::place(context, call, &history.attempted, attempt).await;
-        if placed.is_ok() || attempt == 0 {
-            return placed;
+        let admission = admit::place(context, call, &history.attempted, attempt).await;
+        if admission.is_ok() || attempt == 0 {
+            return admission;
         }
     }
     tokio::time::sleep(RETRY_PAUSE).await;
@@ -287,7 +287,7 @@
     }
     if !may_have_run {
         let message = format!("No replica took the request ({last}).");
-        let default = Rejection::not_run("refused_by_replicas", message, RETRY_RANGE.0);
+        let default = Rejection::not_run("refused_by_replicas", message, RETRY_AFTER_RANGE.0);
         return progress.rejection.unwrap_or(default);
     }
     match state.now() >= call.deadline || *last == Failure::TimedOut {
--- a/crates/front/src/serve/admit.rs
+++ b/crates/front/src/serve/admit.rs
@@ -1,11 +1,11 @@
 //! Admission: choosing a replica for a request, queueing it, or refusing it.
 
 use super::unavailable::{request_adapter, saturated, unplaceable};
-use super::{Context, RETRY_RANGE, report};
+use super::{Context, RETRY_AFTER_RANGE, report};
 use crate::attempt::{Call, Reservation};
 use crate::grant::Grant;
 use crate::queue::Placement;
-use crate::rate_limit::{self, Waiter};
+use crate::rate_limit::{self, WaitGuard};
 use crate::respond::Rejection;
 use crate::table::{Choice, Unplaceable};
 use route::batch;
@@ -18,7 +18,7 @@
 const MAX_TTFT_FACTOR: f64 = 1.2;
 
 /// Fraction of the target for which a request may wait for an adapter or an unreachable replica.
-const LOAD_WAIT_FRACTION: f64 = 0.25;
+const RETRY_WAIT_FRACTION: f64 = 0.25;
 
 /// Fraction of the target that queueing and prefill may take together.
 const QUEUE_WAIT_FRACTION: f64 = 0.8;
@@ -34,7 +34,7 @@
 const BUSY_UTILIZATION: f64 = 0.5;
 
 /// Placement of one send.
-pub(super) struct Placed {
+pub(super) struct Admission {
     pub(super) choice: Choice,
     pub(super) reservation: Reservation,
     /// Unit of the replica's rate limit, if it has one.
@@ -42,7 +42,7 @@
 }
 
 /// Replica found for a request.
-struct Found {
+struct Selection {
     choice: Choice,
     /// Reservation, if the request was queued.
     reservation: Option<Reservation>,
@@ -50,9 +50,9 @@
     waited: bool,
 }
 
-impl Found {
-    fn immediate(choice: Choice) -> Found {
-        Found {
+impl Selection {
+    fn immediate(choice: Choice) -> Selection {
+        Selection {
             choice,
             reservation: None,
             waited: false,
@@ -67,28 +67,29 @@
     call: &Arc<Call>,
     excluded: &[Name],
     attempt: usize,
-) -> Result<Placed, Rejection> {
+) -> Result<Admission, Rejection> {
     let state = &context.state;
     let mut waiter = None;
     loop {
-        let found = find(context, call, excluded, attempt, &mut waiter).await?;
+        let selection = find(context, call, excluded, attempt, &mut waiter).await?;
         let criteria = call.criteria(excluded);
-        let Ok(grant) = rate_limit::admit(state, &context.peers, &criteria, &found.choice).await
+        let Ok(grant) =
+            rate_limit::admit(state, &context.peers, &criteria, &selection.choice).await
         else {
             // Denials without a message to the leader complete at once: let other tasks run.
             tokio::task::yield_now().await;
             continue;
         };
-        let Found {
+        let Selection {
             choice,
             reservation,
             waited,
-        } = found;
+        } = selection;
         if attempt == 0 {
             report::sent(state, call, &choice, waited);
         }
         let reservation = reservation.unwrap_or_else(|| Reservation::open(state, call, &choice));
-        return Ok(Placed {
+        return Ok(Admission {
             choice,
             reservation,
             grant,
@@ -102,16 +103,16 @@
     call: &Arc<Call>,
     excluded: &[Name],
     attempt: usize,
-    waiter: &mut Option<Waiter>,
-) -> Result<Found, Rejection> {
+    waiter: &mut Option<WaitGuard>,
+) -> Result<Selection, Rejection> {
     let state = &context.state;
-    let load_deadline = call.arrived + Span::from(call.route.target) * LOAD_WAIT_FRACTION;
+    let retry_deadline = call.arrived + Span::from(call.route.target) * RETRY_WAIT_FRACTION;
     loop {
         let now = state.now();
         let criteria = call.criteria(excluded);
         let chosen = state.table.lock().choose(&criteria, now);
         let (deadline, rejection) = match chosen {
-            Ok(choice) if attempt > 0 => return Ok(Found::immediate(choice)),
+            Ok(choice) if attempt > 0 => return Ok(Selection::immediate(choice)),
             Ok(choice) => {
                 if choice.adapter_replicas_busy {
                     request_adapter(state, call, true);
@@ -121,7 +122,7 @@
             Err(Unplaceable::Saturated(saturation)) => {
                 saturated(state, call, &saturation, waiter, now)
             }
-            Err(reason) => unplaceable(state, call, reason, load_deadline, now),
+            Err(reason) => unplaceable(state, call, reason, retry_deadline, now),
         };
         // A draining host does not wait.
         if now >= deadline.min(call.deadline) || state.is_draining() {
@@ -133,14 +134,18 @@
 }
 
 /// Admits a request at once or from its queue, or refuses it if it cannot meet its target.
-async fn admit(context: &Context, call: &Arc<Call>, choice: Choice) -> Result<Found, Rejection> {
+async fn admit(
+    context: &Context,
+    call: &Arc<Call>,
+    choice: Choice,
+) -> Result<Selection, Rejection> {
     let state = &context.state;
     let now = state.now();
     let target = Span::from(call.route.target);
     let expected = now.since(call.arrived) + choice.ttft;
     let is_queued = context.queues.lock().has_waiters(call);
     if choice.fits_prefill_limit && !is_queued {
-        return Ok(Found::immediate(choice));
+        return Ok(Selection::immediate(choice));
     }
     let (utilization, model_eta) = {
         let table = state.table.lock();
@@ -155,7 +160,7 @@
     }
     let deadline = call.arrived + (target * QUEUE_WAIT_FRACTION).saturating_sub(choice.ttft);
     if let Some((choice, reservation)) = wait_for_turn(context, call, deadline, now).await {
-        return Ok(Found {
+        return Ok(Selection {
             choice,
             reservation: Some(reservation),
             waited: true,
@@ -169,7 +174,7 @@
             let expected = now.since(call.arrived) + choice.ttft;
             Err(overloaded(expected, target, model_eta))
         }
-        Ok(choice) => Ok(Found::immediate(choice)),
+        Ok(choice) => Ok(Selection::immediate(choice)),
         Err(reason) => Err(unplaceable(state, call, reason, now, now).1),
     }
 }
@@ -195,7 +200,7 @@
 /// Rejection of a request that would wait too long for its first token.
 fn overloaded(expected: Span, target: Span, model_eta: Option<Span>) -> Rejection {
     let wait = batch::retry_after(expected, target, model_eta);
-    let wait = wait.max(RETRY_RANGE.0).min(RETRY_RANGE.1);
+    let wait = wait.max(RETRY_AFTER_RANGE.0).min(RETRY_AFTER_RANGE.1);
     let message = format!("The request would wait {expected} for its first token.");
     Rejection::not_run("overloaded", message, wait)
 }
--- a/crates/front/src/serve/read.rs
+++ b/crates/front/src/serve/read.rs
@@ -1,6 +1,6 @@
 //! Reading of a request: its route, its header fields and its body.
 
-use super::RETRY_LATER;
+use super::RETRY_AFTER_DEFAULT;
 use crate::accounts;
 use crate::attempt::Call;
 use crate::respond::Rejection;
@@ -45,7 +45,7 @@
         return Err(Rejection::not_run(
             "configuration_old",
             message,
-            RETRY_LATER,
+            RETRY_AFTER_DEFAULT,
         ));
     }
     state.log.metrics.record_outcome(&"none".into(), "no_route");
@@ -78,7 +78,11 @@
     let hash = rendezvous::hash(id.as_bytes());
     let service = route::routing::pick_weighted(&route.services, hash);
     let service = service.cloned().ok_or_else(|| {
-        Rejection::not_run("no_service", "The route leads to no service.", RETRY_LATER)
+        Rejection::not_run(
+            "no_service",
+            "The route leads to no service.",
+            RETRY_AFTER_DEFAULT,
+        )
     })?;
     Ok(Call {
         id,
@@ -152,7 +156,7 @@
     let memory = state.body_memory.clone().try_acquire_many_owned(kb);
     memory.map_err(|_| {
         let message = "This host holds as many request bodies as it may.";
-        Rejection::not_run("bodies_full", message, RETRY_LATER)
+        Rejection::not_run("bodies_full", message, RETRY_AFTER_DEFAULT)
     })
 }
 
--- a/crates/front/src/serve/unavailable.rs
+++ b/crates/front/src/serve/unavailable.rs
@@ -1,9 +1,9 @@
 //! Requests that no replica can take now: how long each may wait, and how it is rejected after that.
 
-use super::{RETRY_LATER, RETRY_RANGE};
+use super::{RETRY_AFTER_DEFAULT, RETRY_AFTER_RANGE};
 use crate::attempt::Call;
 use crate::message::{AdapterRequest, ModelRequest};
-use crate::rate_limit::{self, Waiter};
+use crate::rate_limit::{self, WaitGuard};
 use crate::respond::Rejection;
 use crate::state::{PlacementRequest, State};
 use crate::table::{Saturation, Unplaceable};
@@ -11,10 +11,10 @@
 use unit::{Span, Time};
 
 /// `Retry-After` while an adapter is not loaded.
-const RETRY_ADAPTER: Span = Span::from_ms(300);
+const RETRY_AFTER_NO_ADAPTER: Span = Span::from_ms(300);
 
 /// `Retry-After` while replicas are unreachable: about the time of a restart.
-const RETRY_UNREACHABLE: Span = Span::from_ms(800);
+const RETRY_AFTER_UNREACHABLE: Span = Span::from_ms(800);
 
 /// Time for the leader to answer a request for a model that no replica holds.
 const LEADER_RESPONSE_TIME: Span = Span::from_ms(60);
@@ -32,7 +32,7 @@
 const MIN_JITTER: Span = Span::from_ms(300);
 
 /// Fraction of the target within which a model must be loaded for the request to wait for it.
-const LOAD_WAIT_FRACTION: f64 = 0.8;
+const MODEL_WAIT_FRACTION: f64 = 0.8;
 
 /// Deadline and rejection of a request whose replicas have no capacity. A request that would not get a unit in time does
 /// not wait.
@@ -40,7 +40,7 @@
     state: &Arc<State>,
     call: &Call,
     saturation: &Saturation,
-    waiter: &mut Option<Waiter>,
+    waiter: &mut Option<WaitGuard>,
     now: Time,
 ) -> (Time, Rejection) {
     let deadline = call.arrived + Span::from(call.route.target) * CAPACITY_WAIT_FRACTION;
@@ -55,7 +55,7 @@
 
 /// Rejection of a request whose replicas have no capacity.
 fn saturated_rejection(call: &Call, saturation: &Saturation) -> Rejection {
-    let wait = saturation.wait.max(RETRY_RANGE.0);
+    let wait = saturation.wait.max(RETRY_AFTER_RANGE.0);
     let range = (wait * JITTER_FRACTION).max(MIN_JITTER);
     let wait = wait + range * fraction(&call.id);
     match saturation.is_backing_off {
@@ -80,15 +80,15 @@
     state: &State,
     call: &Call,
     reason: Unplaceable,
-    load_deadline: Time,
+    retry_deadline: Time,
     now: Time,
 ) -> (Time, Rejection) {
     let target = Span::from(call.route.target);
     match reason {
         Unplaceable::NoModel(Some(eta))
-            if now.since(call.arrived) + eta < target * LOAD_WAIT_FRACTION =>
+            if now.since(call.arrived) + eta < target * MODEL_WAIT_FRACTION =>
         {
-            let deadline = call.arrived + target * LOAD_WAIT_FRACTION;
+            let deadline = call.arrived + target * MODEL_WAIT_FRACTION;
             let message = "The model is being loaded.";
             (deadline, Rejection::not_run("model_loading", message, eta))
         }
@@ -100,30 +100,36 @@
                     call.arrived + LEADER_RESPONSE_TIME
                 }
             };
-            let wait = eta.map_or(RETRY_LATER, |c| c + PROPAGATION_TIME);
+            let wait = eta.map_or(RETRY_AFTER_DEFAULT, |c| c + PROPAGATION_TIME);
             let message = "No replica holds the model at the moment.";
-            let wait = wait.max(RETRY_RANGE.0);
+            let wait = wait.max(RETRY_AFTER_RANGE.0);
             (deadline, Rejection::not_run("no_model", message, wait))
         }
         Unplaceable::NoAdapter => {
             request_adapter(state, call, false);
             let message = "The adapter is on no replica yet.";
-            let rejection = Rejection::not_run("no_adapter", message, RETRY_ADAPTER);
-            (load_deadline, rejection)
+            let rejection = Rejection::not_run("no_adapter", message, RETRY_AFTER_NO_ADAPTER);
+            (retry_deadline, rejection)
         }
         Unplaceable::Unreachable => {
             let message = "The replicas that could take the request cannot be reached.";
-            let rejection = Rejection::not_run("unreachable", message, RETRY_UNREACHABLE);
-            (load_deadline, rejection)
+            let rejection = Rejection::not_run("unreachable", message, RETRY_AFTER_UNREACHABLE);
+            (retry_deadline, rejection)
         }
         Unplaceable::Saturated(saturation) => (now, saturated_rejection(call, &saturation)),
         Unplaceable::Leaving => {
             let message = "All replicas of the service leave, or cannot be used.";
-            (now, Rejection::not_run("leaving", message, RETRY_LATER))
+            (
+                now,
+                Rejection::not_run("leaving", message, RETRY_AFTER_DEFAULT),
+            )
         }
         Unplaceable::NoReplica => {
             let message = "No replica of the service is there.";
-            (now, Rejection::not_run("no_replica", message, RETRY_LATER))
+            (
+                now,
+                Rejection::not_run("no_replica", message, RETRY_AFTER_DEFAULT),
+            )
         }
     }
 }
--- a/crates/front/src/table.rs
+++ b/crates/front/src/table.rs
@@ -2,7 +2,7 @@
 //!
 //! `replica` holds what this host knows of one replica, with its `reachability`, `rate_limit` and moving `average`s of
 //! failures and stalls; `backoff` the times for which replicas take no requests from this host; `adapters` where
-//! adapters are loaded; `pace` the prefill speed and decode time of models; `demand` the arrival rate by model; `plans`
+//! adapters are loaded; `pace` the prefill speed and decode time of models; `demand` the arrival rate by model; `planner_status`
 //! the planner status that the leader sends. `choose` picks a replica by all of these, and `loads` exchanges loads with
 //! other hosts.
 
@@ -14,7 +14,7 @@
 mod loads;
 mod pace;
 mod permit;
-mod plans;
+mod planner_status;
 mod rate_limit;
 mod reachability;
 mod replica;
@@ -22,7 +22,7 @@
 pub use backoff::BackoffUpdate;
 pub use choose::{Choice, Saturation, Unplaceable};
 pub use permit::{Permit, Unavailable};
-pub use rate_limit::{Change, LimitTerms};
+pub use rate_limit::{LimitChange, LimitTerms};
 pub use replica::Footprint;
 
 use crate::message::AdapterUse;
@@ -32,7 +32,7 @@
 use backoff::Backoffs;
 use demand::Demands;
 use pace::Paces;
-use plans::Plans;
+use planner_status::PlannerStatus;
 use platform::config::Service;
 use platform::ingress::Ask;
 use platform::replica::Entry;
@@ -70,7 +70,7 @@
     /// Retry budgets by service.
     retry_budgets: HashMap<Name, WindowedBudget>,
     demand: Demands,
-    plans: Plans,
+    planner_status: PlannerStatus,
     /// When `replica::State::reported_before` was last replaced.
     rotated_at: Time,
     /// Adapters used by requests of this host since the last report.
@@ -112,7 +112,7 @@
             paces: Paces::default(),
             retry_budgets: HashMap::new(),
             demand: Demands::default(),
-            plans: Plans::default(),
+            planner_status: PlannerStatus::default(),
             rotated_at: Time(0),
             adapter_uses: HashSet::new(),
             direct_at: Time(0),
@@ -147,8 +147,8 @@
         if let Some(state) = self.replicas.get_mut(id) {
             state.restart();
         }
-        self.plans.loaded.forget(id);
-        self.plans.unloading.forget(id);
+        self.planner_status.loaded.forget(id);
+        self.planner_status.unloading.forget(id);
     }
 
     /// Configuration of a service.
@@ -162,14 +162,14 @@
     }
 
     /// Whether other hosts send their loads directly.
-    fn is_direct(&self, now: Time) -> bool {
+    fn has_direct_loads(&self, now: Time) -> bool {
         now.since(self.direct_at) < MAX_DIRECT_AGE
     }
 
     /// Whether a replica holds a model, by its entry or by the leader's digest.
     fn holds_model(&self, entry: &Entry, model: &Name, now: Time) -> bool {
         let in_entry = entry.held.iter().any(|h| h.model == *model);
-        in_entry || self.plans.loaded.contains(&entry.id, model, now)
+        in_entry || self.planner_status.loaded.contains(&entry.id, model, now)
     }
 
     /// Prefill speed of a model in tokens per millisecond, and its decode time.
@@ -181,7 +181,7 @@
     /// Fraction of slots in use at the replicas of a service that hold the model; 1 when there are none.
     pub fn utilization(&self, criteria: &Criteria, now: Time) -> f64 {
         let model = criteria.ask.model.as_ref();
-        let direct = self.is_direct(now);
+        let direct = self.has_direct_loads(now);
         let (mut in_flight, mut slots) = (0.0, 0.0);
         for replica in self.view.all() {
             let entry = &replica.entry;
@@ -205,7 +205,7 @@
     pub fn load(&self, replica: &str, now: Time) -> (f64, Span) {
         let state = self.replicas.get(replica);
         let load = state
-            .map(|s| s.total_load(now, self.is_direct(now)))
+            .map(|s| s.total_load(now, self.has_direct_loads(now)))
             .unwrap_or_default();
         let prefill_ms: f32 = load.prefill_ms.iter().sum();
         (
@@ -216,7 +216,7 @@
 
     /// Time until another copy of a model is expected, if one is being loaded.
     pub fn model_eta(&self, model: &Name, now: Time) -> Option<Span> {
-        self.plans.model_eta(model, now)
+        self.planner_status.model_eta(model, now)
     }
 
     /// Adds a request to a replica's load.
@@ -288,7 +288,7 @@
     pub fn unqueued_tokens(&self, replica: &str, ask: &Ask, now: Time) -> Option<f64> {
         let model = ask.model.as_ref()?;
         let state = self.replicas.get(replica);
-        let load = state.map(|s| s.total_load(now, self.is_direct(now)));
+        let load = state.map(|s| s.total_load(now, self.has_direct_loads(now)));
         let prefill_ms: f32 = load.unwrap_or_default().prefill_ms.iter().sum();
         let cached = state.map_or(0, |s| s.cached_tokens(model, ask));
         (prefill_ms <= 0.0).then(|| ask.prompt.saturating_sub(cached) as f64)
--- a/crates/front/src/table/choose.rs
+++ b/crates/front/src/table/choose.rs
@@ -16,10 +16,10 @@
 /// Steps of one event over which the prefill allowed between two events may be spread.
 const MAX_PREFILL_STEPS: f64 = 1.2;
 
-/// Random part of a candidate's cost while hosts exchange loads directly, some 10 ms old.
+/// Width of the random part of a candidate's cost while hosts exchange loads directly, some 10 ms old.
 const DIRECT_JITTER: Span = Span::from_ms(2);
 
-/// Random part of a candidate's cost while loads come by way of the leader, some 50 ms old.
+/// Width of the random part of a candidate's cost while loads come by way of the leader, some 50 ms old.
 const RELAYED_JITTER: Span = Span::from_ms(40);
 
 /// Replica chosen for a request.
@@ -95,7 +95,7 @@
 }
 
 /// Inputs of the choice that are the same for all candidates.
-struct Terms<'a> {
+struct Inputs<'a> {
     criteria: &'a Criteria<'a>,
     /// Model that the request needs, if the service runs models.
     model: Option<&'a Name>,
@@ -137,33 +137,35 @@
                 _ => self.unplaceable(best_fit, model, now),
             });
         }
-        let terms = self.terms(criteria, model, engine, now);
+        let inputs = self.inputs(criteria, model, engine, now);
         let candidates = eligible
             .iter()
-            .map(|replica| self.candidate(&replica.entry, &terms));
+            .map(|replica| self.candidate(&replica.entry, &inputs));
         let candidates: Vec<Candidate> = candidates.collect();
-        let ask = batch_request(criteria, engine, self.jitter(now));
-        let needs_probe = |index: &usize| {
+        let request = batch_request(criteria, engine, self.jitter(now));
+        let is_probe_due = |index: &usize| {
             let id = &eligible[*index].entry.id;
-            candidates[*index].is_available(&ask) && self.needs_probe(id, now)
+            candidates[*index].is_available(&request) && self.needs_probe(id, now)
         };
-        let probe = (0..eligible.len()).find(needs_probe);
+        let probe = (0..eligible.len()).find(is_probe_due);
         let (index, ttft) = match probe {
-            Some(index) => (index, candidates[index].ttft(&ask)),
+            Some(index) => (index, candidates[index].ttft(&request)),
             None => {
-                batch::choose(&ask, &candidates, &mut self.rng).ok_or(Unplaceable::NoReplica)?
+                batch::choose(&request, &candidates, &mut self.rng).ok_or(Unplaceable::NoReplica)?
             }
         };
-        let is_available =
-            |replica: &&Replica| self.candidate(&replica.entry, &terms).is_available(&ask);
+        let is_available = |replica: &&Replica| {
+            self.candidate(&replica.entry, &inputs)
+                .is_available(&request)
+        };
         let adapter_replicas_busy =
-            !candidates[index].is_available(&ask) && without_adapter.iter().any(is_available);
+            !candidates[index].is_available(&request) && without_adapter.iter().any(is_available);
         Ok(Choice {
             replica: eligible[index].entry.id.clone(),
             addr: eligible[index].entry.addr,
             ttft,
-            fits_prefill_limit: candidates[index].fits_prefill_limit(&ask),
-            exceeds_prefill_limit: candidates[index].exceeds_prefill_limit(&ask),
+            fits_prefill_limit: candidates[index].fits_prefill_limit(&request),
+            exceeds_prefill_limit: candidates[index].exceeds_prefill_limit(&request),
             has_free_slot: candidates.iter().any(Candidate::has_free_slot),
             adapter_replicas_busy,
             candidate_count: candidates.len(),
@@ -173,26 +175,26 @@
     }
 
     /// Collects the inputs that are the same for all candidates.
-    fn terms<'a>(
+    fn inputs<'a>(
         &self,
         criteria: &'a Criteria<'a>,
         model: Option<&'a Name>,
         engine: Option<&Engine>,
         now: Time,
-    ) -> Terms<'a> {
-        Terms {
+    ) -> Inputs<'a> {
+        Inputs {
             criteria,
             model,
             pace: self.paces.get(criteria.service, model),
             token_capacity: engine.map_or(0.0, |e| e.tokens as f64),
-            uses_direct_loads: self.is_direct(now),
+            uses_direct_loads: self.has_direct_loads(now),
             now,
         }
     }
 
-    /// Random part of a candidate's cost, by the age of the loads known from other hosts.
+    /// Width of the random part of a candidate's cost, by the age of the loads known from other hosts.
     fn jitter(&self, now: Time) -> Span {
-        match self.is_direct(now) || self.host_count == 1 {
+        match self.has_direct_loads(now) || self.host_count == 1 {
             true => DIRECT_JITTER,
             false => RELAYED_JITTER,
         }
@@ -209,7 +211,7 @@
         let state = self.replicas.get(&entry.id);
         let was_reached = state.is_some_and(|s| s.reachability.was_reached(now));
         let is_unreachable = state.is_some_and(|s| s.reachability.is_avoided(now))
-            || !was_reached && self.plans.is_unreachable(&entry.id, now);
+            || !was_reached && self.planner_status.is_unreachable(&entry.id, now);
         let fit = match is_unreachable {
             true => Fit::Unreachable,
             false if self.saturation(entry, criteria, now).is_some() => Fit::Saturated,
@@ -219,7 +221,10 @@
             return fit;
         };
         if !self.holds_model(entry, model, now)
-            || self.plans.unloading.contains(&entry.id, model, now)
+            || self
+                .planner_status
+                .unloading
+                .contains(&entry.id, model, now)
         {
             return Fit::NoModel;
         }
@@ -250,32 +255,34 @@
         match best_fit {
             Fit::Excluded => Unplaceable::NoReplica,
             Fit::Leaving => Unplaceable::Leaving,
-            Fit::NoModel => Unplaceable::NoModel(model.and_then(|m| self.plans.model_eta(m, now))),
+            Fit::NoModel => {
+                Unplaceable::NoModel(model.and_then(|m| self.planner_status.model_eta(m, now)))
+            }
             Fit::NoAdapter => Unplaceable::NoAdapter,
             Fit::Unreachable | Fit::Saturated | Fit::Eligible => Unplaceable::Unreachable,
         }
     }
 
     /// Candidate for the choice, from a replica's entry and state.
-    fn candidate(&self, entry: &Entry, terms: &Terms) -> Candidate {
+    fn candidate(&self, entry: &Entry, inputs: &Inputs) -> Candidate {
         let default = State::default();
         let state = self.replicas.get(&entry.id).unwrap_or(&default);
-        let load = state.total_load(terms.now, terms.uses_direct_loads);
-        let (model, ask) = (terms.model, terms.criteria.ask);
+        let load = state.total_load(inputs.now, inputs.uses_direct_loads);
+        let (model, ask) = (inputs.model, inputs.criteria.ask);
         let cached = model.map_or(0, |m| state.cached_tokens(m, ask));
-        let level = priority_level(terms.criteria.priority);
+        let level = priority_level(inputs.criteria.priority);
         Candidate {
             slots: entry.slots,
             in_flight: f64::from(load.requests),
             prefill_ahead: ms(load.prefill_ms[..=level].iter().sum()),
             prefill_backlog: ms(load.prefill_ms.iter().sum()),
-            prefill: terms.pace.prefill(model, ask, cached),
+            prefill: inputs.pace.prefill(model, ask, cached),
             reserved_tokens: f64::from(load.reserved_tokens),
-            token_capacity: terms.token_capacity,
-            decode: terms.pace.decode,
+            token_capacity: inputs.token_capacity,
+            decode: inputs.pace.decode,
             same_hall: entry.hall == self.hall,
-            failure_rate: state.failure_rate.current(terms.now),
-            stall_rate: state.stall_rate.current(terms.now),
+            failure_rate: state.failure_rate.current(inputs.now),
+            stall_rate: state.stall_rate.current(inputs.now),
         }
     }
 }
--- a/crates/front/src/table/plans.rs
+++ b/crates/front/src/table/planner_status.rs
@@ -11,7 +11,7 @@
 
 /// The last planner status.
 #[derive(Default)]
-pub(super) struct Plans {
+pub(super) struct PlannerStatus {
     /// When a copy of each model is expected.
     model_etas: HashMap<Name, Time>,
     /// Hashes of replicas that several hosts could not reach, and when the list came.
@@ -22,7 +22,7 @@
     pub(super) unloading: Assignments,
 }
 
-impl Plans {
+impl PlannerStatus {
     /// Sets when copies of models are expected, in milliseconds from now.
     pub(super) fn set_model_etas(&mut self, etas: &[(Name, u32)], now: Time) {
         let due = |ms: &u32| now + Span::from_ms(u64::from(*ms));
@@ -80,27 +80,27 @@
 
 impl Table {
     /// Time since the last planner status.
-    pub fn plans_age(&self, now: Time) -> Span {
-        now.since(self.plans.loaded.received_at)
+    pub fn planner_status_age(&self, now: Time) -> Span {
+        now.since(self.planner_status.loaded.received_at)
     }
 
     /// Sets which replicas have just loaded which models.
     pub fn set_loaded(&mut self, loaded: Vec<(Name, Name)>, now: Time) {
-        self.plans.loaded.set(loaded, now);
+        self.planner_status.loaded.set(loaded, now);
     }
 
     /// Sets which replicas are about to unload which models.
     pub fn set_unloading(&mut self, unloading: Vec<(Name, Name)>, now: Time) {
-        self.plans.unloading.set(unloading, now);
+        self.planner_status.unloading.set(unloading, now);
     }
 
     /// Sets the replicas, by hash, that several hosts could not reach.
     pub fn set_unreachable(&mut self, unreachable: Vec<u32>, now: Time) {
-        self.plans.set_unreachable(unreachable, now);
+        self.planner_status.set_unreachable(unreachable, now);
     }
 
     /// Sets when copies of models are expected, in milliseconds from now.
     pub fn set_model_etas(&mut self, etas: &[(Name, u32)], now: Time) {
-        self.plans.set_model_etas(etas, now);
+        self.planner_status.set_model_etas(etas, now);
     }
 }
--- a/crates/front/src/table/rate_limit.rs
+++ b/crates/front/src/table/rate_limit.rs
@@ -23,9 +23,9 @@
 /// that the least urgent level can use the whole limit where nothing else comes.
 const RESERVED_PER_LEVEL: f64 = 0.3;
 
-/// Change of a replica's limit.
+/// LimitChange of a replica's limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Change {
+pub enum LimitChange {
     /// A limit where none was known.
     Advertised,
     /// Another rate; the previous one.
@@ -73,8 +73,8 @@
 
     /// Whether it is sent to all hosts: while it is in force, and for some time after.
     fn is_reportable(&self, now: Time) -> bool {
-        let refusal = self.advertisement.withdrawn_at;
-        refusal.is_none_or(|at| now.since(at) < WITHDRAWN_REPORT_DURATION)
+        let withdrawn_at = self.advertisement.withdrawn_at;
+        withdrawn_at.is_none_or(|at| now.since(at) < WITHDRAWN_REPORT_DURATION)
     }
 
     /// The part that other hosts need: the rate, and whether it was withdrawn.
@@ -97,9 +97,9 @@
     /// Time until a unit is available to one more request of this host, behind those that wait already.
     fn queue_wait(&self, reserved: f64, now: Time) -> Span {
         let queue_wait = self.estimate.map_or(Span::ZERO, |e| e.queue_wait(now));
-        let previous =
+        let ahead =
             Span::from_secs_f64(f64::from(self.waiters) / self.advertisement.limit(1.0).rate);
-        self.wait(reserved, now).max(queue_wait) + previous
+        self.wait(reserved, now).max(queue_wait) + ahead
     }
 }
 
@@ -140,7 +140,7 @@
         incarnation: Incarnation,
         rate: Option<f64>,
         now: Time,
-    ) -> Option<Change> {
+    ) -> Option<LimitChange> {
         if self.view.get(id)?.entry.incarnation != incarnation {
             return None;
         }
@@ -168,10 +168,10 @@
         &mut self,
         reports: &[ReplicaLimit],
         now: Time,
-    ) -> Vec<(Name, f64, Change)> {
+    ) -> Vec<(Name, f64, LimitChange)> {
         let reports = reports
             .iter()
-            .filter_map(|t| Some((t.replica, t.advertisement(now)?)));
+            .filter_map(|r| Some((r.replica, r.advertisement(now)?)));
         let reports: HashMap<u32, Advertisement> = reports.collect();
         if reports.is_empty() {
             return Vec::new();
@@ -185,11 +185,11 @@
         });
         let known: Vec<(Name, Advertisement)> = known.collect();
         let mut changes = Vec::new();
-        for (id, reports) in known {
+        for (id, reported) in known {
             let slot = &mut self.replica_mut(&id).limit;
             let previous = slot.map(|limit| limit.advertisement);
-            let limit = slot.get_or_insert_with(|| LimitState::new(reports));
-            limit.advertisement.merge(&reports);
+            let limit = slot.get_or_insert_with(|| LimitState::new(reported));
+            limit.advertisement.merge(&reported);
             let advertisement = limit.advertisement;
             if let Some(change) = change(previous, &advertisement, now) {
                 changes.push((id, advertisement.rate, change));
@@ -327,23 +327,23 @@
     }
 }
 
-/// Change from one advertisement to the next.
+/// LimitChange from one advertisement to the next.
 fn change(
     previous: Option<Advertisement>,
     advertisement: &Advertisement,
     now: Time,
-) -> Option<Change> {
+) -> Option<LimitChange> {
     let in_force = |advertisement: &Advertisement| advertisement.withdrawn_at.is_none();
     match previous.filter(|previous| !previous.is_expired(now)) {
-        None => in_force(advertisement).then_some(Change::Advertised),
+        None => in_force(advertisement).then_some(LimitChange::Advertised),
         Some(previous) if in_force(&previous) && !in_force(advertisement) => {
-            Some(Change::Withdrawn)
+            Some(LimitChange::Withdrawn)
         }
         Some(previous) if !in_force(&previous) && in_force(advertisement) => {
-            Some(Change::Advertised)
+            Some(LimitChange::Advertised)
         }
         Some(previous) => {
-            (previous.rate != advertisement.rate).then_some(Change::Changed(previous.rate))
+            (previous.rate != advertisement.rate).then_some(LimitChange::Changed(previous.rate))
         }
     }
 }
--- a/crates/front/src/table/reachability.rs
+++ b/crates/front/src/table/reachability.rs
@@ -4,10 +4,10 @@
 use unit::{Span, Time};
 
 /// Time for which a replica is avoided after its first failure; doubled after each further one.
-const INITIAL_BACKOFF: Span = Span::from_ms(150);
+const INITIAL_AVOIDANCE: Span = Span::from_ms(150);
 
 /// Longest time for which a replica is avoided before one request tries it again.
-const MAX_BACKOFF: Span = Span::from_ms(1_200);
+const MAX_AVOIDANCE: Span = Span::from_ms(1_200);
 
 /// Time for which an unreachable replica is reported to other hosts: about what its entry takes to lapse.
 const REPORT_DURATION: Span = Span::from_ms(2_500);
@@ -67,8 +67,8 @@
         }
         self.is_probing = false;
         self.failed_at = now;
-        let doubled = INITIAL_BACKOFF * f64::from(1u32 << self.failures.min(8));
-        self.avoid_until = now + doubled.min(MAX_BACKOFF);
+        let doubled = INITIAL_AVOIDANCE * f64::from(1u32 << self.failures.min(8));
+        self.avoid_until = now + doubled.min(MAX_AVOIDANCE);
         self.failures += 1;
     }
 
@@ -84,7 +84,7 @@
     pub(super) fn record_attempt(&mut self, now: Time) {
         if self.failures > 0 {
             self.is_probing = true;
-            self.avoid_until = now + INITIAL_BACKOFF;
+            self.avoid_until = now + INITIAL_AVOIDANCE;
         }
     }
 }
--- a/crates/front/tests/changes.rs
+++ b/crates/front/tests/changes.rs
@@ -310,7 +310,7 @@
     }
     let sums_at = |daemon: &front::Daemon| {
         let state = daemon.state();
-        state.table.lock().plans_age(state.now())
+        state.table.lock().planner_status_age(state.now())
     };
     let age = sums_at(&second);
     assert!(age < Span::from_secs(1), "sums are told on: {age}");
