--- a/crates/route/src/choose.rs
+++ b/crates/route/src/choose.rs
@@ -70,7 +70,7 @@
     Costlier,
     /// It was not sampled.
     NotSampled,
-    /// Its circuit breaker is eligible.
+    /// Its circuit breaker is open.
     Ejected,
     /// This daemon's concurrency limit for it is reached.
     Full,
--- a/crates/route/src/quota/advertisement.rs
+++ b/crates/route/src/quota/advertisement.rs
@@ -70,10 +70,10 @@
             self.advertised_at = other.advertised_at;
         }
         let since = |at: &Time| *at > self.advertised_at;
-        let unnamed = [before.withdrawn_at, other.withdrawn_at]
+        let withdrawals = [before.withdrawn_at, other.withdrawn_at]
             .into_iter()
             .flatten();
-        self.withdrawn_at = unnamed.filter(since).min();
+        self.withdrawn_at = withdrawals.filter(since).min();
         self.rate != before.rate || self.withdrawn_at.is_some() != before.withdrawn_at.is_some()
     }
 }
--- a/crates/route/tests/quarantine.rs
+++ b/crates/route/tests/quarantine.rs
@@ -308,8 +308,8 @@
 }
 
 fn refused_fraction(outcome: &Outcome) -> f64 {
-    let asked = outcome.served + outcome.refused;
-    f64::from(outcome.refused) / f64::from(asked.max(1))
+    let total = outcome.served + outcome.refused;
+    f64::from(outcome.refused) / f64::from(total.max(1))
 }
 
 /// The fatal request crashes three replicas, and at most 5% of the popular requests are refused.
--- a/crates/route/tests/quota.rs
+++ b/crates/route/tests/quota.rs
@@ -47,7 +47,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Load {
     rate: f64,
-    /// Burst as a multiple of the rate per second.
+    /// Burst, in seconds of the rate.
     burst_s: f64,
     hosts: usize,
     /// Demand as a multiple of the rate in the first and second half.
--- a/crates/route/tests/serving.rs
+++ b/crates/route/tests/serving.rs
@@ -117,14 +117,14 @@
         in_flight: 8.0,
         ..IDLE
     };
-    let reading = Candidate {
+    let prefilling = Candidate {
         prefill_backlog: Span::from_ms(90),
         ..IDLE
     };
     assert!(
         IDLE.is_available(&REQUEST)
             && !full.is_available(&REQUEST)
-            && !reading.is_available(&REQUEST)
+            && !prefilling.is_available(&REQUEST)
     );
 }
 
