--- a/crates/front/src/attempt/reservation.rs
+++ b/crates/front/src/attempt/reservation.rs
@@ -102,7 +102,7 @@
     pub fn record_failure(&self, call: &Call, failure: &Failure) {
         self.record_bad_answer();
         if let Failure::Lost(_) = failure {
-            quarantine::note_broken(&self.state, call, self);
+            quarantine::note_interrupted(&self.state, call, self);
         }
     }
 
