--- a/crates/front/tests/changes.rs
+++ b/crates/front/tests/changes.rs
@@ -312,7 +312,7 @@
     }
     let plans_age = |daemon: &front::Daemon| {
         let state = daemon.state();
-        state.table.lock().plans_age(state.now())
+        state.table.lock().planner_status_age(state.now())
     };
     let age = plans_age(&second);
     assert!(
