--- a/crates/place/src/copies/step.rs
+++ b/crates/place/src/copies/step.rs
@@ -48,15 +48,16 @@
 pub(super) fn load_reserved(state: &mut State, budget: &mut Budget) -> Vec<Step> {
     let mut steps = Vec::new();
     for replica in 0..state.replicas.len() {
-        let of = &state.replicas[replica];
-        let Some(model) = of
+        let current = &state.replicas[replica];
+        let Some(model) = current
             .reserved_for
-            .filter(|_| of.accepts_orders && of.in_service)
+            .filter(|_| current.accepts_orders && current.in_service)
         else {
             continue;
         };
-        let from_store = !of.cached.contains(&model);
-        let fits = state.models[model].memory_mb <= of.free_mb && !of.held.contains(&model);
+        let from_store = !current.cached.contains(&model);
+        let fits =
+            state.models[model].memory_mb <= current.free_mb && !current.held.contains(&model);
         if fits && state.is_required(model) && from_store && budget.store_loads == 0 {
             state.settle_reservation(replica, true);
             continue;
--- a/crates/place/src/plan/floor.rs
+++ b/crates/place/src/plan/floor.rs
@@ -20,8 +20,10 @@
         if should_hold && holds && !is_home {
             tick.plan.joins.push(model.clone());
         }
-        let others = tick.assignment.get(model).cloned().unwrap_or_default();
-        let is_kept = others.iter().any(|h| tick.input.homes.is_home(model, h));
+        let assigned_halls = tick.assignment.get(model).cloned().unwrap_or_default();
+        let is_kept = assigned_halls
+            .iter()
+            .any(|h| tick.input.homes.is_home(model, h));
         if is_home && !is_assigned && is_kept {
             tick.plan.leaves.push(model.clone());
         }
@@ -35,15 +37,15 @@
         .specs
         .iter()
         .filter_map(|spec| {
-            let have = tick.ready(&spec.model).len() + tick.incoming(&spec.model).len();
+            let existing = tick.ready(&spec.model).len() + tick.incoming(&spec.model).len();
             let floor = tick.floor(spec);
-            (have < floor).then(|| (spec, floor - have))
+            (existing < floor).then(|| (spec, floor - existing))
         })
         .collect();
     missing.sort_by_key(|(spec, _)| {
-        let none = tick.ready(&spec.model).is_empty();
+        let is_absent = tick.ready(&spec.model).is_empty();
         (
-            !none,
+            !is_absent,
             std::cmp::Reverse(spec.priority),
             std::cmp::Reverse(spec.memory),
         )
@@ -71,17 +73,17 @@
 fn supersede_unload(tick: &mut Tick, spec: &Spec) -> bool {
     for at in tick.usable() {
         let upstream = tick.upstream(at);
-        let kept = upstream.report.resident.iter().find(|r| {
+        let resident = upstream.report.resident.iter().find(|r| {
             is_base(&r.weights, &spec.model)
                 && r.state == unit::engine::State::Ready
                 && tick.ledger.has_pending_unload(&upstream.name, &r.weights)
         });
-        if let Some(kept) = kept.filter(|_| upstream.fencing) {
+        if let Some(resident) = resident.filter(|_| upstream.fencing) {
             let reason = format!(
                 "Nothing else is left of {}: its unload is overtaken.",
                 spec.model
             );
-            return tick.load(at, kept.weights.clone(), kept.bytes, reason);
+            return tick.load(at, resident.weights.clone(), resident.bytes, reason);
         }
     }
     false
--- a/crates/place/src/plan/tick.rs
+++ b/crates/place/src/plan/tick.rs
@@ -363,8 +363,8 @@
 
     /// Whether unloading the weights would leave a model with its home in this hall without a ready replica.
     fn removes_last(&self, at: usize, weights: &Weights) -> bool {
-        let served = self.input.specs.iter().any(|w| w.model == weights.model);
-        if !served || !self.is_home(&weights.model) {
+        let is_served = self.input.specs.iter().any(|w| w.model == weights.model);
+        if !is_served || !self.is_home(&weights.model) {
             return false;
         }
         let other = |(i, version): &(usize, Name)| *i != at || *version != weights.version;
@@ -390,13 +390,13 @@
             let Some(at) = at.filter(|at| self.upstream(**at).fencing) else {
                 continue;
             };
-            let harmful = match &entry.order.action {
+            let is_unsafe = match &entry.order.action {
                 Action::Unload { weights } if weights.adapter.is_none() => {
                     self.removes_last(*at, weights)
                 }
                 _ => false,
             };
-            if !harmful {
+            if !is_unsafe {
                 resends.push((entry.upstream.clone(), entry.order.clone()));
             }
         }
--- a/crates/place/tests/copies.rs
+++ b/crates/place/tests/copies.rs
@@ -288,11 +288,11 @@
     ) {
         let models: Vec<Model> = demands.into_iter().map(model).collect();
         let mut replicas: Vec<Replica> = (0..count).map(|_| replica(&[], 100.0)).collect();
-        let mut settled = false;
+        let mut converged = false;
         for _ in 0..80 {
             let before: Vec<bool> = loaded_models(&replicas, models.len());
             let steps = plan(&replicas, &models, 3, count);
-            settled = steps.is_empty();
+            converged = steps.is_empty();
             for step in steps {
                 match step {
                     Step::Load { replica, model, .. } => {
@@ -312,7 +312,7 @@
                 prop_assert!(!before || after, "a model lost its last copy");
             }
         }
-        prop_assert!(settled, "the plan does not converge");
+        prop_assert!(converged, "the plan does not converge");
     }
 }
 
--- a/crates/place/tests/homes.rs
+++ b/crates/place/tests/homes.rs
@@ -122,7 +122,7 @@
     );
     assert!(
         unloads(&tick("b", "a", &homes, &specs())) > 0,
-        "b need not keep it"
+        "b is not a home of x"
     );
 }
 
@@ -136,7 +136,7 @@
     assert!(homes.leave("x", "a"));
     assert!(
         !homes.leave("x", "b"),
-        "by compare-and-swap, b decides on what a wrote"
+        "b decides on the value that a wrote"
     );
 }
 
--- a/crates/place/tests/oversubscription.rs
+++ b/crates/place/tests/oversubscription.rs
@@ -87,12 +87,12 @@
                 0.0
             };
         }
-        let most = self.replicas.len();
+        let max_steps = self.replicas.len();
         for step in plan(
             &self.replicas,
             &self.models,
             self.store_tokens as usize,
-            most,
+            max_steps,
         ) {
             self.begin(step);
         }
--- a/crates/place/tests/world/mod.rs
+++ b/crates/place/tests/world/mod.rs
@@ -236,7 +236,7 @@
         self.rng.random_range(0..n)
     }
 
-    /// Performs one random step.
+    /// Performs one random step. Each kind of step returns whether it restarted an engine.
     pub fn step(&mut self) {
         self.now += 100_000;
         let ready = self.ready();
