--- a/crates/standin/src/engine/runs.rs
+++ b/crates/standin/src/engine/runs.rs
@@ -67,7 +67,7 @@
         return Err(RefusalReason::Leaving);
     }
     if !inner.holds(&run.model, run.adapter.as_ref()) {
-        return Err(RefusalReason::NotLoaded);
+        return Err(RefusalReason::Absent);
     }
     let leaving = inner.leaving;
     inner.started.push(Started {
--- a/crates/unit/src/engine.rs
+++ b/crates/unit/src/engine.rs
@@ -21,8 +21,7 @@
     /// Its queue is full.
     Full,
     /// The model, version or adapter is not loaded.
-    #[serde(rename = "absent")]
-    NotLoaded,
+    Absent,
     /// The stream to be resumed does not exist there.
     #[serde(rename = "unknown")]
     UnknownStream,
