--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -50,16 +50,16 @@
     #[snafu(display("The message has {length} bytes; at most {MAX_MESSAGE_BYTES} are allowed."))]
     Oversized { length: usize },
     /// Too short to hold a header and a body.
-    #[snafu(display("The message is truncated: it has {length} bytes."))]
+    #[snafu(display("The message has {length} bytes and is cut short."))]
     Truncated { length: usize },
     /// Other protocol version.
     #[snafu(display(
-        "The message uses protocol version {version}; this process uses version {VERSION}."
+        "The message speaks version {version}; this process speaks version {VERSION}."
     ))]
     Version { version: u8 },
     /// The MAC does not match: other key, other request or altered message.
     #[snafu(display(
-        "The message is not authenticated with this fleet's key; check [wire] key on both hosts."
+        "The message is not sealed with this fleet's key; check [wire] key on both hosts."
     ))]
     Unauthenticated,
     /// The body is not a valid frame.
