--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -153,14 +153,14 @@
 
 /// Least rows of a datagram, however many replicas are absent: a larger packet than usual is cut into
 /// fragments, and arrives.
-const LEAST_ROWS: usize = 8;
+const MIN_ROWS: usize = 8;
 
 impl LoadReport {
     /// Cuts them into parts that fit a datagram each.
     pub fn split(self) -> Vec<LoadReport> {
         // Words of absent and resting replicas are in each part, so they take their room first.
         let named = self.unreachable.len() + self.backing_off.len();
-        let rows = ROWS.saturating_sub(named).max(LEAST_ROWS);
+        let rows = ROWS.saturating_sub(named).max(MIN_ROWS);
         if self.demand.len() + self.loads.len() + self.adapter_uses.len() <= rows {
             return vec![self];
         }
@@ -219,7 +219,7 @@
 pub struct PackedLoad(u32, u16, u16, [u16; PRIORITY_LEVELS]);
 
 /// Tokens that one step of a row's reserved memory stands for.
-const TOKEN_STEP: f32 = 64.0;
+const TOKENS_PER_UNIT: f32 = 64.0;
 
 /// Short name of a replica in a row.
 pub fn replica_hash(replica: &str) -> u32 {
@@ -229,7 +229,7 @@
 impl PackedLoad {
     /// Row of a replica's load.
     pub fn new(replica: &str, load: &Load) -> PackedLoad {
-        let reserved = (load.reserved_tokens / TOKEN_STEP).round() as u16;
+        let reserved = (load.reserved_tokens / TOKENS_PER_UNIT).round() as u16;
         let unread = load.prefill_ms.map(|ms| ms.ceil() as u16);
         PackedLoad(
             replica_hash(replica),
@@ -248,7 +248,7 @@
     pub fn load(&self) -> Load {
         Load {
             requests: f32::from(self.1),
-            reserved_tokens: f32::from(self.2) * TOKEN_STEP,
+            reserved_tokens: f32::from(self.2) * TOKENS_PER_UNIT,
             prefill_ms: self.3.map(f32::from),
         }
     }
--- a/crates/front/src/message/departures.rs
+++ b/crates/front/src/message/departures.rs
@@ -9,7 +9,7 @@
 const ROW_SIZE: usize = 64;
 
 /// Replicas that fit one datagram, beside the host's name.
-pub const ROWS: usize = MAX_DATAGRAM / ROW_SIZE - 2;
+pub const MAX_DEPARTURES: usize = MAX_DATAGRAM / ROW_SIZE - 2;
 
 /// Replicas that have said in an answer that they leave.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
--- a/crates/front/src/message/limit.rs
+++ b/crates/front/src/message/limit.rs
@@ -10,10 +10,10 @@
 const ROW_SIZE: usize = 22;
 
 /// Limits that fit one datagram, beside what stands before them.
-pub const MAX_LIMITS: usize = (MAX_DATAGRAM - HEAD_SIZE) / ROW_SIZE;
+pub const MAX_LIMITS: usize = (MAX_DATAGRAM - HEADER_SIZE) / ROW_SIZE;
 
 /// Size of what stands before the rows, in bytes, with the longest name of a host.
-const HEAD_SIZE: usize = 100;
+const HEADER_SIZE: usize = 100;
 
 /// What was heard of the limit of one incarnation of a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
@@ -49,7 +49,7 @@
 }
 
 /// Short name of one incarnation of a replica.
-fn incarnation(id: &str, incarnation: Incarnation) -> u32 {
+fn incarnation_key(id: &str, incarnation: Incarnation) -> u32 {
     replica_hash(&format!("{id}/{}", incarnation.unwrap_or_default()))
 }
 
@@ -67,7 +67,7 @@
 
     /// Short name of the incarnation that wrote an entry.
     pub fn incarnation_hash(entry: &Entry) -> u32 {
-        incarnation(&entry.id, entry.incarnation)
+        incarnation_key(&entry.id, entry.incarnation)
     }
 
     /// What was heard, by this host's time; none where its number cannot be counted.
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -26,8 +26,8 @@
 use bytes::Bytes;
 use fanout::Group;
 use parking_lot::Mutex;
-use pending::Questions;
-use quota::Quotas;
+use pending::PendingRequests;
+use quota::QuotaLeader;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -36,16 +36,16 @@
 use unit::{Span, Time};
 
 /// Time in which one adapter or model is asked for only once.
-const ASKED_ONCE: Span = Span::from_ms(60);
+const REQUEST_DEDUP: Span = Span::from_ms(60);
 
 /// Age at which a host no longer passes on by what the leader named: it names several times in that.
-const PART_AGE: Span = Span::from_ms(3_000);
+const FANOUT_MAX_AGE: Span = Span::from_ms(3_000);
 
 /// Longest datagram that is received, in bytes.
-const BUFFER: usize = 8 * 1_024;
+const BUFFER_SIZE: usize = 8 * 1_024;
 
 /// Hosts up to which each tells all others directly; beyond, the leader's sums must do.
-const MOST_DIRECT: usize = 16;
+const MAX_DIRECT_HOSTS: usize = 16;
 
 /// Exchange of sums with other daemons.
 pub struct Peers {
@@ -54,19 +54,19 @@
     /// What others told this host while it leads.
     pub inbox: Inbox,
     /// Other hosts, while they are few enough to be told directly.
-    others: Mutex<Vec<SocketAddr>>,
+    direct_hosts: Mutex<Vec<SocketAddr>>,
     /// Tellings between two rounds so far.
-    tellings: AtomicU32,
+    load_sequence: AtomicU32,
     /// Parts of a large fleet, while this host leads.
-    parts: Mutex<Vec<Group>>,
+    fanout_groups: Mutex<Vec<Group>>,
     /// Limits over all hosts.
-    quotas: Quotas,
+    limiter: QuotaLeader,
     /// Hosts that have just begun, and are to be told of limits.
-    newcomers: Mutex<Vec<SocketAddr>>,
+    new_hosts: Mutex<Vec<SocketAddr>>,
     /// Questions for trials that wait for an answer.
-    trials: Questions<TrialResponse>,
+    trials: PendingRequests<TrialResponse>,
     /// Hosts that this one passes on to, and when the leader named them.
-    passes_to: Mutex<(Vec<SocketAddr>, Time)>,
+    fanout_members: Mutex<(Vec<SocketAddr>, Time)>,
 }
 
 /// Makes the exchange over a bound socket.
@@ -75,20 +75,20 @@
         state,
         socket,
         inbox: Inbox::default(),
-        others: Mutex::default(),
-        tellings: AtomicU32::new(0),
-        parts: Mutex::default(),
-        quotas: Quotas::default(),
-        newcomers: Mutex::default(),
-        trials: Questions::default(),
-        passes_to: Mutex::default(),
+        direct_hosts: Mutex::default(),
+        load_sequence: AtomicU32::new(0),
+        fanout_groups: Mutex::default(),
+        limiter: QuotaLeader::default(),
+        new_hosts: Mutex::default(),
+        trials: PendingRequests::default(),
+        fanout_members: Mutex::default(),
     })
 }
 
 impl Peers {
     /// Receives until the daemon ends.
     pub async fn receive(self: Arc<Self>) {
-        let mut buffer = vec![0; BUFFER];
+        let mut buffer = vec![0; BUFFER_SIZE];
         let mut returns = self.state.clock.resume_count();
         loop {
             let Ok((length, from)) = self.socket.recv_from(&mut buffer).await else {
@@ -100,16 +100,16 @@
             self.state.now();
             let seen = std::mem::replace(&mut returns, self.state.clock.resume_count());
             if seen != returns {
-                self.drop_waiting(&mut buffer);
+                self.discard_queued(&mut buffer);
                 continue;
             }
             match message::decode(&buffer[..length]) {
-                Ok(Message::Forward(bytes)) => self.pass(bytes, from).await,
-                Ok(Message::QuotaRequest(question)) => self.answer(question, from).await,
+                Ok(Message::Forward(bytes)) => self.forward(bytes, from).await,
+                Ok(Message::QuotaRequest(question)) => self.answer_quota_request(question, from).await,
                 Ok(Message::TrialRequest(number, print, ticket)) => {
                     self.answer_trial(number, print, ticket, from).await
                 }
-                Ok(message) => self.take(message, from),
+                Ok(message) => self.handle(message, from),
                 Err(why) => self.state.log.rate_limited(|| {
                     tracing::warn!(target: "peers", event = "malformed", from = %from, why = %why, "a datagram cannot be read")
                 }),
@@ -119,7 +119,7 @@
 
     /// Drops the datagrams that waited while this process stood still: what they tell of ages is as much older, and
     /// what matters is told again.
-    fn drop_waiting(&self, buffer: &mut [u8]) {
+    fn discard_queued(&self, buffer: &mut [u8]) {
         let mut dropped = 1;
         while self.socket.try_recv_from(buffer).is_ok() {
             dropped += 1;
@@ -127,18 +127,18 @@
         tracing::info!(target: "peers", event = "returned", dropped, "this process stood still, or its host was suspended; datagrams that waited are dropped");
     }
 
-    fn take(&self, message: Message, from: SocketAddr) {
+    fn handle(&self, message: Message, from: SocketAddr) {
         let now = self.state.now();
         match message {
             Message::Report(sums) => {
-                self.heard(&sums.host, now);
+                self.record_heartbeat(&sums.host, now);
                 if self.inbox.record_report(sums, from, now) {
-                    self.newcomers.lock().push(from);
+                    self.new_hosts.lock().push(from);
                     self.state.limits_changed.notify_one();
                 }
             }
             Message::Loads(sums) => {
-                self.heard(&sums.host, now);
+                self.record_heartbeat(&sums.host, now);
                 self.inbox.record_loads(sums, now);
             }
             Message::PeerLoads(sums) => {
@@ -150,22 +150,22 @@
                 drop(table);
                 self.state.changed.notify_waiters();
             }
-            Message::AdapterRequest(want) => self.inbox.want(want),
-            Message::ModelRequest(missing) => self.inbox.miss(missing),
-            Message::Digest(digest) => self.digest(digest, now),
-            Message::AdapterPlacement(placed) => self.placed(placed),
-            Message::FanoutGroup(hosts) => *self.passes_to.lock() = (hosts, now),
-            Message::QuotaResponse(number, verdict) => self.answered(number, verdict),
-            Message::Refund(refund) => self.take_back(&refund),
-            Message::LimitReport(heard) => self.join_limits(&heard.limits, &heard.host),
-            Message::LimitDigest(limits) if self.is_of_former_term(limits.term) => {}
-            Message::LimitDigest(limits) => self.join_limits(&limits.limits, &limits.host),
-            Message::Departures(told) => self.join_leaving(&told),
-            Message::CrashReport(fallen) => self.take_fall(&fallen),
+            Message::AdapterRequest(want) => self.inbox.push_adapter_request(want),
+            Message::ModelRequest(missing) => self.inbox.push_model_request(missing),
+            Message::Digest(digest) => self.apply_digest(digest, now),
+            Message::AdapterPlacement(placed) => self.apply_placement(placed),
+            Message::FanoutGroup(hosts) => *self.fanout_members.lock() = (hosts, now),
+            Message::QuotaResponse(number, verdict) => self.complete_quota_request(number, verdict),
+            Message::Refund(refund) => self.apply_refund(&refund),
+            Message::LimitReport(heard) => self.merge_limits(&heard.limits, &heard.host),
+            Message::LimitDigest(limits) if self.is_from_earlier_term(limits.term) => {}
+            Message::LimitDigest(limits) => self.merge_limits(&limits.limits, &limits.host),
+            Message::Departures(told) => self.merge_departures(&told),
+            Message::CrashReport(fallen) => self.merge_crash(&fallen),
             Message::Succeeded(print) => self.state.quarantine.note_success_anywhere(print),
             Message::TrialFailed(print, broke) => self.state.quarantine.note_trial_ended(print, broke, now),
             Message::TrialResponse(number, permit) => self.trials.answered(number, permit),
-            Message::QuarantineList(listing) if self.is_of_former_term(listing.term) => {}
+            Message::QuarantineList(listing) if self.is_from_earlier_term(listing.term) => {}
             Message::QuarantineList(listing) => self.state.quarantine.apply_listing(listing, now),
             Message::Forward(_) | Message::QuotaRequest(_) | Message::TrialRequest(..) => self.state.log.rate_limited(|| {
                 tracing::warn!(target: "peers", event = "malformed", from = %from, "a datagram to be passed on holds one that is not for all")
@@ -174,7 +174,7 @@
     }
 
     /// Takes a datagram of the leader in, and passes it on to the hosts of this one's part.
-    async fn pass(&self, bytes: Bytes, from: SocketAddr) {
+    async fn forward(&self, bytes: Bytes, from: SocketAddr) {
         let Ok(message) = message::decode(&bytes) else {
             self.state.log.rate_limited(|| {
                 tracing::warn!(target: "peers", event = "malformed", from = %from, "a datagram to be passed on cannot be read")
@@ -182,9 +182,9 @@
             return;
         };
         let kind = message.kind();
-        self.take(message, from);
-        let (hosts, named) = self.passes_to.lock().clone();
-        if self.state.now().since(named) < PART_AGE {
+        self.handle(message, from);
+        let (hosts, named) = self.fanout_members.lock().clone();
+        if self.state.now().since(named) < FANOUT_MAX_AGE {
             for host in hosts {
                 self.send_bytes(&bytes, kind, host).await;
             }
@@ -192,14 +192,14 @@
     }
 
     /// Whether a leader of a later term is known.
-    fn is_of_former_term(&self, term: u64) -> bool {
+    fn is_from_earlier_term(&self, term: u64) -> bool {
         let leader = self.state.leader.lock();
         leader.as_ref().is_some_and(|known| term < known.term)
     }
 
     /// Takes in the sums and plans of the leader, unless a later one is known.
-    fn digest(&self, digest: Digest, now: Time) {
-        if self.is_of_former_term(digest.term) {
+    fn apply_digest(&self, digest: Digest, now: Time) {
+        if self.is_from_earlier_term(digest.term) {
             return;
         }
         let mut table = self.state.table.lock();
@@ -212,7 +212,7 @@
         if let Some(plans) = digest.planner {
             let own = self.state.settings.peers;
             let others = plans.direct_hosts.into_iter().filter(|p| *p != own);
-            *self.others.lock() = others.collect();
+            *self.direct_hosts.lock() = others.collect();
             self.state.readers.assign(plans.readers, own);
             if let Some(word) = plans.store_uptime {
                 table.view.contact.merge(word, now);
@@ -225,7 +225,7 @@
     }
 
     /// Takes in where an adapter is.
-    fn placed(&self, placed: AdapterPlacement) {
+    fn apply_placement(&self, placed: AdapterPlacement) {
         if let Some(replica) = &placed.replica {
             let mut table = self.state.table.lock();
             table.add_adapter(replica, &placed.model, &placed.adapter);
@@ -236,7 +236,7 @@
     /// Where all hosts take datagrams, while they are few enough to tell each other directly.
     pub fn direct_hosts(&self) -> Vec<SocketAddr> {
         let hosts = self.inbox.hosts();
-        match hosts.len() <= MOST_DIRECT {
+        match hosts.len() <= MAX_DIRECT_HOSTS {
             true => hosts,
             false => Vec::new(),
         }
@@ -244,7 +244,7 @@
 
     /// Whether hosts are few enough to tell each other directly.
     pub fn is_direct(&self) -> bool {
-        self.inbox.host_count() <= MOST_DIRECT
+        self.inbox.host_count() <= MAX_DIRECT_HOSTS
     }
 
     /// Sends one datagram; a failure counts as a lost one.
@@ -266,14 +266,14 @@
     /// Tells a message to all hosts; this one takes it in directly.
     pub async fn broadcast(&self, message: &Message) {
         let own = self.state.settings.peers;
-        self.take(message.clone(), own);
+        self.handle(message.clone(), own);
         let kind = message.kind();
         let bytes = message::encode(message);
         if self.is_direct() {
             let others = self.inbox.hosts().into_iter().filter(|h| *h != own);
             return self.send_each(&bytes, kind, others).await;
         }
-        let parts = self.parts.lock().clone();
+        let parts = self.fanout_groups.lock().clone();
         let pass = message::encode(&Message::Forward(bytes.clone().into()));
         for part in parts {
             if part.relay == own {
@@ -303,7 +303,7 @@
             return;
         }
         let parts = fanout::plan(hosts);
-        *self.parts.lock() = parts.clone();
+        *self.fanout_groups.lock() = parts.clone();
         let own = self.state.settings.peers;
         for part in parts {
             if part.relay != own && !part.members.is_empty() {
@@ -318,7 +318,7 @@
         let mut asked: HashMap<PlacementRequest, Time> = HashMap::new();
         while let Some(wish) = wanted.recv().await {
             let now = self.state.now();
-            asked.retain(|_, at| now.since(*at) < ASKED_ONCE);
+            asked.retain(|_, at| now.since(*at) < REQUEST_DEDUP);
             if asked.contains_key(&wish) {
                 continue;
             }
@@ -331,7 +331,7 @@
                 PlacementRequest::Model(missing) => Message::ModelRequest(missing),
             };
             match leader.peers == self.state.settings.peers {
-                true => self.take(message, leader.peers),
+                true => self.handle(message, leader.peers),
                 false => self.send(&message, leader.peers).await,
             }
         }
--- a/crates/front/src/peers/fanout.rs
+++ b/crates/front/src/peers/fanout.rs
@@ -8,7 +8,7 @@
 
 /// Hosts of a part: with the leader's changes each 15 ms these are some 2,000 small datagrams a second
 /// for the host that passes on, a hundredth of a core; and their addresses fit one datagram.
-const MOST: usize = 32;
+const MAX_GROUP: usize = 32;
 
 /// Part of the fleet.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -23,12 +23,12 @@
 pub fn plan(mut hosts: Vec<Candidate>) -> Vec<Group> {
     hosts.sort_by(|a, b| a.hall.cmp(&b.hall).then(a.addr.cmp(&b.addr)));
     let halls = hosts.chunk_by(|a, b| a.hall == b.hall);
-    halls.flat_map(cut_hall).collect()
+    halls.flat_map(plan_hall).collect()
 }
 
 /// Cuts a hall into parts of about the same size.
-fn cut_hall(hall: &[Candidate]) -> Vec<Group> {
-    let count = hall.len().div_ceil(MOST);
+fn plan_hall(hall: &[Candidate]) -> Vec<Group> {
+    let count = hall.len().div_ceil(MAX_GROUP);
     let mut ranked: Vec<&Candidate> = hall.iter().collect();
     ranked.sort_by(|a, b| {
         let silent = a.silent.cmp(&b.silent);
--- a/crates/front/src/peers/limits.rs
+++ b/crates/front/src/peers/limits.rs
@@ -10,36 +10,36 @@
 
 /// Pause in which changes are told together: a leader of many replicas in need hears of some each moment. What is out of
 /// date here for as long is known to the leader, which is asked before each sending.
-const TOGETHER: Duration = Duration::from_millis(50);
+const BATCH_DELAY: Duration = Duration::from_millis(50);
 
 impl Peers {
     /// Tells each change at once, until the daemon ends.
     pub async fn send_limit_changes(self: Arc<Self>) {
         loop {
             self.state.limits_changed.notified().await;
-            tokio::time::sleep(TOGETHER).await;
+            tokio::time::sleep(BATCH_DELAY).await;
             if !self.state.leads() {
-                self.tell_heard_limits().await;
+                self.report_limits().await;
                 continue;
             }
             let now = self.state.now();
             let changed = self.state.table.lock().take_changed_limits(now);
-            for message in self.messages(&changed) {
+            for message in self.limit_messages(&changed) {
                 self.broadcast(&message).await;
             }
-            self.tell_newcomers().await;
+            self.send_limits_to_new_hosts().await;
         }
     }
 
     /// Tells hosts that have just begun all limits.
-    async fn tell_newcomers(&self) {
-        let newcomers = std::mem::take(&mut *self.newcomers.lock());
+    async fn send_limits_to_new_hosts(&self) {
+        let newcomers = std::mem::take(&mut *self.new_hosts.lock());
         if newcomers.is_empty() {
             return;
         }
         let now = self.state.now();
         let limits = self.state.table.lock().limits(now);
-        for message in self.messages(&limits) {
+        for message in self.limit_messages(&limits) {
             for newcomer in &newcomers {
                 self.send(&message, *newcomer).await;
             }
@@ -47,7 +47,7 @@
     }
 
     /// Tells the leader which limits this host has heard itself lately.
-    pub(super) async fn tell_heard_limits(&self) {
+    pub(super) async fn report_limits(&self) {
         let Some(leader) = self.state.leader.lock().clone() else {
             return;
         };
@@ -69,13 +69,13 @@
     pub async fn broadcast_limits(&self) {
         let now = self.state.now();
         let limits = self.state.table.lock().limits(now);
-        for message in self.messages(&limits) {
+        for message in self.limit_messages(&limits) {
             self.broadcast(&message).await;
         }
     }
 
     /// Limits as this host tells them while it leads, in datagrams.
-    fn messages(&self, limits: &[ReplicaLimit]) -> Vec<Message> {
+    fn limit_messages(&self, limits: &[ReplicaLimit]) -> Vec<Message> {
         let leader = self.state.leader.lock();
         let Some(term) = leader.as_ref().map(|l| l.term) else {
             return Vec::new();
@@ -91,7 +91,7 @@
     }
 
     /// Takes in what another host heard, and has it told on if it is news.
-    pub(super) fn join_limits(&self, told: &[ReplicaLimit], by: &Name) {
+    pub(super) fn merge_limits(&self, told: &[ReplicaLimit], by: &Name) {
         let now = self.state.now();
         let changes = self.state.table.lock().merge_limits(told, now);
         if changes.is_empty() {
--- a/crates/front/src/peers/load_reports.rs
+++ b/crates/front/src/peers/load_reports.rs
@@ -1,7 +1,7 @@
 //! Sums of this host, and when it tells them: round by round to the leader, and between rounds as
 //! soon as a request is counted in or a prompt is read.
 
-use super::{MOST_DIRECT, Peers};
+use super::{MAX_DIRECT_HOSTS, Peers};
 use crate::message::{Demand, LoadReport, Message, PackedLoad, replica_hash};
 use crate::readers;
 use std::sync::Arc;
@@ -9,22 +9,22 @@
 use std::time::Duration;
 
 /// Pause between two rounds of sums, where hosts tell each other directly.
-const ROUND: Duration = Duration::from_millis(250);
+const MESH_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Least pause between two rounds, where hosts are too many to tell each other.
-const STAR_ROUND: Duration = Duration::from_millis(100);
+const MIN_STAR_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time that each host adds to the pause, so that the leader's work does not grow with them.
-const ROUND_PER_HOST: Duration = Duration::from_micros(1_500);
+const INTERVAL_PER_HOST: Duration = Duration::from_micros(1_500);
 
 /// Pause in which requests that are counted in are told together.
-const DIRECT_PAUSE: Duration = Duration::from_millis(5);
+const LOAD_BATCH_DELAY: Duration = Duration::from_millis(5);
 
 /// Time for which a host waits to tell that prompts were read, after it told of a request.
-const EASED_PAUSE: Duration = Duration::from_millis(50);
+const LOAD_REDUCED_WAIT: Duration = Duration::from_millis(50);
 
 /// Time after which sums are told directly although nothing was counted in.
-const DIRECT_IDLE: Duration = Duration::from_millis(300);
+const LOAD_IDLE_INTERVAL: Duration = Duration::from_millis(300);
 
 impl Peers {
     /// Tells this host's sums round by round until the daemon ends.
@@ -33,19 +33,19 @@
         loop {
             tokio::time::sleep(self.report_interval()).await;
             round += 1;
-            self.tell_round(round).await;
-            self.tell_heard_limits().await;
-            self.repeat_leaving().await;
-            self.repeat_falls().await;
+            self.send_report(round).await;
+            self.report_limits().await;
+            self.resend_departures().await;
+            self.resend_crashes().await;
         }
     }
 
     /// Pause between two rounds.
     pub fn report_interval(&self) -> Duration {
         let hosts = self.state.table.lock().host_count;
-        match hosts <= MOST_DIRECT {
-            true => ROUND,
-            false => STAR_ROUND.max(ROUND_PER_HOST * hosts as u32),
+        match hosts <= MAX_DIRECT_HOSTS {
+            true => MESH_INTERVAL,
+            false => MIN_STAR_INTERVAL.max(INTERVAL_PER_HOST * hosts as u32),
         }
     }
 
@@ -54,13 +54,14 @@
     pub async fn send_loads(self: Arc<Self>) {
         loop {
             let entered = self.state.load_added.notified();
-            let _ = tokio::time::timeout(DIRECT_IDLE, entered).await;
-            tokio::time::sleep(DIRECT_PAUSE).await;
-            let others = self.others.lock().clone();
+            let _ = tokio::time::timeout(LOAD_IDLE_INTERVAL, entered).await;
+            tokio::time::sleep(LOAD_BATCH_DELAY).await;
+            let others = self.direct_hosts.lock().clone();
             if others.is_empty() {
-                self.tell_leader().await;
-                let _ = tokio::time::timeout(EASED_PAUSE, self.state.load_reduced.notified()).await;
-                self.tell_leader().await;
+                self.send_loads_to_leader().await;
+                let _ = tokio::time::timeout(LOAD_REDUCED_WAIT, self.state.load_reduced.notified())
+                    .await;
+                self.send_loads_to_leader().await;
                 continue;
             }
             let loads = self.state.table.lock().own_loads();
@@ -72,13 +73,13 @@
     }
 
     /// Tells the leader what is in flight, between two rounds of sums.
-    async fn tell_leader(&self) {
+    async fn send_loads_to_leader(&self) {
         let Some(leader) = self.state.leader.lock().clone() else {
             return;
         };
         let now = self.state.now();
         let loads = self.state.table.lock().report_own_loads(now);
-        let telling = self.tellings.fetch_add(1, Ordering::Relaxed);
+        let telling = self.load_sequence.fetch_add(1, Ordering::Relaxed);
         let sums = self.sums(telling, Vec::new(), loads);
         if leader.peers == self.state.settings.peers {
             self.inbox.record_loads(sums, now);
@@ -90,7 +91,7 @@
     }
 
     /// Tells the leader what this host has seen and has in flight.
-    async fn tell_round(&self, round: u32) {
+    async fn send_report(&self, round: u32) {
         let Some(leader) = self.state.leader.lock().clone() else {
             return;
         };
--- a/crates/front/src/peers/pending.rs
+++ b/crates/front/src/peers/pending.rs
@@ -9,24 +9,24 @@
 
 /// Questions that wait for answers of one type, by number.
 #[derive(Debug)]
-pub struct Questions<T> {
+pub struct PendingRequests<T> {
     open: Mutex<HashMap<u32, oneshot::Sender<T>>>,
     /// Number of the next question.
     next: AtomicU32,
 }
 
-impl<T> Default for Questions<T> {
-    fn default() -> Questions<T> {
-        Questions {
+impl<T> Default for PendingRequests<T> {
+    fn default() -> PendingRequests<T> {
+        PendingRequests {
             open: Mutex::default(),
             next: AtomicU32::default(),
         }
     }
 }
 
-impl<T> Questions<T> {
+impl<T> PendingRequests<T> {
     /// Sends a question under the number that `send` is given, and waits for its answer.
-    pub async fn ask<F: Future<Output = ()>>(
+    pub async fn send<F: Future<Output = ()>>(
         &self,
         limit: Duration,
         send: impl FnOnce(u32) -> F,
--- a/crates/front/src/peers/quarantine.rs
+++ b/crates/front/src/peers/quarantine.rs
@@ -10,14 +10,14 @@
 use unit::Fingerprint;
 
 /// Time for each try of a question, as for those about client accounts.
-const TRIES: [Duration; 2] = [Duration::from_millis(40), Duration::from_millis(90)];
+const TIMEOUTS: [Duration; 2] = [Duration::from_millis(40), Duration::from_millis(90)];
 
 impl Peers {
     /// Tells what this host has to report, until the daemon ends.
     pub async fn forward_quarantine_reports(self: Arc<Self>, mut reports: Reports) {
         while let Some(report) = reports.recv().await {
             match report {
-                Report::Crashed(group) => self.report_fall(group).await,
+                Report::Crashed(group) => self.report_crash(group).await,
                 Report::Succeeded(print) => {
                     self.state.quarantine.note_success_anywhere(print);
                     self.send_to_leader(Message::Succeeded(print)).await;
@@ -36,13 +36,13 @@
     }
 
     /// Tells a fall to the leader, and where hosts are few to all of them, so that the next leader knows of it too.
-    async fn report_fall(&self, group: Incident) {
+    async fn report_crash(&self, group: Incident) {
         let now = self.state.now();
         self.state
             .quarantine
             .note_crash(group.crash, &group.in_flight, now);
-        let message = fallen(group);
-        let others = self.others.lock().clone();
+        let message = crash_message(group);
+        let others = self.direct_hosts.lock().clone();
         for other in &others {
             self.send(&message, *other).await;
         }
@@ -53,13 +53,13 @@
     }
 
     /// Tells the leader once more what it may not have heard, or what the one before it has heard.
-    pub(super) async fn repeat_falls(&self) {
+    pub(super) async fn resend_crashes(&self) {
         let Some(term) = self.state.leader.lock().as_ref().map(|l| l.term) else {
             return;
         };
         let now = self.state.now();
         for group in self.state.quarantine.unreported_crashes(term, now) {
-            self.send_to_leader(fallen(group)).await;
+            self.send_to_leader(crash_message(group)).await;
         }
     }
 
@@ -69,13 +69,13 @@
             return;
         };
         match leader.peers == self.state.settings.peers {
-            true => self.take(message, leader.peers),
+            true => self.handle(message, leader.peers),
             false => self.send(&message, leader.peers).await,
         }
     }
 
     /// Takes in a fall that another host saw.
-    pub(super) fn take_fall(&self, fallen: &CrashReport) {
+    pub(super) fn merge_crash(&self, fallen: &CrashReport) {
         let now = self.state.now();
         let fall = Crash(fallen.crash);
         self.state
@@ -93,12 +93,12 @@
         if leader == self.state.settings.peers {
             return self.decide(print, ticket).decision();
         }
-        for limit in TRIES {
+        for limit in TIMEOUTS {
             let send = |number| async move {
                 self.send(&Message::TrialRequest(number, print, ticket.0), leader)
                     .await;
             };
-            if let Some(permit) = self.trials.ask(limit, send).await {
+            if let Some(permit) = self.trials.send(limit, send).await {
                 return permit.decision();
             }
         }
@@ -129,7 +129,7 @@
 }
 
 /// Fall as it is told.
-fn fallen(group: Incident) -> Message {
+fn crash_message(group: Incident) -> Message {
     Message::CrashReport(CrashReport {
         crash: group.crash.0,
         in_flight: group.in_flight,
--- a/crates/front/src/peers/quota.rs
+++ b/crates/front/src/peers/quota.rs
@@ -1,7 +1,7 @@
 //! Asking the host that leads for units of limits over all hosts, and answering as the one that leads.
 
 use super::Peers;
-use super::pending::Questions;
+use super::pending::PendingRequests;
 use crate::leader::Term;
 use crate::message::{Message, QuotaRequest, QuotaResponse, Refund, ReplicaLimit, Subject};
 use crate::shares;
@@ -22,15 +22,15 @@
 
 /// Part of the limits of replicas that a leader gives out whose term it cannot renew while the store is away: another host may
 /// lead by now and give out the whole, and both together stay within the tolerance.
-const PART_IN_DOUBT: f64 = 0.5;
+const UNRENEWED_TERM_FRACTION: f64 = 0.5;
 
 /// Questions to the one host that gives out, and what that host keeps.
 #[derive(Default)]
-pub struct Quotas {
+pub struct QuotaLeader {
     /// What is given out in the term in which this host leads.
     limiters: Mutex<Option<(Term, Limiters)>>,
     /// Questions that wait for an answer.
-    open: Questions<QuotaResponse>,
+    pending: PendingRequests<QuotaResponse>,
 }
 
 /// What one host gives out.
@@ -48,7 +48,7 @@
             accounts: Limiter::new(tolerance, now),
             replicas: Limiter::new(REPLICA_TOLERANCE, now),
         };
-        *self.quotas.limiters.lock() = Some((term, limiters));
+        *self.limiter.limiters.lock() = Some((term, limiters));
     }
 
     /// Asks for units, once for each time that a try may take; none when there was no answer.
@@ -59,10 +59,10 @@
     ) -> Option<QuotaResponse> {
         let leader = self.state.leader.lock().clone()?.peers;
         if leader == self.state.settings.peers {
-            return self.judge(&question);
+            return self.decide_quota(&question);
         }
         for limit in tries.iter().copied() {
-            let answer = self.ask_once(&question, leader, limit).await;
+            let answer = self.request_once(&question, leader, limit).await;
             if answer.is_some() {
                 return answer;
             }
@@ -71,7 +71,7 @@
     }
 
     /// Asks once and waits for the answer.
-    async fn ask_once(
+    async fn request_once(
         &self,
         question: &QuotaRequest,
         leader: SocketAddr,
@@ -84,23 +84,25 @@
             };
             self.send(&Message::QuotaRequest(question), leader).await;
         };
-        self.quotas.open.ask(limit, send).await
+        self.limiter.pending.send(limit, send).await
     }
 
     /// Gives an answer to the question that waits for it.
-    pub(super) fn answered(&self, number: u32, verdict: QuotaResponse) {
-        self.quotas.open.answered(number, verdict);
+    pub(super) fn complete_quota_request(&self, number: u32, verdict: QuotaResponse) {
+        self.limiter.pending.answered(number, verdict);
     }
 
     /// Answers a question of another host.
-    pub(super) async fn answer(&self, question: QuotaRequest, from: SocketAddr) {
-        let verdict = self.judge(&question).unwrap_or(QuotaResponse::NotLeader);
+    pub(super) async fn answer_quota_request(&self, question: QuotaRequest, from: SocketAddr) {
+        let verdict = self
+            .decide_quota(&question)
+            .unwrap_or(QuotaResponse::NotLeader);
         let answer = Message::QuotaResponse(question.number, verdict);
         self.send(&answer, from).await;
     }
 
     /// What this host says to a question; none when it does not give out.
-    fn judge(&self, question: &QuotaRequest) -> Option<QuotaResponse> {
+    fn decide_quota(&self, question: &QuotaRequest) -> Option<QuotaResponse> {
         if !question.is_valid() {
             return None;
         }
@@ -111,7 +113,7 @@
                 self.with_accounts(|limiter| decide(limiter, account, limit, question, now))
             }
             Subject::Replica(limited) => {
-                let Some(notice) = self.notice_of(limited, &question.host, now)? else {
+                let Some(notice) = self.advertisement_of(limited, &question.host, now)? else {
                     return Some(QuotaResponse::Unlimited);
                 };
                 let replica = &limited.replica;
@@ -134,13 +136,13 @@
             age_ms: age.ms() as u32,
         };
         match leader.peers == self.state.settings.peers {
-            true => self.take_back(&refund),
+            true => self.apply_refund(&refund),
             false => self.send(&Message::Refund(refund), leader.peers).await,
         }
     }
 
     /// Takes units back.
-    pub(super) fn take_back(&self, refund: &Refund) {
+    pub(super) fn apply_refund(&self, refund: &Refund) {
         if !refund.is_valid() {
             return;
         }
@@ -165,8 +167,8 @@
     }
 
     /// Notes that a host is in touch.
-    pub(super) fn heard(&self, host: &Name, now: Time) {
-        if let Some((_, limiters)) = self.quotas.limiters.lock().as_mut() {
+    pub(super) fn record_heartbeat(&self, host: &Name, now: Time) {
+        if let Some((_, limiters)) = self.limiter.limiters.lock().as_mut() {
             limiters.accounts.record_heartbeat(host, now);
             limiters.replicas.record_heartbeat(host, now);
         }
@@ -180,7 +182,7 @@
 
     /// Works with the limiter of accounts while the term holds in which it was begun.
     fn with_accounts<T>(&self, work: impl FnOnce(&mut Limiter<Name>) -> T) -> Option<T> {
-        let mut limiters = self.quotas.limiters.lock();
+        let mut limiters = self.limiter.limiters.lock();
         let (term, limiters) = limiters.as_mut()?;
         term.is_valid().then(|| work(&mut limiters.accounts))
     }
@@ -189,11 +191,11 @@
     /// knows: also while the store is away and the term cannot be renewed.
     fn with_replicas<T>(&self, work: impl FnOnce(&mut Limiter<u32>, f64) -> T) -> Option<T> {
         let leads = self.state.leads();
-        let mut limiters = self.quotas.limiters.lock();
+        let mut limiters = self.limiter.limiters.lock();
         let (term, limiters) = limiters.as_mut()?;
         let part = match term.is_valid() {
             true => 1.0,
-            false => PART_IN_DOUBT,
+            false => UNRENEWED_TERM_FRACTION,
         };
         leads.then(|| work(&mut limiters.replicas, part))
     }
@@ -207,14 +209,14 @@
 
     /// What is known of a replica's limit here and at the host that asks, if it holds; none at all where the question's number
     /// cannot be counted.
-    fn notice_of(
+    fn advertisement_of(
         &self,
         limited: &ReplicaLimit,
         host: &Name,
         now: Time,
     ) -> Option<Option<Advertisement>> {
         let asked = limited.advertisement(now)?;
-        self.join_limits(std::slice::from_ref(limited), host);
+        self.merge_limits(std::slice::from_ref(limited), host);
         let known = self.state.table.lock().notice_of(limited.replica);
         let notice = known.unwrap_or(asked);
         Some(Some(notice).filter(|notice| !notice.is_expired(now)))
--- a/crates/front/src/planner.rs
+++ b/crates/front/src/planner.rs
@@ -187,7 +187,7 @@
     /// Updates the records from store entries and from the hosts' reports of adapter uses.
     fn sync(&self) {
         let now = self.state.now();
-        let unreachable = self.peers.inbox.absent(now);
+        let unreachable = self.peers.inbox.unreachable(now);
         let table = self.state.table.lock();
         let mut fleet = self.fleet.lock();
         fleet.records.retain(|id, _| table.view.get(id).is_some());
--- a/crates/front/src/planner/digest.rs
+++ b/crates/front/src/planner/digest.rs
@@ -30,10 +30,10 @@
     pub(super) async fn send_digest(&self, round: usize) {
         let now = self.state.now();
         let loads = self.peers.inbox.loads(now);
-        let absent = self.peers.inbox.absent(now);
+        let absent = self.peers.inbox.unreachable(now);
         let hosts = self.peers.inbox.candidates(now);
         let heartbeat = self.state.settings.bounds.heartbeat.into();
-        let store = self.peers.inbox.store(heartbeat, now);
+        let store = self.peers.inbox.store_uptime(heartbeat, now);
         self.peers.assign_fanout_groups(hosts.clone()).await;
         let readers = self.readers(hosts);
         let (status, adapters) = {
--- a/crates/front/src/planner/service.rs
+++ b/crates/front/src/planner/service.rs
@@ -57,7 +57,7 @@
     pub(super) fn plan_service(&self, service: &Name, engine: &Engine) -> bool {
         let now = self.state.now();
         let loads = self.peers.inbox.loads(now);
-        let backing_off = self.peers.inbox.resting(now);
+        let backing_off = self.peers.inbox.backing_off(now);
         let (entries, capacities) = {
             let table = self.state.table.lock();
             let entries = entries(&table, service);
--- a/crates/front/tests/departures.rs
+++ b/crates/front/tests/departures.rs
@@ -261,7 +261,7 @@
     let row = ("i-0123456789abcdef0123456789abcdef".into(), Some(u64::MAX));
     let message = Message::Departures(Departures {
         host: "a-host-with-a-name-of-some-sixty-signs-as-platforms-give-them".into(),
-        replicas: vec![row; departures::ROWS],
+        replicas: vec![row; departures::MAX_DEPARTURES],
     });
     assert!(encode(&message).len() <= MAX_DATAGRAM);
 }
--- a/crates/front/tests/fanout.rs
+++ b/crates/front/tests/fanout.rs
@@ -174,6 +174,12 @@
         };
         inbox.record_report(sums, addr(host), at(0));
     }
-    assert_eq!(inbox.resting(at(10)), HashSet::from([replica_hash("i-1")]));
-    assert!(inbox.resting(at(5_000)).is_empty(), "nobody tells any more");
+    assert_eq!(
+        inbox.backing_off(at(10)),
+        HashSet::from([replica_hash("i-1")])
+    );
+    assert!(
+        inbox.backing_off(at(5_000)).is_empty(),
+        "nobody tells any more"
+    );
 }
