--- a/crates/front/src/clock.rs
+++ b/crates/front/src/clock.rs
@@ -14,16 +14,16 @@
 
 /// Time between two looks at the clock from which the process has stood still, or its host was suspended: a task
 /// looks each tenth of a second, and a plan of a large fleet takes less.
-const STOOD_STILL: Span = Span::from_ms(700);
+const SUSPENSION_THRESHOLD: Span = Span::from_ms(700);
 
 /// Clock that starts a little above zero at its making.
 #[derive(Debug)]
 pub struct Clock {
     start: Span,
     /// When it was looked at last.
-    seen: AtomicU64,
+    last_seen: AtomicU64,
     /// Times that the process has stood still so far.
-    returns: watch::Sender<u64>,
+    resumes: watch::Sender<u64>,
     /// Time for which tests let the host be suspended, in microseconds.
     suspended: AtomicU64,
 }
@@ -36,8 +36,8 @@
 pub fn start() -> Clock {
     Clock {
         start: clock::since_boot(),
-        seen: AtomicU64::new(FIRST),
-        returns: watch::Sender::new(0),
+        last_seen: AtomicU64::new(FIRST),
+        resumes: watch::Sender::new(0),
         suspended: AtomicU64::new(0),
     }
 }
@@ -47,21 +47,21 @@
     pub fn now(&self) -> Time {
         let passed = clock::since_boot().saturating_sub(self.start);
         let now = FIRST + passed.0 + self.suspended.load(Ordering::Relaxed);
-        let seen = self.seen.fetch_max(now, Ordering::Relaxed);
-        if now.saturating_sub(seen) > STOOD_STILL.0 {
-            self.returns.send_modify(|returns| *returns += 1);
+        let seen = self.last_seen.fetch_max(now, Ordering::Relaxed);
+        if now.saturating_sub(seen) > SUSPENSION_THRESHOLD.0 {
+            self.resumes.send_modify(|returns| *returns += 1);
         }
         Time(now)
     }
 
     /// Times that the process has stood still so far: what waited for it meanwhile is as old as that.
     pub fn resume_count(&self) -> u64 {
-        *self.returns.borrow()
+        *self.resumes.borrow()
     }
 
     /// Waits until a time.
     pub async fn sleep_until(&self, time: Time) {
-        let mut returns = self.returns.subscribe();
+        let mut returns = self.resumes.subscribe();
         loop {
             let now = self.now();
             if now >= time {
--- a/crates/front/src/events.rs
+++ b/crates/front/src/events.rs
@@ -3,12 +3,12 @@
 use bytes::{Bytes, BytesMut};
 
 /// Longest event; a stream with a longer one is not a series of events.
-const MOST_EVENT: usize = 1 << 20;
+const MAX_EVENT: usize = 1 << 20;
 
 /// Bytes of a stream that do not make a whole event yet.
 #[derive(Debug, Default)]
 pub struct Splitter {
-    rest: BytesMut,
+    partial: BytesMut,
     last: Option<u64>,
 }
 
@@ -19,21 +19,21 @@
 impl Splitter {
     /// Takes bytes in and gives back the whole events they complete, in one piece.
     pub fn push(&mut self, bytes: Bytes) -> Result<Option<Bytes>, TooLong> {
-        let whole = match (self.rest.is_empty(), end_of_last(&bytes)) {
+        let whole = match (self.partial.is_empty(), end_of_last(&bytes)) {
             // The usual case: whole events in one packet need no copy.
             (true, Some(end)) => {
-                self.rest.extend_from_slice(&bytes[end..]);
+                self.partial.extend_from_slice(&bytes[end..]);
                 bytes.slice(..end)
             }
             _ => {
-                self.rest.extend_from_slice(&bytes);
-                let Some(end) = end_of_last(&self.rest) else {
-                    return match self.rest.len() > MOST_EVENT {
+                self.partial.extend_from_slice(&bytes);
+                let Some(end) = end_of_last(&self.partial) else {
+                    return match self.partial.len() > MAX_EVENT {
                         true => Err(TooLong),
                         false => Ok(None),
                     };
                 };
-                self.rest.split_to(end).freeze()
+                self.partial.split_to(end).freeze()
             }
         };
         self.last = last_id(&whole).or(self.last);
@@ -47,12 +47,12 @@
 
     /// Bytes that stand behind the last whole event; gives them up.
     pub fn take_remainder(&mut self) -> Bytes {
-        self.rest.split().freeze()
+        self.partial.split().freeze()
     }
 
     /// Whether the stream stands inside an event.
     pub fn is_partial(&self) -> bool {
-        !self.rest.is_empty()
+        !self.partial.is_empty()
     }
 }
 
--- a/crates/front/src/follow/apply.rs
+++ b/crates/front/src/follow/apply.rs
@@ -11,7 +11,7 @@
 use unit::{Name, Span};
 
 /// Takes in the whole store.
-pub(super) fn compare(state: &State, listing: Listing<Item>) {
+pub(super) fn apply_snapshot(state: &State, listing: Listing<Item>) {
     let present: Vec<Name> = listing
         .found
         .iter()
@@ -42,7 +42,7 @@
 }
 
 /// Takes in changes of the store.
-pub(super) fn apply(state: &State, changes: Vec<Change>) {
+pub(super) fn apply_changes(state: &State, changes: Vec<Change>) {
     for change in changes {
         match change {
             Change::Written(item) => written(state, item),
@@ -55,7 +55,7 @@
 /// Takes in what was written: the configuration, a replica's entry, or the leader's.
 pub(super) fn written(state: &State, item: Item) {
     if &*item.key == names::CONFIG {
-        configured(state, &item);
+        apply_configuration(state, &item);
     } else if item.key.starts_with(names::REPLICAS) {
         match replica::decode(&item.key, &item.value) {
             Ok(entry) => {
@@ -107,7 +107,7 @@
 }
 
 /// Takes in a configuration, unless it cannot be read or one as new is in force.
-fn configured(state: &State, item: &Item) {
+fn apply_configuration(state: &State, item: &Item) {
     let config = match config::decode(&item.value) {
         Ok(config) => config,
         Err(why) => {
--- a/crates/front/src/follow/bootstrap.rs
+++ b/crates/front/src/follow/bootstrap.rs
@@ -5,8 +5,8 @@
 //! fleet read all pages at once, as after a loss of power, the store's link would be full for so long
 //! that calls run out of time and are made anew. A host to which nobody gives the rest in time reads it.
 
-use super::apply::{apply, written};
-use super::{Next, hear, heard};
+use super::apply::{apply_changes, written};
+use super::{Next, fetch_from_reader, record_answer};
 use crate::state::State;
 use crate::{leader, quarantine, readers};
 use platform::names;
@@ -18,13 +18,13 @@
 
 /// Time in which the leader is elected, has heard of this host and has named readers, and one of these has
 /// answered.
-const NAMED_WITHIN: Duration = Duration::from_millis(2_000);
+const ASSIGNMENT_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// Time over which hosts spread that read the rest themselves, where nobody has named readers.
 const SPREAD: Duration = Duration::from_millis(4_000);
 
 /// Pause between two looks whether a reader is named.
-const LOOK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Beginning of the keys of coveford's own.
 const OWN_KEYS: &str = "coveford/";
@@ -34,17 +34,17 @@
     // An answer tells what stood when it was asked for; it may have waited for this host since.
     let asked = state.now();
     let page = state.store.page("", None, Freshness::Newest).await;
-    let Some(page) = heard(state, page, asked) else {
+    let Some(page) = record_answer(state, page, asked) else {
         return Next::Failed;
     };
     if page.more {
-        take_first(state, &page);
-        if let Some(heard) = from_readers(state, page.revision).await {
+        apply_first_page(state, &page);
+        if let Some(heard) = fetch_rest(state, page.revision).await {
             return heard;
         }
     }
     let rest = state.store.rest("", page, Freshness::Newest).await;
-    match heard(state, rest, asked) {
+    match record_answer(state, rest, asked) {
         Some(listing) => {
             readers::record_snapshot(state, &listing.found, listing.revision, asked);
             Next::Whole(listing)
@@ -55,7 +55,7 @@
 
 /// Takes in the configuration and the leader of a first page, by which this host can lead or find who does, and which
 /// requests are kept out.
-fn take_first(state: &State, page: &Page) {
+fn apply_first_page(state: &State, page: &Page) {
     let counts = |item: &&Item| [names::CONFIG, leader::KEY, quarantine::KEY].contains(&&*item.key);
     for item in page.found.iter().filter(counts) {
         written(state, item.clone());
@@ -63,11 +63,11 @@
 }
 
 /// Waits until a reader tells all that stands; none when this host must read it itself.
-async fn from_readers(state: &State, revision: u64) -> Option<Next> {
+async fn fetch_rest(state: &State, revision: u64) -> Option<Next> {
     let part = rendezvous::hash(state.settings.name.as_bytes()) % SPREAD.as_millis() as u64;
-    let until = Instant::now() + NAMED_WITHIN + Duration::from_millis(part);
+    let until = Instant::now() + ASSIGNMENT_TIMEOUT + Duration::from_millis(part);
     let told = tokio::select! {
-        told = ask_readers(state, until) => told,
+        told = poll_readers(state, until) => told,
         () = watch_leader(state, revision, until) => None,
     };
     let read = if told.is_some() { "reader" } else { "store" };
@@ -77,15 +77,15 @@
 
 /// Asks readers once some are named; none when this host is one of those that read the store, or the time
 /// is over.
-async fn ask_readers(state: &State, until: Instant) -> Option<Next> {
+async fn poll_readers(state: &State, until: Instant) -> Option<Next> {
     while Instant::now() < until {
         if reads_itself(state) {
             return None;
         }
-        if let Some(heard) = hear(state, 0).await {
+        if let Some(heard) = fetch_from_reader(state, 0).await {
             return Some(heard);
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
     None
 }
@@ -104,11 +104,11 @@
         match watched {
             Ok(Ok(changes)) => {
                 revision = changes.revision;
-                apply(state, changes.found);
+                apply_changes(state, changes.found);
             }
             Ok(Err(why)) => {
                 info!(target: "store", event = "not_watched", why = %why, "who leads cannot be watched at the moment");
-                sleep(LOOK).await;
+                sleep(POLL_INTERVAL).await;
             }
             Err(_) => return,
         }
--- a/crates/front/src/log.rs
+++ b/crates/front/src/log.rs
@@ -28,13 +28,13 @@
     pub metrics: Metrics,
     /// One request in that many is told whole.
     sample: u64,
-    bucket: Mutex<Bucket>,
-    left_out: AtomicU64,
+    bucket: Mutex<TokenBucket>,
+    omitted: AtomicU64,
 }
 
-struct Bucket {
-    lines: f64,
-    filled: Instant,
+struct TokenBucket {
+    tokens: f64,
+    refilled: Instant,
 }
 
 /// Makes the logs of a daemon that tells one request in `sample` whole.
@@ -42,11 +42,11 @@
     Log {
         metrics: crate::metrics::open(),
         sample,
-        bucket: Mutex::new(Bucket {
-            lines: BURST,
-            filled: Instant::now(),
+        bucket: Mutex::new(TokenBucket {
+            tokens: BURST,
+            refilled: Instant::now(),
         }),
-        left_out: AtomicU64::new(0),
+        omitted: AtomicU64::new(0),
     }
 }
 
@@ -58,7 +58,7 @@
         .finish(std::io::stdout());
     let start = format!("{{\"host\":{},", serde_json::Value::from(host));
     let start: Arc<[u8]> = start.into_bytes().into();
-    let writer = move || Named {
+    let writer = move || HostWriter {
         start: start.clone(),
         lines: lines.clone(),
     };
@@ -74,12 +74,12 @@
 }
 
 /// Writer that puts the host's name in front of the other fields of a line.
-struct Named {
+struct HostWriter {
     start: Arc<[u8]>,
     lines: NonBlocking,
 }
 
-impl Write for Named {
+impl Write for HostWriter {
     /// A line comes whole, as one object.
     fn write(&mut self, line: &[u8]) -> std::io::Result<usize> {
         let fields = line.strip_prefix(b"{").unwrap_or(line);
@@ -105,31 +105,31 @@
 
     /// Tells something out of the ordinary, within the rate.
     pub fn rate_limited(&self, tell: impl FnOnce()) {
-        if self.has_room() {
+        if self.take_token() {
             tell();
             return;
         }
-        self.left_out.fetch_add(1, Ordering::Relaxed);
+        self.omitted.fetch_add(1, Ordering::Relaxed);
         self.metrics
             .counter("coveford_log_lines_left_out_total", &[])
             .increment(1);
     }
 
-    fn has_room(&self) -> bool {
+    fn take_token(&self) -> bool {
         let mut bucket = self.bucket.lock();
-        let passed = bucket.filled.elapsed().as_secs_f64();
-        bucket.filled = Instant::now();
-        bucket.lines = (bucket.lines + passed * LINES_PER_SECOND).min(BURST);
-        if bucket.lines < 1.0 {
+        let passed = bucket.refilled.elapsed().as_secs_f64();
+        bucket.refilled = Instant::now();
+        bucket.tokens = (bucket.tokens + passed * LINES_PER_SECOND).min(BURST);
+        if bucket.tokens < 1.0 {
             return false;
         }
-        bucket.lines -= 1.0;
+        bucket.tokens -= 1.0;
         true
     }
 
     /// Tells how many lines were left out since the last call.
     pub fn log_omitted(&self) {
-        let lines = self.left_out.swap(0, Ordering::Relaxed);
+        let lines = self.omitted.swap(0, Ordering::Relaxed);
         if lines > 0 {
             tracing::warn!(target: "log", event = "left_out", lines, "lines were left out to keep within the rate");
         }
--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -149,7 +149,7 @@
 }
 
 /// Rows of sums that fit one datagram: each takes at most 40 bytes.
-const ROWS: usize = MAX_DATAGRAM / 40;
+const MAX_ROWS: usize = MAX_DATAGRAM / 40;
 
 /// Least rows of a datagram, however many replicas are absent: a larger packet than usual is cut into
 /// fragments, and arrives.
@@ -160,7 +160,7 @@
     pub fn split(self) -> Vec<LoadReport> {
         // Words of absent and resting replicas are in each part, so they take their room first.
         let named = self.unreachable.len() + self.backing_off.len();
-        let rows = ROWS.saturating_sub(named).max(MIN_ROWS);
+        let rows = MAX_ROWS.saturating_sub(named).max(MIN_ROWS);
         if self.demand.len() + self.loads.len() + self.adapter_uses.len() <= rows {
             return vec![self];
         }
--- a/crates/front/src/metrics.rs
+++ b/crates/front/src/metrics.rs
@@ -12,10 +12,10 @@
 ];
 
 /// Routes that have metrics of their own; the rest share one name.
-const MOST_ROUTES: usize = 200;
+const MAX_ROUTES: usize = 200;
 
 /// Accounts with metrics of their own, times what may be decided of a request; the rest share one name.
-const MOST_ACCOUNTS: usize = 300;
+const MAX_ACCOUNTS: usize = 300;
 
 const METADATA: Metadata<'static> = Metadata::new("coveford", Level::INFO, None);
 
@@ -23,8 +23,8 @@
 pub struct Metrics {
     recorder: PrometheusRecorder,
     handle: PrometheusHandle,
-    ends: Mutex<HashMap<(Name, &'static str), Counter>>,
-    waits: Mutex<HashMap<Name, Histogram>>,
+    outcomes: Mutex<HashMap<(Name, &'static str), Counter>>,
+    first_bytes: Mutex<HashMap<Name, Histogram>>,
     /// Requests of accounts with a limit, by what was decided.
     accounts: Mutex<HashMap<(Name, &'static str), Counter>>,
     /// Datagrams sent and their bytes, by kind.
@@ -41,8 +41,8 @@
     Metrics {
         recorder,
         handle,
-        ends: Mutex::default(),
-        waits: Mutex::default(),
+        outcomes: Mutex::default(),
+        first_bytes: Mutex::default(),
         accounts: Mutex::default(),
         datagrams: Mutex::default(),
     }
@@ -70,8 +70,8 @@
 
     /// Counts the end of a request, by its route and by how it ended.
     pub fn record_outcome(&self, route: &Name, how: &'static str) {
-        let mut ends = self.ends.lock();
-        let route = match ends.len() < MOST_ROUTES || ends.contains_key(&(route.clone(), how)) {
+        let mut ends = self.outcomes.lock();
+        let route = match ends.len() < MAX_ROUTES || ends.contains_key(&(route.clone(), how)) {
             true => route.clone(),
             false => "other".into(),
         };
@@ -86,7 +86,7 @@
     pub fn record_account_decision(&self, account: &Name, decision: &'static str) {
         let mut accounts = self.accounts.lock();
         let is_known = accounts.contains_key(&(account.clone(), decision));
-        let account = match is_known || accounts.len() < MOST_ACCOUNTS {
+        let account = match is_known || accounts.len() < MAX_ACCOUNTS {
             true => account.clone(),
             false => "other".into(),
         };
@@ -101,8 +101,8 @@
 
     /// Records the time to the first byte of an answer.
     pub fn record_first_byte(&self, route: &Name, took: Span) {
-        let mut waits = self.waits.lock();
-        let route = match waits.len() < MOST_ROUTES || waits.contains_key(route) {
+        let mut waits = self.first_bytes.lock();
+        let route = match waits.len() < MAX_ROUTES || waits.contains_key(route) {
             true => route.clone(),
             false => "other".into(),
         };
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -164,7 +164,7 @@
             Message::CrashReport(fallen) => self.merge_crash(&fallen),
             Message::Succeeded(print) => self.state.quarantine.note_success_anywhere(print),
             Message::TrialFailed(print, broke) => self.state.quarantine.note_trial_ended(print, broke, now),
-            Message::TrialResponse(number, permit) => self.trials.answered(number, permit),
+            Message::TrialResponse(number, permit) => self.trials.complete(number, permit),
             Message::QuarantineList(listing) if self.is_from_earlier_term(listing.term) => {}
             Message::QuarantineList(listing) => self.state.quarantine.apply_listing(listing, now),
             Message::Forward(_) | Message::QuotaRequest(_) | Message::TrialRequest(..) => self.state.log.rate_limited(|| {
--- a/crates/front/src/peers/load_reports.rs
+++ b/crates/front/src/peers/load_reports.rs
@@ -65,7 +65,7 @@
                 continue;
             }
             let loads = self.state.table.lock().own_loads();
-            let message = Message::PeerLoads(self.sums(0, Vec::new(), loads));
+            let message = Message::PeerLoads(self.new_report(0, Vec::new(), loads));
             for other in others {
                 self.send(&message, other).await;
             }
@@ -80,7 +80,7 @@
         let now = self.state.now();
         let loads = self.state.table.lock().report_own_loads(now);
         let telling = self.load_sequence.fetch_add(1, Ordering::Relaxed);
-        let sums = self.sums(telling, Vec::new(), loads);
+        let sums = self.new_report(telling, Vec::new(), loads);
         if leader.peers == self.state.settings.peers {
             self.inbox.record_loads(sums, now);
             return;
@@ -116,7 +116,7 @@
             adapter_uses: used,
             unreachable: absent,
             backing_off: resting,
-            ..self.sums(round, demand, loads)
+            ..self.new_report(round, demand, loads)
         };
         if leader.peers == self.state.settings.peers {
             self.inbox.record_report(sums, leader.peers, now);
@@ -128,7 +128,7 @@
     }
 
     /// This host's sums. The table must not be locked.
-    fn sums(&self, round: u32, demand: Vec<Demand>, loads: Vec<PackedLoad>) -> LoadReport {
+    fn new_report(&self, round: u32, demand: Vec<Demand>, loads: Vec<PackedLoad>) -> LoadReport {
         let settings = &self.state.settings;
         let now = self.state.now();
         let store = self.state.table.lock().view.contact.ages(now);
--- a/crates/front/src/peers/pending.rs
+++ b/crates/front/src/peers/pending.rs
@@ -12,14 +12,14 @@
 pub struct PendingRequests<T> {
     open: Mutex<HashMap<u32, oneshot::Sender<T>>>,
     /// Number of the next question.
-    next: AtomicU32,
+    next_id: AtomicU32,
 }
 
 impl<T> Default for PendingRequests<T> {
     fn default() -> PendingRequests<T> {
         PendingRequests {
             open: Mutex::default(),
-            next: AtomicU32::default(),
+            next_id: AtomicU32::default(),
         }
     }
 }
@@ -31,7 +31,7 @@
         limit: Duration,
         send: impl FnOnce(u32) -> F,
     ) -> Option<T> {
-        let number = self.next.fetch_add(1, Ordering::Relaxed);
+        let number = self.next_id.fetch_add(1, Ordering::Relaxed);
         let (sender, receiver) = oneshot::channel();
         {
             let mut open = self.open.lock();
@@ -46,7 +46,7 @@
     }
 
     /// Gives an answer to the question that waits for it.
-    pub fn answered(&self, number: u32, answer: T) {
+    pub fn complete(&self, number: u32, answer: T) {
         if let Some(waiting) = self.open.lock().remove(&number) {
             // The question may have been given up a moment ago.
             let _ = waiting.send(answer);
--- a/crates/front/src/peers/quota.rs
+++ b/crates/front/src/peers/quota.rs
@@ -89,7 +89,7 @@
 
     /// Gives an answer to the question that waits for it.
     pub(super) fn complete_quota_request(&self, number: u32, verdict: QuotaResponse) {
-        self.limiter.pending.answered(number, verdict);
+        self.limiter.pending.complete(number, verdict);
     }
 
     /// Answers a question of another host.
--- a/crates/front/src/readers.rs
+++ b/crates/front/src/readers.rs
@@ -31,14 +31,14 @@
 
 /// Hosts up to which each reads the store itself: their calls cost less than the detour. At 16 hosts heads
 /// and readers are worth 0.050 of what callers are owed, standard error 0.013, eight days played both ways.
-const MOST_DIRECT: usize = 8;
+const MAX_SMALL_FLEET: usize = 8;
 
 /// Time for which a reader that failed, or the store, is not asked.
-const AVOIDED: Span = Span::from_ms(2_000);
+const FAILURE_RETRY: Span = Span::from_ms(2_000);
 
 /// Time for which a reader is not asked whose own news are old: it is there, and has newer ones as soon as
 /// the store is back.
-const OLD_AVOIDED: Span = Span::from_ms(300);
+const STALE_RETRY: Span = Span::from_ms(300);
 
 /// Who reads the store, and what this host has heard of it.
 #[derive(Default)]
@@ -50,9 +50,9 @@
     /// Notified when this host is named as one that reads the store for others.
     pub promoted: Notify,
     /// Readers of all halls, as the leader told last.
-    known: Mutex<Vec<Reader>>,
+    readers: Mutex<Vec<Reader>>,
     /// Readers that failed, and the store's own address if it did, and until when none is asked.
-    avoided: Mutex<HashMap<SocketAddr, Time>>,
+    failed_until: Mutex<HashMap<SocketAddr, Time>>,
     /// Connections to readers.
     pool: Pool,
 }
@@ -72,11 +72,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Role {
     /// It reads the store.
-    Head,
+    Root,
     /// It asks the heads, and its hall asks it.
     Reader,
     /// It asks the readers of its hall.
-    Other,
+    Follower,
 }
 
 impl Readers {
@@ -85,66 +85,66 @@
     /// A list that names nobody else is that of a leader whom no other host tells anything, as when it is cut off:
     /// the one before stays, so that it can still ask those hosts.
     pub fn assign(&self, readers: Vec<Reader>, own: SocketAddr) {
-        if readers.iter().all(|r| r.addr == own) && self.role(own) != Role::Other {
+        if readers.iter().all(|r| r.addr == own) && self.role(own) != Role::Follower {
             return;
         }
         let before = self.role(own);
-        *self.known.lock() = readers;
-        if before != Role::Head && self.role(own) == Role::Head {
+        *self.readers.lock() = readers;
+        if before != Role::Root && self.role(own) == Role::Root {
             self.promoted.notify_waiters();
         }
     }
 
     /// Does not ask a reader, or the store, for a while.
     pub fn mark_failed(&self, addr: SocketAddr, now: Time) {
-        self.avoided.lock().insert(addr, now + AVOIDED);
+        self.failed_until.lock().insert(addr, now + FAILURE_RETRY);
     }
 
     /// Does not ask a reader that failed in some way for a while.
     pub fn mark_reader_failed(&self, addr: SocketAddr, why: &Error, now: Time) {
         let span = match why {
-            Error::Old { .. } => OLD_AVOIDED,
-            _ => AVOIDED,
+            Error::Stale { .. } => STALE_RETRY,
+            _ => FAILURE_RETRY,
         };
-        self.avoided.lock().insert(addr, now + span);
+        self.failed_until.lock().insert(addr, now + span);
     }
 
     /// Whether a reader, or the store, failed this host a moment ago.
     pub fn failed_recently(&self, addr: &SocketAddr, now: Time) -> bool {
-        let mut avoided = self.avoided.lock();
+        let mut avoided = self.failed_until.lock();
         avoided.retain(|_, until| now < *until);
         avoided.contains_key(addr)
     }
 
     /// When the first of those that failed may be asked again.
     pub fn next_retry(&self) -> Option<Time> {
-        self.avoided.lock().values().min().copied()
+        self.failed_until.lock().values().min().copied()
     }
 
     /// Who reads, as the leader told last.
     pub fn assigned(&self) -> Vec<Reader> {
-        self.known.lock().clone()
+        self.readers.lock().clone()
     }
 
     /// What a host at that address has to do with reading the store, by the leader's word.
     fn role(&self, addr: SocketAddr) -> Role {
-        let known = self.known.lock();
+        let known = self.readers.lock();
         match known.iter().find(|r| r.addr == addr) {
-            Some(reader) if reader.root => Role::Head,
+            Some(reader) if reader.root => Role::Root,
             Some(_) => Role::Reader,
-            None => Role::Other,
+            None => Role::Follower,
         }
     }
 }
 
 /// Whether this host reads the store for others, by what the leader told last.
 pub fn is_root(state: &State) -> bool {
-    state.readers.role(state.settings.peers) == Role::Head
+    state.readers.role(state.settings.peers) == Role::Root
 }
 
 /// Whether so few hosts are there that each reads the store itself.
 pub fn is_small_fleet(state: &State) -> bool {
-    state.table.lock().host_count <= MOST_DIRECT
+    state.table.lock().host_count <= MAX_SMALL_FLEET
 }
 
 /// Whether the store failed this host a moment ago.
@@ -160,17 +160,17 @@
     let is_cut = store_failed_recently(state);
     let settings = &state.settings;
     let role = state.readers.role(settings.peers);
-    if !is_cut && (is_small_fleet(state) || state.leads() || role == Role::Head) {
+    if !is_cut && (is_small_fleet(state) || state.leads() || role == Role::Root) {
         return None;
     }
-    let known = state.readers.known.lock();
+    let known = state.readers.readers.lock();
     let sound =
         |r: &&Reader| r.addr != settings.peers && !state.readers.failed_recently(&r.addr, now);
     // Heads and readers ask heads only: if they asked those that ask them, news would go in a circle
     // and grow old, while the store is there.
     let fits = |r: &&Reader| match role {
-        Role::Other => is_cut || r.root || r.hall == settings.hall,
-        Role::Head | Role::Reader => r.root,
+        Role::Follower => is_cut || r.root || r.hall == settings.hall,
+        Role::Root | Role::Reader => r.root,
     };
     // In its own hall a host asks any reader, so that a head does not answer all of its hall.
     let rank = |r: &&Reader| {
--- a/crates/front/src/readers/client.rs
+++ b/crates/front/src/readers/client.rs
@@ -1,6 +1,6 @@
 //! Asking a reader what has changed in the store.
 
-use super::message::{Answer, MOST_ANSWER, News, PATH, Question};
+use super::message::{ChangesRequest, ChangesResponse, MAX_RESPONSE, PATH, Payload};
 use super::{record_changes, record_snapshot};
 use crate::follow;
 use crate::state::State;
@@ -16,19 +16,19 @@
 
 /// Time that a reader holds a question while nothing changes, as a part of the shortest bound on
 /// following the store.
-const HELD_PART: f64 = 0.12;
+const WAIT_FRACTION: f64 = 0.12;
 
 /// Time beyond that in which an answer must have come; hosts of a hall are within milliseconds.
-const ANSWER_LIMIT: Duration = Duration::from_millis(250);
+const RESPONSE_MARGIN: Duration = Duration::from_millis(250);
 
 /// Time in which all that stands must have come: a megabyte for some thousands of replicas, over the link
 /// of a weak host.
-const WHOLE_LIMIT: Duration = Duration::from_millis(4_000);
+const SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(4_000);
 
 /// Age of a reader's own news at which a host no longer rests on it, as a part of the shortest
 /// bound: a head pauses and waits for a sixth of it each, the reader that asks the head waits for
 /// [`HELD_PART`], the store may be slow, and news are as old as the question that brought them.
-const OLD_PART: f64 = 0.75;
+const MAX_AGE_FRACTION: f64 = 0.75;
 
 /// What a reader told.
 #[derive(Debug)]
@@ -50,13 +50,13 @@
     },
     /// It did not answer in time.
     #[snafu(display("it gave no answer for {limit:?}"))]
-    Silent {
+    TimedOut {
         /// Time that it had.
         limit: Duration,
     },
     /// It has itself not heard from the store for too long.
     #[snafu(display("its own news are {age} old"))]
-    Old {
+    Stale {
         /// Age of its news.
         age: Span,
     },
@@ -86,56 +86,61 @@
     after: u64,
     bound: Duration,
 ) -> Result<StoreUpdate, Error> {
-    let wait = bound.mul_f64(HELD_PART);
-    let question = Question {
+    let wait = bound.mul_f64(WAIT_FRACTION);
+    let question = ChangesRequest {
         after,
         wait_ms: wait.as_millis() as u32,
     };
     let limit = match after {
-        0 => WHOLE_LIMIT,
-        _ => wait + ANSWER_LIMIT,
+        0 => SNAPSHOT_TIMEOUT,
+        _ => wait + RESPONSE_MARGIN,
     };
     let asked = state.now();
     let pool = &state.readers.pool;
-    let exchange = pool.exchange(reader, request(reader, &question), limit, MOST_ANSWER);
+    let exchange = pool.exchange(reader, request(reader, &question), limit, MAX_RESPONSE);
     let reply = timeout(limit, exchange).await;
-    let reply = reply.map_err(|_| Error::Silent { limit })??;
-    let answer = read(&reply)?;
+    let reply = reply.map_err(|_| Error::TimedOut { limit })??;
+    let answer = parse_reply(&reply)?;
     let age = Span::from_ms(u64::from(answer.age_ms));
-    if is_old(age, bound) {
-        return Err(Error::Old { age });
+    if is_stale(age, bound) {
+        return Err(Error::Stale { age });
     }
     // What the answer waited for this host, which may have stood still, makes it older.
     let answered = asked + Span::from_ms(u64::from(answer.held_ms));
     let confirmed = before(answered, age);
     follow::update_contact(state, state.now(), |contact| {
         contact.answered(confirmed, confirmed);
-        if let Some(word) = answer.store {
+        if let Some(word) = answer.store_uptime {
             contact.merge(word, answered);
         }
     });
-    take(state, answer, after, confirmed)
+    record(state, answer, after, confirmed)
 }
 
 /// Whether news of that age are no longer rested on.
-pub(super) fn is_old(age: Span, bound: Duration) -> bool {
-    age > Span::from(bound) * OLD_PART
+pub(super) fn is_stale(age: Span, bound: Duration) -> bool {
+    age > Span::from(bound) * MAX_AGE_FRACTION
 }
 
 /// Keeps what a reader told, which stood in the store at `confirmed`, to pass it on, and gives it to this
 /// host.
-fn take(state: &State, answer: Answer, after: u64, confirmed: Time) -> Result<StoreUpdate, Error> {
+fn record(
+    state: &State,
+    answer: ChangesResponse,
+    after: u64,
+    confirmed: Time,
+) -> Result<StoreUpdate, Error> {
     let revision = answer.revision;
-    match answer.news {
-        News::Changes(rows) => {
+    match answer.payload {
+        Payload::Changes(rows) => {
             let found: Vec<Change> = rows.into_iter().map(Change::from).collect();
             record_changes(state, &found, revision, confirmed);
             Ok(StoreUpdate::Changes(Listing { found, revision }))
         }
-        News::Whole(_) if revision <= after => Err(Error::Behind { revision, after }),
-        News::Whole(rows) => {
+        Payload::Snapshot(_) if revision <= after => Err(Error::Behind { revision, after }),
+        Payload::Snapshot(rows) => {
             let changes = rows.into_iter().map(Change::from);
-            let found: Vec<Item> = changes.filter_map(written).collect();
+            let found: Vec<Item> = changes.filter_map(written_item).collect();
             record_snapshot(state, &found, revision, confirmed);
             Ok(StoreUpdate::Snapshot(Listing { found, revision }))
         }
@@ -143,7 +148,7 @@
 }
 
 /// The item of a change that wrote one.
-fn written(change: Change) -> Option<Item> {
+fn written_item(change: Change) -> Option<Item> {
     match change {
         Change::Written(item) => Some(item),
         Change::Removed { .. } => None,
@@ -156,7 +161,7 @@
 }
 
 /// The question as a request to a reader.
-fn request(reader: SocketAddr, question: &Question) -> Request<conn::Body> {
+fn request(reader: SocketAddr, question: &ChangesRequest) -> Request<conn::Body> {
     let body = rmp_serde::to_vec(question).expect("a question is plain data");
     let mut request = Request::new(conn::Body::new(body.into()));
     *request.method_mut() = Method::POST;
@@ -167,7 +172,7 @@
 }
 
 /// Reads a reader's reply.
-fn read(reply: &Reply) -> Result<Answer, Error> {
+fn parse_reply(reply: &Reply) -> Result<ChangesResponse, Error> {
     if reply.status != StatusCode::OK {
         let why = format!("it has status {}", reply.status);
         return Err(Error::Malformed { why });
--- a/crates/front/src/readers/message.rs
+++ b/crates/front/src/readers/message.rs
@@ -10,14 +10,14 @@
 pub(super) const PATH: &str = "/changes";
 
 /// Longest question, in bytes.
-pub(super) const MOST_QUESTION: usize = 1 << 10;
+pub(super) const MAX_REQUEST: usize = 1 << 10;
 
 /// Longest answer, in bytes: a configuration of the platform's largest value.
-pub(super) const MOST_ANSWER: usize = 8 << 20;
+pub(super) const MAX_RESPONSE: usize = 8 << 20;
 
 /// Question of a host: what has changed after a revision.
 #[derive(Debug, Serialize, Deserialize)]
-pub(super) struct Question {
+pub(super) struct ChangesRequest {
     /// Revision of the store up to which the host has heard; 0 when it knows nothing.
     pub(super) after: u64,
     /// Time for which the answer may wait for a change, in milliseconds.
@@ -26,7 +26,7 @@
 
 /// Answer of a reader.
 #[derive(Debug, Serialize, Deserialize)]
-pub(super) struct Answer {
+pub(super) struct ChangesResponse {
     /// Revision of the store up to which it has heard.
     pub(super) revision: u64,
     /// Time since the store was asked for that, in milliseconds.
@@ -34,23 +34,24 @@
     /// Time for which the reader held the question, in milliseconds.
     pub(super) held_ms: u32,
     /// Time through which the reader heard from the store, if it ever did.
-    pub(super) store: Option<Ages>,
+    pub(super) store_uptime: Option<Ages>,
     /// What the host does not know yet.
-    pub(super) news: News,
+    pub(super) payload: Payload,
 }
 
 /// What a reader tells of the store.
 #[derive(Debug, Serialize, Deserialize)]
-pub(super) enum News {
+pub(super) enum Payload {
     /// Changes after the revision of the question.
-    Changes(Vec<Row>),
+    Changes(Vec<WireChange>),
     /// All that stands in the store: some change after that revision may not be known any more.
-    Whole(Vec<Row>),
+    #[serde(rename = "Whole")]
+    Snapshot(Vec<WireChange>),
 }
 
 /// Change of one key, as hosts tell it each other.
 #[derive(Debug, Serialize, Deserialize)]
-pub(super) struct Row {
+pub(super) struct WireChange {
     /// The key.
     key: Name,
     /// Revision of the store at which it changed.
@@ -59,15 +60,15 @@
     written: Option<(Bytes, u64, u64)>,
 }
 
-impl From<Change> for Row {
-    fn from(change: Change) -> Row {
+impl From<Change> for WireChange {
+    fn from(change: Change) -> WireChange {
         match change {
-            Change::Written(item) => Row {
+            Change::Written(item) => WireChange {
                 key: item.key,
                 revision: item.revision,
                 written: Some((item.value.into(), item.created, item.lease)),
             },
-            Change::Removed { key, revision } => Row {
+            Change::Removed { key, revision } => WireChange {
                 key,
                 revision,
                 written: None,
@@ -76,8 +77,8 @@
     }
 }
 
-impl From<Row> for Change {
-    fn from(row: Row) -> Change {
+impl From<WireChange> for Change {
+    fn from(row: WireChange) -> Change {
         let (key, revision) = (row.key, row.revision);
         match row.written {
             Some((value, created, lease)) => Change::Written(Item {
--- a/crates/front/src/readers/selection.rs
+++ b/crates/front/src/readers/selection.rs
@@ -22,14 +22,14 @@
 
 /// Hosts that read the store for all: two, so that one may fail. Each costs some three calls a second,
 /// however large the fleet is.
-const HEADS: usize = 2;
+const ROOTS: usize = 2;
 
 /// Hosts of a hall for which one passes on: each asks it about twice a second, which is a hundredth of
 /// a core for so many.
 const HOSTS_PER_READER: usize = 24;
 
 /// Least readers of a hall, so that one may fail.
-const LEAST_READERS: usize = 2;
+const MIN_READERS: usize = 2;
 
 /// Names the readers of each hall: the leader and the strongest hosts, since they answer the others.
 /// Heads are the leader, which reads the store for itself, and the strongest reader of another hall that the store
@@ -45,8 +45,8 @@
     });
     hosts.retain(|host| !host.silent);
     let halls = hosts.chunk_by(|a, b| a.hall == b.hall);
-    let readers: Vec<&Candidate> = halls.flat_map(readers_of).collect();
-    let heads = heads(&readers, leader);
+    let readers: Vec<&Candidate> = halls.flat_map(hall_readers).collect();
+    let heads = select_roots(&readers, leader);
     readers
         .iter()
         .map(|host| Reader {
@@ -58,13 +58,13 @@
 }
 
 /// Readers of one hall, whose hosts stand with the strongest first.
-fn readers_of(hall: &[Candidate]) -> impl Iterator<Item = &Candidate> {
-    let count = hall.len().div_ceil(HOSTS_PER_READER).max(LEAST_READERS);
+fn hall_readers(hall: &[Candidate]) -> impl Iterator<Item = &Candidate> {
+    let count = hall.len().div_ceil(HOSTS_PER_READER).max(MIN_READERS);
     hall.iter().take(count)
 }
 
 /// Heads among the readers.
-fn heads(readers: &[&Candidate], leader: SocketAddr) -> Vec<SocketAddr> {
+fn select_roots(readers: &[&Candidate], leader: SocketAddr) -> Vec<SocketAddr> {
     let hall = readers.iter().find(|r| r.addr == leader).map(|r| &r.hall);
     let mut ranked: Vec<&&Candidate> = readers.iter().collect();
     ranked.sort_by(|a, b| {
@@ -75,5 +75,5 @@
             .then(b.cores.total_cmp(&a.cores))
             .then(a.addr.cmp(&b.addr))
     });
-    ranked.iter().take(HEADS).map(|r| r.addr).collect()
+    ranked.iter().take(ROOTS).map(|r| r.addr).collect()
 }
--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -26,27 +26,27 @@
 
 /// Time for a call of the store beyond its waiting; the store answers in milliseconds, and in some
 /// hundreds of them when it is slow.
-const STORE_LIMIT: Duration = Duration::from_millis(700);
+const STORE_CALL_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Time after a stop is asked for in which new connections are still taken: the balancer asks each
 /// second and turns away at the second miss. What comes later has less than the grace to end.
-const ACCEPTING: Duration = Duration::from_millis(2_400);
+const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(2_400);
 
 /// Part of the grace at whose end the process ends itself, before it is killed.
-const GRACE_PART: f64 = 0.95;
+const GRACE_FRACTION: f64 = 0.95;
 
 /// Part of the grace up to which [`ACCEPTING`] may reach.
-const ACCEPTING_PART: f64 = 0.4;
+const ACCEPT_FRACTION: f64 = 0.4;
 
 /// Descriptors kept for files, listeners and calls of coveford's own.
-const OWN_DESCRIPTORS: usize = 300;
+const RESERVED_DESCRIPTORS: usize = 300;
 
 /// Time that a connection of a client may be idle; the platform's clients reuse one for at most
 /// four fifths of the configured limit, which is not known before the first configuration.
-const IDLE: Duration = Duration::from_secs(15);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Longest head of a request, in bytes; a little over what the platform allows clients.
-const HEAD_BYTES: usize = 24 * 1_024;
+const MAX_HEAD_BYTES: usize = 24 * 1_024;
 
 /// Connections of the balancer and of collectors of metrics.
 const OTHER_CONNECTIONS: usize = 32;
@@ -55,14 +55,14 @@
 const HOST_CONNECTIONS: usize = 64;
 
 /// Pause between two looks at the settings file, which may change without a signal.
-const SETTINGS_LOOK: Duration = Duration::from_secs(2);
+const SETTINGS_POLL: Duration = Duration::from_secs(2);
 
 /// Pause between two upkeeps of connections, metrics and logs.
-const UPKEEP: Duration = Duration::from_millis(500);
+const UPKEEP_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Pause between two looks at replicas whose entries are missing, while there are any: requests reach one that
 /// is gone for this much longer.
-const SETTLE: Duration = Duration::from_millis(50);
+const MISSING_POLL: Duration = Duration::from_millis(50);
 
 /// Running daemon.
 pub struct Daemon {
@@ -97,7 +97,7 @@
             _ = term.recv() => break,
             _ = interrupt.recv() => break,
             _ = hangup.recv() => reload(path, &mut known, "signal"),
-            _ = tokio::time::sleep(SETTINGS_LOOK) => {
+            _ = tokio::time::sleep(SETTINGS_POLL) => {
                 if modified(path) != known.0 {
                     reload(path, &mut known, "file");
                 }
@@ -147,7 +147,7 @@
     let addr = settings.peers;
     let socket = UdpSocket::bind(addr).await.context(ListenSnafu { addr })?;
     let log = log::open(settings.log.sample);
-    let (state, wanted, reports) = state::open(settings, log, STORE_LIMIT);
+    let (state, wanted, reports) = state::open(settings, log, STORE_CALL_TIMEOUT);
     let peers = peers::open(state.clone(), socket);
     let entry = serve::Context {
         state: state.clone(),
@@ -159,7 +159,7 @@
         _readiness: serve_readiness(&state, readiness)?,
         _metrics: serve_metrics(&state, &peers, metrics)?,
         _answers: serve_hosts(&state, answers)?,
-        _tasks: tasks(&entry, &peers, wanted, reports),
+        _tasks: spawn_tasks(&entry, &peers, wanted, reports),
         state,
     };
     let settings = &daemon.state.settings;
@@ -167,7 +167,7 @@
     Ok(daemon)
 }
 
-fn tasks(
+fn spawn_tasks(
     entry: &serve::Context,
     peers: &Arc<Peers>,
     wanted: PlacementRequests,
@@ -185,7 +185,7 @@
     tasks.spawn(peers.clone().send_limit_changes());
     tasks.spawn(peers.clone().send_departures());
     tasks.spawn(upkeep(state.clone()));
-    tasks.spawn(settle(state.clone()));
+    tasks.spawn(expire_missing(state.clone()));
     let (state, peers) = (state.clone(), peers.clone());
     tasks.spawn(async move {
         let lead = |term| planner::run(state.clone(), peers.clone(), term);
@@ -202,9 +202,9 @@
     let limits = entry.state.settings.limits;
     let bounds = Bounds {
         // Half of the descriptors: a request needs a connection to a replica as well.
-        connections: limits.descriptors.saturating_sub(OWN_DESCRIPTORS) / 2,
-        head_time: IDLE,
-        head_bytes: HEAD_BYTES,
+        connections: limits.descriptors.saturating_sub(RESERVED_DESCRIPTORS) / 2,
+        head_time: IDLE_TIMEOUT,
+        head_bytes: MAX_HEAD_BYTES,
     };
     let entry = entry.clone();
     let answer = move |request| {
@@ -257,8 +257,8 @@
 /// Closes old connections, forgets old removals, and tells what the logs left out.
 async fn upkeep(state: Arc<State>) {
     loop {
-        tokio::time::sleep(UPKEEP).await;
-        expire(&state);
+        tokio::time::sleep(UPKEEP_INTERVAL).await;
+        expire_due(&state);
         state.pool.close_expired(state.now());
         state.log.metrics.run_upkeep();
         state.log.log_omitted();
@@ -266,18 +266,18 @@
 }
 
 /// Takes replicas as gone as soon as their entries, which vanished, can no longer come back.
-async fn settle(state: Arc<State>) {
+async fn expire_missing(state: Arc<State>) {
     loop {
         state.entry_missing.notified().await;
         while state.table.lock().view.has_missing() {
-            tokio::time::sleep(SETTLE).await;
-            expire(&state);
+            tokio::time::sleep(MISSING_POLL).await;
+            expire_due(&state);
         }
     }
 }
 
 /// Takes as gone what is missing for too long.
-fn expire(state: &State) {
+fn expire_due(state: &State) {
     let now = state.now();
     let rested = state.table.lock().expire_backoffs(now);
     for replica in rested {
@@ -319,9 +319,9 @@
         let in_flight = state.in_flight();
         info!(target: "daemon", event = "draining", in_flight, "readiness fails; connections are taken a while longer");
         let asked = state.now();
-        let accepting = ACCEPTING.min(grace.mul_f64(ACCEPTING_PART));
+        let accepting = ACCEPT_AFTER_STOP.min(grace.mul_f64(ACCEPT_FRACTION));
         state.clock.sleep_until(asked + Span::from(accepting)).await;
-        let end = asked + Span::from(grace.mul_f64(GRACE_PART));
+        let end = asked + Span::from(grace.mul_f64(GRACE_FRACTION));
         let left = end.since(state.now()).std();
         let drained = state.clock.timeout_at(end, self.callers.drain(left)).await;
         let cut = drained.unwrap_or_else(|_| self.callers.connections());
--- a/crates/front/src/run/gauges.rs
+++ b/crates/front/src/run/gauges.rs
@@ -7,17 +7,17 @@
 
 /// Brings all gauges up to date.
 pub(super) fn update(state: &State, peers: &Peers) {
-    own(state);
-    limit_gauges(state);
-    word_gauges(state);
-    account_gauges(state, peers);
+    update_host(state);
+    update_limits(state);
+    update_replica_states(state);
+    update_accounts(state, peers);
 }
 
 /// Accounts whose use is told each by itself at the host that gives out; the rest are not told.
-const MOST_ACCOUNTS: usize = 100;
+const MAX_ACCOUNTS: usize = 100;
 
 /// Tells what accounts were given in the last window, at the host that gives out.
-fn account_gauges(state: &State, peers: &Peers) {
+fn update_accounts(state: &State, peers: &Peers) {
     let routes = state.table.lock().routes.clone();
     let known = routes.as_ref().and_then(|r| r.accounts.as_ref());
     let Some(known) = known else { return };
@@ -29,7 +29,7 @@
     metrics
         .gauge("coveford_keys_age_seconds", &[])
         .set(age.secs());
-    for account in known.all().take(MOST_ACCOUNTS) {
+    for account in known.all().take(MAX_ACCOUNTS) {
         let given = peers.granted(&account.name);
         if let (Some(given), Some(quota)) = (given, account.quota) {
             let labels = [("account", &*account.name)];
@@ -42,7 +42,7 @@
 }
 
 /// What this host is, knows and has in hand.
-fn own(state: &State) {
+fn update_host(state: &State) {
     use std::sync::atomic::Ordering::Relaxed;
     let metrics = &state.log.metrics;
     let set = |name, labels: &[(&'static str, &str)], value: f64| {
@@ -77,10 +77,10 @@
 }
 
 /// Replicas whose limits or rests are told each by itself; the others are counted only.
-const MOST_REPLICAS: usize = 100;
+const MAX_REPLICAS: usize = 100;
 
 /// Tells which replicas have named limits; one that is over is told as endless, since a gauge cannot be taken back.
-fn limit_gauges(state: &State) {
+fn update_limits(state: &State) {
     let mut limited = state.table.lock().limits_by_replica(state.now());
     let metrics = &state.log.metrics;
     let in_need = limited.iter().filter(|(_, rate)| rate.is_some()).count();
@@ -88,7 +88,7 @@
         .gauge("coveford_limited_replicas", &[])
         .set(in_need as f64);
     limited.sort_by_key(|(_, rate)| rate.is_none());
-    for (replica, rate) in limited.iter().take(MOST_REPLICAS) {
+    for (replica, rate) in limited.iter().take(MAX_REPLICAS) {
         let labels = [("replica", &**replica)];
         let rate = rate.unwrap_or(f64::INFINITY);
         metrics.gauge("coveford_replica_limit", &labels).set(rate);
@@ -96,7 +96,7 @@
 }
 
 /// Tells which replicas leave by their word, and which want nothing from this host and for how long.
-fn word_gauges(state: &State) {
+fn update_replica_states(state: &State) {
     let (leaving, resting) = {
         let table = state.table.lock();
         (table.view.departures().len(), table.backoffs(state.now()))
@@ -106,7 +106,7 @@
     count("coveford_leaving_replicas", leaving);
     let resting_now = resting.iter().filter(|(_, left)| *left > Span::ZERO);
     count("coveford_resting_replicas", resting_now.count());
-    for (replica, left) in resting.iter().take(MOST_REPLICAS) {
+    for (replica, left) in resting.iter().take(MAX_REPLICAS) {
         let labels = [("replica", &**replica)];
         metrics
             .gauge("coveford_replica_rest_seconds", &labels)
--- a/crates/front/src/settings.rs
+++ b/crates/front/src/settings.rs
@@ -93,10 +93,10 @@
 
 /// Requests of which one is told whole unless the settings say otherwise: a line costs some 20 µs, of
 /// the 200 µs that a request takes.
-const SAMPLE: u64 = 64;
+const DEFAULT_SAMPLE: u64 = 64;
 
 /// Sections a settings file may have.
-const KINDS: [&str; 5] = ["daemon", "store", "bounds", "limits", "log"];
+const SECTIONS: [&str; 5] = ["daemon", "store", "bounds", "limits", "log"];
 
 /// Whether a settings file is one of a daemon on a platform: it names a store.
 pub fn is_on_platform(text: &str) -> bool {
@@ -109,9 +109,9 @@
     let mut problems = Problems::new(file);
     let document = ini::parse(text, &mut problems);
     for section in &document.sections {
-        if !KINDS.contains(&&*section.kind) || !section.name.is_empty() {
+        if !SECTIONS.contains(&&*section.kind) || !section.name.is_empty() {
             let header = ini::header(section);
-            let known = KINDS.join(", ");
+            let known = SECTIONS.join(", ");
             problems.add(
                 section.line,
                 format!("[{header}] is not a section of the settings; known are: {known}."),
@@ -200,7 +200,7 @@
         );
         fields.report("level", text);
     }
-    let sample = fields.value("sample", SAMPLE, 1..=1_000_000);
+    let sample = fields.value("sample", DEFAULT_SAMPLE, 1..=1_000_000);
     fields.finish();
     Log { level, sample }
 }
--- a/crates/front/src/state.rs
+++ b/crates/front/src/state.rs
@@ -18,7 +18,7 @@
 use unit::{Name, Time};
 
 /// Part of the process's memory that request bodies may take.
-const BODIES_PART: usize = 4;
+const BODY_MEMORY_DIVISOR: usize = 4;
 
 /// Shared state of one daemon.
 pub struct State {
@@ -96,7 +96,7 @@
     store_limit: std::time::Duration,
 ) -> (Arc<State>, PlacementRequests, Reports) {
     let seed = unit::rendezvous::hash(settings.name.as_bytes());
-    let bodies = settings.limits.memory_mb * 1_024 / BODIES_PART;
+    let bodies = settings.limits.memory_mb * 1_024 / BODY_MEMORY_DIVISOR;
     let (wanted, receiver) = tokio::sync::mpsc::unbounded_channel();
     let (quarantine, reports) = quarantine::open();
     let heartbeat = settings.bounds.heartbeat.into();
