--- a/crates/front/src/clock.rs
+++ b/crates/front/src/clock.rs
@@ -1,7 +1,7 @@
-//! Time of one daemon, by which it reckons all ages and deadlines.
+//! Clock of one daemon, used for all ages and deadlines.
 //!
-//! It goes on while the host is suspended or the process stands still. Timers of the runtime do not: they count by
-//! the steady clock. So whoever waits for a time waits by this clock, which wakes it at the return.
+//! It keeps running while the host is suspended or the process is stopped, unlike the runtime's timers, which use the
+//! monotonic clock. Waits on this clock are re-evaluated after such a pause.
 
 use std::pin::pin;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -9,26 +9,26 @@
 use tokio::time::{Instant, sleep_until};
 use unit::{Span, Time, clock};
 
-/// First time a clock shows, so that "long ago" is before it.
+/// First time that the clock shows, in microseconds, so that times before its start can be represented.
 const FIRST: u64 = 3_600_000_000;
 
-/// Time between two looks at the clock from which the process has stood still, or its host was suspended: a task
-/// looks each tenth of a second, and a plan of a large fleet takes less.
+/// Gap between two readings beyond which the process is taken to have been stopped, or its host suspended. A task
+/// reads the clock every 100 ms, and planning for a large fleet blocks for less than this.
 const SUSPENSION_THRESHOLD: Span = Span::from_ms(700);
 
-/// Clock that starts a little above zero at its making.
+/// Clock that starts at a small positive time.
 #[derive(Debug)]
 pub struct Clock {
     start: Span,
-    /// When it was looked at last.
+    /// Last reading, in microseconds.
     last_seen: AtomicU64,
-    /// Times that the process has stood still so far.
+    /// Number of pauses of the process detected so far.
     resumes: watch::Sender<u64>,
-    /// Time for which tests let the host be suspended, in microseconds.
+    /// Suspension simulated by tests, in microseconds.
     suspended: AtomicU64,
 }
 
-/// What a wait was for did not come before its time.
+/// The deadline passed before the awaited work finished.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Elapsed;
 
@@ -43,7 +43,6 @@
 }
 
 impl Clock {
-    /// Time now.
     pub fn now(&self) -> Time {
         let passed = clock::since_boot().saturating_sub(self.start);
         let now = FIRST + passed.0 + self.suspended.load(Ordering::Relaxed);
@@ -54,12 +53,11 @@
         Time(now)
     }
 
-    /// Times that the process has stood still so far: what waited for it meanwhile is as old as that.
+    /// Number of pauses of the process detected so far. Anything queued across a pause is as old as the pause.
     pub fn resume_count(&self) -> u64 {
         *self.resumes.borrow()
     }
 
-    /// Waits until a time.
     pub async fn sleep_until(&self, time: Time) {
         let mut returns = self.resumes.subscribe();
         loop {
@@ -76,7 +74,7 @@
         }
     }
 
-    /// Waits for something, but no longer than until a time.
+    /// Waits for `work` until `time` at the latest.
     pub async fn timeout_at<F: Future>(&self, time: Time, work: F) -> Result<F::Output, Elapsed> {
         let mut work = pin!(work);
         tokio::select! {
@@ -86,7 +84,7 @@
         }
     }
 
-    /// Lets the host seem suspended for a time, in which its steady clock stood still.
+    /// Simulates a suspension of the host, during which its monotonic clock stood still.
     pub fn simulate_suspend(&self, span: Span) {
         self.suspended.fetch_add(span.0, Ordering::Relaxed);
     }
--- a/crates/front/src/error.rs
+++ b/crates/front/src/error.rs
@@ -1,33 +1,33 @@
-//! Why a daemon on a platform could not start.
+//! Errors that prevent a daemon from starting.
 
 use bundle::ini::{self, Problem};
 use snafu::Snafu;
 use std::net::SocketAddr;
 
-/// Error of the daemon; each message says what to do.
+/// Start-up error; each message says how to fix it.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// The settings are wrong.
-    #[snafu(display("The settings have {} problems; mend them all:\n{}", problems.len(), ini::format_problems(problems)))]
+    /// The settings are invalid.
+    #[snafu(display("The settings have {} problems; fix all of them:\n{}", problems.len(), ini::format_problems(problems)))]
     Settings {
-        /// All that is wrong.
+        /// All problems found.
         problems: Vec<Problem>,
     },
-    /// An address cannot be listened on.
+    /// An address could not be bound.
     #[snafu(display(
-        "{addr} cannot be listened on: {source}. Choose another address or end what holds it."
+        "Cannot listen on {addr}: {source}. Choose another address or stop the process that uses it."
     ))]
     Listen {
-        /// Which.
+        /// The address.
         addr: SocketAddr,
-        /// What the system said.
+        /// Cause.
         source: std::io::Error,
     },
-    /// The runtime could not start.
+    /// The async runtime or a server could not start.
     #[snafu(display("The runtime could not start: {source}."))]
     Runtime {
-        /// What the system said.
+        /// Cause.
         source: std::io::Error,
     },
 }
--- a/crates/front/src/events.rs
+++ b/crates/front/src/events.rs
@@ -1,26 +1,26 @@
-//! Cutting a stream into whole events, so that a partial one is never passed on.
+//! Splits a server-sent event stream at event boundaries, so that a partial event is never forwarded.
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event; a stream with a longer one is not a series of events.
+/// Longest event, in bytes; a stream with a longer one is rejected.
 const MAX_EVENT: usize = 1 << 20;
 
-/// Bytes of a stream that do not make a whole event yet.
+/// Buffer of the bytes after the last complete event.
 #[derive(Debug, Default)]
 pub struct Splitter {
     partial: BytesMut,
     last: Option<u64>,
 }
 
-/// The stream is not a series of events.
+/// An event exceeds the size limit.
 #[derive(Debug, PartialEq, Eq)]
 pub struct TooLong;
 
 impl Splitter {
-    /// Takes bytes in and gives back the whole events they complete, in one piece.
+    /// Appends bytes and returns the events that are now complete, in one piece.
     pub fn push(&mut self, bytes: Bytes) -> Result<Option<Bytes>, TooLong> {
         let whole = match (self.partial.is_empty(), end_of_last(&bytes)) {
-            // The usual case: whole events in one packet need no copy.
+            // Fast path: complete events in one packet need no copy.
             (true, Some(end)) => {
                 self.partial.extend_from_slice(&bytes[end..]);
                 bytes.slice(..end)
@@ -40,23 +40,23 @@
         Ok(Some(whole))
     }
 
-    /// Number of the last whole event.
+    /// Id of the last complete event.
     pub fn last_id(&self) -> Option<u64> {
         self.last
     }
 
-    /// Bytes that stand behind the last whole event; gives them up.
+    /// Takes the bytes after the last complete event.
     pub fn take_remainder(&mut self) -> Bytes {
         self.partial.split().freeze()
     }
 
-    /// Whether the stream stands inside an event.
+    /// Whether the stream ends within an event.
     pub fn is_partial(&self) -> bool {
         !self.partial.is_empty()
     }
 }
 
-/// End of the last whole event: behind its empty line.
+/// Offset behind the blank line that ends the last complete event.
 fn end_of_last(bytes: &[u8]) -> Option<usize> {
     let newline = bytes
         .windows(2)
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -1,8 +1,7 @@
-//! A daemon's work on a platform whose store lists the replicas: entry, view, planner.
+//! Daemon for a platform whose store lists the replicas: routes requests, follows the store, plans placement.
 //!
-//! Dependencies between modules point one way: `state` holds what several parts share and names
-//! only what lies below it; `run` starts them all. Locks are taken in this order: [`queue::Waiting`], then
-//! [`table::Table`]; none is held across an await.
+//! Module dependencies are acyclic: `state` holds what several modules share and depends only on lower ones; `run`
+//! starts them all. Lock order: [`queue::Waiting`], then [`table::Table`]; neither is held across an await.
 
 pub mod accounts;
 pub mod attempt;
--- a/crates/front/src/log.rs
+++ b/crates/front/src/log.rs
@@ -1,8 +1,7 @@
-//! Logs: JSON lines on standard output, written by a thread of their own that is never waited for.
+//! Logs: JSON lines on standard output, written by a dedicated thread that callers never wait for.
 //!
-//! Routine decisions are told for one request in so many, chosen by its identity, so that every host
-//! tells the same requests whole. What is out of the ordinary is told up to a rate. Lines
-//! that were left out or did not fit the buffer are counted.
+//! Routine decisions are logged for one request in `sample`, chosen by the hash of its id, so that all hosts log the
+//! same requests. Other lines are rate limited. Lines that exceed the rate limit or the buffer are counted.
 
 use crate::metrics::Metrics;
 use parking_lot::Mutex;
@@ -13,20 +12,19 @@
 use tracing_appender::non_blocking::{NonBlocking, NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::EnvFilter;
 
-/// Lines out of the ordinary that may be told a second; each costs some 20 µs.
+/// Rate limit, in lines per second. A line costs about 20 µs.
 const LINES_PER_SECOND: f64 = 40.0;
 
-/// Lines that may be told at once after a quiet time.
+/// Lines that may be logged at once.
 const BURST: f64 = 200.0;
 
-/// Lines that wait for the writing thread; more are dropped and counted.
+/// Lines buffered for the writer thread; further lines are dropped and counted.
 const BUFFERED_LINES: usize = 2_048;
 
-/// Logs and metrics of one daemon.
 pub struct Log {
-    /// Its metrics.
+    /// Metrics of the daemon.
     pub metrics: Metrics,
-    /// One request in that many is told whole.
+    /// One request in this many is logged.
     sample: u64,
     bucket: Mutex<TokenBucket>,
     omitted: AtomicU64,
@@ -37,7 +35,7 @@
     refilled: Instant,
 }
 
-/// Makes the logs of a daemon that tells one request in `sample` whole.
+/// Opens the logs of a daemon that logs one request in `sample`.
 pub fn open(sample: u64) -> Log {
     Log {
         metrics: crate::metrics::open(),
@@ -50,7 +48,7 @@
     }
 }
 
-/// Starts writing lines in the name of a host; they are flushed when the guard is dropped.
+/// Installs the subscriber, which adds the host's name to each line. Lines are flushed when the guard is dropped.
 pub fn init(host: &str, level: &str) -> WorkerGuard {
     let (lines, guard) = NonBlockingBuilder::default()
         .buffered_lines_limit(BUFFERED_LINES)
@@ -73,14 +71,14 @@
     guard
 }
 
-/// Writer that puts the host's name in front of the other fields of a line.
+/// Writer that adds the host's name to each line.
 struct HostWriter {
     start: Arc<[u8]>,
     lines: NonBlocking,
 }
 
 impl Write for HostWriter {
-    /// A line comes whole, as one object.
+    /// Expects one whole line, a JSON object.
     fn write(&mut self, line: &[u8]) -> std::io::Result<usize> {
         let fields = line.strip_prefix(b"{").unwrap_or(line);
         let mut named = Vec::with_capacity(self.start.len() + fields.len());
@@ -96,17 +94,17 @@
 }
 
 impl Log {
-    /// Tells a routine decision about a request, if the request is one of the sample.
-    pub fn sampled(&self, id: &str, tell: impl FnOnce()) {
+    /// Logs a routine decision about a request if the request is in the sample.
+    pub fn sampled(&self, id: &str, log: impl FnOnce()) {
         if unit::rendezvous::hash(id.as_bytes()).is_multiple_of(self.sample) {
-            tell();
+            log();
         }
     }
 
-    /// Tells something out of the ordinary, within the rate.
-    pub fn rate_limited(&self, tell: impl FnOnce()) {
+    /// Logs a line unless the rate limit is exceeded.
+    pub fn rate_limited(&self, log: impl FnOnce()) {
         if self.take_token() {
-            tell();
+            log();
             return;
         }
         self.omitted.fetch_add(1, Ordering::Relaxed);
@@ -127,11 +125,11 @@
         true
     }
 
-    /// Tells how many lines were left out since the last call.
+    /// Logs how many lines the rate limit suppressed since the last call.
     pub fn log_omitted(&self) {
         let lines = self.omitted.swap(0, Ordering::Relaxed);
         if lines > 0 {
-            tracing::warn!(target: "log", event = "left_out", lines, "lines were left out to keep within the rate");
+            tracing::warn!(target: "log", event = "left_out", lines, "the rate limit suppressed log lines");
         }
     }
 }
--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -1,4 +1,4 @@
-//! What daemons tell each other in datagrams.
+//! Datagrams exchanged between daemons.
 
 pub mod departures;
 pub mod limit;
@@ -17,80 +17,79 @@
 use std::net::SocketAddr;
 use unit::{Fingerprint, Name};
 
-/// Ranks of urgency that sums are kept apart for; less urgent ones share the last.
+/// Number of priority levels that loads are kept apart for; lower priorities share the last one.
 pub const PRIORITY_LEVELS: usize = 4;
 
-/// Longest datagram, in bytes, so that it fits the usual packet.
+/// Longest datagram, in bytes; fits an Ethernet frame with its headers.
 pub const MAX_DATAGRAM: usize = 1_400;
 
-/// Datagram between daemons.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Message {
-    /// A host's sums, to the leader.
+    /// Load and demand of a host, sent to the leader each round.
     #[serde(rename = "Sums")]
     Report(LoadReport),
-    /// A host's requests in flight, to every other host.
+    /// Requests in flight of a host, sent to all other hosts of a small fleet.
     #[serde(rename = "Direct")]
     PeerLoads(LoadReport),
-    /// A host's requests in flight, to the leader, between two rounds of sums.
+    /// Requests in flight of a host, sent to the leader between two rounds.
     Loads(LoadReport),
-    /// The sums of all hosts, from the leader.
+    /// Loads of all hosts and the planner's status, sent by the leader.
     Digest(Digest),
-    /// A host needs an adapter somewhere.
+    /// Asks the leader to load an adapter.
     #[serde(rename = "Want")]
     AdapterRequest(AdapterRequest),
-    /// A host has a request for a model that is on no replica.
+    /// Asks the leader to load a model that no replica holds.
     #[serde(rename = "Missing")]
     ModelRequest(ModelRequest),
-    /// The leader says where an adapter is.
+    /// Tells on which replica an adapter was placed, sent by the leader.
     #[serde(rename = "Placed")]
     AdapterPlacement(AdapterPlacement),
-    /// Where the hosts of a part of the fleet take datagrams, from the leader to the one that passes
-    /// on to them.
+    /// Addresses that a relay forwards the leader's datagrams to, sent by the leader.
     #[serde(rename = "Part")]
     FanoutGroup(Vec<SocketAddr>),
-    /// A host asks the leader for units of a limit over all hosts.
+    /// Asks the leader for units of a fleet-wide quota.
     #[serde(rename = "Question")]
     QuotaRequest(QuotaRequest),
-    /// The leader's answer to the question of that number.
+    /// Leader's response to the quota request of that number.
     #[serde(rename = "Verdict")]
     QuotaResponse(u32, QuotaResponse),
-    /// A host gives back what a request did not use.
+    /// Returns unused units to the leader.
     Refund(Refund),
-    /// Limits that replicas named to a host, to the leader.
+    /// Rate limits that replicas advertised to a host, sent to the leader.
     #[serde(rename = "Heard")]
     LimitReport(LimitReport),
-    /// Limits that replicas name, from the leader.
+    /// Rate limits of replicas, sent by the leader.
     #[serde(rename = "Limits")]
     LimitDigest(LimitDigest),
-    /// Replicas that leave by their own word: to the leader, and from it to all; where hosts are few, to all.
+    /// Replicas that announced their departure: sent to the leader, which sends them to all; in a small fleet, to
+    /// all.
     #[serde(rename = "Leaving")]
     Departures(Departures),
-    /// A host saw a replica fall, to the leader; where hosts are few, to all.
+    /// A replica crashed: sent to the leader; in a small fleet, to all.
     #[serde(rename = "Fallen")]
     CrashReport(CrashReport),
-    /// A run of a request that is listed has ended well, to the leader.
+    /// A suspected request succeeded, sent to the leader.
     #[serde(rename = "Sound")]
     Succeeded(Fingerprint),
-    /// A trial of a request has ended, and not well, to the leader: whether it broke off.
+    /// A trial of a request did not succeed, sent to the leader; true if the connection broke.
     #[serde(rename = "Tried")]
     TrialFailed(Fingerprint, bool),
-    /// A host asks the leader for a trial: number of the question, request, and who asks.
+    /// Asks the leader for a trial: number of the request, fingerprint, and id of the request that would run.
     #[serde(rename = "Trial")]
     TrialRequest(u32, Fingerprint, u64),
-    /// The leader's answer to the question of that number.
+    /// Leader's response to the trial request of that number.
     #[serde(rename = "Permit")]
     TrialResponse(u32, TrialResponse),
-    /// Requests that are suspected or kept out, from the leader.
+    /// Requests that are suspected or quarantined, sent by the leader.
     #[serde(rename = "Listing")]
     QuarantineList(QuarantineList),
-    /// A datagram of the leader, to be taken in and passed on to the hosts of that part.
+    /// Datagram of the leader that the relay handles and forwards to its fan-out group.
     #[serde(rename = "Pass")]
     Forward(Bytes),
 }
 
 impl Message {
-    /// Word for it in metrics.
+    /// Label of the message in metrics.
     pub fn kind(&self) -> &'static str {
         match self {
             Message::Report(_) => "sums",
@@ -121,53 +120,50 @@
     }
 }
 
-/// What one host has seen and has in flight.
+/// Load and demand of one host.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// The host.
     pub host: Name,
-    /// Its hall.
+    /// Data hall of the host.
     pub hall: Name,
-    /// Its processor, in cores.
+    /// CPU of the host, in cores.
     pub cores: f32,
-    /// Round of telling; parts of one round add up.
+    /// Number of the round; datagrams of one round are merged.
     pub round: u32,
-    /// Demand by model.
     pub demand: Vec<Demand>,
     /// Requests in flight by replica.
     pub loads: Vec<PackedLoad>,
-    /// Adapters that requests were sent to since the round before.
+    /// Adapters used by requests since the last round.
     pub adapter_uses: Vec<AdapterUse>,
-    /// Short names of replicas that this host leaves alone, since it could not reach them.
+    /// Hashes of replicas that this host avoids because it could not reach them.
     pub unreachable: Vec<u32>,
-    /// Short names of replicas that want nothing from this host now.
+    /// Hashes of replicas that asked this host to back off.
     pub backing_off: Vec<u32>,
-    /// Whether the store failed this host a moment ago.
+    /// Whether the store failed this host recently.
     pub store_failed: bool,
-    /// Time through which this host heard from the store, if it ever did.
+    /// Period for which this host has been in contact with the store, if it ever was.
     pub store_uptime: Option<Ages>,
 }
 
-/// Rows of sums that fit one datagram: each takes at most 40 bytes.
+/// Rows that fit one datagram; a row takes at most 40 bytes.
 const MAX_ROWS: usize = MAX_DATAGRAM / 40;
 
-/// Least rows of a datagram, however many replicas are absent: a larger packet than usual is cut into
-/// fragments, and arrives.
+/// Minimum rows of a datagram, however many replicas are unreachable; a longer datagram is fragmented by IP.
 const MIN_ROWS: usize = 8;
 
 impl LoadReport {
-    /// Cuts them into parts that fit a datagram each.
+    /// Splits the report so that each part fits one datagram.
     pub fn split(self) -> Vec<LoadReport> {
-        // Words of absent and resting replicas are in each part, so they take their room first.
-        let named = self.unreachable.len() + self.backing_off.len();
-        let rows = MAX_ROWS.saturating_sub(named).max(MIN_ROWS);
+        // Unreachable replicas and backoffs are repeated in each part, so their size is reserved first.
+        let repeated = self.unreachable.len() + self.backing_off.len();
+        let rows = MAX_ROWS.saturating_sub(repeated).max(MIN_ROWS);
         if self.demand.len() + self.loads.len() + self.adapter_uses.len() <= rows {
             return vec![self];
         }
-        let part = |demand: &[Demand], loads: &[PackedLoad], used: &[AdapterUse]| LoadReport {
+        let part = |demand: &[Demand], loads: &[PackedLoad], uses: &[AdapterUse]| LoadReport {
             demand: demand.to_vec(),
             loads: loads.to_vec(),
-            adapter_uses: used.to_vec(),
+            adapter_uses: uses.to_vec(),
             host: self.host.clone(),
             hall: self.hall.clone(),
             unreachable: self.unreachable.clone(),
@@ -179,72 +175,67 @@
         };
         let demand = self.demand.chunks(rows).map(|rows| part(rows, &[], &[]));
         let loads = self.loads.chunks(rows).map(|rows| part(&[], rows, &[]));
-        let used = self
+        let uses = self
             .adapter_uses
             .chunks(rows)
             .map(|rows| part(&[], &[], rows));
-        demand.chain(loads).chain(used).collect()
+        demand.chain(loads).chain(uses).collect()
     }
 }
 
-/// Use of an adapter at a replica.
+/// Use of an adapter on a replica.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AdapterUse {
-    /// Short name of the replica.
+    /// Hash of the replica's id.
     pub replica: u32,
-    /// Its model.
     pub model: Name,
-    /// The adapter.
     pub adapter: Name,
 }
 
-/// Demand for one model at one host.
+/// Demand for one model on one host.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Demand {
-    /// Service that serves it.
+    /// Service of the model.
     pub service: Name,
-    /// The model.
     pub model: Name,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f32,
-    /// Prompt tokens a second.
+    /// Prompt tokens per second.
     pub tokens: f32,
 }
 
-/// Requests in flight at one replica, in the few bytes that a large fleet allows.
+/// [`Load`] of one replica, packed into a few bytes.
 ///
-/// A replica is named by 32 bits of its identity's hash; that two of some thousands share them is
-/// unlikely, and costs no more than a worse choice.
+/// A replica is identified by 32 bits of the hash of its id. A collision merges the loads of two replicas, which only
+/// makes routing less accurate.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct PackedLoad(u32, u16, u16, [u16; PRIORITY_LEVELS]);
 
-/// Tokens that one step of a row's reserved memory stands for.
+/// Tokens per unit of the packed `reserved_tokens`.
 const TOKENS_PER_UNIT: f32 = 64.0;
 
-/// Short name of a replica in a row.
+/// Upper 32 bits of the hash of a replica's id.
 pub fn replica_hash(replica: &str) -> u32 {
     (unit::rendezvous::hash(replica.as_bytes()) >> 32) as u32
 }
 
 impl PackedLoad {
-    /// Row of a replica's load.
     pub fn new(replica: &str, load: &Load) -> PackedLoad {
         let reserved = (load.reserved_tokens / TOKENS_PER_UNIT).round() as u16;
-        let unread = load.prefill_ms.map(|ms| ms.ceil() as u16);
+        let prefill = load.prefill_ms.map(|ms| ms.ceil() as u16);
         PackedLoad(
             replica_hash(replica),
             load.requests as u16,
             reserved,
-            unread,
+            prefill,
         )
     }
 
-    /// Short name of the replica.
+    /// Hash of the replica's id.
     pub fn replica(&self) -> u32 {
         self.0
     }
 
-    /// The load.
     pub fn load(&self) -> Load {
         Load {
             requests: f32::from(self.1),
@@ -254,19 +245,18 @@
     }
 }
 
-/// Requests in flight at one replica.
+/// Requests in flight on one replica.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Load {
-    /// Requests.
+    /// Number of requests.
     pub requests: f32,
-    /// Tokens that they need at the most.
+    /// Upper bound of the tokens that the requests need.
     pub reserved_tokens: f32,
-    /// Time to read the prompts that are not read yet, in milliseconds, by rank of urgency.
+    /// Time to prefill the remaining prompts, in milliseconds, by priority level.
     pub prefill_ms: [f32; PRIORITY_LEVELS],
 }
 
 impl Load {
-    /// Adds another load.
     pub fn add(&mut self, other: &Load) {
         self.requests += other.requests;
         self.reserved_tokens += other.reserved_tokens;
@@ -275,18 +265,18 @@
         }
     }
 
-    /// The lesser of two loads, part by part.
+    /// Component-wise minimum.
     pub fn min(&self, other: &Load) -> Load {
-        let mut least = *self;
-        least.requests = least.requests.min(other.requests);
-        least.reserved_tokens = least.reserved_tokens.min(other.reserved_tokens);
-        for (mine, its) in least.prefill_ms.iter_mut().zip(other.prefill_ms) {
+        let mut min = *self;
+        min.requests = min.requests.min(other.requests);
+        min.reserved_tokens = min.reserved_tokens.min(other.reserved_tokens);
+        for (mine, its) in min.prefill_ms.iter_mut().zip(other.prefill_ms) {
             *mine = mine.min(its);
         }
-        least
+        min
     }
 
-    /// What remains without another load; never below nothing.
+    /// Component-wise difference, at least zero.
     pub fn saturating_sub(&self, other: &Load) -> Load {
         let mut rest = *self;
         rest.requests = (rest.requests - other.requests).max(0.0);
@@ -298,79 +288,74 @@
     }
 }
 
-/// Sums of all hosts, in one or more datagrams.
+/// Loads of all hosts; one round may take several datagrams.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Digest {
     /// Fencing token of the leader's term.
     pub term: u64,
-    /// Hosts whose sums are in it.
+    /// Number of hosts that reported.
     pub hosts: u32,
-    /// Requests in flight by replica: those that changed since the digest before, or all.
+    /// Requests in flight by replica: those that changed since the last digest, or all.
     pub loads: Vec<PackedLoad>,
-    /// Adapters that the leader has had loaded, by replica.
+    /// Adapters that the leader had loaded, by replica.
     pub adapters: Vec<(Name, Vec<(Name, Name)>)>,
-    /// What the planner is about, in one datagram of each round.
+    /// Planner's status, sent in one datagram of each round.
     pub planner: Option<PlannerStatus>,
 }
 
-/// What the planner is about.
+/// Status of the planner.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct PlannerStatus {
-    /// Models on their way, with the time left in milliseconds.
+    /// Models being loaded, with the expected remaining time in milliseconds.
     pub loading: Vec<(Name, u32)>,
-    /// Replicas and a model that each has just loaded: its entry may not show it yet.
+    /// Models just loaded, by replica; the replica's entry may not list them yet.
     pub loaded: Vec<(Name, Name)>,
-    /// Replicas and the model that each is about to give up: it gets no new work.
+    /// Models about to be unloaded, by replica; they get no new requests.
     pub unloading: Vec<(Name, Name)>,
-    /// Short names of replicas that several hosts could not reach, and none does.
+    /// Hashes of replicas that several hosts could not reach and too few others did.
     pub unreachable: Vec<u32>,
     /// Hosts that read the store for their halls.
     pub readers: Vec<Reader>,
-    /// Where all hosts take datagrams, while they are few enough to tell each other directly.
+    /// Addresses of all hosts while the fleet is small enough for direct exchange.
     pub direct_hosts: Vec<SocketAddr>,
-    /// Time through which hosts heard from the store.
+    /// Period for which the hosts have been in contact with the store.
     pub store_uptime: Option<Ages>,
 }
 
-/// Request for an adapter.
+/// Request to load an adapter.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AdapterRequest {
-    /// Service that serves the model.
+    /// Service of the model.
     pub service: Name,
-    /// The model.
     pub model: Name,
-    /// Its adapter.
     pub adapter: Name,
-    /// Whether it is wanted on one more replica, since those that hold it have too much to do.
+    /// Whether to load it on one more replica because those that hold it are overloaded.
     pub additional: bool,
 }
 
-/// Request for a model that is on no replica.
+/// Request to load a model that no replica holds.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ModelRequest {
-    /// Service that serves the model.
+    /// Service of the model.
     pub service: Name,
-    /// The model.
     pub model: Name,
 }
 
-/// Place of an adapter.
+/// Placement of an adapter.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct AdapterPlacement {
-    /// The model.
     pub model: Name,
-    /// Its adapter.
     pub adapter: Name,
-    /// Replica that holds it, or none when there is no room for it now.
+    /// Replica that holds it; none if there is no capacity now.
     pub replica: Option<Name>,
 }
 
-/// Reads a datagram; an error when it is not one of ours.
+/// Decodes a datagram.
 pub fn decode(bytes: &[u8]) -> Result<Message, rmp_serde::decode::Error> {
     rmp_serde::from_slice(bytes)
 }
 
-/// Writes a datagram.
+/// Encodes a datagram.
 pub fn encode(message: &Message) -> Vec<u8> {
-    rmp_serde::to_vec(message).expect("a message is plain data")
+    rmp_serde::to_vec(message).expect("a message is serializable")
 }
--- a/crates/front/src/message/departures.rs
+++ b/crates/front/src/message/departures.rs
@@ -1,21 +1,21 @@
-//! What hosts tell each other of replicas that leave by their own word.
+//! Message about replicas that announced their departure.
 
 use super::MAX_DATAGRAM;
 use platform::replica::Incarnation;
 use serde::{Deserialize, Serialize};
 use unit::Name;
 
-/// Size of a row, in bytes, with an identity as long as platforms give.
+/// Encoded size of one replica, in bytes, with an id of the usual length.
 const ROW_SIZE: usize = 64;
 
-/// Replicas that fit one datagram, beside the host's name.
+/// Replicas that fit one datagram, with room for the host's name.
 pub const MAX_DEPARTURES: usize = MAX_DATAGRAM / ROW_SIZE - 2;
 
-/// Replicas that have said in an answer that they leave.
+/// Replicas that announced in a response that they are leaving.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Departures {
-    /// Host that tells it.
+    /// Sender.
     pub host: Name,
-    /// The replicas. Whole identities: a replica that was taken for another one would be left out until its next start.
+    /// Replicas by full id: after a hash collision a healthy replica would get no requests until its next start.
     pub replicas: Vec<(Name, Incarnation)>,
 }
--- a/crates/front/src/message/limit.rs
+++ b/crates/front/src/message/limit.rs
@@ -1,4 +1,4 @@
-//! What hosts tell each other of the limits that replicas name.
+//! Messages about rate limits that replicas advertise.
 
 use super::{MAX_DATAGRAM, replica_hash};
 use platform::replica::{Entry, Incarnation};
@@ -6,55 +6,53 @@
 use serde::{Deserialize, Serialize};
 use unit::{Name, Span, Time};
 
-/// Size of a row, in bytes, at the most.
+/// Maximum encoded size of one limit, in bytes.
 const ROW_SIZE: usize = 22;
 
-/// Limits that fit one datagram, beside what stands before them.
+/// Limits that fit one datagram.
 pub const MAX_LIMITS: usize = (MAX_DATAGRAM - HEADER_SIZE) / ROW_SIZE;
 
-/// Size of what stands before the rows, in bytes, with the longest name of a host.
+/// Maximum encoded size of the fields before the limits, in bytes, with the longest host name.
 const HEADER_SIZE: usize = 100;
 
-/// What was heard of the limit of one incarnation of a replica.
+/// Rate limit advertised by one incarnation of a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct ReplicaLimit {
-    /// Short name of the incarnation.
+    /// Hash of the replica's id and incarnation.
     pub replica: u32,
-    /// Requests a second that it named last.
+    /// Advertised rate, in requests per second.
     pub rate: f32,
-    /// Time since it did, in milliseconds.
+    /// Time since the last response that advertised it, in milliseconds.
     pub advertised_ms: u32,
-    /// Time since the first answer after that which named none, in milliseconds.
+    /// Time since the first later response without a limit, in milliseconds.
     pub withdrawn_ms: Option<u32>,
 }
 
-/// Limits that a host has heard itself, to the leader.
+/// Limits that a host read from responses itself, sent to the leader.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LimitReport {
-    /// The host.
+    /// Sender.
     pub host: Name,
-    /// The limits.
     pub limits: Vec<ReplicaLimit>,
 }
 
-/// Limits that hold, or are over since a while ago, from the leader to all.
+/// Limits that are in force or ended recently, sent by the leader.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LimitDigest {
     /// Fencing token of the leader's term.
     pub term: u64,
     /// The leader.
     pub host: Name,
-    /// The limits.
     pub limits: Vec<ReplicaLimit>,
 }
 
-/// Short name of one incarnation of a replica.
+/// Hash of a replica's id and incarnation.
 fn incarnation_key(id: &str, incarnation: Incarnation) -> u32 {
     replica_hash(&format!("{id}/{}", incarnation.unwrap_or_default()))
 }
 
 impl ReplicaLimit {
-    /// What was heard, as it is told now.
+    /// Limit with its ages as of `now`.
     pub fn new(entry: &Entry, notice: &Advertisement, now: Time) -> ReplicaLimit {
         let age_ms = |at: Time| now.since(at).ms() as u32;
         ReplicaLimit {
@@ -65,16 +63,16 @@
         }
     }
 
-    /// Short name of the incarnation that wrote an entry.
+    /// Hash that identifies the incarnation of an entry.
     pub fn incarnation_hash(entry: &Entry) -> u32 {
         incarnation_key(&entry.id, entry.incarnation)
     }
 
-    /// What was heard, by this host's time; none where its number cannot be counted.
+    /// Limit in this host's time; none if the rate is invalid.
     pub fn advertisement(&self, now: Time) -> Option<Advertisement> {
         let at = |ms: u32| now - Span::from_ms(u64::from(ms));
-        let is_sound = self.rate.is_finite() && self.rate >= 0.0;
-        is_sound.then(|| Advertisement {
+        let is_valid = self.rate.is_finite() && self.rate >= 0.0;
+        is_valid.then(|| Advertisement {
             rate: f64::from(self.rate),
             advertised_at: at(self.advertised_ms),
             withdrawn_at: self.withdrawn_ms.map(at),
--- a/crates/front/src/message/quarantine.rs
+++ b/crates/front/src/message/quarantine.rs
@@ -1,30 +1,30 @@
-//! What hosts and the leader tell each other of requests that end replicas.
+//! Messages about requests that crash replicas.
 
 use serde::{Deserialize, Serialize};
 use unit::{Fingerprint, Span};
 
-/// Fall of a replica, as a host saw it.
+/// Crash of a replica, as observed by a host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
-    /// Identity of the fall, alike on all hosts.
+    /// Id of the crash, the same on all hosts.
     pub crash: u64,
-    /// Requests of the host that broke there.
+    /// Requests of the host that were in flight on the replica.
     pub in_flight: Vec<Fingerprint>,
 }
 
-/// Leader's answer to a host that asks what may be done with a request.
+/// Leader's decision on a suspected request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TrialResponse {
-    /// Send it as any other.
+    /// Send it like any other request.
     Free,
-    /// Send it once, and tell how that ended.
+    /// Send it once and report the outcome.
     Trial,
-    /// Not send it now.
+    /// Do not send it now.
     Wait,
-    /// Not send it for so many seconds.
+    /// Do not send it for this many seconds.
     #[serde(rename = "KeptOut")]
     Quarantined(u32),
-    /// The host that was asked does not lead.
+    /// The receiver is not the leader.
     #[serde(rename = "Elsewhere")]
     NotLeader,
 }
@@ -42,7 +42,7 @@
 }
 
 impl TrialResponse {
-    /// The decision; none where the host that was asked made none.
+    /// The decision; none if the receiver was not the leader.
     pub fn decision(self) -> Option<route::quarantine::Permit> {
         use route::quarantine::Permit as Decided;
         match self {
@@ -57,24 +57,22 @@
     }
 }
 
-/// Requests that are suspected or kept out, from the leader to all.
+/// Suspected and quarantined requests, sent by the leader.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineList {
     /// Fencing token of the leader's term.
     pub term: u64,
-    /// Number of the list in that term, which rises as it changes.
+    /// Version of the list within the term, incremented on change.
     pub number: u32,
-    /// The requests.
     pub entries: Vec<QuarantineEntry>,
 }
 
-/// Request in the list.
+/// Suspected or quarantined request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineEntry {
-    /// The request.
     pub fingerprint: Fingerprint,
-    /// Whether it is kept out; it is suspected otherwise.
+    /// Whether the request is quarantined; otherwise it is suspected.
     pub is_quarantined: bool,
-    /// Time since its first fall that counts, in milliseconds: a good end after that clears it.
+    /// Time since the first crash that counts against it, in milliseconds; a success after that crash clears it.
     pub since_ms: u32,
 }
--- a/crates/front/src/message/quota.rs
+++ b/crates/front/src/message/quota.rs
@@ -1,89 +1,86 @@
-//! What hosts and the one that gives out tell each other of limits over all hosts.
+//! Messages about fleet-wide quotas.
 
 use super::ReplicaLimit;
 use serde::{Deserialize, Serialize};
 use unit::Name;
 
-/// Whose limit it is.
+/// Owner of the quota.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Subject {
-    /// A client account, which uses units of its own.
+    /// Client account, in its own units.
     Account(Name),
-    /// A replica that takes so many requests a second, with what the host knows of its limit.
+    /// Replica with a rate limit in requests per second, as this host knows it.
     Replica(ReplicaLimit),
 }
 
-/// Question of a host: may one more request run, or go to a replica?
+/// Request to the leader for the units of one request.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct QuotaRequest {
-    /// Number under which it is answered.
+    /// Number that the response refers to.
     pub number: u32,
-    /// The host.
+    /// Sender.
     pub host: Name,
-    /// Whose limit it is.
+    /// Owner of the quota.
     pub subject: Subject,
-    /// Units that the request uses at the most.
+    /// Upper bound of the units that the request uses.
     pub units: f32,
-    /// Units that are to be left for what is more urgent.
+    /// Units to leave for requests of higher priority.
     pub reserved: f32,
-    /// Whether nothing else can take the request, so that it comes again.
+    /// Whether no other replica can take the request, so that the host asks again after a refusal.
     pub will_retry: bool,
-    /// Units that the host used by its share since it was answered last.
+    /// Units that the host used from its local share since the last response.
     pub local_use: f32,
 }
 
 impl QuotaRequest {
-    /// Whether its numbers can be counted.
+    /// Whether all numbers are finite and not negative.
     pub fn is_valid(&self) -> bool {
         is_valid(self.units) && is_valid(self.reserved) && is_valid(self.local_use)
     }
 }
 
-/// Whether a number of units can be counted.
 fn is_valid(units: f32) -> bool {
     units.is_finite() && units >= 0.0
 }
 
-/// Answer to a question.
+/// Response to a quota request.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub enum QuotaResponse {
-    /// It may run.
     #[serde(rename = "Given")]
     Granted {
-        /// Units that all hosts were given in the last window.
+        /// Units granted to all hosts in the current window.
         granted: f32,
-        /// Units that could be given out at once.
+        /// Units available now.
         available: f32,
     },
-    /// It is over the limit.
+    /// The quota is exhausted.
     Refused {
-        /// Time after which there will be enough, in milliseconds.
+        /// Time until enough units are available, in milliseconds.
         retry_after_ms: u32,
-        /// Units that are there.
+        /// Units available now.
         available: f32,
     },
-    /// The replica names no limit any more.
+    /// The replica advertises no limit any more.
     Unlimited,
-    /// The host that was asked does not give out.
+    /// The receiver is not the leader.
     #[serde(rename = "Elsewhere")]
     NotLeader,
 }
 
-/// Units of a request that did not run.
+/// Units granted for a request that did not run.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Refund {
-    /// The host.
+    /// Sender.
     pub host: Name,
-    /// Whose limit it is.
+    /// Owner of the quota.
     pub subject: Subject,
-    /// How many.
     pub units: f32,
-    /// Time since they were given, in milliseconds.
+    /// Time since the grant, in milliseconds.
     pub age_ms: u32,
 }
 
 impl Refund {
-    /// Whether its number can be counted.
+    /// Whether the number is finite and not negative.
     pub fn is_valid(&self) -> bool {
         is_valid(self.units)
     }
--- a/crates/front/src/metrics.rs
+++ b/crates/front/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of one daemon, in the text form that collectors read.
+//! Metrics of one daemon, rendered in the Prometheus text format.
 
 use ::metrics::{Counter, Gauge, Histogram, Key, Label, Level, Metadata, Recorder};
 use metrics_exporter_prometheus::{PrometheusBuilder, PrometheusHandle, PrometheusRecorder};
@@ -6,36 +6,35 @@
 use std::collections::HashMap;
 use unit::{Name, Span};
 
-/// Bounds of all histograms of time, in seconds.
+/// Bucket bounds of all duration histograms, in seconds.
 const BUCKETS: [f64; 14] = [
     0.005, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.0, 1.6, 3.0, 6.0, 10.0, 20.0, 40.0,
 ];
 
-/// Routes that have metrics of their own; the rest share one name.
+/// Maximum (route, outcome) pairs with their own series; further routes are counted as `other`.
 const MAX_ROUTES: usize = 200;
 
-/// Accounts with metrics of their own, times what may be decided of a request; the rest share one name.
+/// Maximum (account, decision) pairs with their own series; further accounts are counted as `other`.
 const MAX_ACCOUNTS: usize = 300;
 
 const METADATA: Metadata<'static> = Metadata::new("coveford", Level::INFO, None);
 
-/// Metrics; a recorder of its own, so that daemons in one process stay apart.
+/// Metrics with a recorder of their own, so that daemons in one process do not share series.
 pub struct Metrics {
     recorder: PrometheusRecorder,
     handle: PrometheusHandle,
     outcomes: Mutex<HashMap<(Name, &'static str), Counter>>,
     first_bytes: Mutex<HashMap<Name, Histogram>>,
-    /// Requests of accounts with a limit, by what was decided.
+    /// Requests of accounts with a quota, by decision.
     accounts: Mutex<HashMap<(Name, &'static str), Counter>>,
     /// Datagrams sent and their bytes, by kind.
     datagrams: Mutex<HashMap<&'static str, (Counter, Counter)>>,
 }
 
-/// Makes the metrics of a daemon.
 pub fn open() -> Metrics {
     let recorder = PrometheusBuilder::new()
         .set_buckets(&BUCKETS)
-        .expect("the buckets are not empty")
+        .expect("BUCKETS is not empty")
         .build_recorder();
     let handle = recorder.handle();
     Metrics {
@@ -57,18 +56,16 @@
 }
 
 impl Metrics {
-    /// A counter.
     pub fn counter(&self, name: &'static str, labels: &[(&'static str, &str)]) -> Counter {
         self.recorder
             .register_counter(&key(name, labels), &METADATA)
     }
 
-    /// A gauge.
     pub fn gauge(&self, name: &'static str, labels: &[(&'static str, &str)]) -> Gauge {
         self.recorder.register_gauge(&key(name, labels), &METADATA)
     }
 
-    /// Counts the end of a request, by its route and by how it ended.
+    /// Counts a finished request by route and outcome.
     pub fn record_outcome(&self, route: &Name, how: &'static str) {
         let mut ends = self.outcomes.lock();
         let route = match ends.len() < MAX_ROUTES || ends.contains_key(&(route.clone(), how)) {
@@ -82,7 +79,7 @@
         counter.increment(1);
     }
 
-    /// Counts what was decided of a request by its account's limit.
+    /// Counts the quota decision on a request.
     pub fn record_account_decision(&self, account: &Name, decision: &'static str) {
         let mut accounts = self.accounts.lock();
         let is_known = accounts.contains_key(&(account.clone(), decision));
@@ -99,7 +96,7 @@
         counter.increment(1);
     }
 
-    /// Records the time to the first byte of an answer.
+    /// Records the time to the first byte of a response.
     pub fn record_first_byte(&self, route: &Name, took: Span) {
         let mut waits = self.first_bytes.lock();
         let route = match waits.len() < MAX_ROUTES || waits.contains_key(route) {
@@ -113,7 +110,7 @@
         histogram.record(took.secs());
     }
 
-    /// Counts a datagram that is sent to another host.
+    /// Counts a datagram sent to another host.
     pub fn record_datagram(&self, kind: &'static str, bytes: usize) {
         let mut datagrams = self.datagrams.lock();
         let (count, sum) = datagrams.entry(kind).or_insert_with(|| {
@@ -128,12 +125,12 @@
         sum.increment(bytes as u64);
     }
 
-    /// All metrics as text.
+    /// Renders all metrics as text.
     pub fn render(&self) -> String {
         self.handle.render()
     }
 
-    /// Moves recorded samples into their buckets, so that they take no memory.
+    /// Moves recorded samples into their buckets, which frees the memory that they take.
     pub fn run_upkeep(&self) {
         self.handle.run_upkeep();
     }
--- a/crates/front/src/state.rs
+++ b/crates/front/src/state.rs
@@ -1,4 +1,4 @@
-//! What the parts of a daemon share.
+//! State shared by the modules of a daemon.
 
 use crate::clock::{self, Clock};
 use crate::log::Log;
@@ -17,67 +17,64 @@
 use tokio::sync::{Notify, Semaphore, watch};
 use unit::{Name, Time};
 
-/// Part of the process's memory that request bodies may take.
+/// Divisor of the process's memory that gives the share for request bodies.
 const BODY_MEMORY_DIVISOR: usize = 4;
 
-/// Shared state of one daemon.
 pub struct State {
-    /// Its settings.
+    /// Settings of the daemon.
     pub settings: Settings,
-    /// Replicas, configuration, loads.
+    /// Replicas, configuration and loads.
     pub table: Mutex<Table>,
-    /// Notified when the table changed such that a waiting request may go on.
+    /// Notified when a change of the table may let a waiting request proceed.
     pub changed: Notify,
-    /// Notified when a request was counted in, so that other hosts are told.
+    /// Notified when a request was added to the load, to be reported to other hosts.
     pub load_added: Notify,
-    /// Notified when the entry of a replica has vanished, and the replica may be gone.
+    /// Notified when a replica's entry vanished from the store.
     pub entry_missing: Notify,
-    /// Notified when what is known of a replica's limit has changed, so that other hosts are told.
+    /// Notified when a replica's advertised rate limit changed, to be reported to other hosts.
     pub limits_changed: Notify,
-    /// Notified when a replica has said that it leaves.
+    /// Notified when a replica announced its departure in a response.
     pub departure_heard: Notify,
-    /// Notified when the prompt of a request was read or the request ended.
+    /// Notified when a prompt was prefilled or a request ended.
     pub load_reduced: Notify,
-    /// The platform's store.
+    /// Client of the platform's store.
     pub store: Store,
-    /// Who reads the store, and what this host can pass on of it.
+    /// Readers of the store, and the recent changes that this host serves to others.
     pub readers: Readers,
-    /// Shares of limits over all hosts.
+    /// This host's shares of fleet-wide quotas.
     pub shares: Shares,
     /// Connections to replicas.
     pub pool: Pool,
-    /// Logs and metrics.
     pub log: Log,
-    /// Memory for bodies, in KB.
+    /// Memory for request bodies, in KB.
     pub body_memory: Arc<Semaphore>,
-    /// Whether all that stood in the store was heard once, the replicas' entries among it.
+    /// Whether the whole store, with the replicas' entries, has been read once.
     pub knows_replicas: AtomicBool,
-    /// Whether any host has ever led, as far as this one knows.
+    /// Whether a leader has ever been seen.
     pub leader_seen: AtomicBool,
-    /// Requests that end replicas.
+    /// Requests that crash replicas.
     pub quarantine: Quarantine,
-    /// Who leads, if that is known.
+    /// Current leader, if known.
     pub leader: Mutex<Option<Leader>>,
-    /// Adapters and models wanted here, to be told to the leader.
+    /// Queue of adapters and models to request from the leader.
     pub placement_requests: tokio::sync::mpsc::UnboundedSender<PlacementRequest>,
     draining: watch::Sender<bool>,
     in_flight: AtomicUsize,
-    /// Time of this host.
     pub clock: Arc<Clock>,
 }
 
-/// Host that holds the lease.
+/// Host that holds the leader's lease.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Leader {
-    /// Its name.
+    /// Name of the host.
     pub name: Name,
-    /// Where it takes datagrams.
+    /// Address of its datagram socket.
     pub peers: SocketAddr,
-    /// Revision at which its term began, which is its fencing token.
+    /// Revision at which its term began; serves as the fencing token.
     pub term: u64,
 }
 
-/// What requests here lack.
+/// Something to be loaded on a replica for requests of this host.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum PlacementRequest {
     /// An adapter.
@@ -86,10 +83,9 @@
     Model(ModelRequest),
 }
 
-/// Receiver of what is wanted at this host.
+/// Receiver of [`State::placement_requests`].
 pub type PlacementRequests = tokio::sync::mpsc::UnboundedReceiver<PlacementRequest>;
 
-/// Makes the shared state.
 pub fn open(
     settings: Settings,
     log: Log,
@@ -128,7 +124,6 @@
 }
 
 impl State {
-    /// Time now.
     pub fn now(&self) -> Time {
         self.clock.now()
     }
@@ -138,12 +133,10 @@
         *self.draining.borrow()
     }
 
-    /// Starts the drain.
     pub fn start_drain(&self) {
         self.draining.send_replace(true);
     }
 
-    /// Waits until this daemon is told to stop.
     pub async fn drain_started(&self) {
         let mut draining = self.draining.subscribe();
         // The sender lives as long as this state.
@@ -156,7 +149,7 @@
         !self.is_draining() && knows_replicas && self.table.lock().routes.is_some()
     }
 
-    /// Whether this host leads, as far as it knows.
+    /// Whether this host is the leader, as far as it knows.
     pub fn leads(&self) -> bool {
         let leader = self.leader.lock();
         leader
@@ -164,7 +157,7 @@
             .is_some_and(|l| l.peers == self.settings.peers)
     }
 
-    /// Whether another host leads, as far as this one knows.
+    /// Whether another host is the leader, as far as this one knows.
     pub fn is_led_by_another(&self) -> bool {
         let leader = self.leader.lock();
         leader
@@ -172,7 +165,7 @@
             .is_some_and(|l| l.peers != self.settings.peers)
     }
 
-    /// Counts a request in until the guard is dropped.
+    /// Counts a request as in flight until the guard is dropped.
     pub fn enter(self: &Arc<Self>) -> InFlight {
         self.in_flight.fetch_add(1, Ordering::SeqCst);
         InFlight {
@@ -180,13 +173,13 @@
         }
     }
 
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight.load(Ordering::SeqCst)
     }
 }
 
-/// Request in flight; dropping it counts it out.
+/// Guard of a request in flight.
 pub struct InFlight {
     state: Arc<State>,
 }
