--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -1,13 +1,13 @@
-//! What daemons tell each other over UDP: each host tells the leader, the leader tells all.
+//! Exchange of datagrams between daemons over UDP.
 //!
-//! A star, so that datagrams grow with the hosts and not with their square; what a leader tells all is
-//! passed on by a host of each part of the fleet. Few hosts tell each other directly as well, which is
-//! sooner. A lost datagram only makes a sum older; sums past their
-//! age are not used.
+//! Each host reports to the leader and the leader sends digests to all hosts, so that traffic grows linearly with the
+//! number of hosts; in a large fleet one relay per fan-out group forwards the digests. Hosts of a small fleet also
+//! exchange loads directly, which is faster. A lost datagram only delays an update, and reports expire.
 //!
-//! Its parts: `inbox` is what hosts told the leader, `quota` what is asked for and given of limits over all hosts, `limits` which of these replicas name, `departures` which replicas leave, `load_reports` when this host tells what it has in
-//! flight, `fanout` which hosts pass on what the leader tells all, `quarantine` which requests end replicas, `pending`
-//! what waits for an answer. The datagrams themselves are in [`message`].
+//! `inbox` holds the reports that the leader received, `quota` requests and grants units of fleet-wide quotas,
+//! `limits` exchanges rate limits of replicas, `departures` replicas that are leaving, `load_reports` sends the loads
+//! of this host, `fanout` chooses relays, `quarantine` reports crashes and requests trials, and `pending` matches
+//! responses to requests. The datagrams are defined in [`message`].
 
 mod departures;
 pub mod fanout;
@@ -27,7 +27,7 @@
 use fanout::Group;
 use parking_lot::Mutex;
 use pending::PendingRequests;
-use quota::QuotaLeader;
+use quota::QuotaState;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -35,41 +35,40 @@
 use tokio::net::UdpSocket;
 use unit::{Span, Time};
 
-/// Time in which one adapter or model is asked for only once.
+/// Time within which a repeated request for the same adapter or model is dropped.
 const REQUEST_DEDUP: Span = Span::from_ms(60);
 
-/// Age at which a host no longer passes on by what the leader named: it names several times in that.
+/// Age after which a fan-out group is no longer used; the leader renews it several times within this time.
 const FANOUT_MAX_AGE: Span = Span::from_ms(3_000);
 
 /// Longest datagram that is received, in bytes.
 const BUFFER_SIZE: usize = 8 * 1_024;
 
-/// Hosts up to which each tells all others directly; beyond, the leader's sums must do.
+/// Maximum number of hosts that exchange loads directly; larger fleets rely on the leader's digests.
 const MAX_DIRECT_HOSTS: usize = 16;
 
-/// Exchange of sums with other daemons.
+/// Datagram exchange with other daemons.
 pub struct Peers {
     state: Arc<State>,
     socket: UdpSocket,
-    /// What others told this host while it leads.
+    /// Reports received while this host is the leader.
     pub inbox: Inbox,
-    /// Other hosts, while they are few enough to be told directly.
+    /// Other hosts, if the fleet is small enough for direct exchange.
     direct_hosts: Mutex<Vec<SocketAddr>>,
-    /// Tellings between two rounds so far.
+    /// Sequence number of load messages between two rounds.
     load_sequence: AtomicU32,
-    /// Parts of a large fleet, while this host leads.
+    /// Fan-out groups, while this host is the leader.
     fanout_groups: Mutex<Vec<Group>>,
-    /// Limits over all hosts.
-    limiter: QuotaLeader,
-    /// Hosts that have just begun, and are to be told of limits.
+    /// Fleet-wide quotas.
+    quota: QuotaState,
+    /// Hosts that have just started and have not received the limits yet.
     new_hosts: Mutex<Vec<SocketAddr>>,
-    /// Questions for trials that wait for an answer.
+    /// Trial requests that wait for a response.
     trials: PendingRequests<TrialResponse>,
-    /// Hosts that this one passes on to, and when the leader named them.
+    /// Hosts that this one forwards digests to, and when the leader assigned them.
     fanout_members: Mutex<(Vec<SocketAddr>, Time)>,
 }
 
-/// Makes the exchange over a bound socket.
 pub fn open(state: Arc<State>, socket: UdpSocket) -> Arc<Peers> {
     Arc::new(Peers {
         state,
@@ -78,7 +77,7 @@
         direct_hosts: Mutex::default(),
         load_sequence: AtomicU32::new(0),
         fanout_groups: Mutex::default(),
-        limiter: QuotaLeader::default(),
+        quota: QuotaState::default(),
         new_hosts: Mutex::default(),
         trials: PendingRequests::default(),
         fanout_members: Mutex::default(),
@@ -86,118 +85,118 @@
 }
 
 impl Peers {
-    /// Receives until the daemon ends.
+    /// Receives datagrams until the daemon ends.
     pub async fn receive(self: Arc<Self>) {
         let mut buffer = vec![0; BUFFER_SIZE];
-        let mut returns = self.state.clock.resume_count();
+        let mut resumes = self.state.clock.resume_count();
         loop {
             let Ok((length, from)) = self.socket.recv_from(&mut buffer).await else {
-                // An earlier datagram met a closed port; the next one may arrive.
+                // An earlier datagram was sent to a closed port; the socket itself still works.
                 tokio::task::yield_now().await;
                 continue;
             };
-            // The look at the clock finds a return before the first datagram that waited meanwhile is taken in.
+            // Reading the clock detects a pause before the first datagram that was queued during it is handled.
             self.state.now();
-            let seen = std::mem::replace(&mut returns, self.state.clock.resume_count());
-            if seen != returns {
+            let last_resumes = std::mem::replace(&mut resumes, self.state.clock.resume_count());
+            if last_resumes != resumes {
                 self.discard_queued(&mut buffer);
                 continue;
             }
             match message::decode(&buffer[..length]) {
                 Ok(Message::Forward(bytes)) => self.forward(bytes, from).await,
-                Ok(Message::QuotaRequest(question)) => self.answer_quota_request(question, from).await,
-                Ok(Message::TrialRequest(number, print, ticket)) => {
-                    self.answer_trial(number, print, ticket, from).await
+                Ok(Message::QuotaRequest(request)) => self.answer_quota_request(request, from).await,
+                Ok(Message::TrialRequest(number, fingerprint, request_id)) => {
+                    self.answer_trial(number, fingerprint, request_id, from).await
                 }
                 Ok(message) => self.handle(message, from),
                 Err(why) => self.state.log.rate_limited(|| {
-                    tracing::warn!(target: "peers", event = "malformed", from = %from, why = %why, "a datagram cannot be read")
+                    tracing::warn!(target: "peers", event = "malformed", from = %from, why = %why, "datagram cannot be decoded")
                 }),
             }
         }
     }
 
-    /// Drops the datagrams that waited while this process stood still: what they tell of ages is as much older, and
-    /// what matters is told again.
+    /// Drops the datagrams that were queued while the process was paused: the ages in them are too low by the length
+    /// of the pause, and anything important is sent again.
     fn discard_queued(&self, buffer: &mut [u8]) {
         let mut dropped = 1;
         while self.socket.try_recv_from(buffer).is_ok() {
             dropped += 1;
         }
-        tracing::info!(target: "peers", event = "returned", dropped, "this process stood still, or its host was suspended; datagrams that waited are dropped");
+        tracing::info!(target: "peers", event = "returned", dropped, "the process or its host was suspended; queued datagrams are dropped");
     }
 
     fn handle(&self, message: Message, from: SocketAddr) {
         let now = self.state.now();
         match message {
-            Message::Report(sums) => {
-                self.record_heartbeat(&sums.host, now);
-                if self.inbox.record_report(sums, from, now) {
+            Message::Report(report) => {
+                self.record_heartbeat(&report.host, now);
+                if self.inbox.record_report(report, from, now) {
                     self.new_hosts.lock().push(from);
                     self.state.limits_changed.notify_one();
                 }
             }
-            Message::Loads(sums) => {
-                self.record_heartbeat(&sums.host, now);
-                self.inbox.record_loads(sums, now);
+            Message::Loads(report) => {
+                self.record_heartbeat(&report.host, now);
+                self.inbox.record_loads(report, now);
             }
-            Message::PeerLoads(sums) => {
+            Message::PeerLoads(report) => {
                 let mut table = self.state.table.lock();
-                table.set_host_loads(&sums.host, &sums.loads, now);
-                if let Some(word) = sums.store_uptime {
-                    table.view.contact.merge(word, now);
+                table.set_host_loads(&report.host, &report.loads, now);
+                if let Some(ages) = report.store_uptime {
+                    table.view.contact.merge(ages, now);
                 }
                 drop(table);
                 self.state.changed.notify_waiters();
             }
-            Message::AdapterRequest(want) => self.inbox.push_adapter_request(want),
-            Message::ModelRequest(missing) => self.inbox.push_model_request(missing),
+            Message::AdapterRequest(request) => self.inbox.push_adapter_request(request),
+            Message::ModelRequest(request) => self.inbox.push_model_request(request),
             Message::Digest(digest) => self.apply_digest(digest, now),
-            Message::AdapterPlacement(placed) => self.apply_placement(placed),
+            Message::AdapterPlacement(placement) => self.apply_placement(placement),
             Message::FanoutGroup(hosts) => *self.fanout_members.lock() = (hosts, now),
-            Message::QuotaResponse(number, verdict) => self.complete_quota_request(number, verdict),
+            Message::QuotaResponse(number, response) => self.complete_quota_request(number, response),
             Message::Refund(refund) => self.apply_refund(&refund),
-            Message::LimitReport(heard) => self.merge_limits(&heard.limits, &heard.host),
+            Message::LimitReport(report) => self.merge_limits(&report.limits, &report.host),
             Message::LimitDigest(limits) if self.is_from_earlier_term(limits.term) => {}
             Message::LimitDigest(limits) => self.merge_limits(&limits.limits, &limits.host),
-            Message::Departures(told) => self.merge_departures(&told),
-            Message::CrashReport(fallen) => self.merge_crash(&fallen),
-            Message::Succeeded(print) => self.state.quarantine.note_success_anywhere(print),
-            Message::TrialFailed(print, broke) => self.state.quarantine.note_trial_ended(print, broke, now),
-            Message::TrialResponse(number, permit) => self.trials.complete(number, permit),
-            Message::QuarantineList(listing) if self.is_from_earlier_term(listing.term) => {}
-            Message::QuarantineList(listing) => self.state.quarantine.apply_listing(listing, now),
+            Message::Departures(departures) => self.merge_departures(&departures),
+            Message::CrashReport(report) => self.merge_crash(&report),
+            Message::Succeeded(fingerprint) => self.state.quarantine.note_success_anywhere(fingerprint),
+            Message::TrialFailed(fingerprint, broke) => self.state.quarantine.note_trial_ended(fingerprint, broke, now),
+            Message::TrialResponse(number, response) => self.trials.complete(number, response),
+            Message::QuarantineList(list) if self.is_from_earlier_term(list.term) => {}
+            Message::QuarantineList(list) => self.state.quarantine.apply_listing(list, now),
             Message::Forward(_) | Message::QuotaRequest(_) | Message::TrialRequest(..) => self.state.log.rate_limited(|| {
-                tracing::warn!(target: "peers", event = "malformed", from = %from, "a datagram to be passed on holds one that is not for all")
+                tracing::warn!(target: "peers", event = "malformed", from = %from, "forwarded datagram holds a message that is not for all hosts")
             }),
         }
     }
 
-    /// Takes a datagram of the leader in, and passes it on to the hosts of this one's part.
+    /// Handles a datagram of the leader and forwards it to this relay's fan-out group.
     async fn forward(&self, bytes: Bytes, from: SocketAddr) {
         let Ok(message) = message::decode(&bytes) else {
             self.state.log.rate_limited(|| {
-                tracing::warn!(target: "peers", event = "malformed", from = %from, "a datagram to be passed on cannot be read")
+                tracing::warn!(target: "peers", event = "malformed", from = %from, "forwarded datagram cannot be decoded")
             });
             return;
         };
         let kind = message.kind();
         self.handle(message, from);
-        let (hosts, named) = self.fanout_members.lock().clone();
-        if self.state.now().since(named) < FANOUT_MAX_AGE {
+        let (hosts, assigned_at) = self.fanout_members.lock().clone();
+        if self.state.now().since(assigned_at) < FANOUT_MAX_AGE {
             for host in hosts {
                 self.send_bytes(&bytes, kind, host).await;
             }
         }
     }
 
-    /// Whether a leader of a later term is known.
+    /// Whether the leader of a later term is known.
     fn is_from_earlier_term(&self, term: u64) -> bool {
         let leader = self.state.leader.lock();
         leader.as_ref().is_some_and(|known| term < known.term)
     }
 
-    /// Takes in the sums and plans of the leader, unless a later one is known.
+    /// Applies the leader's loads and planner status, unless a later leader is known.
     fn apply_digest(&self, digest: Digest, now: Time) {
         if self.is_from_earlier_term(digest.term) {
             return;
@@ -209,31 +208,30 @@
         for (replica, adapters) in digest.adapters {
             table.set_adapters(&replica, adapters, now);
         }
-        if let Some(plans) = digest.planner {
+        if let Some(status) = digest.planner {
             let own = self.state.settings.peers;
-            let others = plans.direct_hosts.into_iter().filter(|p| *p != own);
+            let others = status.direct_hosts.into_iter().filter(|p| *p != own);
             *self.direct_hosts.lock() = others.collect();
-            self.state.readers.assign(plans.readers, own);
-            if let Some(word) = plans.store_uptime {
-                table.view.contact.merge(word, now);
+            self.state.readers.assign(status.readers, own);
+            if let Some(ages) = status.store_uptime {
+                table.view.contact.merge(ages, now);
             }
-            table.set_unreachable(plans.unreachable, now);
-            table.set_model_etas(&plans.loading, now);
-            table.set_loaded(plans.loaded, now);
-            table.set_unloading(plans.unloading, now);
+            table.set_unreachable(status.unreachable, now);
+            table.set_model_etas(&status.loading, now);
+            table.set_loaded(status.loaded, now);
+            table.set_unloading(status.unloading, now);
         }
     }
 
-    /// Takes in where an adapter is.
-    fn apply_placement(&self, placed: AdapterPlacement) {
-        if let Some(replica) = &placed.replica {
+    fn apply_placement(&self, placement: AdapterPlacement) {
+        if let Some(replica) = &placement.replica {
             let mut table = self.state.table.lock();
-            table.add_adapter(replica, &placed.model, &placed.adapter);
+            table.add_adapter(replica, &placement.model, &placement.adapter);
         }
         self.state.changed.notify_waiters();
     }
 
-    /// Where all hosts take datagrams, while they are few enough to tell each other directly.
+    /// Addresses of all hosts, or none if the fleet is too large for direct exchange.
     pub fn direct_hosts(&self) -> Vec<SocketAddr> {
         let hosts = self.inbox.hosts();
         match hosts.len() <= MAX_DIRECT_HOSTS {
@@ -242,28 +240,27 @@
         }
     }
 
-    /// Whether hosts are few enough to tell each other directly.
+    /// Whether the fleet is small enough for direct exchange.
     pub fn is_direct(&self) -> bool {
         self.inbox.host_count() <= MAX_DIRECT_HOSTS
     }
 
-    /// Sends one datagram; a failure counts as a lost one.
+    /// Sends one datagram; send errors are logged and treated as loss.
     pub async fn send(&self, message: &Message, to: SocketAddr) {
         let bytes = message::encode(message);
         self.send_bytes(&bytes, message.kind(), to).await;
     }
 
-    /// Sends a datagram that is encoded already.
     async fn send_bytes(&self, bytes: &[u8], kind: &'static str, to: SocketAddr) {
         self.state.log.metrics.record_datagram(kind, bytes.len());
         if let Err(why) = self.socket.send_to(bytes, to).await {
             self.state.log.rate_limited(|| {
-                tracing::warn!(target: "peers", event = "not_sent", to = %to, why = %why, "a datagram could not be sent")
+                tracing::warn!(target: "peers", event = "not_sent", to = %to, why = %why, "datagram could not be sent")
             });
         }
     }
 
-    /// Tells a message to all hosts; this one takes it in directly.
+    /// Sends a message to all hosts; this one handles it directly.
     pub async fn broadcast(&self, message: &Message) {
         let own = self.state.settings.peers;
         self.handle(message.clone(), own);
@@ -273,15 +270,16 @@
             let others = self.inbox.hosts().into_iter().filter(|h| *h != own);
             return self.send_each(&bytes, kind, others).await;
         }
-        let parts = self.fanout_groups.lock().clone();
-        let pass = message::encode(&Message::Forward(bytes.clone().into()));
-        for part in parts {
-            if part.relay == own {
-                self.send_each(&bytes, kind, part.members.into_iter()).await;
-            } else if part.members.is_empty() {
-                self.send_bytes(&bytes, kind, part.relay).await;
+        let groups = self.fanout_groups.lock().clone();
+        let forward = message::encode(&Message::Forward(bytes.clone().into()));
+        for group in groups {
+            if group.relay == own {
+                self.send_each(&bytes, kind, group.members.into_iter())
+                    .await;
+            } else if group.members.is_empty() {
+                self.send_bytes(&bytes, kind, group.relay).await;
             } else {
-                self.send_bytes(&pass, "pass", part.relay).await;
+                self.send_bytes(&forward, "pass", group.relay).await;
             }
         }
     }
@@ -297,38 +295,38 @@
         }
     }
 
-    /// Cuts a large fleet into parts anew, and tells the hosts that pass on to whom.
+    /// Recomputes the fan-out groups of a large fleet and informs their relays.
     pub async fn assign_fanout_groups(&self, hosts: Vec<Candidate>) {
         if self.is_direct() {
             return;
         }
-        let parts = fanout::plan(hosts);
-        *self.fanout_groups.lock() = parts.clone();
+        let groups = fanout::plan(hosts);
+        *self.fanout_groups.lock() = groups.clone();
         let own = self.state.settings.peers;
-        for part in parts {
-            if part.relay != own && !part.members.is_empty() {
-                let others = part.members.into_iter().filter(|h| *h != own).collect();
-                self.send(&Message::FanoutGroup(others), part.relay).await;
+        for group in groups {
+            if group.relay != own && !group.members.is_empty() {
+                let members = group.members.into_iter().filter(|h| *h != own).collect();
+                self.send(&Message::FanoutGroup(members), group.relay).await;
             }
         }
     }
 
-    /// Passes the adapters and models that requests here lack on to the leader.
-    pub async fn forward_placement_requests(self: Arc<Self>, mut wanted: PlacementRequests) {
-        let mut asked: HashMap<PlacementRequest, Time> = HashMap::new();
-        while let Some(wish) = wanted.recv().await {
+    /// Forwards requests for adapters and models to the leader.
+    pub async fn forward_placement_requests(self: Arc<Self>, mut requests: PlacementRequests) {
+        let mut sent: HashMap<PlacementRequest, Time> = HashMap::new();
+        while let Some(request) = requests.recv().await {
             let now = self.state.now();
-            asked.retain(|_, at| now.since(*at) < REQUEST_DEDUP);
-            if asked.contains_key(&wish) {
+            sent.retain(|_, at| now.since(*at) < REQUEST_DEDUP);
+            if sent.contains_key(&request) {
                 continue;
             }
             let Some(leader) = self.state.leader.lock().clone() else {
                 continue;
             };
-            asked.insert(wish.clone(), now);
-            let message = match wish {
-                PlacementRequest::Adapter(want) => Message::AdapterRequest(want),
-                PlacementRequest::Model(missing) => Message::ModelRequest(missing),
+            sent.insert(request.clone(), now);
+            let message = match request {
+                PlacementRequest::Adapter(request) => Message::AdapterRequest(request),
+                PlacementRequest::Model(request) => Message::ModelRequest(request),
             };
             match leader.peers == self.state.settings.peers {
                 true => self.handle(message, leader.peers),
--- a/crates/front/src/peers/departures.rs
+++ b/crates/front/src/peers/departures.rs
@@ -1,5 +1,5 @@
-//! Telling which replicas leave by their own word: the answer comes to one host, and the others would each send that
-//! replica a request of their own to learn it.
+//! Spreads departures of replicas: only one host receives the announcement, and each other host would otherwise have
+//! to send the replica a request to learn of it.
 
 use super::Peers;
 use crate::feedback;
@@ -10,25 +10,26 @@
 use std::time::Duration;
 use unit::{Name, Span};
 
-/// Pause in which words are told together: a release lets several replicas leave at once.
+/// Delay in which departures are batched; a release makes several replicas leave at once.
 const BATCH_DELAY: Duration = Duration::from_millis(10);
 
-/// Time for which a host tells the leader again what it heard itself, so that the next leader hears it too.
+/// Time for which a host repeats a departure that it received itself to the leader, so that a new leader learns of
+/// it.
 const RESEND_FOR: Span = Span::from_secs(5);
 
 impl Peers {
-    /// Tells each word at once, until the daemon ends.
+    /// Sends new departures as they are received, until the daemon ends.
     pub async fn send_departures(self: Arc<Self>) {
         loop {
             self.state.departure_heard.notified().await;
             tokio::time::sleep(BATCH_DELAY).await;
-            let untold = self.state.table.lock().view.take_unannounced_departures();
+            let unannounced = self.state.table.lock().view.take_unannounced_departures();
             if self.state.leads() {
-                self.broadcast_departure_list(&untold).await;
+                self.broadcast_departure_list(&unannounced).await;
                 continue;
             }
             let others = self.direct_hosts.lock().clone();
-            for message in self.departure_messages(&untold) {
+            for message in self.departure_messages(&unannounced) {
                 for other in &others {
                     self.send(&message, *other).await;
                 }
@@ -39,24 +40,24 @@
         }
     }
 
-    /// Tells the leader once more what this host has heard itself.
+    /// Sends recent departures to the leader again.
     pub(super) async fn resend_departures(&self) {
         if self.state.leads() {
             return;
         }
         let now = self.state.now();
-        let lately = self
+        let recent = self
             .state
             .table
             .lock()
             .view
             .recent_departures(RESEND_FOR, now);
-        for message in self.departure_messages(&lately) {
+        for message in self.departure_messages(&recent) {
             self.send_to_leader(message).await;
         }
     }
 
-    /// Tells all hosts, as the leader, which replicas that are there leave by their word.
+    /// Sends all departures of known replicas to all hosts; called by the leader.
     pub async fn broadcast_departures(&self) {
         let known = self.state.table.lock().view.departures();
         self.broadcast_departure_list(&known).await;
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Words as this host tells them, in datagrams.
+    /// Departures as datagrams of this host.
     fn departure_messages(&self, replicas: &[(Name, Incarnation)]) -> Vec<Message> {
         let message = |replicas: &[(Name, Incarnation)]| {
             Message::Departures(Departures {
@@ -79,10 +80,15 @@
         replicas.chunks(MAX_DEPARTURES).map(message).collect()
     }
 
-    /// Takes in what another host heard.
-    pub(super) fn merge_departures(&self, told: &Departures) {
-        for (replica, incarnation) in &told.replicas {
-            feedback::record_reported_departure(&self.state, replica, *incarnation, &told.host);
+    /// Merges departures that another host received.
+    pub(super) fn merge_departures(&self, departures: &Departures) {
+        for (replica, incarnation) in &departures.replicas {
+            feedback::record_reported_departure(
+                &self.state,
+                replica,
+                *incarnation,
+                &departures.host,
+            );
         }
     }
 }
--- a/crates/front/src/peers/fanout.rs
+++ b/crates/front/src/peers/fanout.rs
@@ -1,32 +1,31 @@
-//! Parts of a large fleet: the leader tells one host of each part, which passes on to the others.
+//! Fan-out groups of a large fleet: the leader sends to one relay per group, which forwards to the others.
 //!
-//! What is told to all is paid for between halls, and takes the leader's processor, once a part and
-//! not once a host.
+//! Traffic between halls and CPU time of the leader grow with the number of groups instead of hosts.
 
 use crate::readers::Candidate;
 use std::net::SocketAddr;
 
-/// Hosts of a part: with the leader's changes each 15 ms these are some 2,000 small datagrams a second
-/// for the host that passes on, a hundredth of a core; and their addresses fit one datagram.
+/// Maximum hosts of a group. With digests every 15 ms the relay sends about 2,000 small datagrams a second, which
+/// takes 1% of a core; the addresses of the group fit one datagram.
 const MAX_GROUP: usize = 32;
 
-/// Part of the fleet.
+/// Fan-out group.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Group {
-    /// Host that the leader tells.
+    /// Host that the leader sends to.
     pub relay: SocketAddr,
-    /// Hosts that it passes on to.
+    /// Hosts that the relay forwards to.
     pub members: Vec<SocketAddr>,
 }
 
-/// Cuts a fleet into parts by hall; the strongest hosts pass on, unless they have fallen silent.
+/// Groups the hosts of each hall; the hosts with the most CPU become relays, unless they are silent.
 pub fn plan(mut hosts: Vec<Candidate>) -> Vec<Group> {
     hosts.sort_by(|a, b| a.hall.cmp(&b.hall).then(a.addr.cmp(&b.addr)));
     let halls = hosts.chunk_by(|a, b| a.hall == b.hall);
     halls.flat_map(plan_hall).collect()
 }
 
-/// Cuts a hall into parts of about the same size.
+/// Groups the hosts of one hall evenly.
 fn plan_hall(hall: &[Candidate]) -> Vec<Group> {
     let count = hall.len().div_ceil(MAX_GROUP);
     let mut ranked: Vec<&Candidate> = hall.iter().collect();
@@ -40,9 +39,9 @@
     others.sort();
     let size = others.len().div_ceil(count).max(1);
     let mut rest = others.chunks(size);
-    let part = |relay: &&Candidate| Group {
+    let group = |relay: &&Candidate| Group {
         relay: relay.addr,
         members: rest.next().unwrap_or_default().to_vec(),
     };
-    relays.iter().map(part).collect()
+    relays.iter().map(group).collect()
 }
--- a/crates/front/src/peers/inbox.rs
+++ b/crates/front/src/peers/inbox.rs
@@ -1,4 +1,4 @@
-//! What other hosts have told the leader, while this host leads.
+//! Reports that the leader has received from the hosts.
 
 use crate::contact::{self, Ages};
 use crate::message::{AdapterRequest, AdapterUse, Load, LoadReport, ModelRequest, PackedLoad};
@@ -9,200 +9,199 @@
 use tokio::sync::Notify;
 use unit::{Name, Span, Time};
 
-/// Age at which a host's sums no longer count.
+/// Age after which a host's report expires.
 const REPORT_MAX_AGE: Span = Span::from_ms(3_000);
 
-/// Age of a host's last word at which it counts as silent: it tells some three times a second at least.
+/// Time without a report after which a host counts as silent; hosts send at least three times a second.
 const SILENT_AFTER: Span = Span::from_ms(1_000);
 
-/// Time for which a host that told that the store fails it is not to read it for others.
+/// Time for which a host whose store calls failed is not chosen to read the store for others.
 const STORE_FAILURE_MAX_AGE: Span = Span::from_secs(5);
 
-/// Hosts that must find a replica unreachable for all to leave it alone.
+/// Minimum number of hosts that must find a replica unreachable before all hosts avoid it.
 const MIN_UNREACHABLE_VOTES: usize = 2;
 
-/// What other hosts have told the leader.
 #[derive(Default)]
 pub struct Inbox {
-    /// What each host told last, by its name.
+    /// Last report of each host, by name.
     hosts: Mutex<HashMap<Name, HostState>>,
-    /// Adapters wanted since they were taken out last.
+    /// Adapters requested since the last call of [`Inbox::take_adapter_requests`].
     adapter_requests: Mutex<Vec<AdapterRequest>>,
-    /// Models that are on no replica and were asked for, since they were taken out last.
+    /// Models requested since the last call of [`Inbox::take_model_requests`].
     model_requests: Mutex<Vec<ModelRequest>>,
-    /// Uses of adapters since they were taken out last.
+    /// Adapters used since the last call of [`Inbox::take_adapter_uses`].
     adapter_uses: Mutex<Vec<AdapterUse>>,
-    /// Notified when an adapter or a model is wanted.
+    /// Notified when an adapter or a model is requested.
     pub request_received: Notify,
 }
 
-/// What one host has told.
 struct HostState {
     report: LoadReport,
-    /// Number of the telling between two rounds that its loads are from, if they are.
+    /// Sequence number of the load message that the loads are from; none if they are from the report.
     sequence: Option<u32>,
-    /// Where it takes datagrams.
+    /// Address of its datagram socket.
     from: SocketAddr,
-    /// When its sums or loads came last.
+    /// When its last report or load message arrived.
     reported_at: Time,
-    /// When it told last that the store fails it.
+    /// When it last reported that the store failed it.
     store_failed_at: Option<Time>,
 }
 
 impl Inbox {
-    /// Sums that still count.
+    /// Reports that have not expired.
     pub fn reports(&self, now: Time) -> Vec<LoadReport> {
         let mut hosts = self.hosts.lock();
-        hosts.retain(|_, told| now.since(told.reported_at) < REPORT_MAX_AGE);
-        hosts.values().map(|told| told.report.clone()).collect()
+        hosts.retain(|_, host| now.since(host.reported_at) < REPORT_MAX_AGE);
+        hosts.values().map(|host| host.report.clone()).collect()
     }
 
-    /// Where the hosts take datagrams.
+    /// Addresses of the hosts' datagram sockets.
     pub fn hosts(&self) -> Vec<SocketAddr> {
-        self.hosts.lock().values().map(|told| told.from).collect()
+        self.hosts.lock().values().map(|host| host.from).collect()
     }
 
-    /// Hosts that have told anything and are not forgotten yet.
+    /// Number of hosts with a report that has not been removed.
     pub fn host_count(&self) -> usize {
         self.hosts.lock().len()
     }
 
-    /// Hosts among which are chosen those that read the store or pass on to others.
+    /// Candidates for reading the store and for relaying.
     pub fn candidates(&self, now: Time) -> Vec<Candidate> {
         let hosts = self.hosts.lock();
-        let candidates = hosts.values().map(|told| Candidate {
-            hall: told.report.hall.clone(),
-            addr: told.from,
-            cores: told.report.cores,
-            store_failed: told
+        let candidates = hosts.values().map(|host| Candidate {
+            hall: host.report.hall.clone(),
+            addr: host.from,
+            cores: host.report.cores,
+            store_failed: host
                 .store_failed_at
                 .is_some_and(|at| now.since(at) < STORE_FAILURE_MAX_AGE),
-            silent: now.since(told.reported_at) > SILENT_AFTER,
+            silent: now.since(host.reported_at) > SILENT_AFTER,
         });
         candidates.collect()
     }
 
-    /// Takes out the adapters that are wanted.
     pub fn take_adapter_requests(&self) -> Vec<AdapterRequest> {
         std::mem::take(&mut *self.adapter_requests.lock())
     }
 
-    /// Takes out the models that are on no replica and were asked for.
     pub fn take_model_requests(&self) -> Vec<ModelRequest> {
         std::mem::take(&mut *self.model_requests.lock())
     }
 
-    /// Takes out the adapters that were used.
     pub fn take_adapter_uses(&self) -> Vec<AdapterUse> {
         std::mem::take(&mut *self.adapter_uses.lock())
     }
 
-    /// Takes in a part of what a host tells in one round; parts of the same round add up. Tells whether the host is new.
-    pub fn record_report(&self, mut sums: LoadReport, from: SocketAddr, now: Time) -> bool {
-        self.adapter_uses.lock().append(&mut sums.adapter_uses);
+    /// Records one datagram of a report; datagrams of the same round are merged. Returns whether the host is new.
+    pub fn record_report(&self, mut report: LoadReport, from: SocketAddr, now: Time) -> bool {
+        self.adapter_uses.lock().append(&mut report.adapter_uses);
         let mut hosts = self.hosts.lock();
-        let known = hosts.get_mut(&sums.host);
+        let known = hosts.get_mut(&report.host);
         let is_new = known.is_none();
-        let cut = known.as_ref().and_then(|told| told.store_failed_at);
-        let cut = if sums.store_failed { Some(now) } else { cut };
+        let store_failed_at = known.as_ref().and_then(|state| state.store_failed_at);
+        let store_failed_at = if report.store_failed {
+            Some(now)
+        } else {
+            store_failed_at
+        };
         match known {
-            Some(told) if told.report.round == sums.round => {
-                told.report.demand.extend(sums.demand);
-                told.report.loads.extend(sums.loads);
-                told.reported_at = now;
-                told.store_failed_at = cut;
+            Some(state) if state.report.round == report.round => {
+                state.report.demand.extend(report.demand);
+                state.report.loads.extend(report.loads);
+                state.reported_at = now;
+                state.store_failed_at = store_failed_at;
             }
             _ => {
-                let host = sums.host.clone();
-                let told = HostState {
-                    report: sums,
+                let host = report.host.clone();
+                let state = HostState {
+                    report,
                     sequence: None,
                     from,
                     reported_at: now,
-                    store_failed_at: cut,
+                    store_failed_at,
                 };
-                hosts.insert(host, told);
+                hosts.insert(host, state);
             }
         }
         is_new
     }
 
-    /// Takes in a part of what a host has in flight between two rounds; parts of the same telling add
-    /// up, and all else it told in its last round stays.
-    pub fn record_loads(&self, sums: LoadReport, now: Time) {
-        if let Some(told) = self.hosts.lock().get_mut(&sums.host) {
-            match told.sequence == Some(sums.round) {
-                true => told.report.loads.extend(sums.loads),
-                false => told.report.loads = sums.loads,
+    /// Records one datagram of a host's loads between two rounds; datagrams with the same sequence number are merged.
+    /// The rest of the host's last report is kept.
+    pub fn record_loads(&self, report: LoadReport, now: Time) {
+        if let Some(state) = self.hosts.lock().get_mut(&report.host) {
+            match state.sequence == Some(report.round) {
+                true => state.report.loads.extend(report.loads),
+                false => state.report.loads = report.loads,
             }
-            told.report.store_uptime = sums.store_uptime;
-            told.sequence = Some(sums.round);
-            told.reported_at = now;
+            state.report.store_uptime = report.store_uptime;
+            state.sequence = Some(report.round);
+            state.reported_at = now;
         }
     }
 
-    /// Takes in that a host needs an adapter.
-    pub(super) fn push_adapter_request(&self, want: AdapterRequest) {
-        self.adapter_requests.lock().push(want);
+    pub(super) fn push_adapter_request(&self, request: AdapterRequest) {
+        self.adapter_requests.lock().push(request);
         self.request_received.notify_one();
     }
 
-    /// Takes in that a host has a request for a model that is on no replica.
-    pub(super) fn push_model_request(&self, missing: ModelRequest) {
-        self.model_requests.lock().push(missing);
+    pub(super) fn push_model_request(&self, request: ModelRequest) {
+        self.model_requests.lock().push(request);
         self.request_received.notify_one();
     }
 
-    /// Short names of replicas that several hosts could not reach, and that fewer hosts have requests at.
+    /// Hashes of replicas that several hosts could not reach and that fewer hosts have requests on.
     ///
-    /// The second part tells a replica that is down from hosts whose links are.
+    /// The second condition distinguishes a replica that is down from a network fault of some hosts.
     pub fn unreachable(&self, now: Time) -> Vec<u32> {
-        // By replica: hosts that could not reach it, and other hosts that have requests there.
+        // By replica: hosts that could not reach it, and other hosts that have requests on it.
         let mut votes: HashMap<u32, (usize, usize)> = HashMap::new();
-        for sums in self.reports(now) {
-            for replica in &sums.unreachable {
+        for report in self.reports(now) {
+            for replica in &report.unreachable {
                 votes.entry(*replica).or_default().0 += 1;
             }
-            let reached = sums.loads.iter().map(PackedLoad::replica);
-            for replica in reached.filter(|r| !sums.unreachable.contains(r)) {
+            let reached = report.loads.iter().map(PackedLoad::replica);
+            for replica in reached.filter(|r| !report.unreachable.contains(r)) {
                 votes.entry(replica).or_default().1 += 1;
             }
         }
-        let down = |(absent, reached): &(usize, usize)| {
-            *absent >= MIN_UNREACHABLE_VOTES && absent > reached
+        let down = |(unreachable, reached): &(usize, usize)| {
+            *unreachable >= MIN_UNREACHABLE_VOTES && unreachable > reached
         };
         let down = votes.into_iter().filter(|(_, votes)| down(votes));
         down.map(|(replica, _)| replica).collect()
     }
 
-    /// Short names of replicas that want nothing from most hosts now.
+    /// Hashes of replicas that asked most hosts to back off.
     pub fn backing_off(&self, now: Time) -> HashSet<u32> {
-        let sums = self.reports(now);
+        let reports = self.reports(now);
         let mut votes: HashMap<u32, usize> = HashMap::new();
-        for replica in sums.iter().flat_map(|sums| &sums.backing_off) {
+        for replica in reports.iter().flat_map(|report| &report.backing_off) {
             *votes.entry(*replica).or_default() += 1;
         }
         let most = votes
             .into_iter()
-            .filter(|(_, count)| *count * 2 > sums.len());
+            .filter(|(_, count)| *count * 2 > reports.len());
         most.map(|(replica, _)| replica).collect()
     }
 
-    /// Time through which hosts heard from the store, where replicas write each `heartbeat`.
+    /// Period for which the hosts have been in contact with the store, if replicas write to it each `heartbeat`.
     pub fn store_uptime(&self, heartbeat: Span, now: Time) -> Option<Ages> {
-        let silence = contact::max_gap_between_hosts(heartbeat);
+        let max_gap = contact::max_gap_between_hosts(heartbeat);
         let hosts = self.hosts.lock();
-        let run = |told: &HostState| Some(told.report.store_uptime?.uptime(told.reported_at));
-        let runs = hosts.values().filter_map(run);
-        runs.reduce(|a, b| a.join(b, silence)).map(|r| r.ages(now))
+        let uptime = |host: &HostState| Some(host.report.store_uptime?.uptime(host.reported_at));
+        let uptimes = hosts.values().filter_map(uptime);
+        uptimes
+            .reduce(|a, b| a.join(b, max_gap))
+            .map(|r| r.ages(now))
     }
 
-    /// Sums of all hosts by replica's short name.
+    /// Total load of all hosts by replica hash.
     pub fn loads(&self, now: Time) -> HashMap<u32, Load> {
         let mut loads: HashMap<u32, Load> = HashMap::new();
         let mut hosts = self.hosts.lock();
-        hosts.retain(|_, told| now.since(told.reported_at) < REPORT_MAX_AGE);
-        for row in hosts.values().flat_map(|told| &told.report.loads) {
+        hosts.retain(|_, host| now.since(host.reported_at) < REPORT_MAX_AGE);
+        for row in hosts.values().flat_map(|host| &host.report.loads) {
             loads.entry(row.replica()).or_default().add(&row.load());
         }
         loads
--- a/crates/front/src/peers/limits.rs
+++ b/crates/front/src/peers/limits.rs
@@ -1,4 +1,5 @@
-//! Telling which replicas name limits: each host tells the leader what it heard itself, the leader tells all.
+//! Spreads rate limits that replicas advertise: each host reports those it received to the leader, which sends them
+//! to all.
 
 use super::Peers;
 use crate::message::limit::MAX_LIMITS;
@@ -8,12 +9,12 @@
 use std::time::Duration;
 use unit::Name;
 
-/// Pause in which changes are told together: a leader of many replicas in need hears of some each moment. What is out of
-/// date here for as long is known to the leader, which is asked before each sending.
+/// Delay in which changes are batched, since many overloaded replicas change their limits all the time. The limits of
+/// this host may be outdated by as much, but the leader, which is asked before each request, knows the current ones.
 const BATCH_DELAY: Duration = Duration::from_millis(50);
 
 impl Peers {
-    /// Tells each change at once, until the daemon ends.
+    /// Sends changed limits until the daemon ends.
     pub async fn send_limit_changes(self: Arc<Self>) {
         loop {
             self.state.limits_changed.notified().await;
@@ -31,22 +32,22 @@
         }
     }
 
-    /// Tells hosts that have just begun all limits.
+    /// Sends all limits to hosts that have just started.
     async fn send_limits_to_new_hosts(&self) {
-        let newcomers = std::mem::take(&mut *self.new_hosts.lock());
-        if newcomers.is_empty() {
+        let new_hosts = std::mem::take(&mut *self.new_hosts.lock());
+        if new_hosts.is_empty() {
             return;
         }
         let now = self.state.now();
         let limits = self.state.table.lock().limits(now);
         for message in self.limit_messages(&limits) {
-            for newcomer in &newcomers {
-                self.send(&message, *newcomer).await;
+            for host in &new_hosts {
+                self.send(&message, *host).await;
             }
         }
     }
 
-    /// Tells the leader which limits this host has heard itself lately.
+    /// Reports the limits that this host received recently to the leader.
     pub(super) async fn report_limits(&self) {
         let Some(leader) = self.state.leader.lock().clone() else {
             return;
@@ -57,15 +58,15 @@
         let now = self.state.now();
         let limits = self.state.table.lock().own_limits(now);
         for limits in limits.chunks(MAX_LIMITS) {
-            let heard = LimitReport {
+            let report = LimitReport {
                 host: self.state.settings.name.clone(),
                 limits: limits.to_vec(),
             };
-            self.send(&Message::LimitReport(heard), leader.peers).await;
+            self.send(&Message::LimitReport(report), leader.peers).await;
         }
     }
 
-    /// Tells all hosts, as the leader, which limits hold or are over since a while ago.
+    /// Sends all limits that are in force or ended recently to all hosts; called by the leader.
     pub async fn broadcast_limits(&self) {
         let now = self.state.now();
         let limits = self.state.table.lock().limits(now);
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Limits as this host tells them while it leads, in datagrams.
+    /// Limits as datagrams of the leader.
     fn limit_messages(&self, limits: &[ReplicaLimit]) -> Vec<Message> {
         let leader = self.state.leader.lock();
         let Some(term) = leader.as_ref().map(|l| l.term) else {
@@ -90,10 +91,10 @@
         limits.chunks(MAX_LIMITS).map(message).collect()
     }
 
-    /// Takes in what another host heard, and has it told on if it is news.
-    pub(super) fn merge_limits(&self, told: &[ReplicaLimit], by: &Name) {
+    /// Merges limits that another host received and, on the leader, has the changed ones sent to all.
+    pub(super) fn merge_limits(&self, limits: &[ReplicaLimit], by: &Name) {
         let now = self.state.now();
-        let changes = self.state.table.lock().merge_limits(told, now);
+        let changes = self.state.table.lock().merge_limits(limits, now);
         if changes.is_empty() {
             return;
         }
--- a/crates/front/src/peers/load_reports.rs
+++ b/crates/front/src/peers/load_reports.rs
@@ -1,5 +1,5 @@
-//! Sums of this host, and when it tells them: round by round to the leader, and between rounds as
-//! soon as a request is counted in or a prompt is read.
+//! Reports this host's load: to the leader each round, and between rounds as soon as a request is added or a prompt
+//! is prefilled.
 
 use super::{MAX_DIRECT_HOSTS, Peers};
 use crate::message::{Demand, LoadReport, Message, PackedLoad, replica_hash};
@@ -8,26 +8,26 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Pause between two rounds of sums, where hosts tell each other directly.
-const MESH_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval of rounds in a fleet with direct exchange.
+const DIRECT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Least pause between two rounds, where hosts are too many to tell each other.
-const MIN_STAR_INTERVAL: Duration = Duration::from_millis(100);
+/// Minimum interval of rounds in larger fleets.
+const MIN_LARGE_FLEET_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time that each host adds to the pause, so that the leader's work does not grow with them.
+/// Increase of the interval per host, which keeps the leader's work constant.
 const INTERVAL_PER_HOST: Duration = Duration::from_micros(1_500);
 
-/// Pause in which requests that are counted in are told together.
+/// Delay in which added requests are batched.
 const LOAD_BATCH_DELAY: Duration = Duration::from_millis(5);
 
-/// Time for which a host waits to tell that prompts were read, after it told of a request.
+/// Maximum delay of a report that load was reduced, after a report of added load.
 const LOAD_REDUCED_WAIT: Duration = Duration::from_millis(50);
 
-/// Time after which sums are told directly although nothing was counted in.
+/// Interval of load messages while no request is added.
 const LOAD_IDLE_INTERVAL: Duration = Duration::from_millis(300);
 
 impl Peers {
-    /// Tells this host's sums round by round until the daemon ends.
+    /// Sends reports until the daemon ends.
     pub async fn send_reports(self: Arc<Self>) {
         let mut round = 0;
         loop {
@@ -40,21 +40,20 @@
         }
     }
 
-    /// Pause between two rounds.
+    /// Interval of rounds.
     pub fn report_interval(&self) -> Duration {
         let hosts = self.state.table.lock().host_count;
         match hosts <= MAX_DIRECT_HOSTS {
-            true => MESH_INTERVAL,
-            false => MIN_STAR_INTERVAL.max(INTERVAL_PER_HOST * hosts as u32),
+            true => DIRECT_INTERVAL,
+            false => MIN_LARGE_FLEET_INTERVAL.max(INTERVAL_PER_HOST * hosts as u32),
         }
     }
 
-    /// Tells what is in flight as soon as a request is counted in: all other hosts directly, or the
-    /// leader, where they are too many.
+    /// Sends loads as soon as a request is added: to all other hosts in a small fleet, otherwise to the leader.
     pub async fn send_loads(self: Arc<Self>) {
         loop {
-            let entered = self.state.load_added.notified();
-            let _ = tokio::time::timeout(LOAD_IDLE_INTERVAL, entered).await;
+            let load_added = self.state.load_added.notified();
+            let _ = tokio::time::timeout(LOAD_IDLE_INTERVAL, load_added).await;
             tokio::time::sleep(LOAD_BATCH_DELAY).await;
             let others = self.direct_hosts.lock().clone();
             if others.is_empty() {
@@ -72,34 +71,34 @@
         }
     }
 
-    /// Tells the leader what is in flight, between two rounds of sums.
+    /// Sends loads to the leader, between two rounds.
     async fn send_loads_to_leader(&self) {
         let Some(leader) = self.state.leader.lock().clone() else {
             return;
         };
         let now = self.state.now();
         let loads = self.state.table.lock().report_own_loads(now);
-        let telling = self.load_sequence.fetch_add(1, Ordering::Relaxed);
-        let sums = self.new_report(telling, Vec::new(), loads);
+        let sequence = self.load_sequence.fetch_add(1, Ordering::Relaxed);
+        let report = self.new_report(sequence, Vec::new(), loads);
         if leader.peers == self.state.settings.peers {
-            self.inbox.record_loads(sums, now);
+            self.inbox.record_loads(report, now);
             return;
         }
-        for part in sums.split() {
+        for part in report.split() {
             self.send(&Message::Loads(part), leader.peers).await;
         }
     }
 
-    /// Tells the leader what this host has seen and has in flight.
+    /// Sends this round's report to the leader.
     async fn send_report(&self, round: u32) {
         let Some(leader) = self.state.leader.lock().clone() else {
             return;
         };
         let now = self.state.now();
-        let (demand, loads, used, absent, resting) = {
+        let (demand, loads, adapter_uses, unreachable, backing_off) = {
             let mut table = self.state.table.lock();
             let (demand, loads) = (table.demand(now), table.report_own_loads(now));
-            let resting = table
+            let backing_off = table
                 .backing_off(now)
                 .iter()
                 .map(|id| replica_hash(id))
@@ -109,25 +108,25 @@
                 loads,
                 table.take_adapter_uses(),
                 table.unreachable_replicas(now),
-                resting,
+                backing_off,
             )
         };
-        let sums = LoadReport {
-            adapter_uses: used,
-            unreachable: absent,
-            backing_off: resting,
+        let report = LoadReport {
+            adapter_uses,
+            unreachable,
+            backing_off,
             ..self.new_report(round, demand, loads)
         };
         if leader.peers == self.state.settings.peers {
-            self.inbox.record_report(sums, leader.peers, now);
+            self.inbox.record_report(report, leader.peers, now);
             return;
         }
-        for part in sums.split() {
+        for part in report.split() {
             self.send(&Message::Report(part), leader.peers).await;
         }
     }
 
-    /// This host's sums. The table must not be locked.
+    /// Report of this host without adapter uses and replica states. The table must not be locked.
     fn new_report(&self, round: u32, demand: Vec<Demand>, loads: Vec<PackedLoad>) -> LoadReport {
         let settings = &self.state.settings;
         let now = self.state.now();
--- a/crates/front/src/peers/pending.rs
+++ b/crates/front/src/peers/pending.rs
@@ -1,4 +1,4 @@
-//! Questions in datagrams that wait for an answer.
+//! Matches response datagrams to the requests that wait for them.
 
 use parking_lot::Mutex;
 use std::collections::HashMap;
@@ -7,49 +7,48 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// Questions that wait for answers of one type, by number.
+/// Requests that wait for a response of one type, by number.
 #[derive(Debug)]
 pub struct PendingRequests<T> {
-    open: Mutex<HashMap<u32, oneshot::Sender<T>>>,
-    /// Number of the next question.
-    next_id: AtomicU32,
+    waiting: Mutex<HashMap<u32, oneshot::Sender<T>>>,
+    next_number: AtomicU32,
 }
 
 impl<T> Default for PendingRequests<T> {
     fn default() -> PendingRequests<T> {
         PendingRequests {
-            open: Mutex::default(),
-            next_id: AtomicU32::default(),
+            waiting: Mutex::default(),
+            next_number: AtomicU32::default(),
         }
     }
 }
 
 impl<T> PendingRequests<T> {
-    /// Sends a question under the number that `send` is given, and waits for its answer.
+    /// Calls `send` with a new request number and waits for the response, at most for `limit`.
     pub async fn send<F: Future<Output = ()>>(
         &self,
         limit: Duration,
         send: impl FnOnce(u32) -> F,
     ) -> Option<T> {
-        let number = self.next_id.fetch_add(1, Ordering::Relaxed);
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let (sender, receiver) = oneshot::channel();
         {
-            let mut open = self.open.lock();
-            // A client that leaves drops its question's wait, and nothing else takes the question out.
-            open.retain(|_, waiting| !waiting.is_closed());
-            open.insert(number, sender);
+            let mut waiting = self.waiting.lock();
+            // The future of an abandoned request is dropped without removing its entry.
+            waiting.retain(|_, responder| !responder.is_closed());
+            waiting.insert(number, sender);
         }
         send(number).await;
-        let answer = timeout(limit, receiver).await;
-        self.open.lock().remove(&number);
-        answer.ok()?.ok()
+        let response = timeout(limit, receiver).await;
+        self.waiting.lock().remove(&number);
+        response.ok()?.ok()
     }
 
-    /// Gives an answer to the question that waits for it.
-    pub fn complete(&self, number: u32, answer: T) {
-        if let Some(waiting) = self.open.lock().remove(&number) {
-            // The question may have been given up a moment ago.
-            let _ = waiting.send(answer);
+    /// Passes a response to the request that waits for it.
+    pub fn complete(&self, number: u32, response: T) {
+        if let Some(responder) = self.waiting.lock().remove(&number) {
+            // The request may just have timed out.
+            let _ = responder.send(response);
         }
     }
 }
--- a/crates/front/src/peers/quarantine.rs
+++ b/crates/front/src/peers/quarantine.rs
@@ -1,4 +1,4 @@
-//! Telling the leader of falls and of how runs ended, asking it for trials, and answering as the one that leads.
+//! Reports crashes and outcomes of requests to the leader, and requests and grants trials.
 
 use super::Peers;
 use crate::message::{CrashReport, Message, TrialResponse};
@@ -9,39 +9,41 @@
 use std::time::Duration;
 use unit::Fingerprint;
 
-/// Time for each try of a question, as for those about client accounts.
+/// Timeout of each attempt of a trial request.
 const TIMEOUTS: [Duration; 2] = [Duration::from_millis(40), Duration::from_millis(90)];
 
 impl Peers {
-    /// Tells what this host has to report, until the daemon ends.
+    /// Sends reports until the daemon ends.
     pub async fn forward_quarantine_reports(self: Arc<Self>, mut reports: Reports) {
         while let Some(report) = reports.recv().await {
             match report {
-                Report::Crashed(group) => self.report_crash(group).await,
-                Report::Succeeded(print) => {
-                    self.state.quarantine.note_success_anywhere(print);
-                    self.send_to_leader(Message::Succeeded(print)).await;
+                Report::Crashed(incident) => self.report_crash(incident).await,
+                Report::Succeeded(fingerprint) => {
+                    self.state.quarantine.note_success_anywhere(fingerprint);
+                    self.send_to_leader(Message::Succeeded(fingerprint)).await;
                 }
-                Report::TrialEnded(print, broke) => {
+                Report::TrialEnded(fingerprint, broke) => {
                     if !self.state.leads() {
-                        // The trial may have been this host's own.
+                        // The trial may have been run by this host.
                         let now = self.state.now();
-                        self.state.quarantine.note_trial_ended(print, broke, now);
+                        self.state
+                            .quarantine
+                            .note_trial_ended(fingerprint, broke, now);
                     }
-                    self.send_to_leader(Message::TrialFailed(print, broke))
+                    self.send_to_leader(Message::TrialFailed(fingerprint, broke))
                         .await
                 }
             }
         }
     }
 
-    /// Tells a fall to the leader, and where hosts are few to all of them, so that the next leader knows of it too.
-    async fn report_crash(&self, group: Incident) {
+    /// Reports a crash to the leader and, in a small fleet, to all hosts, so that the next leader knows of it.
+    async fn report_crash(&self, incident: Incident) {
         let now = self.state.now();
         self.state
             .quarantine
-            .note_crash(group.crash, &group.in_flight, now);
-        let message = crash_message(group);
+            .note_crash(incident.crash, &incident.in_flight, now);
+        let message = crash_message(incident);
         let others = self.direct_hosts.lock().clone();
         for other in &others {
             self.send(&message, *other).await;
@@ -52,18 +54,18 @@
         }
     }
 
-    /// Tells the leader once more what it may not have heard, or what the one before it has heard.
+    /// Reports crashes again that the leader may not have received, or that only its predecessor received.
     pub(super) async fn resend_crashes(&self) {
         let Some(term) = self.state.leader.lock().as_ref().map(|l| l.term) else {
             return;
         };
         let now = self.state.now();
-        for group in self.state.quarantine.unreported_crashes(term, now) {
-            self.send_to_leader(crash_message(group)).await;
+        for incident in self.state.quarantine.unreported_crashes(term, now) {
+            self.send_to_leader(crash_message(incident)).await;
         }
     }
 
-    /// Tells the leader something; this host takes it in directly if it leads.
+    /// Sends a message to the leader; handles it directly if this host is the leader.
     pub(super) async fn send_to_leader(&self, message: Message) {
         let Some(leader) = self.state.leader.lock().clone() else {
             return;
@@ -74,29 +76,31 @@
         }
     }
 
-    /// Takes in a fall that another host saw.
-    pub(super) fn merge_crash(&self, fallen: &CrashReport) {
+    pub(super) fn merge_crash(&self, report: &CrashReport) {
         let now = self.state.now();
-        let fall = Crash(fallen.crash);
+        let crash = Crash(report.crash);
         self.state
             .quarantine
-            .note_crash(fall, &fallen.in_flight, now);
+            .note_crash(crash, &report.in_flight, now);
     }
 
-    /// Asks the leader what may be done with a request that is suspected; none when there was no answer.
+    /// Requests the leader's decision on a suspected request; none if there was no response.
     pub async fn request_trial(
         &self,
-        print: Fingerprint,
-        ticket: RequestId,
+        fingerprint: Fingerprint,
+        request_id: RequestId,
     ) -> Option<route::quarantine::Permit> {
         let leader = self.state.leader.lock().clone()?.peers;
         if leader == self.state.settings.peers {
-            return self.decide(print, ticket).decision();
+            return self.decide(fingerprint, request_id).decision();
         }
         for limit in TIMEOUTS {
             let send = |number| async move {
-                self.send(&Message::TrialRequest(number, print, ticket.0), leader)
-                    .await;
+                self.send(
+                    &Message::TrialRequest(number, fingerprint, request_id.0),
+                    leader,
+                )
+                .await;
             };
             if let Some(permit) = self.trials.send(limit, send).await {
                 return permit.decision();
@@ -105,33 +109,35 @@
         None
     }
 
-    /// Answers a host that asks what may be done with a request.
     pub(super) async fn answer_trial(
         &self,
         number: u32,
-        print: Fingerprint,
-        ticket: u64,
+        fingerprint: Fingerprint,
+        request_id: u64,
         from: SocketAddr,
     ) {
-        let permit = self.decide(print, RequestId(ticket));
+        let permit = self.decide(fingerprint, RequestId(request_id));
         self.send(&Message::TrialResponse(number, permit), from)
             .await;
     }
 
-    /// What this host says to such a question.
-    fn decide(&self, print: Fingerprint, ticket: RequestId) -> TrialResponse {
+    /// Decision of this host on a trial request.
+    fn decide(&self, fingerprint: Fingerprint, request_id: RequestId) -> TrialResponse {
         let now = self.state.now();
         match self.state.leads() {
-            true => self.state.quarantine.decide(print, ticket, now).into(),
+            true => self
+                .state
+                .quarantine
+                .decide(fingerprint, request_id, now)
+                .into(),
             false => TrialResponse::NotLeader,
         }
     }
 }
 
-/// Fall as it is told.
-fn crash_message(group: Incident) -> Message {
+fn crash_message(incident: Incident) -> Message {
     Message::CrashReport(CrashReport {
-        crash: group.crash.0,
-        in_flight: group.in_flight,
+        crash: incident.crash.0,
+        in_flight: incident.in_flight,
     })
 }
--- a/crates/front/src/peers/quota.rs
+++ b/crates/front/src/peers/quota.rs
@@ -1,4 +1,4 @@
-//! Asking the host that leads for units of limits over all hosts, and answering as the one that leads.
+//! Requests units of fleet-wide quotas from the leader, and grants them as the leader.
 
 use super::Peers;
 use super::pending::PendingRequests;
@@ -12,119 +12,124 @@
 use std::time::Duration;
 use unit::{Name, Span, Time};
 
-/// Time for each try of a question: hosts are milliseconds apart, and a host whose processor is used up
-/// stands still for a tenth of a second at the most.
+/// Timeout of each attempt. Hosts are milliseconds apart, and a host at its CPU limit is throttled for at most 100
+/// ms.
 pub const TIMEOUTS: &[Duration] = &[Duration::from_millis(40), Duration::from_millis(90)];
 
-/// Time for a last try of a request that would be refused without an answer: a leader of some thousands of
-/// replicas stands still for parts of a second while it plans.
+/// Timeout of the final attempt for a request that would otherwise be refused. With thousands of replicas the leader
+/// is blocked for several hundred milliseconds while it plans.
 pub const LAST_TRY_TIMEOUTS: &[Duration] = &[Duration::from_millis(400)];
 
-/// Part of the limits of replicas that a leader gives out whose term it cannot renew while the store is away: another host may
-/// lead by now and give out the whole, and both together stay within the tolerance.
+/// Fraction of replicas' rate limits granted by a leader that cannot renew its term because the store is down.
+/// Another host may have become leader and grant all of them; the total stays within the tolerance.
 const UNRENEWED_TERM_FRACTION: f64 = 0.5;
 
-/// Questions to the one host that gives out, and what that host keeps.
+/// Pending quota requests of this host, and the limiters of the leader.
 #[derive(Default)]
-pub struct QuotaLeader {
-    /// What is given out in the term in which this host leads.
+pub struct QuotaState {
+    /// Limiters of the term in which this host is the leader.
     limiters: Mutex<Option<(Term, Limiters)>>,
-    /// Questions that wait for an answer.
+    /// Quota requests that wait for a response.
     pending: PendingRequests<QuotaResponse>,
 }
 
-/// What one host gives out.
 struct Limiters {
     accounts: Limiter<Name>,
-    /// By the short name of the incarnation.
+    /// By hash of the replica's incarnation.
     replicas: Limiter<u32>,
 }
 
 impl Peers {
-    /// Begins to give out, in a term in which this host leads.
+    /// Starts granting units, at the beginning of a term of this host.
     pub fn start_limiter(&self, term: Term, tolerance: Tolerance) {
         let now = self.state.now();
         let limiters = Limiters {
             accounts: Limiter::new(tolerance, now),
             replicas: Limiter::new(REPLICA_TOLERANCE, now),
         };
-        *self.limiter.limiters.lock() = Some((term, limiters));
+        *self.quota.limiters.lock() = Some((term, limiters));
     }
 
-    /// Asks for units, once for each time that a try may take; none when there was no answer.
+    /// Requests units, with one attempt for each timeout; none if there was no response.
     pub async fn request_quota(
         &self,
-        question: QuotaRequest,
+        request: QuotaRequest,
         tries: &[Duration],
     ) -> Option<QuotaResponse> {
         let leader = self.state.leader.lock().clone()?.peers;
         if leader == self.state.settings.peers {
-            return self.decide_quota(&question);
+            return self.decide_quota(&request);
         }
         for limit in tries.iter().copied() {
-            let answer = self.request_once(&question, leader, limit).await;
-            if answer.is_some() {
-                return answer;
+            let response = self.request_once(&request, leader, limit).await;
+            if response.is_some() {
+                return response;
             }
         }
         None
     }
 
-    /// Asks once and waits for the answer.
+    /// Makes one attempt.
     async fn request_once(
         &self,
-        question: &QuotaRequest,
+        request: &QuotaRequest,
         leader: SocketAddr,
         limit: Duration,
     ) -> Option<QuotaResponse> {
         let send = |number| async move {
-            let question = QuotaRequest {
+            let request = QuotaRequest {
                 number,
-                ..question.clone()
+                ..request.clone()
             };
-            self.send(&Message::QuotaRequest(question), leader).await;
+            self.send(&Message::QuotaRequest(request), leader).await;
         };
-        self.limiter.pending.send(limit, send).await
+        self.quota.pending.send(limit, send).await
     }
 
-    /// Gives an answer to the question that waits for it.
-    pub(super) fn complete_quota_request(&self, number: u32, verdict: QuotaResponse) {
-        self.limiter.pending.complete(number, verdict);
+    /// Passes a response to the request that waits for it.
+    pub(super) fn complete_quota_request(&self, number: u32, response: QuotaResponse) {
+        self.quota.pending.complete(number, response);
     }
 
-    /// Answers a question of another host.
-    pub(super) async fn answer_quota_request(&self, question: QuotaRequest, from: SocketAddr) {
-        let verdict = self
-            .decide_quota(&question)
+    pub(super) async fn answer_quota_request(&self, request: QuotaRequest, from: SocketAddr) {
+        let response = self
+            .decide_quota(&request)
             .unwrap_or(QuotaResponse::NotLeader);
-        let answer = Message::QuotaResponse(question.number, verdict);
-        self.send(&answer, from).await;
+        let response = Message::QuotaResponse(request.number, response);
+        self.send(&response, from).await;
     }
 
-    /// What this host says to a question; none when it does not give out.
-    fn decide_quota(&self, question: &QuotaRequest) -> Option<QuotaResponse> {
-        if !question.is_valid() {
+    /// Decision on a quota request; none if this host does not grant units or the request is invalid.
+    fn decide_quota(&self, request: &QuotaRequest) -> Option<QuotaResponse> {
+        if !request.is_valid() {
             return None;
         }
         let now = self.state.now();
-        match &question.subject {
+        match &request.subject {
             Subject::Account(account) => {
                 let limit = self.limit_of(account)?;
-                self.with_accounts(|limiter| decide(limiter, account, limit, question, now))
+                self.with_accounts(|limiter| decide(limiter, account, limit, request, now))
             }
             Subject::Replica(limited) => {
-                let Some(notice) = self.advertisement_of(limited, &question.host, now)? else {
+                let Some(advertisement) = self.advertisement_of(limited, &request.host, now)?
+                else {
                     return Some(QuotaResponse::Unlimited);
                 };
                 let replica = &limited.replica;
-                self.with_replicas(|limiter, part| {
-                    decide(limiter, replica, notice.limit(part), question, now)
+                self.with_replicas(|limiter, fraction| {
+                    decide(
+                        limiter,
+                        replica,
+                        advertisement.limit(fraction),
+                        request,
+                        now,
+                    )
                 })
             }
         }
     }
 
-    /// Gives units back that were given `age` ago and not used.
+    /// Returns unused units that were granted `age` ago.
     pub async fn refund(&self, subject: Subject, units: f64, age: Span) {
         let Some(leader) = self.state.leader.lock().clone() else {
             return;
@@ -141,7 +146,6 @@
         }
     }
 
-    /// Takes units back.
     pub(super) fn apply_refund(&self, refund: &Refund) {
         if !refund.is_valid() {
             return;
@@ -152,63 +156,63 @@
                 let Some(limit) = self.limit_of(account) else {
                     return;
                 };
-                self.with_accounts(|limiter| take_back(limiter, account, limit, refund, now));
+                self.with_accounts(|limiter| refund_units(limiter, account, limit, refund, now));
             }
             Subject::Replica(limited) => {
-                let Some(notice) = limited.advertisement(now) else {
+                let Some(advertisement) = limited.advertisement(now) else {
                     return;
                 };
                 let replica = &limited.replica;
-                self.with_replicas(|limiter, part| {
-                    take_back(limiter, replica, notice.limit(part), refund, now)
+                self.with_replicas(|limiter, fraction| {
+                    refund_units(limiter, replica, advertisement.limit(fraction), refund, now)
                 });
             }
         }
     }
 
-    /// Notes that a host is in touch.
+    /// Records that a host is alive.
     pub(super) fn record_heartbeat(&self, host: &Name, now: Time) {
-        if let Some((_, limiters)) = self.limiter.limiters.lock().as_mut() {
+        if let Some((_, limiters)) = self.quota.limiters.lock().as_mut() {
             limiters.accounts.record_heartbeat(host, now);
             limiters.replicas.record_heartbeat(host, now);
         }
     }
 
-    /// Units given out of an account in the last window, if this host gives out.
+    /// Units granted to an account in the current window, if this host grants them.
     pub fn granted(&self, account: &Name) -> Option<f64> {
         let now = self.state.now();
         self.with_accounts(|limiter| limiter.granted(account, now))
     }
 
-    /// Works with the limiter of accounts while the term holds in which it was begun.
+    /// Calls `work` with the limiter of accounts if the term holds.
     fn with_accounts<T>(&self, work: impl FnOnce(&mut Limiter<Name>) -> T) -> Option<T> {
-        let mut limiters = self.limiter.limiters.lock();
+        let mut limiters = self.quota.limiters.lock();
         let (term, limiters) = limiters.as_mut()?;
         term.is_valid().then(|| work(&mut limiters.accounts))
     }
 
-    /// Works with the limiter of replicas, and the part of their limits that it gives out, while this host leads as far as it
-    /// knows: also while the store is away and the term cannot be renewed.
+    /// Calls `work` with the limiter of replicas and the fraction of their limits to grant, while this host is the
+    /// leader as far as it knows; also if the store is down and the term cannot be renewed.
     fn with_replicas<T>(&self, work: impl FnOnce(&mut Limiter<u32>, f64) -> T) -> Option<T> {
         let leads = self.state.leads();
-        let mut limiters = self.limiter.limiters.lock();
+        let mut limiters = self.quota.limiters.lock();
         let (term, limiters) = limiters.as_mut()?;
-        let part = match term.is_valid() {
+        let fraction = match term.is_valid() {
             true => 1.0,
             false => UNRENEWED_TERM_FRACTION,
         };
-        leads.then(|| work(&mut limiters.replicas, part))
+        leads.then(|| work(&mut limiters.replicas, fraction))
     }
 
-    /// Limit of an account by the newest configuration here.
+    /// Quota of an account in the current configuration.
     fn limit_of(&self, account: &str) -> Option<Limit> {
         let routes = self.state.table.lock().routes.clone()?;
         let account = routes.accounts.as_ref()?.get(account)?;
         account.quota.as_ref().map(shares::limit)
     }
 
-    /// What is known of a replica's limit here and at the host that asks, if it holds; none at all where the question's number
-    /// cannot be counted.
+    /// Newest limit of a replica known to this host or the requesting one, if it is in force. The outer option is
+    /// none if the request's limit is invalid.
     fn advertisement_of(
         &self,
         limited: &ReplicaLimit,
@@ -218,49 +222,47 @@
         let asked = limited.advertisement(now)?;
         self.merge_limits(std::slice::from_ref(limited), host);
         let known = self.state.table.lock().notice_of(limited.replica);
-        let notice = known.unwrap_or(asked);
-        Some(Some(notice).filter(|notice| !notice.is_expired(now)))
+        let advertisement = known.unwrap_or(asked);
+        Some(Some(advertisement).filter(|advertisement| !advertisement.is_expired(now)))
     }
 }
 
-/// Gives a question's units out of a limit, or refuses them.
 fn decide<K: Eq + Hash + Clone>(
     limiter: &mut Limiter<K>,
     subject: &K,
     limit: Limit,
-    question: &QuotaRequest,
+    request: &QuotaRequest,
     now: Time,
 ) -> QuotaResponse {
     let units = |count: f32| Units {
         subject,
         limit,
-        host: &question.host,
+        host: &request.host,
         count: f64::from(count),
-        reserved: f64::from(question.reserved),
-        will_retry: question.will_retry,
+        reserved: f64::from(request.reserved),
+        will_retry: request.will_retry,
     };
-    limiter.record_local_use(units(question.local_use), now);
-    match limiter.acquire(units(question.units), now) {
-        Ok(given) => QuotaResponse::Granted {
-            granted: given.granted as f32,
-            available: given.available as f32,
+    limiter.record_local_use(units(request.local_use), now);
+    match limiter.acquire(units(request.units), now) {
+        Ok(usage) => QuotaResponse::Granted {
+            granted: usage.granted as f32,
+            available: usage.available as f32,
         },
-        Err(over) => QuotaResponse::Refused {
-            retry_after_ms: over.retry_after.ms().ceil() as u32,
-            available: over.available as f32,
+        Err(refusal) => QuotaResponse::Refused {
+            retry_after_ms: refusal.retry_after.ms().ceil() as u32,
+            available: refusal.available as f32,
         },
     }
 }
 
-/// Puts a refund's units back under a limit.
-fn take_back<K: Eq + Hash + Clone>(
+fn refund_units<K: Eq + Hash + Clone>(
     limiter: &mut Limiter<K>,
     subject: &K,
     limit: Limit,
     refund: &Refund,
     now: Time,
 ) {
-    let given = now - Span::from_ms(u64::from(refund.age_ms));
+    let granted_at = now - Span::from_ms(u64::from(refund.age_ms));
     let units = Units {
         subject,
         limit,
@@ -269,5 +271,5 @@
         reserved: 0.0,
         will_retry: false,
     };
-    limiter.refund(units, given, now);
+    limiter.refund(units, granted_at, now);
 }
