--- a/crates/front/src/follow.rs
+++ b/crates/front/src/follow.rs
@@ -1,8 +1,8 @@
-//! Following the store: one watch over all keys tells configuration, replicas and leader.
+//! Follows the store: a single watch over all keys yields the configuration, replicas and leader.
 //!
-//! A watch is answered at the first change and is priced, so the next one starts only after a pause;
-//! changes of that time come together. In a large fleet most hosts hear of the changes from
-//! [`readers`]. Its parts: `bootstrap` reads the store for the first time, `apply` takes in what it tells.
+//! A watch returns at the first change and each call is charged, so the next one starts after a pause that batches
+//! changes. In a large fleet most hosts receive changes from [`readers`]. `bootstrap` does the first read; `apply`
+//! applies changes.
 
 mod apply;
 mod bootstrap;
@@ -20,40 +20,36 @@
 use tracing::{info, warn};
 use unit::{Span, Time};
 
-/// Pause between two watches of the leader, whose orders rest on what it knows.
+/// Pause of the leader between two watches; its orders depend on current data.
 const LEADER_PAUSE: Duration = Duration::from_millis(250);
 
-/// Pause between two watches, as a part of the shortest bound on following the store: two more
-/// watches may fail within the bound.
+/// Pause between two watches, as a fraction of the propagation bound; leaves time for two failed watches.
 const PAUSE_FRACTION: f64 = 1.0 / 3.0;
 
-/// Time that a watch waits for a change, as a part of the shortest bound on following the store: a
-/// watch that a silent outage swallowed must not hang on long after the store's return.
+/// Time that a watch waits for a change, as a fraction of the propagation bound; limits how long a watch lost in a
+/// network outage delays the recovery.
 const WATCH_FRACTION: f64 = 0.75;
 
-/// Time that a watch waits for a change, as a part of the bound on withdrawals of keys: what it tells is
-/// as old as the question, and keys are rested on for 0.8 of the bound.
+/// Limit of the same time as a fraction of the revocation bound: a response is as old as its request, and keys are
+/// trusted for 0.8 of the bound.
 const WATCH_FRACTION_OF_WITHDRAWAL: f64 = 0.25;
 
-/// Time that a watch of a host that reads the store for others waits, and the pause after it, each
-/// as a part of the same bound: these hear of a change after both at the most, and must hear as soon
-/// that their reader is cut off.
+/// Time that a watch of a root waits, and the pause after it, each as a fraction of the propagation bound. Its
+/// readers see a change, or that the root lost the store, after both at most.
 const ROOT_FRACTION: f64 = 1.0 / 6.0;
 
-/// Pause after a call that failed; the store's return must be noticed within a part of a second.
+/// Pause after a failed call.
 const FAILURE_PAUSE: Duration = Duration::from_millis(200);
 
-/// Longest pause of a host of a large fleet after a call on the store that failed, as a part of the
-/// shortest bound on following the store: the return is seen within half of it.
+/// Maximum pause of a host of a large fleet after a failed store call, as a fraction of the propagation bound.
 const MAX_FAILURE_PAUSE_FRACTION: f64 = 0.25;
 
-/// Readers that are asked in turn before a host reads the store itself: each may be silent for a
-/// quarter of the bound.
+/// Readers tried before a host reads the store itself; each may take a quarter of the propagation bound to time out.
 const MAX_READERS_TRIED: usize = 2;
 
 /// Follows the store until the daemon ends.
 pub async fn run(state: Arc<State>) {
-    // Revision up to which this host has heard; none while all of the store must be read.
+    // Revision up to which changes were applied; none while a snapshot is needed.
     let mut after = None;
     loop {
         match fetch(&state, after).await {
@@ -63,15 +59,15 @@
             }
             Next::Watched(changes) => {
                 after = after.max(Some(changes.revision));
-                let is_news = !changes.found.is_empty();
+                let has_changes = !changes.found.is_empty();
                 apply_changes(&state, changes.found);
-                if is_news {
+                if has_changes {
                     pause_after_changes(&state).await;
                 }
             }
-            Next::Whole(listing) => {
-                after = Some(listing.revision);
-                apply_snapshot(&state, listing);
+            Next::Snapshot(snapshot) => {
+                after = Some(snapshot.revision);
+                apply_snapshot(&state, snapshot);
             }
             Next::Compacted => after = None,
             Next::Failed => pause_after_failure(&state).await,
@@ -79,24 +75,24 @@
     }
 }
 
-/// What was heard next.
+/// Result of one read.
 enum Next {
-    /// Changes that a reader told; there may be none.
+    /// Changes from a reader, possibly none.
     Relayed(Listing<Change>),
-    /// Changes that the store told; there may be none.
+    /// Changes from the store, possibly none.
     Watched(Listing<Change>),
-    /// All that stands in the store.
-    Whole(Listing<Item>),
-    /// The store has forgotten what changed after that revision.
+    /// Snapshot of the store.
+    Snapshot(Listing<Item>),
+    /// The store no longer has the changes after the requested revision.
     Compacted,
-    /// Nothing: no call was answered.
+    /// No source responded.
     Failed,
 }
 
-/// Hears from the readers, or else reads the store.
+/// Reads from a reader if there is one, otherwise from the store.
 async fn fetch(state: &State, after: Option<u64>) -> Next {
-    if let Some(heard) = fetch_from_reader(state, after.unwrap_or(0)).await {
-        return heard;
+    if let Some(next) = fetch_from_reader(state, after.unwrap_or(0)).await {
+        return next;
     }
     match after {
         Some(after) => watch(state, after).await,
@@ -104,42 +100,41 @@
     }
 }
 
-/// Waits for the store's next changes.
+/// Waits for changes in the store.
 async fn watch(state: &State, after: u64) -> Next {
-    let named = state.readers.promoted.notified();
-    let asked = state.now();
+    let promoted = state.readers.promoted.notified();
+    let sent_at = state.now();
     let changes = tokio::select! {
         changes = state.store.watch("", after, watch_wait(state)) => changes,
-        // From now on others rest on this host's news: a long watch would let them grow old.
-        _ = named => return Next::Relayed(Listing { found: Vec::new(), revision: after }),
+        // As a root this host must answer with current data, so a long watch is cancelled.
+        _ = promoted => return Next::Relayed(Listing { found: Vec::new(), revision: after }),
     };
     if let Err(platform::Error::Compacted { after }) = changes {
-        info!(target: "store", event = "compacted", after, "the watch's history is gone; the whole range is read");
+        info!(target: "store", event = "compacted", after, "the store has compacted the watched revision; reading a snapshot");
         return Next::Compacted;
     }
-    let Some(changes) = record_answer(state, changes, asked) else {
+    let Some(changes) = record_answer(state, changes, sent_at) else {
         return Next::Failed;
     };
-    readers::record_changes(state, &changes.found, changes.revision, asked);
+    readers::record_changes(state, &changes.found, changes.revision, sent_at);
     Next::Watched(changes)
 }
 
-/// Hears from other hosts what has changed after a revision; none when this host must read the store
-/// itself.
+/// Polls readers for the changes after a revision; none if this host must read the store itself.
 async fn fetch_from_reader(state: &State, after: u64) -> Option<Next> {
     for _ in 0..MAX_READERS_TRIED {
         let reader = readers::source(state)?;
         match readers::ask(state, reader, after, state.settings.bounds.propagation()).await {
-            Ok(news) => {
-                return Some(match news {
+            Ok(update) => {
+                return Some(match update {
                     StoreUpdate::Changes(changes) => Next::Relayed(changes),
-                    StoreUpdate::Snapshot(listing) => Next::Whole(listing),
+                    StoreUpdate::Snapshot(snapshot) => Next::Snapshot(snapshot),
                 });
             }
             Err(why) => {
                 state.readers.mark_reader_failed(reader, &why, state.now());
                 state.log.rate_limited(|| {
-                    warn!(target: "store", event = "reader_failed", reader = %reader, after, why = %why, "a host that reads the store for this one cannot be rested on; it is not asked for a while")
+                    warn!(target: "store", event = "reader_failed", reader = %reader, after, why = %why, "reader failed; it is avoided for a while")
                 });
             }
         }
@@ -147,24 +142,24 @@
     None
 }
 
-/// Time that a watch of this host waits for a change. Where the store failed a moment ago it does not
-/// wait, so that the answer tells at once that the store is back.
+/// Time that a watch of this host waits for a change. Zero after a recent failure, so that the recovery is seen at
+/// once.
 fn watch_wait(state: &State) -> Duration {
     if readers::store_failed_recently(state) {
         return Duration::ZERO;
     }
-    let part = match readers::is_root(state) {
+    let fraction = match readers::is_root(state) {
         true => ROOT_FRACTION,
         false => WATCH_FRACTION,
     };
-    let wait = state.settings.bounds.propagation().mul_f64(part);
+    let wait = state.settings.bounds.propagation().mul_f64(fraction);
     match state.settings.bounds.withdrawal {
         Some(bound) => wait.min(bound.mul_f64(WATCH_FRACTION_OF_WITHDRAWAL)),
         None => wait,
     }
 }
 
-/// Pauses after a watch that told changes, before the next one.
+/// Pauses after a watch that returned changes.
 async fn pause_after_changes(state: &State) {
     let bound = state.settings.bounds.propagation();
     let pause = match (state.leads(), readers::is_root(state)) {
@@ -175,43 +170,41 @@
     tokio::time::sleep(pause).await;
 }
 
-/// Pauses after no call was answered. The store's return is seen at once by those that read it for all,
-/// and by hosts that cannot work without; the others, which are many, ask it seldom.
+/// Pauses after all sources failed. Roots and hosts without a configuration retry quickly; the many others rarely.
 async fn pause_after_failure(state: &State) {
-    let has_nothing = state.table.lock().routes.is_none();
-    let is_direct = readers::is_small_fleet(state);
-    if has_nothing || is_direct || state.leads() || readers::is_root(state) {
+    let is_unconfigured = state.table.lock().routes.is_none();
+    let is_small_fleet = readers::is_small_fleet(state);
+    if is_unconfigured || is_small_fleet || state.leads() || readers::is_root(state) {
         tokio::time::sleep(FAILURE_PAUSE).await;
         return;
     }
-    let most = state
+    let max_pause = state
         .settings
         .bounds
         .propagation()
         .mul_f64(MAX_FAILURE_PAUSE_FRACTION);
-    let until = state.readers.next_retry().unwrap_or_default();
-    let chance = until.since(state.now()).std();
-    tokio::time::sleep(chance.clamp(FAILURE_PAUSE, most.max(FAILURE_PAUSE))).await;
+    let retry_at = state.readers.next_retry().unwrap_or_default();
+    let until_retry = retry_at.since(state.now()).std();
+    tokio::time::sleep(until_retry.clamp(FAILURE_PAUSE, max_pause.max(FAILURE_PAUSE))).await;
 }
 
-/// Whether the store, which failed a call just now, may be away for this host only: another one that
-/// reads it can be asked. Nothing is taken as lapsed then.
+/// Whether another host can be polled although the store failed this one. Entries do not lapse in this case.
 fn is_served_elsewhere(state: &State) -> bool {
     state.readers.mark_failed(state.settings.store, state.now());
     readers::source(state).is_some()
 }
 
-/// Notes whether the store answers what it was asked at a time, and gives back what it said.
-fn record_answer<T>(state: &State, answer: Result<T, platform::Error>, asked: Time) -> Option<T> {
+/// Records whether the store responded to a request sent at `asked`, and returns the response.
+fn record_answer<T>(state: &State, answer: Result<T, platform::Error>, sent_at: Time) -> Option<T> {
     match answer {
         Ok(answer) => {
             let now = state.now();
-            update_contact(state, now, |contact| contact.answered(asked, now));
+            update_contact(state, now, |contact| contact.answered(sent_at, now));
             Some(answer)
         }
         Err(error) if is_served_elsewhere(state) => {
             state.log.rate_limited(|| {
-                info!(target: "store", event = "turned_away", why = %error, "the store does not answer this host; another one is asked")
+                info!(target: "store", event = "turned_away", why = %error, "the store does not respond to this host; a reader is polled")
             });
             None
         }
@@ -221,23 +214,23 @@
             table.view.contact.failed();
             drop(table);
             if !was_away {
-                warn!(target: "store", event = "lost", why = %error, "the store does not answer; the last view stays in force");
+                warn!(target: "store", event = "lost", why = %error, "the store does not respond; the last view stays in force");
             }
             None
         }
     }
 }
 
-/// Notes that the store answers, or another host tells of it, and tells so if it did not before.
+/// Records contact with the store, direct or through another host, and logs a recovery.
 pub fn update_contact(state: &State, now: Time, note: impl FnOnce(&mut Contact)) {
-    let (was_away, silent, settling) = {
+    let (was_away, silent, since_recovery) = {
         let contact = &mut state.table.lock().view.contact;
         let before = (contact.is_unreachable(), contact.silence(now));
         note(contact);
         (before.0, before.1, contact.since_recovery(now))
     };
     if was_away {
-        let (silent_ms, store_back_ms) = (silent.map(Span::ms), settling.map(Span::ms));
-        info!(target: "store", event = "regained", silent_ms, store_back_ms, "the store answers again, or another host tells of it; silent_ms is for how long this one had heard nothing");
+        let (silent_ms, store_back_ms) = (silent.map(Span::ms), since_recovery.map(Span::ms));
+        info!(target: "store", event = "regained", silent_ms, store_back_ms, "contact with the store is restored; silent_ms is the time without any");
     }
 }
--- a/crates/front/src/follow/apply.rs
+++ b/crates/front/src/follow/apply.rs
@@ -1,4 +1,4 @@
-//! Taking in what the store tells: configurations, replicas, the leader, and requests that are kept out.
+//! Applies store data: configuration, replicas, the leader, and the quarantine list.
 
 use crate::state::{self, State};
 use crate::view::Update;
@@ -10,75 +10,76 @@
 use tracing::{error, info};
 use unit::{Name, Span};
 
-/// Takes in the whole store.
-pub(super) fn apply_snapshot(state: &State, listing: Listing<Item>) {
-    let present: Vec<Name> = listing
+/// Applies a snapshot of the store.
+pub(super) fn apply_snapshot(state: &State, snapshot: Listing<Item>) {
+    let present: Vec<Name> = snapshot
         .found
         .iter()
         .filter(|item| item.key.starts_with(names::REPLICAS))
         .map(|item| replica::id(&item.key).into())
         .collect();
     let now = state.now();
-    let stands = |key: &str| listing.found.iter().any(|item| &*item.key == key);
-    let (has_leader, has_quarantine) = (stands(leader::KEY), stands(quarantine::KEY));
-    for item in listing.found {
-        written(state, item);
+    let contains = |key: &str| snapshot.found.iter().any(|item| &*item.key == key);
+    let (has_leader, has_quarantine) = (contains(leader::KEY), contains(quarantine::KEY));
+    for item in snapshot.found {
+        apply_written(state, item);
     }
-    let news = {
+    let updates = {
         let mut table = state.table.lock();
-        let news = table.view.reconcile(&present, listing.revision, now);
-        table.apply(&news);
-        news
+        let updates = table.view.reconcile(&present, snapshot.revision, now);
+        table.apply(&updates);
+        updates
     };
     state.knows_replicas.store(true, Ordering::Relaxed);
-    report_updates(state, news, listing.revision);
+    report_updates(state, updates, snapshot.revision);
     if !has_leader {
         set_leader(state, None);
     }
     if !has_quarantine {
-        quarantine::note_not_stored(state, listing.revision);
+        quarantine::note_not_stored(state, snapshot.revision);
     }
     state.changed.notify_waiters();
 }
 
-/// Takes in changes of the store.
+/// Applies changes of the store.
 pub(super) fn apply_changes(state: &State, changes: Vec<Change>) {
     for change in changes {
         match change {
-            Change::Written(item) => written(state, item),
-            Change::Removed { key, revision } => removed(state, &key, revision),
+            Change::Written(item) => apply_written(state, item),
+            Change::Removed { key, revision } => apply_removed(state, &key, revision),
         }
     }
     state.changed.notify_waiters();
 }
 
-/// Takes in what was written: the configuration, a replica's entry, or the leader's.
-pub(super) fn written(state: &State, item: Item) {
+/// Applies a written item.
+pub(super) fn apply_written(state: &State, item: Item) {
     if &*item.key == names::CONFIG {
         apply_configuration(state, &item);
     } else if item.key.starts_with(names::REPLICAS) {
         match replica::decode(&item.key, &item.value) {
             Ok(entry) => {
                 let mut table = state.table.lock();
-                let news: Vec<Update> = table.view.put(entry, item.revision).into_iter().collect();
-                table.apply(&news);
+                let updates: Vec<Update> =
+                    table.view.put(entry, item.revision).into_iter().collect();
+                table.apply(&updates);
                 drop(table);
-                report_updates(state, news, item.revision);
+                report_updates(state, updates, item.revision);
             }
             Err(why) => {
                 state.log.rate_limited(|| {
-                    error!(target: "view", event = "malformed", key = &*item.key, revision = item.revision, why = %why, "an entry cannot be read: it names no replica to use")
+                    error!(target: "view", event = "malformed", key = &*item.key, revision = item.revision, why = %why, "malformed replica entry; the replica gets no requests")
                 });
                 let id = replica::id(&item.key);
-                let news = state.table.lock().view.mark_overwritten(id, item.revision);
-                report_updates(state, news.into_iter().collect(), item.revision);
+                let updates = state.table.lock().view.mark_overwritten(id, item.revision);
+                report_updates(state, updates.into_iter().collect(), item.revision);
             }
         }
     } else if &*item.key == leader::KEY {
         match leader::decode(&item) {
             Ok(leader) => set_leader(state, Some(leader)),
             Err(why) => {
-                error!(target: "leader", event = "malformed", why = %why, "the leader's entry cannot be read")
+                error!(target: "leader", event = "malformed", why = %why, "malformed leader entry")
             }
         }
     } else if &*item.key == quarantine::KEY {
@@ -86,19 +87,19 @@
     }
 }
 
-/// Takes in that a replica's entry or the leader's was removed.
-fn removed(state: &State, key: &str, revision: u64) {
+/// Applies a removal.
+fn apply_removed(state: &State, key: &str, revision: u64) {
     if key.starts_with(names::REPLICAS) {
         let now = state.now();
         let mut table = state.table.lock();
-        let news: Vec<Update> = table
+        let updates: Vec<Update> = table
             .view
             .remove(replica::id(key), revision, now)
             .into_iter()
             .collect();
-        table.apply(&news);
+        table.apply(&updates);
         drop(table);
-        report_updates(state, news, revision);
+        report_updates(state, updates, revision);
     } else if key == leader::KEY {
         set_leader(state, None);
     } else if key == quarantine::KEY {
@@ -106,12 +107,12 @@
     }
 }
 
-/// Takes in a configuration, unless it cannot be read or one as new is in force.
+/// Applies a configuration, unless it is malformed or not newer than the one in force.
 fn apply_configuration(state: &State, item: &Item) {
     let config = match config::decode(&item.value) {
         Ok(config) => config,
         Err(why) => {
-            error!(target: "config", event = "malformed", revision = item.revision, why = %why, "the last good configuration stays in force");
+            error!(target: "config", event = "malformed", revision = item.revision, why = %why, "malformed configuration; the last valid one stays in force");
             return;
         }
     };
@@ -122,14 +123,14 @@
         .lock()
         .set_routes(routes::build(config, item.revision))
     {
-        info!(target: "config", event = "in_force", version, revision = item.revision, routes = count, "a configuration is in force");
+        info!(target: "config", event = "in_force", version, revision = item.revision, routes = count, "new configuration in force");
     }
 }
 
-/// Makes known who leads.
+/// Sets the current leader.
 pub fn set_leader(state: &State, leader: Option<state::Leader>) {
-    let mut known = state.leader.lock();
-    if *known == leader {
+    let mut current = state.leader.lock();
+    if *current == leader {
         return;
     }
     if leader.is_some() {
@@ -137,27 +138,26 @@
     }
     match &leader {
         Some(leader) => {
-            info!(target: "leader", event = "known", name = &*leader.name, term = leader.term, "a leader is known")
+            info!(target: "leader", event = "known", name = &*leader.name, term = leader.term, "new leader")
         }
-        None => info!(target: "leader", event = "gone", "no host leads"),
+        None => info!(target: "leader", event = "gone", "no leader"),
     }
-    *known = leader;
-    drop(known);
+    *current = leader;
+    drop(current);
     state.changed.notify_waiters();
 }
 
-/// Tells what the news did to the view, and closes connections to replicas that are gone or have
-/// started again.
-pub fn report_updates(state: &State, mut news: Vec<Update>, revision: u64) {
-    news.retain(|one| !matches!(one, Update::Changed(_)));
-    if news.is_empty() {
+/// Logs changes of the view, and closes connections to replicas that are gone or restarted.
+pub fn report_updates(state: &State, mut updates: Vec<Update>, revision: u64) {
+    updates.retain(|update| !matches!(update, Update::Changed(_)));
+    if updates.is_empty() {
         return;
     }
-    let settling = state.table.lock().view.contact.since_recovery(state.now());
-    // Why an entry that vanished is missing and not gone: the store came back so long ago.
-    let store_back_ms = settling.map(Span::ms);
-    for one in news {
-        let (event, id) = match &one {
+    let since_recovery = state.table.lock().view.contact.since_recovery(state.now());
+    // Logged because entries that vanish shortly after the store's recovery count as missing instead of gone.
+    let store_back_ms = since_recovery.map(Span::ms);
+    for update in updates {
+        let (event, id) = match &update {
             Update::Changed(_) => continue,
             Update::Added(id) => ("seen", id),
             Update::Restarted(id) => ("restarted", id),
@@ -166,7 +166,7 @@
             Update::Missing(id) => ("missing", id),
             Update::Removed(id) => ("gone", id),
         };
-        match &one {
+        match &update {
             Update::Removed(_) | Update::Restarted(_) => {
                 state.pool.close_all(id);
                 quarantine::note_replaced(state, id);
@@ -175,7 +175,7 @@
             _ => {}
         }
         state.log.rate_limited(
-            || info!(target: "view", event, replica = &**id, revision, store_back_ms, "news of a replica"),
+            || info!(target: "view", event, replica = &**id, revision, store_back_ms, "replica changed"),
         );
     }
 }
--- a/crates/front/src/follow/bootstrap.rs
+++ b/crates/front/src/follow/bootstrap.rs
@@ -1,11 +1,11 @@
-//! Reading all that stands in the store, where many hosts may begin at once.
+//! First read of the whole store, also when many hosts start at once.
 //!
-//! The first page holds the configuration and the leader's entry. Where there is more, most hosts hear
-//! the rest from readers, whom the leader names as soon as it knows of this host: if all of a large
-//! fleet read all pages at once, as after a loss of power, the store's link would be full for so long
-//! that calls run out of time and are made anew. A host to which nobody gives the rest in time reads it.
+//! The first page holds the configuration and the leader's entry. If there are more pages, most hosts get the rest
+//! from readers, which the leader assigns once it knows the host: a large fleet that read all pages at once, for
+//! example after a power failure, would saturate the store's link until calls time out. A host that gets the rest
+//! from no reader in time reads it from the store.
 
-use super::apply::{apply_changes, written};
+use super::apply::{apply_changes, apply_written};
 use super::{Next, fetch_from_reader, record_answer};
 use crate::state::State;
 use crate::{leader, quarantine, readers};
@@ -16,98 +16,97 @@
 use tracing::info;
 use unit::rendezvous;
 
-/// Time in which the leader is elected, has heard of this host and has named readers, and one of these has
-/// answered.
+/// Time for a leader to be elected and to assign readers, and for a reader to respond.
 const ASSIGNMENT_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Time over which hosts spread that read the rest themselves, where nobody has named readers.
+/// Period over which the hosts that read the rest from the store are spread.
 const SPREAD: Duration = Duration::from_millis(4_000);
 
-/// Pause between two looks whether a reader is named.
+/// Interval at which a host checks for assigned readers.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Beginning of the keys of coveford's own.
+/// Prefix of coveford's own keys.
 const OWN_KEYS: &str = "coveford/";
 
-/// Reads all that stands in the store.
+/// Reads the whole store.
 pub(super) async fn read(state: &State) -> Next {
-    // An answer tells what stood when it was asked for; it may have waited for this host since.
-    let asked = state.now();
+    // The response is as of when it was requested; it may have been queued during a pause of this host.
+    let sent_at = state.now();
     let page = state.store.page("", None, Freshness::Newest).await;
-    let Some(page) = record_answer(state, page, asked) else {
+    let Some(page) = record_answer(state, page, sent_at) else {
         return Next::Failed;
     };
     if page.more {
         apply_first_page(state, &page);
-        if let Some(heard) = fetch_rest(state, page.revision).await {
-            return heard;
+        if let Some(next) = fetch_rest(state, page.revision).await {
+            return next;
         }
     }
     let rest = state.store.rest("", page, Freshness::Newest).await;
-    match record_answer(state, rest, asked) {
-        Some(listing) => {
-            readers::record_snapshot(state, &listing.found, listing.revision, asked);
-            Next::Whole(listing)
+    match record_answer(state, rest, sent_at) {
+        Some(snapshot) => {
+            readers::record_snapshot(state, &snapshot.found, snapshot.revision, sent_at);
+            Next::Snapshot(snapshot)
         }
         None => Next::Failed,
     }
 }
 
-/// Takes in the configuration and the leader of a first page, by which this host can lead or find who does, and which
-/// requests are kept out.
+/// Applies the configuration, the leader and the quarantine list of a first page, so that this host can find the
+/// leader or become it.
 fn apply_first_page(state: &State, page: &Page) {
-    let counts = |item: &&Item| [names::CONFIG, leader::KEY, quarantine::KEY].contains(&&*item.key);
-    for item in page.found.iter().filter(counts) {
-        written(state, item.clone());
+    let is_needed =
+        |item: &&Item| [names::CONFIG, leader::KEY, quarantine::KEY].contains(&&*item.key);
+    for item in page.found.iter().filter(is_needed) {
+        apply_written(state, item.clone());
     }
 }
 
-/// Waits until a reader tells all that stands; none when this host must read it itself.
+/// Waits for a snapshot from a reader; none if this host must read the store itself.
 async fn fetch_rest(state: &State, revision: u64) -> Option<Next> {
-    let part = rendezvous::hash(state.settings.name.as_bytes()) % SPREAD.as_millis() as u64;
-    let until = Instant::now() + ASSIGNMENT_TIMEOUT + Duration::from_millis(part);
-    let told = tokio::select! {
-        told = poll_readers(state, until) => told,
+    let delay = rendezvous::hash(state.settings.name.as_bytes()) % SPREAD.as_millis() as u64;
+    let until = Instant::now() + ASSIGNMENT_TIMEOUT + Duration::from_millis(delay);
+    let next = tokio::select! {
+        next = poll_readers(state, until) => next,
         () = watch_leader(state, revision, until) => None,
     };
-    let read = if told.is_some() { "reader" } else { "store" };
-    info!(target: "store", event = "begun", read, "all that stands in the store is known, or read now");
-    told
+    let read = if next.is_some() { "reader" } else { "store" };
+    info!(target: "store", event = "begun", read, "first read of the store: done by a reader, or continued from the store");
+    next
 }
 
-/// Asks readers once some are named; none when this host is one of those that read the store, or the time
-/// is over.
+/// Polls readers once they are assigned; none if this host is to read the store itself or the time is over.
 async fn poll_readers(state: &State, until: Instant) -> Option<Next> {
     while Instant::now() < until {
         if reads_itself(state) {
             return None;
         }
-        if let Some(heard) = fetch_from_reader(state, 0).await {
-            return Some(heard);
+        if let Some(next) = fetch_from_reader(state, 0).await {
+            return Some(next);
         }
         sleep(POLL_INTERVAL).await;
     }
     None
 }
 
-/// Whether this host is to read the store itself, by the word of a leader.
+/// Whether this host is to read the store itself.
 fn reads_itself(state: &State) -> bool {
-    let is_told = state.table.lock().knows_host_count;
-    state.leads() || readers::is_root(state) || (is_told && readers::is_small_fleet(state))
+    let knows_host_count = state.table.lock().knows_host_count;
+    state.leads() || readers::is_root(state) || (knows_host_count && readers::is_small_fleet(state))
 }
 
-/// Takes in who leads, as it changes, until the time is over.
+/// Applies changes of the leader until the time is over.
 async fn watch_leader(state: &State, mut revision: u64, until: Instant) {
     while Instant::now() < until {
-        let left = until.saturating_duration_since(Instant::now());
-        let watched = timeout_at(until, state.store.watch(OWN_KEYS, revision, left)).await;
-        match watched {
+        let remaining = until.saturating_duration_since(Instant::now());
+        let result = timeout_at(until, state.store.watch(OWN_KEYS, revision, remaining)).await;
+        match result {
             Ok(Ok(changes)) => {
                 revision = changes.revision;
                 apply_changes(state, changes.found);
             }
             Ok(Err(why)) => {
-                info!(target: "store", event = "not_watched", why = %why, "who leads cannot be watched at the moment");
+                info!(target: "store", event = "not_watched", why = %why, "cannot watch for the leader");
                 sleep(POLL_INTERVAL).await;
             }
             Err(_) => return,
--- a/crates/front/src/readers.rs
+++ b/crates/front/src/readers.rs
@@ -1,13 +1,12 @@
-//! Reading the store through a few hosts: in a large fleet two hosts, the heads, read it; some hosts of
-//! each hall, the readers, hear of its changes from them, and all others from a reader of their hall.
+//! Fan-out of store changes: in a large fleet only two hosts, the roots, read the store. Some hosts of each hall, the
+//! readers, poll the roots, and all other hosts poll a reader of their hall.
 //!
-//! Each call on the store is priced, and its rates do not grow with the fleet. The leader names heads
-//! and readers. A host whose reader is silent, or has itself not heard from the store for a while, asks
-//! another one, and then reads the store on its own; a host that cannot reach the store hears of it
-//! from any reader that can.
+//! Store calls are charged and rate limited regardless of the size of the fleet. The leader assigns roots and
+//! readers. A host whose reader does not respond or has outdated data polls another one and then reads the store
+//! itself; a host that cannot reach the store polls any reader that can.
 //!
-//! This module knows whom a host hears from. Its parts: `selection` is how the leader names readers,
-//! `client` how a host asks one, `server` how a reader answers, `message` what passes between them.
+//! This module chooses the source of a host. `selection` chooses the readers on the leader, `client` polls a reader,
+//! `server` answers polls, and `message` defines their messages.
 
 mod client;
 mod message;
@@ -29,78 +28,76 @@
 use tokio::sync::Notify;
 use unit::{Name, Span, Time, rendezvous};
 
-/// Hosts up to which each reads the store itself: their calls cost less than the detour. At 16 hosts heads
-/// and readers are worth 0.050 of what callers are owed, standard error 0.013, eight days played both ways.
+/// Maximum number of hosts that each read the store themselves; for so few the calls cost less than the delay.
 const MAX_SMALL_FLEET: usize = 8;
 
-/// Time for which a reader that failed, or the store, is not asked.
+/// Time for which a failed reader, or the store after a failure, is not used.
 const FAILURE_RETRY: Span = Span::from_ms(2_000);
 
-/// Time for which a reader is not asked whose own news are old: it is there, and has newer ones as soon as
-/// the store is back.
+/// Time for which a reader with outdated data is not used; it responds and recovers as soon as the store does.
 const STALE_RETRY: Span = Span::from_ms(300);
 
-/// Who reads the store, and what this host has heard of it.
+/// Readers of the fleet, and the changes that this host can serve.
 #[derive(Default)]
 pub struct Readers {
-    /// What this host can pass on.
+    /// Changes that this host can serve.
     pub recent: Mutex<Changelog>,
-    /// Notified when there is something new to pass on.
+    /// Notified when there are new changes to serve.
     pub updated: Notify,
-    /// Notified when this host is named as one that reads the store for others.
+    /// Notified when this host becomes a root.
     pub promoted: Notify,
-    /// Readers of all halls, as the leader told last.
-    readers: Mutex<Vec<Reader>>,
-    /// Readers that failed, and the store's own address if it did, and until when none is asked.
+    /// Readers of all halls, as last assigned by the leader.
+    assignment: Mutex<Vec<Reader>>,
+    /// When a failed reader, or the store, may be used again, by address.
     failed_until: Mutex<HashMap<SocketAddr, Time>>,
     /// Connections to readers.
     pool: Pool,
 }
 
-/// Host that tells others what has changed in the store.
+/// Host that serves store changes to others.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reader {
-    /// Its hall, whose hosts ask it.
+    /// Data hall whose hosts poll it.
     pub hall: Name,
-    /// Where it answers other hosts.
+    /// Address where it answers polls.
     pub addr: SocketAddr,
-    /// Whether it reads the store; the other readers ask those that do.
+    /// Whether it is a root, which reads the store; other readers poll the roots.
     pub root: bool,
 }
 
-/// What a host has to do with reading the store.
+/// Role of a host in the fan-out of store changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Role {
-    /// It reads the store.
+    /// Reads the store.
     Root,
-    /// It asks the heads, and its hall asks it.
+    /// Polls the roots and serves its hall.
     Reader,
-    /// It asks the readers of its hall.
+    /// Polls the readers of its hall.
     Follower,
 }
 
 impl Readers {
-    /// Takes in who reads, by the leader, at the host of that address.
+    /// Applies an assignment of readers by the leader, on the host with the address `own`.
     ///
-    /// A list that names nobody else is that of a leader whom no other host tells anything, as when it is cut off:
-    /// the one before stays, so that it can still ask those hosts.
+    /// An assignment without any other host is ignored if this host is a reader: it comes from a leader that receives
+    /// no reports, for example behind a partition, and the previous readers may still be reachable.
     pub fn assign(&self, readers: Vec<Reader>, own: SocketAddr) {
         if readers.iter().all(|r| r.addr == own) && self.role(own) != Role::Follower {
             return;
         }
         let before = self.role(own);
-        *self.readers.lock() = readers;
+        *self.assignment.lock() = readers;
         if before != Role::Root && self.role(own) == Role::Root {
             self.promoted.notify_waiters();
         }
     }
 
-    /// Does not ask a reader, or the store, for a while.
+    /// Avoids a reader, or the store, for [`FAILURE_RETRY`].
     pub fn mark_failed(&self, addr: SocketAddr, now: Time) {
         self.failed_until.lock().insert(addr, now + FAILURE_RETRY);
     }
 
-    /// Does not ask a reader that failed in some way for a while.
+    /// Avoids a reader for a time that depends on its error.
     pub fn mark_reader_failed(&self, addr: SocketAddr, why: &Error, now: Time) {
         let span = match why {
             Error::Stale { .. } => STALE_RETRY,
@@ -109,27 +106,27 @@
         self.failed_until.lock().insert(addr, now + span);
     }
 
-    /// Whether a reader, or the store, failed this host a moment ago.
+    /// Whether a reader, or the store, is being avoided after a failure.
     pub fn failed_recently(&self, addr: &SocketAddr, now: Time) -> bool {
-        let mut avoided = self.failed_until.lock();
-        avoided.retain(|_, until| now < *until);
-        avoided.contains_key(addr)
+        let mut failed_until = self.failed_until.lock();
+        failed_until.retain(|_, until| now < *until);
+        failed_until.contains_key(addr)
     }
 
-    /// When the first of those that failed may be asked again.
+    /// When the first of those avoided may be used again.
     pub fn next_retry(&self) -> Option<Time> {
         self.failed_until.lock().values().min().copied()
     }
 
-    /// Who reads, as the leader told last.
+    /// Readers as last assigned by the leader.
     pub fn assigned(&self) -> Vec<Reader> {
-        self.readers.lock().clone()
+        self.assignment.lock().clone()
     }
 
-    /// What a host at that address has to do with reading the store, by the leader's word.
+    /// Role of the host with the address `addr` in the current assignment.
     fn role(&self, addr: SocketAddr) -> Role {
-        let known = self.readers.lock();
-        match known.iter().find(|r| r.addr == addr) {
+        let readers = self.assignment.lock();
+        match readers.iter().find(|r| r.addr == addr) {
             Some(reader) if reader.root => Role::Root,
             Some(_) => Role::Reader,
             None => Role::Follower,
@@ -137,67 +134,66 @@
     }
 }
 
-/// Whether this host reads the store for others, by what the leader told last.
+/// Whether this host is a root in the current assignment.
 pub fn is_root(state: &State) -> bool {
     state.readers.role(state.settings.peers) == Role::Root
 }
 
-/// Whether so few hosts are there that each reads the store itself.
+/// Whether the fleet is so small that each host reads the store itself.
 pub fn is_small_fleet(state: &State) -> bool {
     state.table.lock().host_count <= MAX_SMALL_FLEET
 }
 
-/// Whether the store failed this host a moment ago.
+/// Whether the store failed this host within [`FAILURE_RETRY`].
 pub fn store_failed_recently(state: &State) -> bool {
     state
         .readers
         .failed_recently(&state.settings.store, state.now())
 }
 
-/// Reader that this host hears from now; none when it reads the store itself.
+/// Reader that this host polls now; none if it reads the store itself.
 pub fn source(state: &State) -> Option<SocketAddr> {
     let now = state.now();
-    let is_cut = store_failed_recently(state);
+    let store_failed = store_failed_recently(state);
     let settings = &state.settings;
     let role = state.readers.role(settings.peers);
-    if !is_cut && (is_small_fleet(state) || state.leads() || role == Role::Root) {
+    if !store_failed && (is_small_fleet(state) || state.leads() || role == Role::Root) {
         return None;
     }
-    let known = state.readers.readers.lock();
-    let sound =
+    let readers = state.readers.assignment.lock();
+    let usable =
         |r: &&Reader| r.addr != settings.peers && !state.readers.failed_recently(&r.addr, now);
-    // Heads and readers ask heads only: if they asked those that ask them, news would go in a circle
-    // and grow old, while the store is there.
-    let fits = |r: &&Reader| match role {
-        Role::Follower => is_cut || r.root || r.hall == settings.hall,
+    // Roots and readers poll roots only, since changes passed around in a cycle would hide how old they are.
+    let suitable = |r: &&Reader| match role {
+        Role::Follower => store_failed || r.root || r.hall == settings.hall,
         Role::Root | Role::Reader => r.root,
     };
-    // In its own hall a host asks any reader, so that a head does not answer all of its hall.
+    // In its own hall a host prefers no root over other readers, which spreads the load.
     let rank = |r: &&Reader| {
-        let words = format!("{} {}", settings.name, r.addr);
+        let key = format!("{} {}", settings.name, r.addr);
         let own_hall = r.hall == settings.hall;
         (
             own_hall,
             !own_hall && r.root,
-            rendezvous::hash(words.as_bytes()),
+            rendezvous::hash(key.as_bytes()),
         )
     };
-    let fitting = known.iter().filter(|r| sound(r) && fits(r));
-    fitting.max_by_key(rank).map(|r| r.addr)
+    let candidates = readers.iter().filter(|r| usable(r) && suitable(r));
+    candidates.max_by_key(rank).map(|r| r.addr)
 }
 
-/// Keeps changes up to a revision, at which the store stood at `confirmed`, to pass them on.
+/// Records changes up to a revision, read from the store at `confirmed`, to serve them.
 pub fn record_changes(state: &State, changes: &[Change], revision: u64, confirmed: Time) {
     let mut recent = state.readers.recent.lock();
-    let is_news = revision > recent.revision();
+    let is_new = revision > recent.revision();
     recent.extend(changes.iter().cloned(), revision, confirmed);
     drop(recent);
-    if is_news {
+    if is_new {
         state.readers.updated.notify_waiters();
     }
 }
 
-/// Keeps the whole store as a reader told it, to pass it on.
+/// Records a snapshot of the store, read at `confirmed`, to serve it.
 pub fn record_snapshot(state: &State, items: &[Item], revision: u64, confirmed: Time) {
     let mut recent = state.readers.recent.lock();
     recent.reset(items, revision, confirmed);
--- a/crates/front/src/readers/client.rs
+++ b/crates/front/src/readers/client.rs
@@ -1,4 +1,4 @@
-//! Asking a reader what has changed in the store.
+//! Polls a reader for changes of the store.
 
 use super::message::{ChangesRequest, ChangesResponse, MAX_RESPONSE, PATH, Payload};
 use super::{record_changes, record_snapshot};
@@ -14,72 +14,69 @@
 use tokio::time::timeout;
 use unit::{Span, Time};
 
-/// Time that a reader holds a question while nothing changes, as a part of the shortest bound on
-/// following the store.
+/// Time for which the reader may hold a request until there is a change, as a fraction of the propagation bound.
 const WAIT_FRACTION: f64 = 0.12;
 
-/// Time beyond that in which an answer must have come; hosts of a hall are within milliseconds.
+/// Additional time for the response; hosts are milliseconds apart.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(250);
 
-/// Time in which all that stands must have come: a megabyte for some thousands of replicas, over the link
-/// of a weak host.
+/// Timeout of a snapshot: about a megabyte for thousands of replicas, over the link of a slow host.
 const SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(4_000);
 
-/// Age of a reader's own news at which a host no longer rests on it, as a part of the shortest
-/// bound: a head pauses and waits for a sixth of it each, the reader that asks the head waits for
-/// [`HELD_PART`], the store may be slow, and news are as old as the question that brought them.
+/// Maximum age of a reader's data, as a fraction of the propagation bound. It allows for the pause and the watch of a
+/// root (one sixth each), the wait of the reader that polls it ([`WAIT_FRACTION`]), a slow store, and the time of the
+/// request.
 const MAX_AGE_FRACTION: f64 = 0.75;
 
-/// What a reader told.
+/// Response of a reader.
 #[derive(Debug)]
 pub enum StoreUpdate {
-    /// Changes after the revision that this host had heard of.
+    /// Changes after the requested revision.
     Changes(Listing<Change>),
-    /// All that stands in the store.
+    /// Snapshot of the store.
     Snapshot(Listing<Item>),
 }
 
-/// Why a reader's answer cannot be rested on.
+/// Why a reader's response cannot be used.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// It could not be reached, or broke off.
+    /// The connection failed.
     #[snafu(display("{source}"), context(false))]
     Call {
-        /// What went wrong.
+        /// Cause.
         source: conn::Error,
     },
-    /// It did not answer in time.
-    #[snafu(display("it gave no answer for {limit:?}"))]
+    /// The reader did not respond in time.
+    #[snafu(display("no response within {limit:?}"))]
     TimedOut {
-        /// Time that it had.
+        /// Timeout.
         limit: Duration,
     },
-    /// It has itself not heard from the store for too long.
-    #[snafu(display("its own news are {age} old"))]
+    /// The reader has not heard from the store for too long.
+    #[snafu(display("its data is {age} old"))]
     Stale {
-        /// Age of its news.
+        /// Age of its data.
         age: Span,
     },
-    /// It has not heard of as much as this host, and cannot tell what lies between.
-    #[snafu(display("it stands at revision {revision}, this host at {after}"))]
+    /// The reader's revision is not newer than this host's, and it no longer has the changes in between.
+    #[snafu(display("it is at revision {revision}, this host at {after}"))]
     Behind {
-        /// Its revision.
+        /// Revision of the reader.
         revision: u64,
-        /// This host's.
+        /// Revision of this host.
         after: u64,
     },
-    /// Its answer is not one of ours.
-    #[snafu(display("its answer cannot be read: {why}"))]
+    /// The response is malformed.
+    #[snafu(display("malformed response: {why}"))]
     Malformed {
         /// What is wrong with it.
         why: String,
     },
 }
 
-/// Asks a reader what has changed after a revision, and keeps that to pass it on.
+/// Polls a reader for the changes after a revision, and records them to serve them to others.
 ///
-/// `bound` is the shortest time within which the store must be followed. An error says why this host
-/// must hear of the changes in another way.
+/// `bound` is the propagation bound. After an error the changes must be read from another source.
 pub async fn ask(
     state: &State,
     reader: SocketAddr,
@@ -87,7 +84,7 @@
     bound: Duration,
 ) -> Result<StoreUpdate, Error> {
     let wait = bound.mul_f64(WAIT_FRACTION);
-    let question = ChangesRequest {
+    let request = ChangesRequest {
         after,
         wait_ms: wait.as_millis() as u32,
     };
@@ -95,43 +92,43 @@
         0 => SNAPSHOT_TIMEOUT,
         _ => wait + RESPONSE_MARGIN,
     };
-    let asked = state.now();
+    let sent_at = state.now();
     let pool = &state.readers.pool;
-    let exchange = pool.exchange(reader, request(reader, &question), limit, MAX_RESPONSE);
+    let exchange = pool.exchange(reader, new_request(reader, &request), limit, MAX_RESPONSE);
     let reply = timeout(limit, exchange).await;
     let reply = reply.map_err(|_| Error::TimedOut { limit })??;
-    let answer = parse_reply(&reply)?;
-    let age = Span::from_ms(u64::from(answer.age_ms));
+    let response = parse_reply(&reply)?;
+    let age = Span::from_ms(u64::from(response.age_ms));
     if is_stale(age, bound) {
         return Err(Error::Stale { age });
     }
-    // What the answer waited for this host, which may have stood still, makes it older.
-    let answered = asked + Span::from_ms(u64::from(answer.held_ms));
-    let confirmed = before(answered, age);
+    // The reader's ages are as of when it responded; this host may have been paused since, which makes the data
+    // older.
+    let responded_at = sent_at + Span::from_ms(u64::from(response.held_ms));
+    let confirmed = before(responded_at, age);
     follow::update_contact(state, state.now(), |contact| {
         contact.answered(confirmed, confirmed);
-        if let Some(word) = answer.store_uptime {
-            contact.merge(word, answered);
+        if let Some(ages) = response.store_uptime {
+            contact.merge(ages, responded_at);
         }
     });
-    record(state, answer, after, confirmed)
+    record(state, response, after, confirmed)
 }
 
-/// Whether news of that age are no longer rested on.
+/// Whether data of this age is too old to be used.
 pub(super) fn is_stale(age: Span, bound: Duration) -> bool {
     age > Span::from(bound) * MAX_AGE_FRACTION
 }
 
-/// Keeps what a reader told, which stood in the store at `confirmed`, to pass it on, and gives it to this
-/// host.
+/// Records a response, whose data was in the store at `confirmed`, and converts it.
 fn record(
     state: &State,
-    answer: ChangesResponse,
+    response: ChangesResponse,
     after: u64,
     confirmed: Time,
 ) -> Result<StoreUpdate, Error> {
-    let revision = answer.revision;
-    match answer.payload {
+    let revision = response.revision;
+    match response.payload {
         Payload::Changes(rows) => {
             let found: Vec<Change> = rows.into_iter().map(Change::from).collect();
             record_changes(state, &found, revision, confirmed);
@@ -147,7 +144,6 @@
     }
 }
 
-/// The item of a change that wrote one.
 fn written_item(change: Change) -> Option<Item> {
     match change {
         Change::Written(item) => Some(item),
@@ -155,26 +151,26 @@
     }
 }
 
-/// The time so long before another.
 fn before(time: Time, span: Span) -> Time {
     Time(time.0.saturating_sub(span.0))
 }
 
-/// The question as a request to a reader.
-fn request(reader: SocketAddr, question: &ChangesRequest) -> Request<conn::Body> {
-    let body = rmp_serde::to_vec(question).expect("a question is plain data");
+fn new_request(reader: SocketAddr, changes_request: &ChangesRequest) -> Request<conn::Body> {
+    let body = rmp_serde::to_vec(changes_request).expect("a request is serializable");
     let mut request = Request::new(conn::Body::new(body.into()));
     *request.method_mut() = Method::POST;
-    *request.uri_mut() = PATH.parse().expect("it is a path");
-    let host = reader.to_string().parse().expect("an address is a host");
+    *request.uri_mut() = PATH.parse().expect("the path is valid");
+    let host = reader
+        .to_string()
+        .parse()
+        .expect("an address is a valid header value");
     request.headers_mut().insert(HOST, host);
     request
 }
 
-/// Reads a reader's reply.
 fn parse_reply(reply: &Reply) -> Result<ChangesResponse, Error> {
     if reply.status != StatusCode::OK {
-        let why = format!("it has status {}", reply.status);
+        let why = format!("unexpected status {}", reply.status);
         return Err(Error::Malformed { why });
     }
     let read = rmp_serde::from_slice(&reply.body);
--- a/crates/front/src/readers/message.rs
+++ b/crates/front/src/readers/message.rs
@@ -1,4 +1,4 @@
-//! What stands in the questions and answers between a host and its reader, as MessagePack over HTTP.
+//! Messages between a host and its reader: MessagePack over HTTP.
 
 use crate::contact::Ages;
 use bytes::Bytes;
@@ -6,57 +6,54 @@
 use serde::{Deserialize, Serialize};
 use unit::Name;
 
-/// Path under which a host answers what has changed in the store.
+/// Path of the endpoint.
 pub(super) const PATH: &str = "/changes";
 
-/// Longest question, in bytes.
+/// Longest request, in bytes.
 pub(super) const MAX_REQUEST: usize = 1 << 10;
 
-/// Longest answer, in bytes: a configuration of the platform's largest value.
+/// Longest response, in bytes; holds the platform's largest value.
 pub(super) const MAX_RESPONSE: usize = 8 << 20;
 
-/// Question of a host: what has changed after a revision.
+/// Request for the changes after a revision.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct ChangesRequest {
-    /// Revision of the store up to which the host has heard; 0 when it knows nothing.
+    /// Revision of the store up to which the sender has the changes; 0 requests a snapshot.
     pub(super) after: u64,
-    /// Time for which the answer may wait for a change, in milliseconds.
+    /// Time for which the response may wait for a change, in milliseconds.
     pub(super) wait_ms: u32,
 }
 
-/// Answer of a reader.
+/// Response of a reader.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct ChangesResponse {
-    /// Revision of the store up to which it has heard.
+    /// Revision of the store that the response is current for.
     pub(super) revision: u64,
-    /// Time since the store was asked for that, in milliseconds.
+    /// Time since the data was requested from the store, in milliseconds.
     pub(super) age_ms: u32,
-    /// Time for which the reader held the question, in milliseconds.
+    /// Time for which the reader held the request, in milliseconds.
     pub(super) held_ms: u32,
-    /// Time through which the reader heard from the store, if it ever did.
+    /// Period for which the reader has been in contact with the store, if it ever was.
     pub(super) store_uptime: Option<Ages>,
-    /// What the host does not know yet.
     pub(super) payload: Payload,
 }
 
-/// What a reader tells of the store.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) enum Payload {
-    /// Changes after the revision of the question.
+    /// Changes after the requested revision.
     Changes(Vec<WireChange>),
-    /// All that stands in the store: some change after that revision may not be known any more.
+    /// Snapshot of the store, as the reader no longer has all changes after that revision.
     #[serde(rename = "Whole")]
     Snapshot(Vec<WireChange>),
 }
 
-/// Change of one key, as hosts tell it each other.
+/// Change of one key.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct WireChange {
-    /// The key.
     key: Name,
-    /// Revision of the store at which it changed.
+    /// Revision of the change.
     revision: u64,
-    /// Value, revision of the creation, and lease; none when the key was removed.
+    /// Value, revision of creation, and lease; none if the key was removed.
     written: Option<(Bytes, u64, u64)>,
 }
 
--- a/crates/front/src/readers/selection.rs
+++ b/crates/front/src/readers/selection.rs
@@ -1,39 +1,34 @@
-//! Choice of the readers by the leader: few heads read the store, and hosts of each hall pass on what
-//! the heads hear.
+//! Selection of the readers by the leader.
 
 use super::Reader;
 use std::net::SocketAddr;
 use unit::Name;
 
-/// Host as the leader sees it when it names readers.
+/// Host that may become a reader or a relay.
 #[derive(Debug, Clone)]
 pub struct Candidate {
-    /// Its hall.
     pub hall: Name,
-    /// Where it answers other hosts.
+    /// Address where it answers other hosts.
     pub addr: SocketAddr,
-    /// Its processor, in cores.
+    /// CPU of the host, in cores.
     pub cores: f32,
-    /// Whether the store failed it a moment ago.
+    /// Whether the store failed it recently.
     pub store_failed: bool,
-    /// Whether it has told nothing for longer than hosts pause between two tellings.
+    /// Whether it has not reported for longer than the report interval.
     pub silent: bool,
 }
 
-/// Hosts that read the store for all: two, so that one may fail. Each costs some three calls a second,
-/// however large the fleet is.
+/// Number of hosts that read the store for all; two, so that one may fail. Each makes about three calls a second.
 const ROOTS: usize = 2;
 
-/// Hosts of a hall for which one passes on: each asks it about twice a second, which is a hundredth of
-/// a core for so many.
+/// Hosts of a hall per reader. Each polls about twice a second, which takes 1% of a core on the reader.
 const HOSTS_PER_READER: usize = 24;
 
-/// Least readers of a hall, so that one may fail.
+/// Minimum readers of a hall, so that one may fail.
 const MIN_READERS: usize = 2;
 
-/// Names the readers of each hall: the leader and the strongest hosts, since they answer the others.
-/// Heads are the leader, which reads the store for itself, and the strongest reader of another hall that the store
-/// does not fail.
+/// Selects the readers of each hall: the leader and the hosts with the most CPU. Roots are the leader, which reads
+/// the store anyway, and the reader of another hall with the most CPU that the store has not failed recently.
 pub fn choose(mut hosts: Vec<Candidate>, leader: SocketAddr) -> Vec<Reader> {
     hosts.sort_by(|a, b| {
         let strength = b.cores.total_cmp(&a.cores);
@@ -57,13 +52,12 @@
         .collect()
 }
 
-/// Readers of one hall, whose hosts stand with the strongest first.
+/// Readers of one hall, whose hosts are sorted by decreasing preference.
 fn hall_readers(hall: &[Candidate]) -> impl Iterator<Item = &Candidate> {
     let count = hall.len().div_ceil(HOSTS_PER_READER).max(MIN_READERS);
     hall.iter().take(count)
 }
 
-/// Heads among the readers.
 fn select_roots(readers: &[&Candidate], leader: SocketAddr) -> Vec<SocketAddr> {
     let hall = readers.iter().find(|r| r.addr == leader).map(|r| &r.hall);
     let mut ranked: Vec<&&Candidate> = readers.iter().collect();
--- a/crates/front/src/readers/server.rs
+++ b/crates/front/src/readers/server.rs
@@ -1,4 +1,4 @@
-//! Answering other hosts' questions about what has changed in the store.
+//! Answers polls of other hosts for changes of the store.
 
 use super::client::is_stale;
 use super::message::{ChangesRequest, ChangesResponse, MAX_REQUEST, PATH, Payload, WireChange};
@@ -13,10 +13,10 @@
 use tokio::time::{Instant, timeout};
 use unit::Time;
 
-/// Time in which the body of a question must have come: it is some bytes in one packet with its head.
+/// Timeout of a request's body, which normally arrives with its head.
 const BODY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Answers another host's question, at the latest when its time to wait is over.
+/// Answers a poll, at the latest when its waiting time has passed.
 pub async fn answer(state: Arc<State>, request: Request<Incoming>) -> Response<Body> {
     let mut response = Response::new(full_body(Bytes::new()));
     if request.uri().path() != PATH {
@@ -30,45 +30,44 @@
     let begin = state.now();
     wait_for_changes(&state, &question).await;
     let answer = rmp_serde::to_vec(&current_changes(&state, question.after, begin));
-    let answer = answer.expect("an answer is plain data");
+    let answer = answer.expect("a response is serializable");
     *response.body_mut() = full_body(answer.into());
     response
 }
 
-/// Reads a question; none when it is not one, or does not come in time.
+/// Reads a request; none if it is malformed or does not arrive in time.
 async fn read_request(request: Request<Incoming>) -> Option<ChangesRequest> {
     let body = Limited::new(request.into_body(), MAX_REQUEST);
     let body = timeout(BODY_TIMEOUT, body.collect()).await.ok()?.ok()?;
     rmp_serde::from_slice(&body.to_bytes()).ok()
 }
 
-/// Waits until something has changed after the question's revision.
-async fn wait_for_changes(state: &State, question: &ChangesRequest) {
-    let end = Instant::now() + Duration::from_millis(u64::from(question.wait_ms));
+/// Waits until there is a change after the requested revision.
+async fn wait_for_changes(state: &State, request: &ChangesRequest) {
+    let end = Instant::now() + Duration::from_millis(u64::from(request.wait_ms));
     loop {
-        let news = state.readers.updated.notified();
+        let updated = state.readers.updated.notified();
         let left = end.saturating_duration_since(Instant::now());
-        if left.is_zero() || is_ready(state, question) {
+        if left.is_zero() || is_ready(state, request) {
             return;
         }
-        let _ = timeout(left, news).await;
+        let _ = timeout(left, updated).await;
     }
 }
 
-/// Whether a question need not wait: there is news, or what this host knows is too old to rest on, which
-/// the one that asks had better hear at once.
-fn is_ready(state: &State, question: &ChangesRequest) -> bool {
+/// Whether to respond now: there are changes, or this host's data is outdated, which the sender should learn at once.
+fn is_ready(state: &State, request: &ChangesRequest) -> bool {
     let recent = state.readers.recent.lock();
     let age = recent.age(state.now());
-    recent.revision() > question.after || is_stale(age, state.settings.bounds.propagation())
+    recent.revision() > request.after || is_stale(age, state.settings.bounds.propagation())
 }
 
-/// What this host can say now of the changes after a revision, to a question that came at `begin`.
+/// Response with the changes after a revision, to a request that arrived at `begin`.
 fn current_changes(state: &State, after: u64, begin: Time) -> ChangesResponse {
     let now = state.now();
-    let store = state.table.lock().view.contact.ages(now);
+    let store_uptime = state.table.lock().view.contact.ages(now);
     let recent = state.readers.recent.lock();
-    let news = match recent.since(after) {
+    let payload = match recent.since(after) {
         Some(changes) => Payload::Changes(changes.into_iter().map(WireChange::from).collect()),
         None => Payload::Snapshot(
             recent
@@ -82,7 +81,7 @@
         revision: recent.revision(),
         age_ms: recent.age(now).ms().ceil() as u32,
         held_ms: now.since(begin).ms() as u32,
-        store_uptime: store,
-        payload: news,
+        store_uptime,
+        payload,
     }
 }
