--- a/crates/front/src/readers.rs
+++ b/crates/front/src/readers.rs
@@ -15,7 +15,7 @@
 
 pub use client::{Error, StoreUpdate, ask};
 pub use selection::{Candidate, choose};
-pub use server::answer;
+pub use server::respond;
 
 use crate::changelog::Changelog;
 use crate::state::State;
--- a/crates/front/src/readers/server.rs
+++ b/crates/front/src/readers/server.rs
@@ -17,7 +17,7 @@
 const BODY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Answers a poll, at the latest when its waiting time has passed.
-pub async fn answer(state: Arc<State>, request: Request<Incoming>) -> Response<Body> {
+pub async fn respond(state: Arc<State>, request: Request<Incoming>) -> Response<Body> {
     let mut response = Response::new(full_body(Bytes::new()));
     if request.uri().path() != PATH {
         *response.status_mut() = StatusCode::NOT_FOUND;
--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -1,4 +1,4 @@
-//! Starting, draining and ending a daemon on a platform.
+//! Starts, drains and stops a daemon.
 
 mod gauges;
 
@@ -24,57 +24,56 @@
 use tracing::{error, info, warn};
 use unit::Span;
 
-/// Time for a call of the store beyond its waiting; the store answers in milliseconds, and in some
-/// hundreds of them when it is slow.
+/// Timeout of a store call beyond the time that it waits for a change. The store may take several hundred
+/// milliseconds.
 const STORE_CALL_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Time after a stop is asked for in which new connections are still taken: the balancer asks each
-/// second and turns away at the second miss. What comes later has less than the grace to end.
+/// Time after a stop signal for which connections are still accepted: the balancer checks readiness once a second and
+/// stops sending requests after the second failed check.
 const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(2_400);
 
-/// Part of the grace at whose end the process ends itself, before it is killed.
+/// Fraction of the grace period after which the process exits, before it is killed.
 const GRACE_FRACTION: f64 = 0.95;
 
-/// Part of the grace up to which [`ACCEPTING`] may reach.
+/// Maximum [`ACCEPT_AFTER_STOP`] as a fraction of the grace period.
 const ACCEPT_FRACTION: f64 = 0.4;
 
-/// Descriptors kept for files, listeners and calls of coveford's own.
+/// Descriptors reserved for files, listeners and internal calls.
 const RESERVED_DESCRIPTORS: usize = 300;
 
-/// Time that a connection of a client may be idle; the platform's clients reuse one for at most
-/// four fifths of the configured limit, which is not known before the first configuration.
+/// Idle timeout of client connections. The platform's clients reuse a connection for at most 80% of the configured
+/// limit, which is not known before the first configuration.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Longest head of a request, in bytes; a little over what the platform allows clients.
+/// Longest request head, in bytes; slightly above the platform's limit for clients.
 const MAX_HEAD_BYTES: usize = 24 * 1_024;
 
-/// Connections of the balancer and of collectors of metrics.
+/// Maximum connections of the balancer and of metrics collectors.
 const OTHER_CONNECTIONS: usize = 32;
 
-/// Connections of other hosts that hear of the store from this one.
+/// Maximum connections of other hosts that poll this one for store changes.
 const HOST_CONNECTIONS: usize = 64;
 
-/// Pause between two looks at the settings file, which may change without a signal.
+/// Interval at which the settings file is checked for changes.
 const SETTINGS_POLL: Duration = Duration::from_secs(2);
 
-/// Pause between two upkeeps of connections, metrics and logs.
+/// Interval of the upkeep of connections, metrics and logs.
 const UPKEEP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Pause between two looks at replicas whose entries are missing, while there are any: requests reach one that
-/// is gone for this much longer.
+/// Interval at which missing replicas are checked while there are any; it delays the detection that a replica is
+/// gone.
 const MISSING_POLL: Duration = Duration::from_millis(50);
 
-/// Running daemon.
 pub struct Daemon {
     state: Arc<State>,
     callers: Server,
     _readiness: Server,
     _metrics: Server,
-    _answers: Server,
+    _polls: Server,
     _tasks: JoinSet<()>,
 }
 
-/// Runs a daemon by its settings until it is told to stop.
+/// Runs a daemon until it is told to stop.
 pub fn run(path: &Path, settings: Settings) -> Result<(), Error> {
     let guard = log::init(&settings.name, &settings.log.level);
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -91,15 +90,15 @@
     let mut term = signal(SignalKind::terminate()).context(RuntimeSnafu)?;
     let mut interrupt = signal(SignalKind::interrupt()).context(RuntimeSnafu)?;
     let mut hangup = signal(SignalKind::hangup()).context(RuntimeSnafu)?;
-    let mut known = (modified(path), settings);
+    let mut current = (modified(path), settings);
     loop {
         tokio::select! {
             _ = term.recv() => break,
             _ = interrupt.recv() => break,
-            _ = hangup.recv() => reload(path, &mut known, "signal"),
+            _ = hangup.recv() => reload(path, &mut current, "signal"),
             _ = tokio::time::sleep(SETTINGS_POLL) => {
-                if modified(path) != known.0 {
-                    reload(path, &mut known, "file");
+                if modified(path) != current.0 {
+                    reload(path, &mut current, "file");
                 }
             }
         }
@@ -112,28 +111,28 @@
     std::fs::metadata(path).and_then(|m| m.modified()).ok()
 }
 
-/// Reads the settings again. What a running daemon cannot change is told, not half applied.
-fn reload(path: &Path, known: &mut (Option<SystemTime>, Settings), cause: &str) {
-    known.0 = modified(path);
+/// Reads the settings again. Changes are logged only; they need a restart.
+fn reload(path: &Path, current: &mut (Option<SystemTime>, Settings), cause: &str) {
+    current.0 = modified(path);
     let text = match std::fs::read_to_string(path) {
         Ok(text) => text,
         Err(why) => {
-            error!(target: "settings", event = "unreadable", cause, why = %why, "the settings in force stay");
+            error!(target: "settings", event = "unreadable", cause, why = %why, "cannot read the settings file; the current settings stay in force");
             return;
         }
     };
     match settings::read(&path.display().to_string(), &text) {
-        Ok(new) if new == known.1 => {
-            info!(target: "settings", event = "unchanged", cause, "the settings were read again")
+        Ok(new) if new == current.1 => {
+            info!(target: "settings", event = "unchanged", cause, "settings read again")
         }
         Ok(new) => {
-            warn!(target: "settings", event = "changed", cause, "the settings have changed; they apply from the next start");
-            known.1 = new;
+            warn!(target: "settings", event = "changed", cause, "settings changed; they take effect at the next start");
+            current.1 = new;
         }
         Err(problems) => {
             let count = problems.len();
             let first = problems.first().map(ToString::to_string);
-            error!(target: "settings", event = "wrong", cause, count, first, "the settings in force stay");
+            error!(target: "settings", event = "wrong", cause, count, first, "invalid settings; the current ones stay in force");
         }
     }
 }
@@ -143,7 +142,7 @@
     let callers = listen(settings.callers).await?;
     let readiness = listen(settings.readiness).await?;
     let metrics = listen(settings.metrics).await?;
-    let answers = listen(settings.peers).await?;
+    let polls = listen(settings.peers).await?;
     let addr = settings.peers;
     let socket = UdpSocket::bind(addr).await.context(ListenSnafu { addr })?;
     let log = log::open(settings.log.sample);
@@ -158,12 +157,12 @@
         callers: serve_callers(&entry, callers)?,
         _readiness: serve_readiness(&state, readiness)?,
         _metrics: serve_metrics(&state, &peers, metrics)?,
-        _answers: serve_hosts(&state, answers)?,
+        _polls: serve_polls(&state, polls)?,
         _tasks: spawn_tasks(&entry, &peers, wanted, reports),
         state,
     };
     let settings = &daemon.state.settings;
-    info!(target: "daemon", event = "started", name = &*settings.name, hall = &*settings.hall, callers = %settings.callers, sample = settings.log.sample, version = env!("CARGO_PKG_VERSION"), "the daemon runs");
+    info!(target: "daemon", event = "started", name = &*settings.name, hall = &*settings.hall, callers = %settings.callers, sample = settings.log.sample, version = env!("CARGO_PKG_VERSION"), "daemon started");
     Ok(daemon)
 }
 
@@ -201,22 +200,22 @@
 fn serve_callers(entry: &serve::Context, listener: TcpListener) -> Result<Server, Error> {
     let limits = entry.state.settings.limits;
     let bounds = Bounds {
-        // Half of the descriptors: a request needs a connection to a replica as well.
+        // Half of the descriptors, since each request also needs a connection to a replica.
         connections: limits.descriptors.saturating_sub(RESERVED_DESCRIPTORS) / 2,
         head_time: IDLE_TIMEOUT,
         head_bytes: MAX_HEAD_BYTES,
     };
     let entry = entry.clone();
-    let answer = move |request| {
+    let respond = move |request| {
         let entry = entry.clone();
         async move { Ok(serve::handle(entry, request).await) }
     };
-    conn::serve_within(listener, bounds, answer).context(RuntimeSnafu)
+    conn::serve_within(listener, bounds, respond).context(RuntimeSnafu)
 }
 
 fn serve_readiness(state: &Arc<State>, listener: TcpListener) -> Result<Server, Error> {
     let state = state.clone();
-    let answer = move |request: Request<Incoming>| {
+    let respond = move |request: Request<Incoming>| {
         let is_ready = state.is_ready() && accounts::can_authenticate(&state);
         let status = match (request.uri().path(), is_ready) {
             (names::READY, true) => StatusCode::OK,
@@ -227,7 +226,7 @@
         *response.status_mut() = status;
         async move { Ok(response) }
     };
-    conn::serve(listener, OTHER_CONNECTIONS, answer).context(RuntimeSnafu)
+    conn::serve(listener, OTHER_CONNECTIONS, respond).context(RuntimeSnafu)
 }
 
 fn serve_metrics(
@@ -236,25 +235,25 @@
     listener: TcpListener,
 ) -> Result<Server, Error> {
     let (state, peers) = (state.clone(), peers.clone());
-    let answer = move |_: Request<Incoming>| {
+    let respond = move |_: Request<Incoming>| {
         gauges::update(&state, &peers);
         let text = state.log.metrics.render();
         async move { Ok(Response::new(respond::full_body(text.into()))) }
     };
-    conn::serve(listener, OTHER_CONNECTIONS, answer).context(RuntimeSnafu)
+    conn::serve(listener, OTHER_CONNECTIONS, respond).context(RuntimeSnafu)
 }
 
-/// Answers other hosts that ask what has changed in the store.
-fn serve_hosts(state: &Arc<State>, listener: TcpListener) -> Result<Server, Error> {
+/// Answers polls of other hosts for store changes.
+fn serve_polls(state: &Arc<State>, listener: TcpListener) -> Result<Server, Error> {
     let state = state.clone();
-    let answer = move |request| {
+    let respond = move |request| {
         let state = state.clone();
-        async move { Ok(readers::answer(state, request).await) }
+        async move { Ok(readers::respond(state, request).await) }
     };
-    conn::serve(listener, HOST_CONNECTIONS, answer).context(RuntimeSnafu)
+    conn::serve(listener, HOST_CONNECTIONS, respond).context(RuntimeSnafu)
 }
 
-/// Closes old connections, forgets old removals, and tells what the logs left out.
+/// Closes idle connections, expires replica states, and logs how many lines were suppressed.
 async fn upkeep(state: Arc<State>) {
     loop {
         tokio::time::sleep(UPKEEP_INTERVAL).await;
@@ -265,7 +264,7 @@
     }
 }
 
-/// Takes replicas as gone as soon as their entries, which vanished, can no longer come back.
+/// Removes replicas whose entries vanished as soon as the entries can no longer come back.
 async fn expire_missing(state: Arc<State>) {
     loop {
         state.entry_missing.notified().await;
@@ -276,55 +275,60 @@
     }
 }
 
-/// Takes as gone what is missing for too long.
+/// Expires backoffs and missing replicas.
 fn expire_due(state: &State) {
     let now = state.now();
-    let rested = state.table.lock().expire_backoffs(now);
-    for replica in rested {
+    let recovered = state.table.lock().expire_backoffs(now);
+    for replica in recovered {
         let labels = [("replica", &*replica)];
         let metrics = &state.log.metrics;
         metrics
             .gauge("coveford_replica_rest_seconds", &labels)
             .set(0.0);
         state.log.rate_limited(|| {
-            info!(target: "replica", event = "rested", replica = &*replica, "a replica's rest is over, and so is the return to it");
+            info!(target: "replica", event = "rested", replica = &*replica, "the backoff from a replica has ended, and so has the ramp-up after it");
         });
     }
-    let news = {
+    let updates = {
         let mut table = state.table.lock();
-        let news = table.view.expire(now);
-        table.apply(&news);
-        news
+        let updates = table.view.expire(now);
+        table.apply(&updates);
+        updates
     };
-    follow::report_updates(state, news, 0);
+    follow::report_updates(state, updates, 0);
 }
 
 impl Daemon {
-    /// Its shared state.
     pub fn state(&self) -> &Arc<State> {
         &self.state
     }
 
-    /// Where it answers callers.
+    /// Address of the listener for callers.
     pub fn callers(&self) -> SocketAddr {
         self.callers.addr
     }
 
-    /// Ends without cutting a request: readiness fails, new connections are taken until the
-    /// balancer has gone elsewhere, then what runs is ended.
+    /// Shuts down gracefully: readiness fails, connections are accepted until the balancer has noticed, and then
+    /// requests in flight get the rest of the grace period to finish.
     pub async fn drain(self) {
         let state = &self.state;
         let grace = state.settings.bounds.grace;
         state.start_drain();
         let in_flight = state.in_flight();
-        info!(target: "daemon", event = "draining", in_flight, "readiness fails; connections are taken a while longer");
-        let asked = state.now();
+        info!(target: "daemon", event = "draining", in_flight, "draining: readiness fails, connections are accepted a while longer");
+        let stopped_at = state.now();
         let accepting = ACCEPT_AFTER_STOP.min(grace.mul_f64(ACCEPT_FRACTION));
-        state.clock.sleep_until(asked + Span::from(accepting)).await;
-        let end = asked + Span::from(grace.mul_f64(GRACE_FRACTION));
-        let left = end.since(state.now()).std();
-        let drained = state.clock.timeout_at(end, self.callers.drain(left)).await;
+        state
+            .clock
+            .sleep_until(stopped_at + Span::from(accepting))
+            .await;
+        let exit_at = stopped_at + Span::from(grace.mul_f64(GRACE_FRACTION));
+        let remaining = exit_at.since(state.now()).std();
+        let drained = state
+            .clock
+            .timeout_at(exit_at, self.callers.drain(remaining))
+            .await;
         let cut = drained.unwrap_or_else(|_| self.callers.connections());
-        info!(target: "daemon", event = "stopped", cut, "the daemon ends");
+        info!(target: "daemon", event = "stopped", cut, "daemon stopped");
     }
 }
--- a/crates/front/src/run/gauges.rs
+++ b/crates/front/src/run/gauges.rs
@@ -1,11 +1,10 @@
-//! Gauges of what this host believes, brought up to date before they are read.
+//! Gauges, updated when the metrics are read.
 
 use crate::accounts;
 use crate::peers::Peers;
 use crate::state::State;
 use unit::Span;
 
-/// Brings all gauges up to date.
 pub(super) fn update(state: &State, peers: &Peers) {
     update_host(state);
     update_limits(state);
@@ -13,27 +12,29 @@
     update_accounts(state, peers);
 }
 
-/// Accounts whose use is told each by itself at the host that gives out; the rest are not told.
+/// Maximum accounts with their own series.
 const MAX_ACCOUNTS: usize = 100;
 
-/// Tells what accounts were given in the last window, at the host that gives out.
+/// Updates the usage of accounts, which only the leader knows.
 fn update_accounts(state: &State, peers: &Peers) {
     let routes = state.table.lock().routes.clone();
-    let known = routes.as_ref().and_then(|r| r.accounts.as_ref());
-    let Some(known) = known else { return };
+    let accounts = routes.as_ref().and_then(|r| r.accounts.as_ref());
+    let Some(accounts) = accounts else { return };
     let metrics = &state.log.metrics;
     metrics
         .gauge("coveford_accounts", &[])
-        .set(known.all().count() as f64);
+        .set(accounts.all().count() as f64);
     let age = accounts::data_age(state);
     metrics
         .gauge("coveford_keys_age_seconds", &[])
         .set(age.secs());
-    for account in known.all().take(MAX_ACCOUNTS) {
-        let given = peers.granted(&account.name);
-        if let (Some(given), Some(quota)) = (given, account.quota) {
+    for account in accounts.all().take(MAX_ACCOUNTS) {
+        let granted = peers.granted(&account.name);
+        if let (Some(granted), Some(quota)) = (granted, account.quota) {
             let labels = [("account", &*account.name)];
-            metrics.gauge("coveford_account_given", &labels).set(given);
+            metrics
+                .gauge("coveford_account_given", &labels)
+                .set(granted);
             metrics
                 .gauge("coveford_account_rate", &labels)
                 .set(quota.rate);
@@ -41,7 +42,7 @@
     }
 }
 
-/// What this host is, knows and has in hand.
+/// Updates the gauges of this host's own state.
 fn update_host(state: &State) {
     use std::sync::atomic::Ordering::Relaxed;
     let metrics = &state.log.metrics;
@@ -64,9 +65,9 @@
     }
     set("coveford_in_flight", &[], state.in_flight() as f64);
     set("coveford_leads", &[], f64::from(u8::from(state.leads())));
-    let (suspected, kept_out) = state.quarantine.counts(state.now());
+    let (suspected, quarantined) = state.quarantine.counts(state.now());
     set("coveford_requests_suspected", &[], suspected as f64);
-    set("coveford_requests_kept_out", &[], kept_out as f64);
+    set("coveford_requests_kept_out", &[], quarantined as f64);
     let table = state.table.lock();
     let version = table.routes.as_ref().map_or(0, |r| r.version);
     set("coveford_configuration_version", &[], version as f64);
@@ -76,17 +77,17 @@
     set("coveford_store_away", &[], away);
 }
 
-/// Replicas whose limits or rests are told each by itself; the others are counted only.
+/// Maximum replicas with their own series for limits and backoffs.
 const MAX_REPLICAS: usize = 100;
 
-/// Tells which replicas have named limits; one that is over is told as endless, since a gauge cannot be taken back.
+/// Updates the rate limits of replicas. An ended limit is reported as infinite, since a gauge cannot be removed.
 fn update_limits(state: &State) {
     let mut limited = state.table.lock().limits_by_replica(state.now());
     let metrics = &state.log.metrics;
-    let in_need = limited.iter().filter(|(_, rate)| rate.is_some()).count();
+    let limited_count = limited.iter().filter(|(_, rate)| rate.is_some()).count();
     metrics
         .gauge("coveford_limited_replicas", &[])
-        .set(in_need as f64);
+        .set(limited_count as f64);
     limited.sort_by_key(|(_, rate)| rate.is_none());
     for (replica, rate) in limited.iter().take(MAX_REPLICAS) {
         let labels = [("replica", &**replica)];
@@ -95,21 +96,23 @@
     }
 }
 
-/// Tells which replicas leave by their word, and which want nothing from this host and for how long.
+/// Updates the numbers of leaving replicas and of backoffs, and the remaining time of each backoff.
 fn update_replica_states(state: &State) {
-    let (leaving, resting) = {
+    let (leaving, backoffs) = {
         let table = state.table.lock();
         (table.view.departures().len(), table.backoffs(state.now()))
     };
     let metrics = &state.log.metrics;
     let count = |name, count: usize| metrics.gauge(name, &[]).set(count as f64);
     count("coveford_leaving_replicas", leaving);
-    let resting_now = resting.iter().filter(|(_, left)| *left > Span::ZERO);
-    count("coveford_resting_replicas", resting_now.count());
-    for (replica, left) in resting.iter().take(MAX_REPLICAS) {
+    let active = backoffs
+        .iter()
+        .filter(|(_, remaining)| *remaining > Span::ZERO);
+    count("coveford_resting_replicas", active.count());
+    for (replica, remaining) in backoffs.iter().take(MAX_REPLICAS) {
         let labels = [("replica", &**replica)];
         metrics
             .gauge("coveford_replica_rest_seconds", &labels)
-            .set(left.secs());
+            .set(remaining.secs());
     }
 }
--- a/crates/front/src/settings.rs
+++ b/crates/front/src/settings.rs
@@ -1,110 +1,107 @@
-//! Settings of a daemon on a platform, read from INI and checked whole.
+//! Settings of a daemon on a platform, read from an INI file.
 
 use bundle::ini::{self, Document, Fields, Problem, Problems, Section};
 use std::net::SocketAddr;
 use std::time::Duration;
 use unit::Name;
 
-/// Checked settings.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// Name of this host.
     pub name: Name,
-    /// Data hall it stands in.
+    /// Data hall of this host.
     pub hall: Name,
-    /// Where it answers callers.
+    /// Listener for callers.
     pub callers: SocketAddr,
-    /// Where it tells the balancer whether it is ready.
+    /// Listener for readiness checks.
     pub readiness: SocketAddr,
-    /// Where it tells its metrics.
+    /// Listener for metrics.
     pub metrics: SocketAddr,
-    /// Where it exchanges sums with other daemons, over UDP.
+    /// Listener for other daemons: UDP for datagrams, TCP for polls of store changes.
     pub peers: SocketAddr,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: SocketAddr,
-    /// Bounds that the platform sets.
+    /// Bounds set by the platform.
     pub bounds: Bounds,
-    /// Bounds of this process.
+    /// Resource limits of this process.
     pub limits: Limits,
-    /// How logs are written.
     pub log: Log,
 }
 
-/// How logs are written.
+/// Log settings.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Log {
-    /// Filter of the lines, such as `info`.
+    /// Filter in the syntax of `EnvFilter`, such as `info`.
     pub level: Name,
-    /// One request in that many is told whole, also when nothing was out of the ordinary.
+    /// One request in this many is logged completely.
     pub sample: u64,
 }
 
-/// Bounds that the platform sets.
+/// Bounds set by the platform.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bounds {
-    /// Time from the request to stop until the process is killed.
+    /// Grace period from the stop signal until the process is killed.
     pub grace: Duration,
-    /// Time within which two holders may not take turns in giving orders.
+    /// Minimum time between the last order of one leader and the first of the next.
     pub lease: Duration,
     /// Time within which a configuration must be in force.
     pub configuration: Duration,
-    /// Time within which a leaving replica must get no new work.
+    /// Time within which a leaving replica must stop receiving requests.
     pub leaving: Duration,
-    /// Time between two writings of a replica's entry; the store drops it after three that are missed.
+    /// Interval at which a replica writes its entry; the store drops the entry after three missed writes.
     pub heartbeat: Duration,
-    /// Time within which a key that was taken away runs nothing more, on every host; none when only hosts
-    /// that reach the store are bound.
+    /// Time within which a revoked key must be rejected by every host; none if this binds only hosts that reach the
+    /// store.
     pub withdrawal: Option<Duration>,
-    /// Window in which the use of client accounts is counted.
+    /// Window over which the usage of client accounts is measured.
     pub quota_window: Duration,
-    /// Part by which an account may exceed its limit in that window.
+    /// Fraction by which an account may exceed its quota in that window.
     pub quota_overage: f64,
-    /// Units by which it may exceed it beside that part.
+    /// Units by which an account may exceed its quota in addition.
     pub quota_slack: f64,
-    /// Retries allowed, as a share of the requests of a service.
+    /// Retry budget as a fraction of a service's requests.
     pub retry_share: f64,
-    /// Retries allowed beside that share, over all hosts.
+    /// Additional retries over all hosts.
     pub retry_slack: f64,
-    /// Window in which both are counted.
+    /// Window over which retries are measured.
     pub retry_window: Duration,
-    /// Window in which loads from the weight store are counted.
+    /// Window over which loads from the weight store are counted.
     pub load_window: Duration,
-    /// Factor by which loads may exceed the rate in that window.
+    /// Factor by which loads may exceed their rate in that window.
     pub load_overage: f64,
 }
 
 impl Bounds {
-    /// The shortest time within which what stands in the store must be followed.
+    /// Propagation bound: the shortest time within which a change in the store must take effect.
     pub fn propagation(&self) -> Duration {
         self.leaving.min(self.configuration)
     }
 }
 
-/// Bounds of this process.
+/// Resource limits of this process.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limits {
-    /// Descriptors that it may open.
+    /// Maximum open file descriptors.
     pub descriptors: usize,
-    /// Memory that it may use, in MB.
+    /// Memory, in MB.
     pub memory_mb: usize,
-    /// Processor that it may use, in cores.
+    /// CPU, in cores.
     pub cores: f64,
 }
 
-/// Requests of which one is told whole unless the settings say otherwise: a line costs some 20 µs, of
-/// the 200 µs that a request takes.
+/// Default of `sample`. A line costs about 20 µs, a request about 200 µs.
 const DEFAULT_SAMPLE: u64 = 64;
 
-/// Sections a settings file may have.
+/// Sections of a settings file.
 const SECTIONS: [&str; 5] = ["daemon", "store", "bounds", "limits", "log"];
 
-/// Whether a settings file is one of a daemon on a platform: it names a store.
+/// Whether the settings are of a daemon on a platform: they name a store.
 pub fn is_on_platform(text: &str) -> bool {
     let document = ini::parse(text, &mut Problems::new(""));
     document.sections.iter().any(|s| &*s.kind == "store")
 }
 
-/// Reads settings from text; every problem is reported at once.
+/// Parses settings; all problems are reported at once.
 pub fn read(file: &str, text: &str) -> Result<Settings, Vec<Problem>> {
     let mut problems = Problems::new(file);
     let document = ini::parse(text, &mut problems);
@@ -120,7 +117,7 @@
     }
     let settings = assemble(&document, &mut problems);
     let settings = problems.into_result(settings)?;
-    Ok(settings.expect("settings without a problem are whole"))
+    Ok(settings.expect("settings without problems are complete"))
 }
 
 fn assemble(document: &Document, problems: &mut Problems) -> Option<Settings> {
@@ -154,7 +151,7 @@
     })
 }
 
-/// The defaults are the bounds of the two sites that coveford was first run on.
+/// The defaults are the bounds of the two sites that coveford was first deployed on.
 fn read_bounds(section: &Section, problems: &mut Problems) -> Bounds {
     let mut fields = Fields::new(section, problems);
     let seconds = |s: f64| Duration::from_secs_f64(s);
