--- a/crates/front/src/peers/quota.rs
+++ b/crates/front/src/peers/quota.rs
@@ -221,7 +221,7 @@
     ) -> Option<Option<Advertisement>> {
         let asked = limited.advertisement(now)?;
         self.merge_limits(std::slice::from_ref(limited), host);
-        let known = self.state.table.lock().notice_of(limited.replica);
+        let known = self.state.table.lock().advertisement(limited.replica);
         let advertisement = known.unwrap_or(asked);
         Some(Some(advertisement).filter(|advertisement| !advertisement.is_expired(now)))
     }
