--- a/crates/front/tests/events.rs
+++ b/crates/front/tests/events.rs
@@ -1,4 +1,4 @@
-//! Streams are cut into whole events, however the bytes come.
+//! Event streams are split at event boundaries, however the bytes are divided.
 
 use bytes::Bytes;
 use front::events::Splitter;
@@ -11,7 +11,7 @@
 
 proptest! {
     #[test]
-    fn any_cut_gives_the_same_events(cuts in proptest::collection::vec(0usize..300, 0..12)) {
+    fn splitting_does_not_depend_on_packet_boundaries(cuts in proptest::collection::vec(0usize..300, 0..12)) {
         let bytes = stream();
         let mut cuts: Vec<usize> = cuts.into_iter().map(|c| c.min(bytes.len())).collect();
         cuts.push(0);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_partial_event_is_kept_back() {
+fn a_partial_event_is_buffered() {
     let mut splitter = Splitter::default();
     let piece = Bytes::from_static(b"id: 1\ndata: a\n\nid: 2\nda");
     let events = splitter.push(piece).unwrap().unwrap();
--- a/crates/front/tests/fanout.rs
+++ b/crates/front/tests/fanout.rs
@@ -1,4 +1,4 @@
-//! Telling a large fleet by way of one host of each part.
+//! Distribution of the leader's datagrams in a large fleet, and merging of reports that take several datagrams.
 
 mod site;
 
@@ -30,10 +30,9 @@
 }
 
 proptest! {
-    /// Each host is told once, by a host of its own hall; a host that fell silent passes nothing on
-    /// while another can.
+    /// Each host is in exactly one group of its hall, and silent hosts are not relays.
     #[test]
-    fn each_host_is_in_one_part(halls in proptest::collection::vec(1usize..140, 1..6)) {
+    fn each_host_is_in_one_group(halls in proptest::collection::vec(1usize..140, 1..6)) {
         let mut hosts = Vec::new();
         for (hall, count) in halls.iter().enumerate() {
             for i in 0..*count {
@@ -41,24 +40,24 @@
                 hosts.push(candidate(hall, port, (i % 3) as f32, i % 4 == 3));
             }
         }
-        let parts = fanout::plan(hosts.clone());
-        let mut told = HashSet::new();
-        for Group { relay, members: others } in &parts {
-            prop_assert!(others.len() < 32, "{}", others.len());
+        let groups = fanout::plan(hosts.clone());
+        let mut seen = HashSet::new();
+        for Group { relay, members } in &groups {
+            prop_assert!(members.len() < 32, "{}", members.len());
             let find = |addr: &SocketAddr| hosts.iter().find(|h| h.addr == *addr).unwrap();
             prop_assert!(!find(relay).silent);
-            for other in others.iter().chain([relay]) {
-                prop_assert_eq!(&find(other).hall, &find(relay).hall);
-                prop_assert!(told.insert(*other));
+            for host in members.iter().chain([relay]) {
+                prop_assert_eq!(&find(host).hall, &find(relay).hall);
+                prop_assert!(seen.insert(*host));
             }
         }
-        prop_assert_eq!(told.len(), hosts.len());
+        prop_assert_eq!(seen.len(), hosts.len());
     }
 }
 
-/// More hosts than tell each other directly; one that passes on ends, and another takes its place.
+/// When a relay stops, another one takes its place.
 #[tokio::test]
-async fn a_large_fleet_is_told_also_after_a_host_that_passes_on_has_ended() {
+async fn digests_reach_all_hosts_after_a_relay_stops() {
     let store = store().await;
     let leader = daemon(&store, "d0").await;
     until(|| leader.state().leads()).await;
@@ -71,18 +70,18 @@
         hosts.iter().all(knows)
     };
     until(|| all_know(&hosts, 20)).await;
-    // The hosts are alike, so that the first of them by address passes on.
-    let first = hosts
+    // All hosts have the same CPU, so that the one with the lowest address is a relay.
+    let relay = hosts
         .iter()
         .map(|d| d.state().settings.peers)
         .min()
         .unwrap();
-    let ends = hosts.iter().position(|d| d.state().settings.peers == first);
-    drop(hosts.remove(ends.unwrap()));
+    let stopped = hosts.iter().position(|d| d.state().settings.peers == relay);
+    drop(hosts.remove(stopped.unwrap()));
     until(|| all_know(&hosts, 19)).await;
 }
 
-fn sums(round: u32, loads: usize, absent: usize) -> LoadReport {
+fn report(round: u32, loads: usize, unreachable: usize) -> LoadReport {
     let load = front::message::Load::default();
     LoadReport {
         host: "h".into(),
@@ -90,35 +89,35 @@
         loads: (0..loads)
             .map(|i| PackedLoad::new(&format!("i-{i}"), &load))
             .collect(),
-        unreachable: (0..absent as u32).collect(),
+        unreachable: (0..unreachable as u32).collect(),
         ..LoadReport::default()
     }
 }
 
-/// A host with more than 35 busy replicas tells the leader in several datagrams, all of which count.
+/// A report of more than 35 busy replicas takes several datagrams, and all of them count.
 #[test]
-fn parts_of_one_telling_add_up() {
+fn datagrams_of_one_report_are_merged() {
     let inbox = Inbox::default();
-    inbox.record_report(sums(1, 0, 0), addr(1), at(0));
-    for part in sums(7, 100, 0).split() {
+    inbox.record_report(report(1, 0, 0), addr(1), at(0));
+    for part in report(7, 100, 0).split() {
         inbox.record_loads(part, at(10));
     }
     assert_eq!(inbox.loads(at(20)).len(), 100);
-    for part in sums(8, 40, 0).split() {
+    for part in report(8, 40, 0).split() {
         inbox.record_loads(part, at(30));
     }
     assert_eq!(
         inbox.loads(at(40)).len(),
         40,
-        "those of the telling before have gone"
+        "loads of the previous sequence number are replaced"
     );
 }
 
-/// Each datagram names all replicas that its host cannot reach.
+/// Unreachable replicas are repeated in each datagram, which must not exceed the size limit.
 #[test]
-fn absent_replicas_take_their_room_in_a_datagram() {
-    let mut sums = sums(1, 60, 25);
-    sums.demand = vec![
+fn reports_with_unreachable_replicas_fit_a_datagram() {
+    let mut report = report(1, 60, 25);
+    report.demand = vec![
         Demand {
             service: "vision".into(),
             model: "daka510000".into(),
@@ -127,7 +126,7 @@
         };
         10
     ];
-    let parts = sums.split();
+    let parts = report.split();
     assert_eq!(parts.iter().map(|p| p.loads.len()).sum::<usize>(), 60);
     for part in parts {
         let bytes = front::message::encode(&front::message::Message::Report(part));
@@ -139,10 +138,10 @@
     }
 }
 
-/// After a loss of power of all hosts each starts without knowing of others: none may take the slack
-/// of the retry budget for its own before a leader has told how many there are.
+/// When all hosts restart at once, none may use the whole additional retry budget before it knows the number of
+/// hosts.
 #[test]
-fn a_host_that_was_told_nothing_has_no_part_of_the_slack() {
+fn a_host_that_does_not_know_the_host_count_has_no_retry_slack() {
     let service: Name = "web".into();
     let ask = ingress::ask(&hyper::HeaderMap::new());
     let mut bounds = bounds();
@@ -157,22 +156,22 @@
     assert!(table.spend_retry(&service, at(2)));
 }
 
-/// A replica that wants nothing from most hosts counts in plans as what it serves; one that rests for a few does not.
+/// A backoff counts in plans only if most hosts report it.
 #[test]
-fn rests_count_where_most_hosts_tell_them() {
+fn a_backoff_counts_if_most_hosts_report_it() {
     let inbox = Inbox::default();
     for host in 0..3u16 {
-        let resting = match host {
+        let backing_off = match host {
             0 => vec![replica_hash("i-1"), replica_hash("i-2")],
             1 => vec![replica_hash("i-1")],
             _ => Vec::new(),
         };
-        let sums = LoadReport {
+        let report = LoadReport {
             host: format!("h{host}").into(),
-            backing_off: resting,
-            ..sums(1, 1, 0)
+            backing_off,
+            ..report(1, 1, 0)
         };
-        inbox.record_report(sums, addr(host), at(0));
+        inbox.record_report(report, addr(host), at(0));
     }
     assert_eq!(
         inbox.backing_off(at(10)),
@@ -180,6 +179,6 @@
     );
     assert!(
         inbox.backing_off(at(5_000)).is_empty(),
-        "nobody tells any more"
+        "the reports have expired"
     );
 }
--- a/crates/front/tests/malformed.rs
+++ b/crates/front/tests/malformed.rs
@@ -1,5 +1,4 @@
-//! What comes from outside is read or refused, whatever it is: datagrams of other hosts, settings, and
-//! streams of replicas.
+//! External input is parsed or rejected without a panic: datagrams, settings, and streams of replicas.
 
 mod site;
 
@@ -9,7 +8,7 @@
 use front::{Settings, settings};
 use proptest::prelude::*;
 
-/// Settings in order, of which properties change a line.
+/// Valid settings; tests replace single lines.
 const SETTINGS: &str = "[daemon]
 name = d1
 hall = a
@@ -53,25 +52,24 @@
 }
 
 #[test]
-fn settings_in_order_are_read() {
+fn valid_settings_are_accepted() {
     assert_eq!(read(SETTINGS).unwrap().log.sample, 8);
 }
 
-/// The template that the platform fills, on a deployment that has no accounts: what stands only where there
-/// are some is left out with its gaps. With an empty value a daemon would not start.
+/// Guards against placeholders of the deployment template that would be empty, and invalid, without accounts.
 #[test]
-fn the_template_is_whole_without_accounts() {
+fn the_template_is_valid_without_accounts() {
     let template = include_str!("../../../deploy/settings.ini");
     let mut text = String::new();
     let mut rest = template;
-    while let Some(begin) = rest.find("{{#") {
-        text.push_str(&rest[..begin]);
-        let name = &rest[begin + 3..begin + rest[begin..].find("}}").unwrap()];
+    while let Some(start) = rest.find("{{#") {
+        text.push_str(&rest[..start]);
+        let name = &rest[start + 3..start + rest[start..].find("}}").unwrap()];
         let end = format!("{{{{/{name}}}}}");
         rest = &rest[rest.find(&end).unwrap() + end.len()..];
     }
     text.push_str(rest);
-    let words = [
+    let values = [
         ("{{node}}", "h1"),
         ("{{zone}}", "a"),
         ("{{ip}}", "127.0.0.1"),
@@ -92,8 +90,8 @@
         ("{{bounds.config_apply_ms}}", "2000"),
         ("{{bounds.drain_ms}}", "2000"),
     ];
-    for (gap, word) in words {
-        text = text.replace(gap, word);
+    for (placeholder, value) in values {
+        text = text.replace(placeholder, value);
     }
     assert!(!text.contains("{{"), "{text}");
     let settings = read(&text).unwrap();
@@ -101,19 +99,19 @@
 }
 
 #[test]
-fn a_sample_of_none_is_refused() {
-    let wrong = SETTINGS.replace("sample = 8", "sample = 0");
-    assert_eq!(read(&wrong).unwrap_err(), 1);
+fn a_sample_of_zero_is_rejected() {
+    let invalid = SETTINGS.replace("sample = 8", "sample = 0");
+    assert_eq!(read(&invalid).unwrap_err(), 1);
 }
 
 proptest! {
     #[test]
-    fn any_datagram_is_read_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_datagrams_do_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         let _ = decode(&bytes);
     }
 
     #[test]
-    fn a_datagram_with_changed_bytes_is_read_or_refused(
+    fn corrupted_datagrams_do_not_panic(
         changes in proptest::collection::vec((any::<usize>(), any::<u8>()), 1..6),
         length in any::<usize>(),
     ) {
@@ -126,26 +124,26 @@
         let _ = decode(&bytes);
     }
 
-    /// Lengths that a datagram claims and does not hold take no memory.
+    /// A forged length must not cause an allocation.
     #[test]
-    fn a_claimed_length_is_not_believed(rest in proptest::collection::vec(any::<u8>(), 0..20)) {
-        // An array of 2^32 - 1 entries, as MessagePack writes it.
+    fn a_forged_length_is_rejected(rest in proptest::collection::vec(any::<u8>(), 0..20)) {
+        // Array header with 2^32 - 1 entries in MessagePack.
         let mut bytes = vec![0xdd, 0xff, 0xff, 0xff, 0xff];
         bytes.extend(rest);
         prop_assert!(decode(&bytes).is_err());
     }
 
     #[test]
-    fn settings_with_a_changed_line_are_read_or_refused(at in 0usize..16, line in "[ -~]{0,40}") {
+    fn settings_with_an_arbitrary_line_do_not_panic(at in 0usize..16, line in "[ -~]{0,40}") {
         let mut lines: Vec<&str> = SETTINGS.lines().collect();
         lines[at] = &line;
         if let Err(problems) = read(&lines.join("\n")) {
-            prop_assert!(problems > 0, "a refusal says why");
+            prop_assert!(problems > 0, "a rejection names a problem");
         }
     }
 
     #[test]
-    fn any_stream_is_cut_or_refused(pieces in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..80), 0..20)) {
+    fn arbitrary_streams_keep_every_byte(pieces in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..80), 0..20)) {
         let mut splitter = Splitter::default();
         let mut passed = 0;
         let all: usize = pieces.iter().map(Vec::len).sum();
@@ -154,15 +152,15 @@
                 passed += events.len();
             }
         }
-        prop_assert_eq!(passed + splitter.take_remainder().len(), all, "no byte is lost or made up");
+        prop_assert_eq!(passed + splitter.take_remainder().len(), all, "no byte is lost or added");
     }
 }
 
 #[test]
-fn an_event_without_an_end_is_refused_before_it_fills_the_memory() {
+fn an_unterminated_event_is_rejected_at_the_size_limit() {
     let mut splitter = Splitter::default();
     let piece = Bytes::from(vec![b'x'; 64 * 1_024]);
-    let refused = (0..64).any(|_| splitter.push(piece.clone()).is_err());
-    assert!(refused);
+    let rejected = (0..64).any(|_| splitter.push(piece.clone()).is_err());
+    assert!(rejected);
     assert!(splitter.take_remainder().len() <= 2 << 20);
 }
--- a/crates/front/tests/readers.rs
+++ b/crates/front/tests/readers.rs
@@ -1,4 +1,4 @@
-//! Hosts that hear of the store's changes from other hosts instead of reading it themselves.
+//! Hosts that poll readers for store changes instead of reading the store.
 
 mod site;
 
@@ -17,14 +17,14 @@
 use tokio::time::{Instant, sleep};
 use unit::{Span, Time};
 
-/// Hosts that a daemon believes in, so that it does not read the store itself.
+/// Number of hosts that makes a daemon poll readers.
 const LARGE: usize = 40;
 
-/// Tells a daemon its readers as the leader of a large fleet does; again and again, since the real
-/// leader of this small one tells otherwise.
-fn keep_hearing(daemon: &Daemon, readers: &[&Daemon]) -> tokio::task::JoinHandle<()> {
+/// Assigns readers to a daemon as the leader of a large fleet would. Repeats this, since the real leader of the small
+/// test fleet assigns others.
+fn keep_assigning(daemon: &Daemon, readers: &[&Daemon]) -> tokio::task::JoinHandle<()> {
     let state = daemon.state().clone();
-    let known: Vec<Reader> = readers
+    let readers: Vec<Reader> = readers
         .iter()
         .map(|d| Reader {
             hall: "a".into(),
@@ -35,15 +35,14 @@
     tokio::spawn(async move {
         loop {
             ignore_leader(&state);
-            state.readers.assign(known.clone(), state.settings.peers);
+            state.readers.assign(readers.clone(), state.settings.peers);
             state.table.lock().host_count = LARGE;
             sleep(Duration::from_millis(1)).await;
         }
     })
 }
 
-/// Lets a daemon believe in a later leader than the real one of this small fleet, whose word would be
-/// that all read the store.
+/// Makes a daemon ignore the real leader, which would have all hosts of this small fleet read the store.
 fn ignore_leader(state: &State) {
     if !state.leads() {
         let mut leader = state.leader.lock();
@@ -70,62 +69,66 @@
 }
 
 #[tokio::test]
-async fn a_host_hears_of_changes_without_reading_the_store() {
+async fn a_follower_gets_changes_without_reading_the_store() {
     let store = store().await;
     let reader = daemon(&store, "d1").await;
     until(|| reader.state().leads()).await;
     let follower = daemon(&store, "d2").await;
-    let _telling = keep_hearing(&follower, &[&reader]);
-    let _named = keep_hearing(&reader, &[&reader]);
+    let _assigning = keep_assigning(&follower, &[&reader]);
+    let _assigning_reader = keep_assigning(&reader, &[&reader]);
     sleep(Duration::from_millis(1_800)).await;
     let before = watches(&follower);
     for new in 2..8 {
         changed_within(&store, &follower, new, Duration::from_millis(1_500)).await;
     }
-    assert_eq!(watches(&follower), before, "it does not read the store");
+    assert_eq!(
+        watches(&follower),
+        before,
+        "the follower does not read the store"
+    );
 }
 
 #[tokio::test]
-async fn a_host_whose_reader_ends_reads_the_store_itself() {
+async fn a_follower_whose_reader_stops_reads_the_store() {
     let store = store().await;
     let reader = daemon(&store, "d1").await;
     let follower = daemon(&store, "d2").await;
-    let _telling = keep_hearing(&follower, &[&reader]);
+    let _assigning = keep_assigning(&follower, &[&reader]);
     changed_within(&store, &follower, 2, Duration::from_secs(2)).await;
     drop(reader);
     changed_within(&store, &follower, 3, Duration::from_secs(2)).await;
 }
 
-/// A reader that is cut from the store still answers; its news grow old.
+/// A reader that lost the store still responds, with data that gets older.
 #[tokio::test]
-async fn a_host_does_not_rest_on_a_reader_that_hears_nothing_itself() {
+async fn a_follower_does_not_use_a_reader_with_stale_data() {
     let (store, other) = (store().await, store().await);
     let reader = daemon(&other, "d1").await;
     let follower = daemon(&store, "d2").await;
     other.set_mode(Mode::Silent);
-    let _telling = keep_hearing(&follower, &[&reader]);
+    let _assigning = keep_assigning(&follower, &[&reader]);
     changed_within(&store, &follower, 2, Duration::from_secs(2)).await;
 }
 
-/// The store turns one host away and serves the other: the view goes on through that one.
+/// The store fails one host and serves the other: the view is kept current through the latter.
 #[tokio::test]
-async fn a_host_that_the_store_turns_away_hears_from_one_that_it_serves() {
+async fn a_host_that_lost_the_store_polls_one_that_has_it() {
     let store = store().await;
     let leaving = web(&store, "i-1").await;
     let staying = web(&store, "i-2").await;
     let reader = daemon(&store, "d1").await;
     let mut settings = site::settings(&store, "d2");
-    let gate = platform_standin::store::spawn().await.unwrap();
-    // What this store has seen is as old as what the other one holds.
+    let failing_store = platform_standin::store::spawn().await.unwrap();
+    // Brings this store to the same revision as the other one.
     for _ in 0..8 {
-        gate.put("op/config", &configuration(1));
+        failing_store.put("op/config", &configuration(1));
     }
-    settings.store = gate.addr;
+    settings.store = failing_store.addr;
     let follower = front::spawn(settings).await.unwrap();
     until(|| follower.state().is_ready()).await;
-    gate.set_mode(Mode::Busy);
-    // It reads for others itself, so that it asks the store again and again.
-    let _telling = keep_hearing(&follower, &[&reader, &follower]);
+    failing_store.set_mode(Mode::Busy);
+    // As a root it retries the store again and again.
+    let _assigning = keep_assigning(&follower, &[&reader, &follower]);
     for _ in 0..8 {
         leaving.beat();
         staying.beat();
@@ -142,12 +145,12 @@
         assert_eq!(ask(&follower, "/again/x", None).await.1.status(), 200);
     }
     assert_eq!(leaving.arrivals(), before);
-    // ddrct-coveford-grown fresh-ae9c: a host cut from the store took each answer of a reader as the
-    // store's return, and entries that vanished as ones that may come back; it passed that on.
+    // A host that lost the store must not take a reader's responses for a recovery of the store, which would keep
+    // entries that vanished as missing.
     let end = Instant::now() + Duration::from_millis(4_500);
     while Instant::now() < end {
         let is_away = follower.state().table.lock().view.contact.is_unreachable();
-        assert!(!is_away, "the store is there, for other hosts");
+        assert!(!is_away, "the store is reachable through the reader");
         sleep(Duration::from_millis(10)).await;
     }
     staying.vanish();
@@ -179,52 +182,68 @@
 }
 
 #[test]
-fn what_is_passed_on_misses_no_removal() {
-    let mut recent = Changelog::default();
-    recent.reset(&[item("a", 3), item("b", 5)], 6, at(0));
-    assert_eq!(recent.since(4), None, "removals before 6 are not known");
-    recent.extend([removed("a", 8), Change::Written(item("c", 7))], 9, at(1));
-    recent.extend([Change::Written(item("a", 2))], 9, at(1));
+fn a_reader_serves_every_removal_or_a_snapshot() {
+    let mut changelog = Changelog::default();
+    changelog.reset(&[item("a", 3), item("b", 5)], 6, at(0));
+    assert_eq!(
+        changelog.since(4),
+        None,
+        "removals before revision 6 are unknown"
+    );
+    changelog.extend([removed("a", 8), Change::Written(item("c", 7))], 9, at(1));
+    changelog.extend([Change::Written(item("a", 2))], 9, at(1));
     let revisions = |after| -> Option<Vec<u64>> {
-        let changes = recent.since(after)?;
+        let changes = changelog.since(after)?;
         Some(changes.iter().map(Change::revision).collect())
     };
-    assert_eq!(revisions(6), Some(vec![7, 8]), "older news change nothing");
+    assert_eq!(
+        revisions(6),
+        Some(vec![7, 8]),
+        "older changes have no effect"
+    );
     assert_eq!(revisions(8), Some(vec![]));
-    recent.extend([], 12, at(40));
-    assert_eq!(recent.since(7), None, "the removal at 8 is forgotten");
-    assert_eq!(recent.since(8).map(|c| c.len()), Some(0));
-    assert_eq!(recent.age(at(42)), Span::from_secs(2));
+    changelog.extend([], 12, at(40));
+    assert_eq!(
+        changelog.since(7),
+        None,
+        "the removal at revision 8 has expired"
+    );
+    assert_eq!(changelog.since(8).map(|c| c.len()), Some(0));
+    assert_eq!(changelog.age(at(42)), Span::from_secs(2));
 }
 
-/// What a reader that is behind confirms is an older state than this host has heard of.
+/// A response of a reader that is behind confirms an older state only.
 #[test]
-fn word_of_an_older_revision_does_not_make_news_younger() {
-    let mut recent = Changelog::default();
-    recent.reset(&[item("a", 3)], 9, at(0));
-    recent.extend([], 7, at(5));
+fn confirming_an_older_revision_does_not_refresh_the_data() {
+    let mut changelog = Changelog::default();
+    changelog.reset(&[item("a", 3)], 9, at(0));
+    changelog.extend([], 7, at(5));
     assert_eq!(
-        (recent.revision(), recent.age(at(6))),
+        (changelog.revision(), changelog.age(at(6))),
         (9, Span::from_secs(6))
     );
-    recent.extend([], 9, at(5));
-    assert_eq!(recent.age(at(6)), Span::from_secs(1));
+    changelog.extend([], 9, at(5));
+    assert_eq!(changelog.age(at(6)), Span::from_secs(1));
 }
 
-/// Head, reader and host in a row, all in one hall, as the leader of a large fleet names them.
-fn keep_naming(daemons: &[Arc<State>], head: SocketAddr, reader: SocketAddr) -> JoinHandle<()> {
-    let named = |addr| Reader {
+/// Assigns one root and one reader in a single hall, as the leader of a large fleet would.
+fn keep_assigning_root(
+    daemons: &[Arc<State>],
+    root: SocketAddr,
+    reader: SocketAddr,
+) -> JoinHandle<()> {
+    let reader_at = |addr| Reader {
         hall: "a".into(),
         addr,
-        root: addr == head,
+        root: addr == root,
     };
-    let known = vec![named(head), named(reader)];
+    let readers = vec![reader_at(root), reader_at(reader)];
     let daemons = daemons.to_vec();
     tokio::spawn(async move {
         loop {
             for state in &daemons {
                 ignore_leader(state);
-                state.readers.assign(known.clone(), state.settings.peers);
+                state.readers.assign(readers.clone(), state.settings.peers);
                 state.table.lock().host_count = LARGE;
             }
             sleep(Duration::from_millis(1)).await;
@@ -232,18 +251,17 @@
     })
 }
 
-/// large: 26 readers that each read the store, and all hosts after each forgotten history, were most of
-/// 4,600 calls a day.
+/// Guards the number of store calls: readers and followers must not read the store, even after a compaction.
 #[tokio::test]
-async fn only_heads_read_the_store_also_when_it_has_forgotten_its_history() {
+async fn only_roots_read_the_store_even_after_a_compaction() {
     let store = store().await;
-    let head = daemon(&store, "d1").await;
-    until(|| head.state().leads()).await;
+    let root = daemon(&store, "d1").await;
+    until(|| root.state().leads()).await;
     let reader = daemon(&store, "d2").await;
     let host = daemon(&store, "d3").await;
     let peers = |d: &Daemon| d.state().settings.peers;
-    let states: Vec<Arc<State>> = [&head, &reader, &host].map(|d| d.state().clone()).into();
-    let _naming = keep_naming(&states, peers(&head), peers(&reader));
+    let states: Vec<Arc<State>> = [&root, &reader, &host].map(|d| d.state().clone()).into();
+    let _assigning = keep_assigning_root(&states, peers(&root), peers(&reader));
     let gone = web(&store, "i-1").await;
     until(|| host.state().table.lock().view.get("i-1").is_some()).await;
     sleep(Duration::from_millis(1_800)).await;
@@ -262,12 +280,11 @@
     assert_eq!((calls(&reader), calls(&host)), before);
 }
 
-/// At 300 hosts and 3,000 replicas all hosts that started at once read seven pages each: a gigabyte over the
-/// store's link, for so long that calls ran out of time and were made anew, for half a minute.
+/// Hosts that start at once must not all read all pages, which would saturate the store's link.
 #[tokio::test]
-async fn a_host_of_a_large_fleet_begins_with_one_page() {
+async fn a_starting_host_of_a_large_fleet_reads_one_page() {
     let store = store().await;
-    // More entries than the stand-in's page of 20 holds.
+    // More entries than the stand-in returns in one page.
     let mut replicas = Vec::new();
     for i in 0..30 {
         replicas.push(web(&store, &format!("i-{i}")).await);
@@ -293,16 +310,15 @@
     assert_eq!(ask(&last, "/again/x", None).await.1.status(), 200);
 }
 
-/// At 300 hosts after a kill of all: a host that waits for the rest of the store knows a configuration that may
-/// have been replaced since; it says so, and does not say that there is no such route.
+/// A starting host may know an outdated configuration only: it must respond 503 instead of 404 for an unknown route.
 #[tokio::test]
-async fn a_host_that_begins_does_not_deny_a_route() {
+async fn a_starting_host_does_not_respond_404() {
     let store = store().await;
     let mut replicas = Vec::new();
     for i in 0..30 {
         replicas.push(web(&store, &format!("i-{i}")).await);
     }
-    // A leader that does not answer any more, whose entry still stands.
+    // Entry of a leader that no longer responds.
     let gone = serde_json::json!({"name": "gone", "peers": "127.0.0.1:1"});
     store.put("coveford/leader", &gone);
     let host = front::spawn(site::settings(&store, "d1")).await.unwrap();
@@ -311,15 +327,15 @@
     let (_, answer) = ask(&host, "/nowhere/x", None).await;
     assert_eq!(answer.status(), 503);
     until(|| host.state().is_ready()).await;
-    // What it read then is as old as its first question; the next answer of the store makes it new.
+    // The first data is as old as its request; wait for newer data.
     let most = Span::from_ms(1_000);
     until(|| front::accounts::data_age(host.state()) < most).await;
     assert_eq!(ask(&host, "/nowhere/x", None).await.1.status(), 404);
 }
 
-/// Nobody leads, and the store holds more than a page: the first hosts elect one and read it in time.
+/// Without a leader, the first hosts must elect one and read all pages in time.
 #[tokio::test]
-async fn the_first_hosts_of_a_fleet_begin_without_a_leader() {
+async fn the_first_hosts_start_without_a_leader() {
     let store = store().await;
     let mut replicas = Vec::new();
     for i in 0..30 {
@@ -351,9 +367,9 @@
     readers.into_iter().map(|r| r.addr.port()).collect()
 }
 
-/// One for each 24 hosts: a reader asks no more of the store now, only answers its hall.
+/// One reader per 24 hosts.
 #[test]
-fn each_hall_is_read_for_by_its_strongest_hosts() {
+fn the_hosts_with_the_most_cpu_become_readers() {
     let mut hosts = vec![
         candidate("b", 1, 0.1),
         candidate("b", 2, 0.5),
@@ -367,7 +383,7 @@
 }
 
 #[test]
-fn heads_are_the_leader_and_a_reader_of_another_hall() {
+fn roots_are_the_leader_and_a_reader_of_another_hall() {
     let hosts = || -> Vec<Candidate> {
         let hall = |hall, ports: [u16; 3]| ports.map(|port| candidate(hall, port, 0.5));
         [
@@ -377,19 +393,23 @@
         ]
         .concat()
     };
-    let heads = |hosts| {
+    let roots = |hosts| {
         let readers = readers::choose(hosts, ([127, 0, 0, 1], 2).into());
         ports(readers.iter().filter(|r| r.root))
     };
-    assert_eq!(heads(hosts()), [2, 4]);
-    let mut cut = hosts();
-    cut[3].store_failed = true;
-    assert_eq!(heads(cut), [2, 5], "the store turns 4 away");
+    assert_eq!(roots(hosts()), [2, 4]);
+    let mut failed = hosts();
+    failed[3].store_failed = true;
+    assert_eq!(roots(failed), [2, 5], "the store failed host 4");
     let mut silent = hosts();
     silent[3].silent = true;
     silent[4].silent = true;
-    assert_eq!(heads(silent), [2, 6]);
+    assert_eq!(roots(silent), [2, 6]);
     let mut all = hosts();
     all.iter_mut().for_each(|host| host.store_failed = true);
-    assert_eq!(heads(all).len(), 2, "somebody notices the store's return");
+    assert_eq!(
+        roots(all).len(),
+        2,
+        "some host must notice the recovery of the store"
+    );
 }
--- a/crates/front/tests/site/mod.rs
+++ b/crates/front/tests/site/mod.rs
@@ -1,4 +1,4 @@
-//! A small site on stand-ins: a store, replicas, daemons in this process, and a client.
+//! Test deployment on stand-ins: a store, replicas, in-process daemons, and a client.
 
 #![allow(dead_code)] // Each test file uses a part of it.
 
@@ -22,20 +22,19 @@
 use tokio::time::{Instant, sleep};
 use unit::{Span, Time};
 
-/// Longest wait for something that must come.
+/// Timeout of conditions and requests.
 pub const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
-/// Time between two writings of a replica's entry.
+/// Interval at which replicas write their entries.
 pub const HEARTBEAT: Span = Span::from_ms(1_200);
 
-/// Store with a configuration in it.
 pub async fn store() -> Store {
     let store = store::spawn().await.unwrap();
     store.put("op/config", &configuration(1));
     store
 }
 
-/// Configuration in which `/stream/`, `/later/` (less urgent), `/resume/`, `/once/` and `/again/` lead to services.
+/// Configuration with the routes `/stream/`, `/later/` (lower priority), `/resume/`, `/once/` and `/again/`.
 pub fn configuration(version: u64) -> Value {
     let stream = |resumable| Kind::Stream { resumable };
     platform_standin::configuration(
@@ -50,7 +49,7 @@
     )
 }
 
-/// The configuration with client accounts, in which `/open/` needs no key.
+/// [`configuration`] with client accounts and a route `/open/` that needs no key.
 pub fn with_accounts(version: u64, accounts: &[Account]) -> Value {
     let mut configuration = configuration(version);
     let open = Route::new("open", Kind::Repeatable, "web", 2).open_to_all();
@@ -60,7 +59,7 @@
     platform_standin::with_accounts(configuration, accounts)
 }
 
-/// Account with keys and nothing else.
+/// Account with keys only.
 pub fn account(name: &'static str, keys: &[&'static str]) -> Account {
     Account {
         name,
@@ -69,7 +68,7 @@
     }
 }
 
-/// Starts a replica of the model service.
+/// Starts a replica of service `llm`, which runs models.
 pub async fn engine(store: &Store, id: &str, models: &[&str]) -> Replica {
     let options = Options {
         id: id.into(),
@@ -79,7 +78,7 @@
     replica::spawn(store, options).await.unwrap()
 }
 
-/// Starts a replica of the plain service.
+/// Starts a replica of service `web`.
 pub async fn web(store: &Store, id: &str) -> Replica {
     let options = Options {
         id: id.into(),
@@ -90,13 +89,13 @@
     replica::spawn(store, options).await.unwrap()
 }
 
-/// Body of requests that end the process of each replica of [`fragile`] that begins to run them.
+/// Request body that crashes [`crashing_replica`].
 pub const FATAL_BODY: &str = "fatal";
 
-/// Time until a replica whose process a request has ended is back.
+/// Restart time of a crashed replica.
 pub const RESTART_TIME: Duration = Duration::from_millis(400);
 
-/// Starts a replica of the plain service that a request may end.
+/// Starts a replica of service `web` that crashes on [`FATAL_BODY`].
 pub async fn crashing_replica(store: &Store, id: &str) -> Replica {
     let options = Options {
         id: id.into(),
@@ -109,7 +108,7 @@
     replica::spawn(store, options).await.unwrap()
 }
 
-/// Starts a replica of the model service that a request may end.
+/// Starts a replica of service `llm` that crashes on [`FATAL_BODY`].
 pub async fn crashing_engine(store: &Store, id: &str) -> Replica {
     let options = Options {
         id: id.into(),
@@ -119,7 +118,6 @@
     replica::spawn(store, options).await.unwrap()
 }
 
-/// Bounds of the site.
 pub fn bounds() -> Bounds {
     Bounds {
         grace: Duration::from_secs(4),
@@ -162,7 +160,7 @@
     }
 }
 
-/// Entry of an idle replica of the plain service that holds no model.
+/// Entry of an idle replica of service `web` without models.
 pub fn entry(id: &str) -> Entry {
     Entry {
         id: id.into(),
@@ -180,61 +178,61 @@
     }
 }
 
-/// Time so many milliseconds after a beginning that is late enough for "long ago" to be before it.
+/// Time `ms` after a start that is late enough for ages of many seconds.
 pub fn at(ms: u64) -> Time {
     Time(0) + Span::from_ms(100_000 + ms)
 }
 
-/// Starts a daemon and waits until it routes, and a leader has told it how many hosts there are: before
-/// that it has no part of the slack of retries.
+/// Starts a daemon and waits until it can route and knows the number of hosts, which its retry budget depends on.
 pub async fn daemon(store: &Store, name: &str) -> Daemon {
     let daemon = front::spawn(settings(store, name)).await.unwrap();
     until(|| daemon.state().is_ready() && daemon.state().table.lock().knows_host_count).await;
     daemon
 }
 
-/// Starts a host that reaches the store through a proxy.
+/// Starts a daemon that reaches the store through a proxy.
 pub async fn daemon_behind_proxy(store: &Store, name: &str) -> (Daemon, Proxy) {
-    let way = proxy::spawn(store.addr).await.unwrap();
+    let proxy = proxy::spawn(store.addr).await.unwrap();
     let settings = Settings {
-        store: way.addr,
+        store: proxy.addr,
         ..settings(store, name)
     };
     let host = front::spawn(settings).await.unwrap();
     until(|| host.state().is_ready() && host.state().table.lock().knows_host_count).await;
-    (host, way)
+    (host, proxy)
 }
 
-/// Lets a host hear of the store from no other one and ignore the leader, as behind a partition; gives back who
-/// leads.
+/// Cuts a host off from readers and from the leader, as in a network partition; returns the current leader.
 pub fn isolate(host: &Daemon) -> Option<Leader> {
     let state = host.state();
     let mut leader = state.leader.lock();
-    let known = leader.clone();
+    let current = leader.clone();
     if let Some(leader) = leader.as_mut() {
         leader.term = u64::MAX;
     }
-    let nobody = Reader {
+    let unreachable = Reader {
         hall: "a".into(),
         addr: ports::free(),
         root: true,
     };
-    state.readers.assign(vec![nobody], state.settings.peers);
-    known
+    state
+        .readers
+        .assign(vec![unreachable], state.settings.peers);
+    current
 }
 
-/// Waits until something holds.
+/// Waits until a condition holds.
 pub async fn until(holds: impl Fn() -> bool) {
     let end = Instant::now() + WAIT_LIMIT;
     while !holds() {
-        assert!(Instant::now() < end, "it does not come to hold");
+        assert!(Instant::now() < end, "the condition did not hold in time");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
 
 static NEXT: AtomicU32 = AtomicU32::new(1);
 
-/// Request to a daemon, with an identity of its own.
+/// Request to a daemon, with a unique id.
 pub fn request(path: &str, model: Option<&str>) -> (String, Request<conn::Body>) {
     let id = format!("r-{}", NEXT.fetch_add(1, Ordering::Relaxed));
     let mut builder = Request::builder()
@@ -253,19 +251,19 @@
     (id, request)
 }
 
-/// Sends a request with a body and reads its whole answer.
+/// Sends a request with a body and reads the response.
 pub async fn ask_body(daemon: &Daemon, path: &str, body: &'static str) -> Answer {
     let (id, mut request) = request(path, None);
     *request.body_mut() = conn::Body::new(body.into());
     send(daemon, (id, request)).await.1
 }
 
-/// Sends a request and reads its whole answer.
+/// Sends a request and reads the response.
 pub async fn ask(daemon: &Daemon, path: &str, model: Option<&str>) -> (String, Answer) {
     send(daemon, request(path, model)).await
 }
 
-/// Sends a request with a key and reads its whole answer.
+/// Sends a request with an API key and reads the response.
 pub async fn ask_with(
     daemon: &Daemon,
     key: &str,
@@ -278,17 +276,17 @@
     send(daemon, (id, request)).await
 }
 
-/// Sends a request to where a host answers callers and reads its whole answer.
+/// Sends a request to an address and reads the response.
 pub async fn ask_at(callers: SocketAddr, path: &str, model: Option<&str>) -> (String, Answer) {
     send_to(callers, request(path, model)).await
 }
 
-/// Sends a request that was made and reads its whole answer.
-pub async fn send(daemon: &Daemon, made: (String, Request<conn::Body>)) -> (String, Answer) {
-    send_to(daemon.callers(), made).await
+/// Sends a prepared request and reads the response.
+pub async fn send(daemon: &Daemon, prepared: (String, Request<conn::Body>)) -> (String, Answer) {
+    send_to(daemon.callers(), prepared).await
 }
 
-/// Hosts that all know each other.
+/// Starts hosts and waits until all know each other.
 pub async fn hosts(store: &Store, count: usize) -> Vec<Daemon> {
     let mut hosts = Vec::new();
     for n in 1..=count {
@@ -299,10 +297,10 @@
     hosts
 }
 
-/// Statuses of the requests that were sent, a path each 25 ms in turn over hosts and paths, for a time.
+/// Sends a request every 25 ms, cycling through hosts and paths, and returns the statuses in order.
 pub async fn send_load(hosts: &[Daemon], paths: &[&'static str], time: Duration) -> Vec<u16> {
     let end = Instant::now() + time;
-    let mut asked = JoinSet::new();
+    let mut requests = JoinSet::new();
     for n in 0.. {
         if Instant::now() >= end {
             break;
@@ -310,10 +308,10 @@
         let (host, path) = (&hosts[n % hosts.len()], paths[n % paths.len()]);
         let model = (!path.starts_with("/once") && !path.starts_with("/again")).then_some("m1");
         let callers = host.callers();
-        asked.spawn(async move { (n, ask_at(callers, path, model).await.1.status()) });
+        requests.spawn(async move { (n, ask_at(callers, path, model).await.1.status()) });
         sleep(Duration::from_millis(25)).await;
     }
-    let mut statuses = asked.join_all().await;
+    let mut statuses = requests.join_all().await;
     statuses.sort_unstable();
     statuses.into_iter().map(|(_, status)| status).collect()
 }
@@ -329,29 +327,27 @@
     (id, Answer(reply))
 }
 
-/// Answer, or the way in which it broke.
+/// Response, or the error that occurred.
 pub struct Answer(pub Result<Reply, conn::Error>);
 
 impl Answer {
-    /// Status; 0 when the connection broke.
+    /// Status; 0 if the connection broke.
     pub fn status(&self) -> u16 {
         self.0.as_ref().map_or(0, |r| r.status.as_u16())
     }
 
-    /// Body as text.
     pub fn text(&self) -> String {
         let body = self.0.as_ref().map(|r| r.body.to_vec());
         String::from_utf8(body.unwrap_or_default()).unwrap()
     }
 
-    /// Numbers of the events in the body.
+    /// Ids of the events in the body.
     pub fn events(&self) -> Vec<u64> {
         let text = self.text();
         let ids = text.lines().filter_map(|l| l.strip_prefix("id: "));
         ids.map(|id| id.parse().unwrap()).collect()
     }
 
-    /// Header field as text.
     pub fn header(&self, name: &str) -> Option<String> {
         let reply = self.0.as_ref().ok()?;
         let value = reply.headers.get(name)?;
