--- a/crates/front/src/planner/digest.rs
+++ b/crates/front/src/planner/digest.rs
@@ -30,10 +30,10 @@
     pub(super) async fn send_digest(&self, round: usize) {
         let now = self.state.now();
         let loads = self.peers.inbox.loads(now);
-        let unreachable = self.peers.inbox.absent(now);
+        let unreachable = self.peers.inbox.unreachable(now);
         let hosts = self.peers.inbox.candidates(now);
         let heartbeat = self.state.settings.bounds.heartbeat.into();
-        let store_uptime = self.peers.inbox.store(heartbeat, now);
+        let store_uptime = self.peers.inbox.store_uptime(heartbeat, now);
         self.peers.assign_fanout_groups(hosts.clone()).await;
         let readers = self.readers(hosts);
         let (status, adapters) = {
