--- a/crates/front/src/peers/load_reports.rs
+++ b/crates/front/src/peers/load_reports.rs
@@ -1,104 +1,104 @@
-//! Sums of this host, and when it tells them: round by round to the leader, and between rounds as
-//! soon as a request is counted in or a prompt is read.
+//! Reports this host's load: to the leader each round, and between rounds as soon as a request is added or a prompt
+//! is prefilled.
 
-use super::{MOST_DIRECT, Peers};
+use super::{MAX_DIRECT_HOSTS, Peers};
 use crate::message::{Demand, LoadReport, Message, PackedLoad, replica_hash};
 use crate::readers;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Pause between two rounds of sums, where hosts tell each other directly.
-const ROUND: Duration = Duration::from_millis(250);
+/// Interval of rounds in a fleet with direct exchange.
+const DIRECT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Least pause between two rounds, where hosts are too many to tell each other.
-const STAR_ROUND: Duration = Duration::from_millis(100);
+/// Minimum interval of rounds in larger fleets.
+const MIN_LARGE_FLEET_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time that each host adds to the pause, so that the leader's work does not grow with them.
-const ROUND_PER_HOST: Duration = Duration::from_micros(1_500);
+/// Increase of the interval per host, which keeps the leader's work constant.
+const INTERVAL_PER_HOST: Duration = Duration::from_micros(1_500);
 
-/// Pause in which requests that are counted in are told together.
-const DIRECT_PAUSE: Duration = Duration::from_millis(5);
+/// Delay in which added requests are batched.
+const LOAD_BATCH_DELAY: Duration = Duration::from_millis(5);
 
-/// Time for which a host waits to tell that prompts were read, after it told of a request.
-const EASED_PAUSE: Duration = Duration::from_millis(50);
+/// Maximum delay of a report that load was reduced, after a report of added load.
+const LOAD_REDUCED_WAIT: Duration = Duration::from_millis(50);
 
-/// Time after which sums are told directly although nothing was counted in.
-const DIRECT_IDLE: Duration = Duration::from_millis(300);
+/// Interval of load messages while no request is added.
+const LOAD_IDLE_INTERVAL: Duration = Duration::from_millis(300);
 
 impl Peers {
-    /// Tells this host's sums round by round until the daemon ends.
+    /// Sends reports until the daemon ends.
     pub async fn send_reports(self: Arc<Self>) {
         let mut round = 0;
         loop {
             tokio::time::sleep(self.report_interval()).await;
             round += 1;
-            self.tell_round(round).await;
-            self.tell_heard_limits().await;
-            self.repeat_leaving().await;
-            self.repeat_falls().await;
+            self.send_report(round).await;
+            self.report_limits().await;
+            self.resend_departures().await;
+            self.resend_crashes().await;
         }
     }
 
-    /// Pause between two rounds.
+    /// Interval of rounds.
     pub fn report_interval(&self) -> Duration {
         let hosts = self.state.table.lock().host_count;
-        match hosts <= MOST_DIRECT {
-            true => ROUND,
-            false => STAR_ROUND.max(ROUND_PER_HOST * hosts as u32),
+        match hosts <= MAX_DIRECT_HOSTS {
+            true => DIRECT_INTERVAL,
+            false => MIN_LARGE_FLEET_INTERVAL.max(INTERVAL_PER_HOST * hosts as u32),
         }
     }
 
-    /// Tells what is in flight as soon as a request is counted in: all other hosts directly, or the
-    /// leader, where they are too many.
+    /// Sends loads as soon as a request is added: to all other hosts in a small fleet, otherwise to the leader.
     pub async fn send_loads(self: Arc<Self>) {
         loop {
-            let entered = self.state.load_added.notified();
-            let _ = tokio::time::timeout(DIRECT_IDLE, entered).await;
-            tokio::time::sleep(DIRECT_PAUSE).await;
-            let others = self.others.lock().clone();
+            let load_added = self.state.load_added.notified();
+            let _ = tokio::time::timeout(LOAD_IDLE_INTERVAL, load_added).await;
+            tokio::time::sleep(LOAD_BATCH_DELAY).await;
+            let others = self.direct_hosts.lock().clone();
             if others.is_empty() {
-                self.tell_leader().await;
-                let _ = tokio::time::timeout(EASED_PAUSE, self.state.load_reduced.notified()).await;
-                self.tell_leader().await;
+                self.send_loads_to_leader().await;
+                let _ = tokio::time::timeout(LOAD_REDUCED_WAIT, self.state.load_reduced.notified())
+                    .await;
+                self.send_loads_to_leader().await;
                 continue;
             }
             let loads = self.state.table.lock().own_loads();
-            let message = Message::PeerLoads(self.sums(0, Vec::new(), loads));
+            let message = Message::PeerLoads(self.new_report(0, Vec::new(), loads));
             for other in others {
                 self.send(&message, other).await;
             }
         }
     }
 
-    /// Tells the leader what is in flight, between two rounds of sums.
-    async fn tell_leader(&self) {
+    /// Sends loads to the leader, between two rounds.
+    async fn send_loads_to_leader(&self) {
         let Some(leader) = self.state.leader.lock().clone() else {
             return;
         };
         let now = self.state.now();
         let loads = self.state.table.lock().report_own_loads(now);
-        let telling = self.tellings.fetch_add(1, Ordering::Relaxed);
-        let sums = self.sums(telling, Vec::new(), loads);
+        let sequence = self.load_sequence.fetch_add(1, Ordering::Relaxed);
+        let report = self.new_report(sequence, Vec::new(), loads);
         if leader.peers == self.state.settings.peers {
-            self.inbox.record_loads(sums, now);
+            self.inbox.record_loads(report, now);
             return;
         }
-        for part in sums.split() {
+        for part in report.split() {
             self.send(&Message::Loads(part), leader.peers).await;
         }
     }
 
-    /// Tells the leader what this host has seen and has in flight.
-    async fn tell_round(&self, round: u32) {
+    /// Sends this round's report to the leader.
+    async fn send_report(&self, round: u32) {
         let Some(leader) = self.state.leader.lock().clone() else {
             return;
         };
         let now = self.state.now();
-        let (demand, loads, used, absent, resting) = {
+        let (demand, loads, adapter_uses, unreachable, backing_off) = {
             let mut table = self.state.table.lock();
             let (demand, loads) = (table.demand(now), table.report_own_loads(now));
-            let resting = table
+            let backing_off = table
                 .backing_off(now)
                 .iter()
                 .map(|id| replica_hash(id))
@@ -108,26 +108,26 @@
                 loads,
                 table.take_adapter_uses(),
                 table.unreachable_replicas(now),
-                resting,
+                backing_off,
             )
         };
-        let sums = LoadReport {
-            adapter_uses: used,
-            unreachable: absent,
-            backing_off: resting,
-            ..self.sums(round, demand, loads)
+        let report = LoadReport {
+            adapter_uses,
+            unreachable,
+            backing_off,
+            ..self.new_report(round, demand, loads)
         };
         if leader.peers == self.state.settings.peers {
-            self.inbox.record_report(sums, leader.peers, now);
+            self.inbox.record_report(report, leader.peers, now);
             return;
         }
-        for part in sums.split() {
+        for part in report.split() {
             self.send(&Message::Report(part), leader.peers).await;
         }
     }
 
-    /// This host's sums. The table must not be locked.
-    fn sums(&self, round: u32, demand: Vec<Demand>, loads: Vec<PackedLoad>) -> LoadReport {
+    /// Report of this host without adapter uses and replica states. The table must not be locked.
+    fn new_report(&self, round: u32, demand: Vec<Demand>, loads: Vec<PackedLoad>) -> LoadReport {
         let settings = &self.state.settings;
         let now = self.state.now();
         let store = self.state.table.lock().view.contact.ages(now);
