--- a/crates/front/src/attempt.rs
+++ b/crates/front/src/attempt.rs
@@ -226,7 +226,8 @@
 /// Time within which the body of a refusal must arrive to reuse the connection.
 const REFUSAL_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Reads the rest of a refusal and returns the connection to the pool, if the replica keeps it open.
+/// Reads the rest of a refusal and returns the connection to the pool, if the replica keeps it
+/// open.
 async fn drain_refusal(
     state: &State,
     replica: &Name,
--- a/crates/front/src/attempt/history.rs
+++ b/crates/front/src/attempt/history.rs
@@ -3,8 +3,9 @@
 use super::{Call, Failure};
 use unit::Name;
 
-/// Replicas that a request was sent to. Only those at which it may have run count against the attempts of its route. A
-/// replica that refused it has done no work; all sends but the first are paid for by the retry budget.
+/// Replicas that a request was sent to. Only those at which it may have run count against the
+/// attempts of its route. A replica that refused it has done no work; all sends but the first are
+/// paid for by the retry budget.
 #[derive(Debug, Clone, Default)]
 pub struct History {
     /// All that received the request.
--- a/crates/front/src/attempt/reservation.rs
+++ b/crates/front/src/attempt/reservation.rs
@@ -1,4 +1,5 @@
-//! Reservation of a request at a replica: its load in the table, and what the table learns from its outcome.
+//! Reservation of a request at a replica: its load in the table, and what the table learns from its
+//! outcome.
 
 use super::{Call, Failure};
 use crate::feedback::Source;
--- a/crates/front/src/changelog.rs
+++ b/crates/front/src/changelog.rs
@@ -1,10 +1,12 @@
-//! Contents and recent changes of the store, kept for hosts that follow this one instead of reading the store.
+//! Contents and recent changes of the store, kept for hosts that follow this one instead of reading
+//! the store.
 
 use platform::store::{Change, Item};
 use std::collections::HashMap;
 use unit::{Name, Span, Time};
 
-/// Time for which a removal is kept. A host that asks for changes since an older revision must read the whole store.
+/// Time for which a removal is kept. A host that asks for changes since an older revision must read
+/// the whole store.
 const REMOVAL_RETENTION: Span = Span::from_secs(30);
 
 /// Newest change of each key in the store, as far as this host has read.
--- a/crates/front/src/feedback.rs
+++ b/crates/front/src/feedback.rs
@@ -1,4 +1,5 @@
-//! Applies what the head of an answer says about its replica: departure, backoff, rate limit, reachability.
+//! Applies what the head of an answer says about its replica: departure, backoff, rate limit,
+//! reachability.
 
 use crate::attempt::{Call, Reservation};
 use crate::rate_limit;
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -1,7 +1,7 @@
 //! A daemon's work on a platform whose store lists the replicas: entry, view, planner.
 //!
 //! Dependencies between modules point one way: `state` holds what several parts share and names
-//! only what lies below it; `run` starts them all. Locks are taken in this order: [`queue::Waiting`], then
+//! only what lies below it; `run` starts them all. Locks are taken in this order: [`queue::Queues`], then
 //! [`table::Table`]; none is held across an await.
 
 pub mod accounts;
--- a/crates/front/src/pool.rs
+++ b/crates/front/src/pool.rs
@@ -1,7 +1,8 @@
 //! Pool of idle connections to replicas.
 //!
-//! A repeatable request may use a connection until shortly before the replica closes it. Any other request uses only one
-//! that was used very recently: if the replica closes a connection while a request is sent, its outcome is unknown.
+//! A repeatable request may use a connection until shortly before the replica closes it. Any other
+//! request uses only one that was used very recently: if the replica closes a connection while a
+//! request is sent, its outcome is unknown.
 
 use conn::{Error, Line};
 use parking_lot::Mutex;
--- a/crates/front/src/queue.rs
+++ b/crates/front/src/queue.rs
@@ -1,4 +1,5 @@
-//! Queues of requests that wait until a replica can prefill their prompts without stalling the streams that run there.
+//! Queues of requests that wait until a replica can prefill their prompts without stalling the
+//! streams that run there.
 
 use crate::attempt::{Call, Reservation};
 use crate::state::State;
@@ -50,7 +51,8 @@
         queue.is_some_and(|q| !q.is_empty())
     }
 
-    /// Queues a request until `until`. Its placement comes over the channel, which closes if the request is shed.
+    /// Queues a request until `until`. Its placement comes over the channel, which closes if the
+    /// request is shed.
     pub fn push(
         &mut self,
         call: &Arc<Call>,
--- a/crates/front/src/rate_limit.rs
+++ b/crates/front/src/rate_limit.rs
@@ -1,8 +1,10 @@
-//! Rate limits that replicas advertise in their answers: the requests per second that they take from all hosts together.
+//! Rate limits that replicas advertise in their answers: the requests per second that they take
+//! from all hosts together.
 //!
-//! Hosts learn of a limit from each other within a fraction of a second. Each send to a limited replica then needs one
-//! unit, which the limiter at the leader grants ([`crate::grant`]). A host without an answer from the limiter uses its
-//! local share, or sends nothing. After a denial the replica is not chosen until a unit may be available again.
+//! Hosts learn of a limit from each other within a fraction of a second. Each send to a limited
+//! replica then needs one unit, which the limiter at the leader grants ([`crate::grant`]). A host
+//! without an answer from the limiter uses its local share, or sends nothing. After a denial the
+//! replica is not chosen until a unit may be available again.
 
 use crate::attempt::Call;
 use crate::feedback;
@@ -18,11 +20,12 @@
 use tracing::{info, warn};
 use unit::Name;
 
-/// Timeout of a claim, which is tried once: another replica can take the request sooner than a retry is answered.
+/// Timeout of a claim, which is tried once: another replica can take the request sooner than a
+/// retry is answered.
 const SINGLE_TRY: &[Duration] = TIMEOUTS.split_at(1).0;
 
-/// Records the limit that an answer advertises. An answer without one withdraws the limit if the replica `ran` the
-/// request; a refusal without one changes nothing.
+/// Records the limit that an answer advertises. An answer without one withdraws the limit if the
+/// replica `ran` the request; a refusal without one changes nothing.
 pub fn apply(state: &State, source: &feedback::Source, limit: &Reading<f64>, ran: bool) {
     let rate = match limit {
         // Hosts exchange rates as `f32` and compare them.
--- a/crates/front/src/relay.rs
+++ b/crates/front/src/relay.rs
@@ -1,7 +1,8 @@
 //! Forwarding of a replica's answer: a body as a whole, a stream event by event.
 //!
-//! A broken stream is resumed at another replica after its last complete event, if its route allows that (`resume`).
-//! Otherwise the client's connection is aborted, so that a truncated answer never looks complete.
+//! A broken stream is resumed at another replica after its last complete event, if its route allows
+//! that (`resume`). Otherwise the client's connection is aborted, so that a truncated answer never
+//! looks complete.
 
 mod resume;
 
@@ -31,7 +32,7 @@
 /// Time without data of a resumable stream after which its replica is checked.
 const SILENCE_CHECK: Span = Span::from_ms(1_000);
 
-/// Fraction of the longest allowed pause from which a pause counts as slow.
+/// Fraction of the longest allowed pause from which a pause counts as long.
 const LONG_PAUSE_FRACTION: f64 = 0.7;
 
 /// Whether the replica of a reservation is listed, with the same incarnation.
@@ -103,7 +104,7 @@
     last_event_at: Time,
     /// Time from the arrival of the request to the first event.
     ttft: Span,
-    /// Longest slow pause between two events.
+    /// Longest of the long pauses between two events.
     longest_pause: Pause,
     _in_flight: InFlight,
 }
@@ -126,7 +127,8 @@
     body: Incoming,
 }
 
-/// Waits for the first complete event of an answer, then returns an answer that forwards the stream.
+/// Waits for the first complete event of an answer, then returns an answer that forwards the
+/// stream.
 pub async fn open_stream(
     state: &Arc<State>,
     peers: &Arc<Peers>,
@@ -220,7 +222,7 @@
         }
     }
 
-    /// Records the pause before an event, if it was slow.
+    /// Records the pause before an event, if it was long.
     fn record_pause(&mut self) {
         let now = self.state.now();
         let pause = now.since(self.last_event_at);
@@ -229,7 +231,7 @@
         let is_long = gap.is_some_and(|gap| pause > gap * LONG_PAUSE_FRACTION);
         if let Some(source) = self.source.as_ref().filter(|_| is_long) {
             let mut table = self.state.table.lock();
-            table.record_slow_event(&source.reservation.replica, now);
+            table.record_stall(&source.reservation.replica, now);
             if pause > self.longest_pause.duration {
                 let (in_flight, prefill_backlog) = table.load(&source.reservation.replica, now);
                 self.longest_pause = Pause {
@@ -259,7 +261,7 @@
             self.longest_pause.prefill_backlog.ms(),
         );
         self.state.log.sampled(id, || {
-            info!(target: "request", event = "answered", id = &**id, route = &*route.name, model, ms, first_ms, target_ms, pause_ms, gap_ms, in_flight, unread_ms, "stream complete; pause_ms is its longest slow pause, in_flight and unread_ms the load of the replica then")
+            info!(target: "request", event = "answered", id = &**id, route = &*route.name, model, ms, first_ms, target_ms, pause_ms, gap_ms, in_flight, unread_ms, "stream complete; pause_ms is its longest long pause, in_flight and unread_ms the load of the replica then")
         });
         None
     }
@@ -339,10 +341,10 @@
             .metrics
             .record_outcome(&call.route.name, "broken");
         let age = self.state.now().since(call.arrived).ms();
-        let history = self.history.attempted.join(",");
+        let attempted = self.history.attempted.join(",");
         let last = self.splitter.last_id();
         self.state.log.rate_limited(|| {
-            tracing::warn!(target: "request", event = "broken", id = &*call.id, print = %call.fingerprint(), route = &*call.route.name, tried = history, last, ms = age, why = %failure, "stream aborted")
+            tracing::warn!(target: "request", event = "broken", id = &*call.id, print = %call.fingerprint(), route = &*call.route.name, tried = attempted, last, ms = age, why = %failure, "stream aborted")
         });
         io::Error::other(failure.to_string())
     }
--- a/crates/front/src/relay/resume.rs
+++ b/crates/front/src/relay/resume.rs
@@ -8,7 +8,8 @@
 use tracing::info;
 use unit::Span;
 
-/// Time for which a broken stream waits for capacity: clients abandon a stream after a gap of two seconds.
+/// Time for which a broken stream waits for capacity: clients abandon a stream after a gap of two
+/// seconds.
 const RESUME_TIMEOUT: Span = Span::from_ms(1_500);
 
 /// Most sends to resume one stream, including refused ones.
@@ -69,8 +70,8 @@
         false
     }
 
-    /// Chooses a replica to resume at and claims a unit of its rate limit, if it has one. Waits if all eligible replicas are
-    /// without capacity.
+    /// Chooses a replica to resume at and claims a unit of its rate limit, if it has one. Waits if
+    /// all eligible replicas are without capacity.
     async fn next_replica(&self) -> Option<(Choice, Option<Grant>)> {
         let (state, call) = (&self.state, &self.call);
         let deadline = state.now() + RESUME_TIMEOUT;
--- a/crates/front/src/respond.rs
+++ b/crates/front/src/respond.rs
@@ -1,7 +1,7 @@
 //! Answers that this host gives itself.
 //!
-//! 429, 503 and 408 are given only if it is proven that the request has not run and will not. Other failures to get an
-//! answer are 502 or 504.
+//! 429, 503 and 408 are given only if it is proven that the request has not run and will not. Other
+//! failures to get an answer are 502 or 504.
 
 use bytes::Bytes;
 use http_body_util::combinators::UnsyncBoxBody;
--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -81,7 +81,8 @@
     result
 }
 
-/// Admits a request by quarantine and quota, and sends it. The quota is refunded if the request has not run.
+/// Admits a request by quarantine and quota, and sends it. The quota is refunded if the request has
+/// not run.
 async fn admit_and_send(context: &Context, call: &Arc<Call>) -> Result<Response<Body>, Rejection> {
     let state = &context.state;
     quarantine::admit(state, &context.peers, call).await?;
@@ -183,8 +184,8 @@
     }
 }
 
-/// Places the next send of a request: at another replica, or else, after a pause, at one that refused it without running
-/// it.
+/// Places the next send of a request: at another replica, or else, after a pause, at one that
+/// refused it without running it.
 async fn place(
     context: &Context,
     call: &Arc<Call>,
--- a/crates/front/src/serve/admit.rs
+++ b/crates/front/src/serve/admit.rs
@@ -23,8 +23,8 @@
 /// Fraction of the target that queueing and prefill may take together.
 const QUEUE_WAIT_FRACTION: f64 = 0.8;
 
-/// Priority from which a request is refused rather than sent to a replica whose prefill limit is exceeded. More urgent
-/// requests are sent although the streams that run there stall.
+/// Priority from which a request is refused rather than sent to a replica whose prefill limit is
+/// exceeded. More urgent requests are sent although the streams that run there stall.
 const YIELDING_PRIORITY: u8 = 2;
 
 /// Interval at which a waiting request retries the choice without a change of the table.
@@ -60,8 +60,8 @@
     }
 }
 
-/// Chooses a replica and claims a unit of its rate limit, if it has one. A replica whose limit is exhausted is not chosen
-/// again until a unit may be available.
+/// Chooses a replica and claims a unit of its rate limit, if it has one. A replica whose limit is
+/// exhausted is not chosen again until a unit may be available.
 pub(super) async fn place(
     context: &Context,
     call: &Arc<Call>,
@@ -97,7 +97,8 @@
     }
 }
 
-/// Finds a replica; waits for an adapter, a model that is being loaded, or a replica without capacity.
+/// Finds a replica; waits for an adapter, a model that is being loaded, or a replica without
+/// capacity.
 async fn find(
     context: &Context,
     call: &Arc<Call>,
--- a/crates/front/src/serve/read.rs
+++ b/crates/front/src/serve/read.rs
@@ -19,8 +19,9 @@
 use tracing::info;
 use unit::{Span, Time, rendezvous};
 
-/// Age of this host's data, as a fraction of the bound on configurations, beyond which an unknown route may exist in a newer
-/// configuration. The rest of the bound covers the transit of the request and the lookup.
+/// Age of this host's data, as a fraction of the bound on configurations, beyond which an unknown
+/// route may exist in a newer configuration. The rest of the bound covers the transit of the
+/// request and the lookup.
 const MAX_AGE_FRACTION: f64 = 0.95;
 
 /// Host that a request names in its target or else in its `Host` field.
--- a/crates/front/src/serve/unavailable.rs
+++ b/crates/front/src/serve/unavailable.rs
@@ -1,4 +1,5 @@
-//! Requests that no replica can take now: how long each may wait, and how it is rejected after that.
+//! Requests that no replica can take now: how long each may wait, and how it is rejected after
+//! that.
 
 use super::{RETRY_AFTER_DEFAULT, RETRY_AFTER_RANGE};
 use crate::attempt::Call;
@@ -25,7 +26,8 @@
 /// Fraction of the target for which a request may wait for capacity; the rest is left for prefill.
 const CAPACITY_WAIT_FRACTION: f64 = 0.5;
 
-/// Random part of `Retry-After`, as a fraction of it, so that clients do not return at the same time.
+/// Random part of `Retry-After`, as a fraction of it, so that clients do not return at the same
+/// time.
 const JITTER_FRACTION: f64 = 0.25;
 
 /// Least range of the random part: one step of the ramp-up after a backoff.
@@ -34,8 +36,8 @@
 /// Fraction of the target within which a model must be loaded for the request to wait for it.
 const MODEL_WAIT_FRACTION: f64 = 0.8;
 
-/// Deadline and rejection of a request whose replicas have no capacity. A request that would not get a unit in time does
-/// not wait.
+/// Deadline and rejection of a request whose replicas have no capacity. A request that would not
+/// get a unit in time does not wait.
 pub(super) fn saturated(
     state: &Arc<State>,
     call: &Call,
@@ -149,7 +151,8 @@
     }
 }
 
-/// Tells the leader that no replica holds the model of a request, without waiting for the next report.
+/// Tells the leader that no replica holds the model of a request, without waiting for the next
+/// report.
 fn request_model(state: &State, call: &Call) {
     if let Some(model) = &call.ask.model {
         // The receiver lives as long as the daemon.
--- a/crates/front/src/table.rs
+++ b/crates/front/src/table.rs
@@ -1,10 +1,12 @@
-//! Routing state of one daemon, behind one lock: replicas, the configuration in force and the load in flight.
+//! Routing state of one daemon, behind one lock: replicas, the configuration in force and the load
+//! in flight.
 //!
-//! `replica` holds what this host knows of one replica, with its `reachability`, `rate_limit` and moving `average`s of
-//! failures and stalls; `backoff` the times for which replicas take no requests from this host; `adapters` where
-//! adapters are loaded; `pace` the prefill speed and decode time of models; `demand` the arrival rate by model; `planner_status`
-//! the planner status that the leader sends. `choose` picks a replica by all of these, and `loads` exchanges loads with
-//! other hosts.
+//! `replica` holds what this host knows of one replica, with its `reachability`, `rate_limit` and
+//! moving `average`s of failures and stalls; `backoff` the times for which replicas take no
+//! requests from this host; `adapters` where adapters are loaded; `pace` the prefill speed and
+//! decode time of models; `demand` the arrival rate by model; `planner_status` what the leader
+//! sends about its plans. `choose` picks a replica by all of these, and `loads` exchanges loads
+//! with other hosts.
 
 mod adapters;
 mod average;
@@ -98,8 +100,8 @@
 }
 
 impl Table {
-    /// Creates an empty table. `seed` makes hosts break ties differently; `heartbeat` is the interval at which replicas
-    /// write their entries.
+    /// Creates an empty table. `seed` makes hosts break ties differently; `heartbeat` is the
+    /// interval at which replicas write their entries.
     pub fn new(hall: Name, seed: u64, heartbeat: Span) -> Table {
         Table {
             view: View::new(heartbeat),
@@ -120,7 +122,8 @@
         }
     }
 
-    /// Installs a configuration if its revision is newer than the current one; returns whether it did.
+    /// Installs a configuration if its revision is newer than the current one; returns whether it
+    /// did.
     pub fn set_routes(&mut self, routes: Routes) -> bool {
         let newer = |known: &Arc<Routes>| known.revision < routes.revision;
         if !self.routes.as_ref().is_none_or(newer) {
@@ -178,7 +181,8 @@
         (pace.prefill_speed, pace.decode)
     }
 
-    /// Fraction of slots in use at the replicas of a service that hold the model; 1 when there are none.
+    /// Fraction of slots in use at the replicas of a service that hold the model; 1 when there are
+    /// none.
     pub fn utilization(&self, criteria: &Criteria, now: Time) -> f64 {
         let model = criteria.ask.model.as_ref();
         let direct = self.has_direct_loads(now);
@@ -268,8 +272,9 @@
         self.replica_mut(replica).reachability.record_reached(now);
     }
 
-    /// Records that the pause between two events of a replica's stream was close to the allowed maximum.
-    pub fn record_slow_event(&mut self, replica: &Name, now: Time) {
+    /// Records a stall: a pause between two events of a replica's stream that was close to the
+    /// allowed maximum.
+    pub fn record_stall(&mut self, replica: &Name, now: Time) {
         self.replica_mut(replica).stall_rate.record(1.0, now);
     }
 
--- a/crates/front/src/table/adapters.rs
+++ b/crates/front/src/table/adapters.rs
@@ -57,7 +57,8 @@
     }
 }
 
-/// Whether a replica holds an adapter: by the leader's digest while that is recent, else by its entry.
+/// Whether a replica holds an adapter: by the leader's digest while that is recent, else by its
+/// entry.
 pub(super) fn holds_adapter(
     entry: &Entry,
     state: Option<&State>,
@@ -65,13 +66,13 @@
     adapter: &Name,
     now: Time,
 ) -> bool {
-    let reported = |s: &State| s.adapters.iter().any(|(m, a)| m == model && a == adapter);
+    let is_reported = |s: &State| s.adapters.iter().any(|(m, a)| m == model && a == adapter);
     if let Some(state) = state.filter(|s| now.since(s.adapters_at) < MAX_DIGEST_AGE) {
-        return reported(state);
+        return is_reported(state);
     }
     let in_entry = entry
         .held
         .iter()
         .any(|h| h.model == *model && h.adapters.contains(adapter));
-    in_entry || state.is_some_and(reported)
+    in_entry || state.is_some_and(is_reported)
 }
--- a/crates/front/src/table/backoff.rs
+++ b/crates/front/src/table/backoff.rs
@@ -1,5 +1,5 @@
-//! Backoffs that replicas ask of this host by 503 with `Retry-After`. A backoff belongs to an incarnation and outlives
-//! changes of the replica's entry.
+//! Backoffs that replicas ask of this host by 503 with `Retry-After`. A backoff belongs to an
+//! incarnation and outlives changes of the replica's entry.
 
 use super::Table;
 use platform::replica::Incarnation;
@@ -20,9 +20,9 @@
 }
 
 impl Table {
-    /// Records that a replica refused a request and asked for a backoff of `time`. Zero means that it asked for none: that
-    /// only restarts the ramp-up after an active backoff. Returns `None` if nothing changed, or if the table knows another
-    /// incarnation of the replica.
+    /// Records that a replica refused a request and asked for a backoff of `time`. Zero means that
+    /// it asked for none: that only restarts the ramp-up after an active backoff. Returns `None` if
+    /// nothing changed, or if the table knows another incarnation of the replica.
     pub fn record_backoff(
         &mut self,
         id: &Name,
@@ -74,7 +74,8 @@
         active.map(|(id, _)| id).collect()
     }
 
-    /// Replicas with an active backoff and the time left of it, the longest first; zero during the ramp-up.
+    /// Replicas with an active backoff and the time left of it, the longest first; zero during the
+    /// ramp-up.
     pub fn backoffs(&self, now: Time) -> Vec<(Name, Span)> {
         let holds = |id: &Name, of: &Incarnation| !self.view.has_other_incarnation(id, *of);
         let backoffs = self.backoffs.iter().filter(|(id, (of, _))| holds(id, of));
--- a/crates/front/src/table/choose.rs
+++ b/crates/front/src/table/choose.rs
@@ -16,10 +16,12 @@
 /// Steps of one event over which the prefill allowed between two events may be spread.
 const MAX_PREFILL_STEPS: f64 = 1.2;
 
-/// Width of the random part of a candidate's cost while hosts exchange loads directly, some 10 ms old.
+/// Width of the random part of a candidate's cost while hosts exchange loads directly, some 10 ms
+/// old.
 const DIRECT_JITTER: Span = Span::from_ms(2);
 
-/// Width of the random part of a candidate's cost while loads come by way of the leader, some 50 ms old.
+/// Width of the random part of a candidate's cost while loads come by way of the leader, some 50 ms
+/// old.
 const RELAYED_JITTER: Span = Span::from_ms(40);
 
 /// Replica chosen for a request.
@@ -33,7 +35,8 @@
     pub ttft: Span,
     /// Whether the prompt can be prefilled now without stalling the streams that run there.
     pub fits_prefill_limit: bool,
-    /// Whether the prompts that wait there already stall the running streams for as long as is allowed.
+    /// Whether the prompts that wait there already stall the running streams for as long as is
+    /// allowed.
     pub exceeds_prefill_limit: bool,
     /// Whether any candidate has a free slot.
     pub has_free_slot: bool,
@@ -192,7 +195,8 @@
         }
     }
 
-    /// Width of the random part of a candidate's cost, by the age of the loads known from other hosts.
+    /// Width of the random part of a candidate's cost, by the age of the loads known from other
+    /// hosts.
     fn jitter(&self, now: Time) -> Span {
         match self.has_direct_loads(now) || self.host_count == 1 {
             true => DIRECT_JITTER,
--- a/crates/front/src/table/loads.rs
+++ b/crates/front/src/table/loads.rs
@@ -5,8 +5,8 @@
 use std::collections::HashMap;
 use unit::{Name, Span, Time};
 
-/// Time within which a report of this host is included in the leader's digest: the way there, the leader's interval and
-/// the way back.
+/// Time within which a report of this host is included in the leader's digest: the way there, the
+/// leader's interval and the way back.
 const REPORT_LATENCY: Span = Span::from_ms(60);
 
 impl Table {
@@ -49,8 +49,9 @@
     pub fn set_fleet_loads(&mut self, rows: &[PackedLoad], now: Time) {
         for (id, load) in self.resolve(rows) {
             let state = self.replicas.entry(id).or_default();
-            // The digest may include either of the last two reports: subtracting the smaller one counts some of this
-            // host's requests twice for a moment, which is better than missing them.
+            // The digest may include either of the last two reports: subtracting the smaller one
+            // counts some of this host's requests twice for a moment, which is better than missing
+            // them.
             let own = state.reported.min(&state.reported_before);
             state.fleet = load.saturating_sub(&own);
             state.fleet_at = now;
--- a/crates/front/src/table/pace.rs
+++ b/crates/front/src/table/pace.rs
@@ -27,7 +27,7 @@
 }
 
 impl Pace {
-    /// Time to prefill a prompt of which `kept` tokens are cached; zero without a model.
+    /// Time to prefill a prompt of which `cached` tokens are cached; zero without a model.
     pub(super) fn prefill(&self, model: Option<&Name>, ask: &Ask, cached: u64) -> Span {
         if model.is_none() {
             return Span::ZERO;
@@ -58,7 +58,8 @@
         known.copied().unwrap_or_default()
     }
 
-    /// Records that a prompt of `tokens` tokens, which waited for no other, had its first token after `took`.
+    /// Records that a prompt of `tokens` tokens, which waited for no other, had its first token
+    /// after `took`.
     pub(super) fn record_prefill_speed(
         &mut self,
         service: &Name,
--- a/crates/front/src/table/planner_status.rs
+++ b/crates/front/src/table/planner_status.rs
@@ -1,5 +1,5 @@
-//! Planner status from the leader: models that are being loaded, were just loaded or are about to be unloaded, and
-//! replicas that several hosts could not reach.
+//! Planner status from the leader: models that are being loaded, were just loaded or are about to
+//! be unloaded, and replicas that several hosts could not reach.
 
 use super::{MAX_DIGEST_AGE, Table};
 use crate::message::replica_hash;
@@ -47,7 +47,7 @@
     pub(super) fn model_eta(&self, model: &Name, now: Time) -> Option<Span> {
         self.model_etas
             .get(model)
-            .map(|received_at| received_at.since(now))
+            .map(|expected_at| expected_at.since(now))
     }
 }
 
--- a/crates/front/src/table/rate_limit.rs
+++ b/crates/front/src/table/rate_limit.rs
@@ -1,4 +1,5 @@
-//! Rate limits that replicas advertise: the requests per second that they take from all hosts together.
+//! Rate limits that replicas advertise: the requests per second that they take from all hosts
+//! together.
 
 use super::choose::priority_level;
 use super::replica::State;
@@ -9,18 +10,20 @@
 use std::collections::HashMap;
 use unit::{Name, Span, Time};
 
-/// Time for which a host keeps reporting a limit that it heard itself, so that a new leader learns of it.
+/// Time for which a host keeps reporting a limit that it heard itself, so that a new leader learns
+/// of it.
 const OWN_REPORT_DURATION: Span = Span::from_secs(5);
 
 /// Time for which the withdrawal of a limit is reported: several report rounds of a large fleet.
 const WITHDRAWN_REPORT_DURATION: Span = Span::from_secs(10);
 
-/// Time without an answer from a limited replica after which it is preferred, if it has a unit left: only an answer can
-/// withdraw the limit.
+/// Time without an answer from a limited replica after which it is preferred, if it has a unit
+/// left: only an answer can withdraw the limit.
 const PROBE_AFTER: Span = Span::from_ms(1_000);
 
-/// Units that each priority level leaves to the more urgent ones. The sum over all levels is less than a full bucket, so
-/// that the least urgent level can use the whole limit where nothing else comes.
+/// Units that each priority level leaves to the more urgent ones. The sum over all levels is less
+/// than a full bucket, so that the least urgent level can use the whole limit where nothing else
+/// comes.
 const RESERVED_PER_LEVEL: f64 = 0.3;
 
 /// LimitChange of a replica's limit.
@@ -94,7 +97,8 @@
         })
     }
 
-    /// Time until a unit is available to one more request of this host, behind those that wait already.
+    /// Time until a unit is available to one more request of this host, behind those that wait
+    /// already.
     fn queue_wait(&self, reserved: f64, now: Time) -> Span {
         let queue_wait = self.estimate.map_or(Span::ZERO, |e| e.queue_wait(now));
         let ahead =
@@ -132,8 +136,8 @@
         self.replicas.get_mut(id)?.limit.as_mut()
     }
 
-    /// Records the rate that an answer advertises, or that it advertises none; returns what that changes. Ignored if the
-    /// answer is from another incarnation than the one in the view.
+    /// Records the rate that an answer advertises, or that it advertises none; returns what that
+    /// changes. Ignored if the answer is from another incarnation than the one in the view.
     pub fn record_limit(
         &mut self,
         id: &Name,
@@ -163,7 +167,8 @@
         change(previous, &advertisement, now)
     }
 
-    /// Merges limits that other hosts reported; returns the replicas whose limit changed, with the rate and the change.
+    /// Merges limits that other hosts reported; returns the replicas whose limit changed, with the
+    /// rate and the change.
     pub fn merge_limits(
         &mut self,
         reports: &[ReplicaLimit],
@@ -272,7 +277,8 @@
         })
     }
 
-    /// Deducts a unit that is about to be claimed, so that concurrent requests do not count on it as well.
+    /// Deducts a unit that is about to be claimed, so that concurrent requests do not count on it
+    /// as well.
     pub fn record_claim(&mut self, id: &str, now: Time) {
         let Some(limit) = self.limit_mut(id) else {
             return;
@@ -287,11 +293,11 @@
     pub fn record_limiter_answer(
         &mut self,
         id: &str,
-        reports: Option<Result<f64, Refusal>>,
+        answer: Option<Result<f64, Refusal>>,
         now: Time,
     ) {
         if let Some(limit) = self.limit_mut(id) {
-            limit.estimate = Some(match reports {
+            limit.estimate = Some(match answer {
                 Some(Ok(available)) => Estimate::new(available, now),
                 Some(Err(refusal)) => Estimate::after_refusal(refusal, now),
                 None => Estimate::without_answer(REPLICA_TOLERANCE, now),
@@ -319,7 +325,8 @@
         }
     }
 
-    /// Whether a limited replica has not answered this host for so long that it should be preferred.
+    /// Whether a limited replica has not answered this host for so long that it should be
+    /// preferred.
     pub(super) fn needs_probe(&self, id: &str, now: Time) -> bool {
         let limit = self.replicas.get(id).and_then(|s| s.active_limit(now));
         let is_overdue = |at: Time| now.since(at) >= PROBE_AFTER;
@@ -327,7 +334,7 @@
     }
 }
 
-/// LimitChange from one advertisement to the next.
+/// Change from one advertisement to the next.
 fn change(
     previous: Option<Advertisement>,
     advertisement: &Advertisement,
--- a/crates/front/src/table/reachability.rs
+++ b/crates/front/src/table/reachability.rs
@@ -1,5 +1,6 @@
-//! Reachability of one replica from this host. A replica that refuses connections, or at whose address another one
-//! answers, is avoided at once; its entry in the store lapses only after several heartbeats.
+//! Reachability of one replica from this host. A replica that refuses connections, or at whose
+//! address another one answers, is avoided at once; its entry in the store lapses only after
+//! several heartbeats.
 
 use unit::{Span, Time};
 
@@ -9,10 +10,12 @@
 /// Longest time for which a replica is avoided before one request tries it again.
 const MAX_AVOIDANCE: Span = Span::from_ms(1_200);
 
-/// Time for which an unreachable replica is reported to other hosts: about what its entry takes to lapse.
+/// Time for which an unreachable replica is reported to other hosts: about what its entry takes to
+/// lapse.
 const REPORT_DURATION: Span = Span::from_ms(2_500);
 
-/// Time after an answer of the replica during which reports of other hosts that it is unreachable are ignored.
+/// Time after an answer of the replica during which reports of other hosts that it is unreachable
+/// are ignored.
 const REACHED_VALID_FOR: Span = Span::from_ms(500);
 
 /// Consecutive refusals as misdirected after which a replica counts as unreachable.
@@ -72,7 +75,8 @@
         self.failures += 1;
     }
 
-    /// Records a refusal as misdirected. A single one may be about the adapter alone, unless the request named none.
+    /// Records a refusal as misdirected. A single one may be about the adapter alone, unless the
+    /// request named none.
     pub(super) fn record_misdirected(&mut self, names_no_adapter: bool, now: Time) {
         self.misdirected += 1;
         if names_no_adapter || self.failures > 0 || self.misdirected >= MISDIRECTED_THRESHOLD {
--- a/crates/front/src/table/replica.rs
+++ b/crates/front/src/table/replica.rs
@@ -43,7 +43,7 @@
     pub(super) limit: Option<LimitState>,
     /// Fraction of its answers that failed.
     pub(super) failure_rate: Average,
-    /// Average of 1 for each long pause in its streams.
+    /// Smoothed mark of stalls in its streams, from 0 to 1.
     pub(super) stall_rate: Average,
     pub(super) reachability: Reachability,
     /// Prompt parts that its prefix cache likely holds, by model; the most recently used is last.
--- a/crates/front/src/view.rs
+++ b/crates/front/src/view.rs
@@ -1,8 +1,8 @@
 //! View of the replicas that the store lists. Updates with older revisions are ignored.
 //!
-//! An entry that vanishes during an outage of the store is not a removal: living replicas write their entries again soon
-//! after the store returns. An entry that is still missing then is removed. [`contact`](crate::contact) tells whether the
-//! store is reachable.
+//! An entry that vanishes during an outage of the store is not a removal: living replicas write
+//! their entries again soon after the store returns. An entry that is still missing then is
+//! removed. [`contact`](crate::contact) tells whether the store is reachable.
 
 use crate::contact::Contact;
 use platform::replica::{Entry, Incarnation};
@@ -58,7 +58,8 @@
     pub missing_since: Option<Time>,
     /// Incarnations before the current one, oldest first.
     former_incarnations: VecDeque<u64>,
-    /// Whether this incarnation has announced its departure. The entry is also marked as leaving while it is overwritten.
+    /// Whether this incarnation has announced its departure. The entry is also marked as leaving
+    /// while it is overwritten.
     is_leaving: bool,
 }
 
@@ -88,7 +89,7 @@
     Overwritten(Name),
     /// Another change of an entry.
     Changed(Name),
-    /// An entry vanished while the store was unreachable, and may reappear.
+    /// An entry vanished during or shortly after an outage of the store, and may reappear.
     Missing(Name),
     /// A replica is gone.
     Removed(Name),
@@ -110,8 +111,9 @@
 
     /// Relates an entry to the newest known one.
     ///
-    /// Heartbeat counters restart with each incarnation, so they are compared within one. An earlier start time is stale if
-    /// it was seen before; otherwise the replica's clock was set back between two starts.
+    /// Heartbeat counters restart with each incarnation, so they are compared within one. An
+    /// earlier start time is stale if it was seen before; otherwise the replica's clock was set
+    /// back between two starts.
     fn classify(&self, entry: &Entry) -> Write {
         match (self.entry.incarnation, entry.incarnation) {
             (Some(known), Some(new)) if new < known && self.former_incarnations.contains(&new) => {
@@ -123,7 +125,8 @@
         }
     }
 
-    /// Applies a later entry of the same incarnation; returns whether it announces the departure, which cannot be revoked.
+    /// Applies a later entry of the same incarnation; returns whether it announces the departure,
+    /// which cannot be revoked.
     fn apply_next(&mut self, entry: Entry) -> bool {
         let announces = entry.leaving && !self.is_leaving;
         self.is_leaving |= entry.leaving;
@@ -180,7 +183,8 @@
         departure.is_some_and(|departure| departure.incarnation == incarnation)
     }
 
-    /// Records that an incarnation announced its departure, which cannot be revoked; returns whether that was new.
+    /// Records that an incarnation announced its departure, which cannot be revoked; returns
+    /// whether that was new.
     pub fn record_departure(
         &mut self,
         id: &Name,
@@ -208,11 +212,11 @@
     /// Returns the departures that this host has to pass on, and marks them as passed on.
     pub fn take_unannounced_departures(&mut self) -> Vec<(Name, Incarnation)> {
         let unannounced = self.departures.iter_mut().filter(|(_, d)| !d.is_announced);
-        let new = unannounced.map(|(id, departure)| {
+        let taken = unannounced.map(|(id, departure)| {
             departure.is_announced = true;
             (id.clone(), departure.incarnation)
         });
-        new.collect()
+        taken.collect()
     }
 
     /// Departures that replicas announced to this host within the last `time`.
@@ -265,8 +269,8 @@
         }
     }
 
-    /// Records that a replica's entry was replaced by something invalid. The replica gets no new requests until a valid
-    /// entry follows; running ones go on.
+    /// Records that a replica's entry was replaced by something invalid. The replica gets no new
+    /// requests until a valid entry follows; running ones go on.
     pub fn mark_overwritten(&mut self, id: &str, revision: u64) -> Option<Update> {
         let replica = self.replicas.get_mut(id)?;
         if replica.revision >= revision {
@@ -300,7 +304,8 @@
         }
     }
 
-    /// Compares with a complete listing read at `revision`: replicas that it lacks have been removed.
+    /// Compares with a complete listing read at `revision`: replicas that it lacks have been
+    /// removed.
     pub fn reconcile(&mut self, present: &[Name], revision: u64, now: Time) -> Vec<Update> {
         let missing: Vec<Name> = self
             .replicas
@@ -319,7 +324,8 @@
         self.replicas.values().any(|s| s.missing_since.is_some())
     }
 
-    /// Removes replicas whose entries are still missing after the store's return, and drops old removals and departures.
+    /// Removes replicas whose entries are still missing after the store's return, and drops old
+    /// removals and departures.
     pub fn expire(&mut self, now: Time) -> Vec<Update> {
         self.removed
             .retain(|_, (_, at)| now.since(*at) < REMOVAL_RETENTION);
--- a/crates/front/tests/backoff.rs
+++ b/crates/front/tests/backoff.rs
@@ -1,4 +1,5 @@
-//! Replicas that refuse a request with 503 and `Retry-After` get no requests from that host for so long.
+//! Replicas that refuse a request with 503 and `Retry-After` get no requests from that host for so
+//! long.
 
 mod site;
 
@@ -258,7 +259,8 @@
     assert_eq!(refusing.arrived_after(at).len(), 0);
 }
 
-/// Guards against full load directly after a backoff, and against a replica that stays unused after it.
+/// Guards against full load directly after a backoff, and against a replica that stays unused after
+/// it.
 #[tokio::test]
 async fn load_ramps_up_after_a_backoff() {
     let store = store().await;
@@ -311,8 +313,8 @@
     );
 }
 
-/// Guards against requests that wait for a long backoff instead of being refused at once, and against clients that are all
-/// told to retry at the same time.
+/// Guards against requests that wait for a long backoff instead of being refused at once, and
+/// against clients that are all told to retry at the same time.
 #[tokio::test]
 async fn requests_during_long_backoffs_are_refused_with_the_earliest_end() {
     let store = store().await;
--- a/crates/front/tests/departures.rs
+++ b/crates/front/tests/departures.rs
@@ -1,4 +1,5 @@
-//! Replicas announce their departure in answers: a host that received one sends no new requests, whatever the store lists.
+//! Replicas announce their departure in answers: a host that received one sends no new requests,
+//! whatever the store lists.
 
 mod site;
 
@@ -31,7 +32,8 @@
     });
 }
 
-/// Requests from a host that arrived after the bound, counted from the first answer that announced the departure to it.
+/// Requests from a host that arrived after the bound, counted from the first answer that announced
+/// the departure to it.
 fn late_requests(replica: &Replica, host: &str) -> usize {
     let announcements = replica.said();
     let mut announced_at = announcements
@@ -120,7 +122,8 @@
     }
 }
 
-/// Guards against a departure that is forgotten when the entry is removed, returns or is overwritten.
+/// Guards against a departure that is forgotten when the entry is removed, returns or is
+/// overwritten.
 #[tokio::test]
 async fn a_departure_outlives_changes_of_the_entry() {
     let store = store().await;
@@ -145,8 +148,8 @@
     assert_eq!(late_requests_from_all(&web, &hosts), 0, "plain requests");
 }
 
-/// Guards against a departure that is forgotten by a host that is suspended, or has lost the leader, the store and the
-/// other hosts.
+/// Guards against a departure that is forgotten by a host that is suspended, or has lost the
+/// leader, the store and the other hosts.
 #[tokio::test]
 async fn a_departure_is_kept_by_a_suspended_and_isolated_host() {
     let store = store().await;
@@ -181,7 +184,8 @@
     assert_eq!(slow.seen(&id).ran, 1);
 }
 
-/// Guards against further orders to a replica that announced its departure in the answer to an order.
+/// Guards against further orders to a replica that announced its departure in the answer to an
+/// order.
 #[tokio::test]
 async fn an_answer_to_an_order_announces_a_departure() {
     let store = store().await;
@@ -192,7 +196,8 @@
         let table = host.state().table.lock();
         table.view.get("i-1").is_some_and(|s| s.entry.leaving)
     };
-    // The leader asks each replica for a report before its first order, and loads a model that no replica holds.
+    // The leader asks each replica for a report before its first order, and loads a model that no
+    // replica holds.
     let _ = ask(&host, "/stream/x", Some("m1")).await;
     until(leaves).await;
     let orders = leaving.orders().len();
@@ -250,7 +255,8 @@
     assert_eq!(leaving.arrivals(), 1);
 }
 
-/// Guards against orders to a replica whose report announces its departure while its entry does not.
+/// Guards against orders to a replica whose report announces its departure while its entry does
+/// not.
 #[tokio::test]
 async fn a_report_announces_a_departure() {
     let store = store().await;
--- a/crates/front/tests/invalid_entries.rs
+++ b/crates/front/tests/invalid_entries.rs
@@ -1,4 +1,5 @@
-//! Invalid entries, and entries by another writer: their replicas get no requests, and other entries stay in use.
+//! Invalid entries, and entries by another writer: their replicas get no requests, and other
+//! entries stay in use.
 
 mod site;
 
@@ -88,8 +89,8 @@
     assert!(to_first > 0 && to_second > 0);
 }
 
-/// Guards against a replica whose identity cannot be sent in a header field: any replica at its address would run the
-/// request.
+/// Guards against a replica whose identity cannot be sent in a header field: any replica at its
+/// address would run the request.
 #[tokio::test]
 async fn an_identity_that_is_no_header_value_is_ignored() {
     let (store, first, _second, daemon) = site().await;
--- a/crates/front/tests/rate_limit.rs
+++ b/crates/front/tests/rate_limit.rs
@@ -1,6 +1,8 @@
-//! Rate limits that replicas advertise in their answers: the requests per second that they take from all hosts together.
+//! Rate limits that replicas advertise in their answers: the requests per second that they take
+//! from all hosts together.
 //!
-//! Guards against hosts that go on sending as before to a replica that advertises a limit, which may crash it.
+//! Guards against hosts that go on sending as before to a replica that advertises a limit, which
+//! may crash it.
 
 mod site;
 
@@ -51,8 +53,9 @@
     (store, replicas, hosts)
 }
 
-/// Sends load before a replica advertises a limit, for the bound after it, and then for 6 s; returns the statuses of those
-/// 6 s and the most requests that reached the replica in a window of them.
+/// Sends load before a replica advertises a limit, for the bound after it, and then for 6 s;
+/// returns the statuses of those 6 s and the most requests that reached the replica in a window of
+/// them.
 async fn load_under_limit(
     hosts: &[Daemon],
     replica: &Replica,
@@ -99,7 +102,8 @@
     );
     let served = statuses.iter().filter(|s| **s == 200).count();
     assert!(served >= 6, "{served} in 6 s: half of the limit is used");
-    // More requests at once than get a unit while they may wait, which is half of their target of 1 s.
+    // More requests at once than get a unit while they may wait, which is half of their target of 1
+    // s.
     let mut requests = JoinSet::new();
     for host in hosts.iter().cycle().take(30) {
         let callers = host.callers();
@@ -153,7 +157,8 @@
     );
 }
 
-/// Sends load for a time; returns the statuses and the most requests that reached a replica in a window.
+/// Sends load for a time; returns the statuses and the most requests that reached a replica in a
+/// window.
 async fn measure_load(hosts: &[Daemon], replica: &Replica, time: Duration) -> (Vec<u16>, usize) {
     let from = Instant::now();
     let statuses = send_load(hosts, &["/stream/x"], time).await;
@@ -169,7 +174,8 @@
     );
 }
 
-/// Guards against exceeding the limit when the limiter dies: hosts must use their local shares until the next leader.
+/// Guards against exceeding the limit when the limiter dies: hosts must use their local shares
+/// until the next leader.
 #[tokio::test]
 async fn a_limit_is_kept_when_the_leader_dies_and_a_host_joins() {
     let (store, [limited, _other], mut hosts) = two_replicas().await;
@@ -187,7 +193,8 @@
     assert_all_served(&statuses);
 }
 
-/// Guards against exceeding the limit after a host was suspended, during which its monotonic clock stands still.
+/// Guards against exceeding the limit after a host was suspended, during which its monotonic clock
+/// stands still.
 #[tokio::test]
 async fn a_limit_is_kept_while_hosts_are_suspended() {
     let (_store, [limited, _other], hosts) = two_replicas().await;
@@ -205,8 +212,8 @@
     assert!(hosts.iter().all(|h| knows(h) == Some(2.0)));
 }
 
-/// Guards against a limit that is exceeded or unused while the store is unreachable for longer than a lease, when the
-/// leader grants only half of it.
+/// Guards against a limit that is exceeded or unused while the store is unreachable for longer than
+/// a lease, when the leader grants only half of it.
 #[tokio::test]
 async fn a_limit_is_kept_and_used_during_a_store_outage() {
     let (store, [limited, _other], hosts) = two_replicas().await;
@@ -224,7 +231,8 @@
     store.set_mode(Mode::Up);
 }
 
-/// Guards against exceeding any limit, or using less than half of it, where all replicas of a service advertise one.
+/// Guards against exceeding any limit, or using less than half of it, where all replicas of a
+/// service advertise one.
 #[tokio::test]
 async fn limits_on_all_replicas_of_a_service_are_kept() {
     let store = store().await;
@@ -378,7 +386,8 @@
     );
 }
 
-/// Guards against messages about limits that do not fit a datagram, and against large quota requests and responses.
+/// Guards against messages about limits that do not fit a datagram, and against large quota
+/// requests and responses.
 #[test]
 fn limit_messages_fit_a_datagram() {
     let row = ReplicaLimit {
--- a/crates/front/tests/responses.rs
+++ b/crates/front/tests/responses.rs
@@ -30,7 +30,8 @@
     assert_eq!(ask(&daemon, "/nowhere/x", None).await.1.status(), 404);
 }
 
-/// Guards against a request that runs twice although it is not repeatable, and against a status that hides that it ran.
+/// Guards against a request that runs twice although it is not repeatable, and against a status
+/// that hides that it ran.
 #[rstest]
 #[case::sheds(Fault::Sheds, 503, 0)]
 #[case::loses_answers(Fault::LosesAnswers, 502, 1)]
@@ -109,7 +110,8 @@
     assert_eq!(runs, 2, "each replica ran it once");
 }
 
-/// Guards against a less urgent prompt that is sent to a replica whose prefill backlog already stalls its streams.
+/// Guards against a less urgent prompt that is sent to a replica whose prefill backlog already
+/// stalls its streams.
 #[rstest]
 #[case::less_urgent_is_refused("/later/x", 503)]
 #[case::urgent_is_sent("/stream/x", 200)]
--- a/crates/front/tests/restarts.rs
+++ b/crates/front/tests/restarts.rs
@@ -1,4 +1,5 @@
-//! Replicas that restart under the same identity: they hold no models, and their counters start again.
+//! Replicas that restart under the same identity: they hold no models, and their counters start
+//! again.
 
 mod site;
 
@@ -16,7 +17,8 @@
     }
 }
 
-/// Guards against a departure that is ignored because its heartbeat number is lower than those before the restart.
+/// Guards against a departure that is ignored because its heartbeat number is lower than those
+/// before the restart.
 #[tokio::test]
 async fn a_replica_that_leaves_after_a_restart_gets_no_requests() {
     let store = store().await;
@@ -51,7 +53,8 @@
     assert_eq!(ask(&daemon, "/again/x", None).await.1.status(), 200);
 }
 
-/// Guards against a leader that does not reload the models of a restarted replica, whose order numbers start again.
+/// Guards against a leader that does not reload the models of a restarted replica, whose order
+/// numbers start again.
 #[tokio::test]
 async fn models_held_before_a_restart_are_loaded_again() {
     let store = store().await;
--- a/crates/front/tests/unreachable.rs
+++ b/crates/front/tests/unreachable.rs
@@ -1,4 +1,5 @@
-//! Replicas that are unreachable, or whose address another replica took, while the store still lists them.
+//! Replicas that are unreachable, or whose address another replica took, while the store still
+//! lists them.
 
 mod site;
 
@@ -42,7 +43,8 @@
     for _ in 0..REQUESTS {
         assert_eq!(ask(&daemon, "/again/x", None).await.1.status(), 200);
     }
-    // Tried at first and then with exponential backoff from 150 ms; one connection to the other replica is reused.
+    // Tried at first and then with exponential backoff from 150 ms; one connection to the other
+    // replica is reused.
     let max = 2 + start.elapsed().as_millis() as u64 / 150;
     let opened_connections = opened_connections(&daemon);
     assert!(
@@ -51,7 +53,8 @@
     );
 }
 
-/// Guards against a host that keeps sending requests to an address where another replica has started.
+/// Guards against a host that keeps sending requests to an address where another replica has
+/// started.
 #[rstest]
 #[case::model("m1")]
 #[case::adapter("m1/a1")]
--- a/crates/front/tests/view.rs
+++ b/crates/front/tests/view.rs
@@ -73,7 +73,8 @@
     assert_eq!((replica.incarnation, replica.leaving), (Some(2_000), true));
 }
 
-/// Guards against an incarnation that is ignored because the replica's clock was set back before its start.
+/// Guards against an incarnation that is ignored because the replica's clock was set back before
+/// its start.
 #[test]
 fn an_unknown_earlier_start_is_a_new_incarnation() {
     let mut view = View::new(HEARTBEAT);
@@ -146,7 +147,8 @@
     assert!(view.reconcile(&[], 20, at(0)).is_empty());
 }
 
-/// Guards against a departure that is forgotten when the entry lapses and returns, is overwritten, or does not show it.
+/// Guards against a departure that is forgotten when the entry lapses and returns, is overwritten,
+/// or does not show it.
 #[test]
 fn a_departure_outlives_the_entry() {
     let mut view = View::new(HEARTBEAT);
@@ -201,8 +203,8 @@
 }
 
 proptest! {
-    /// In any order of updates, an incarnation that announced its departure is always leaving, and one that did not, in
-    /// an answer or in its entry, is not leaving while its entry is valid.
+    /// In any order of updates, an incarnation that announced its departure is always leaving, and
+    /// one that did not, in an answer or in its entry, is not leaving while its entry is valid.
     #[test]
     fn a_departure_applies_to_its_incarnation_only(events in events()) {
         let mut view = View::new(HEARTBEAT);
@@ -219,7 +221,8 @@
                     let is_late = current.is_some_and(|known| known != Some(of));
                     prop_assert!(!(is_new && is_late), "a late answer counts as new");
                     if !is_late {
-                        // A replica runs one incarnation at a time: a later announcement is from a later one.
+                        // A replica runs one incarnation at a time: a later announcement is from a
+                        // later one.
                         departed = Some(of);
                     }
                 }
