--- a/crates/front/tests/departures.rs
+++ b/crates/front/tests/departures.rs
@@ -36,17 +36,14 @@
 /// the departure to it.
 fn late_requests(replica: &Replica, host: &str) -> usize {
     let announcements = replica.said();
-    let mut announced_at = announcements
+    let mut to_host = announcements
         .iter()
         .filter(|a| a.host == host && a.word == Word::Leaves);
-    let Some(announced_at) = announced_at.next() else {
+    let Some(first) = to_host.next() else {
         return 0;
     };
     let arrivals = replica.arrived_from(host);
-    arrivals
-        .iter()
-        .filter(|at| **at > announced_at.at + BOUND)
-        .count()
+    arrivals.iter().filter(|at| **at > first.at + BOUND).count()
 }
 
 /// Late requests from all hosts.
@@ -276,7 +273,7 @@
     let row = ("i-0123456789abcdef0123456789abcdef".into(), Some(u64::MAX));
     let message = Message::Departures(Departures {
         host: "a-host-with-a-name-of-some-sixty-signs-as-platforms-give-them".into(),
-        replicas: vec![row; departures::ROWS],
+        replicas: vec![row; departures::MAX_DEPARTURES],
     });
     assert!(encode(&message).len() <= MAX_DATAGRAM);
 }
--- a/crates/front/tests/rate_limit.rs
+++ b/crates/front/tests/rate_limit.rs
@@ -102,8 +102,7 @@
     );
     let served = statuses.iter().filter(|s| **s == 200).count();
     assert!(served >= 6, "{served} in 6 s: half of the limit is used");
-    // More requests at once than get a unit while they may wait, which is half of their target of 1
-    // s.
+    // More requests at once than get a unit while they may wait, which is half of their target.
     let mut requests = JoinSet::new();
     for host in hosts.iter().cycle().take(30) {
         let callers = host.callers();
