--- a/crates/front/src/accounts.rs
+++ b/crates/front/src/accounts.rs
@@ -130,7 +130,7 @@
                 state,
                 &refusal,
                 &rejection,
-                &Context {
+                &Details {
                     id,
                     route,
                     account: account.map(|a| &**a),
@@ -255,8 +255,8 @@
     }
 }
 
-/// Context of a refusal, for its log line.
-struct Context<'a> {
+/// Details of a refusal, for its log line.
+struct Details<'a> {
     id: Option<Name>,
     route: &'a Route,
     account: Option<&'a Account>,
@@ -265,21 +265,21 @@
 }
 
 /// Records a refusal in the log and the metrics.
-fn log_refusal(state: &State, refusal: &Refusal, rejection: &Rejection, context: &Context) {
+fn log_refusal(state: &State, refusal: &Refusal, rejection: &Rejection, details: &Details) {
     state
         .log
         .metrics
-        .record_outcome(&context.route.name, rejection.reason);
+        .record_outcome(&details.route.name, rejection.reason);
     let key = match refusal {
         Refusal::Unknown { digest } => Some(digest.as_str()),
         _ => None,
     };
     state.log.rate_limited(|| {
-        let (id, route) = (context.id.as_deref(), &*context.route.name);
-        let account = context.account.map(|a| &*a.name);
+        let (id, route) = (details.id.as_deref(), &*details.route.name);
+        let account = details.account.map(|a| &*a.name);
         let age_ms = data_age(state).ms();
         let store = if readers::store_failed_recently(state) { "failing" } else { "answering" };
         let retry_after_ms = rejection.retry_after.map(|s| s.ms());
-        info!(target: "request", event = "refused", id, route, account, key, status = rejection.status.as_u16(), reason = rejection.reason, version = context.version, age_ms, store, retry_after_ms, ms = 0.0, why = %refusal, "a request is not let in by its key")
+        info!(target: "request", event = "refused", id, route, account, key, status = rejection.status.as_u16(), reason = rejection.reason, version = details.version, age_ms, store, retry_after_ms, ms = 0.0, why = %refusal, "a request is not let in by its key")
     });
 }
--- a/crates/front/src/contact.rs
+++ b/crates/front/src/contact.rs
@@ -111,8 +111,8 @@
         }
     }
 
-    /// Records that the store answered a call that was made at `asked`. What comes through another
-    /// host was asked and answered when the store told that host.
+    /// Records that the store answered a call that was made at `asked`. For an answer through
+    /// another host, both times are when the store answered that host.
     pub fn answered(&mut self, asked: Time, now: Time) {
         self.unreachable = false;
         match &mut self.own {
--- a/crates/front/src/leader.rs
+++ b/crates/front/src/leader.rs
@@ -92,15 +92,15 @@
 impl Term {
     /// Whether the term is valid, by this host's clock.
     pub fn is_valid(&self) -> bool {
-        let held = self.validity.lock();
-        !held.ended && self.clock.now() < held.until
+        let validity = self.validity.lock();
+        !validity.ended && self.clock.now() < validity.until
     }
 
     /// Extends the term until shortly before its lease expires. Returns whether it is valid now.
     fn extend(&self, lease_ends: Time) -> bool {
-        let mut held = self.validity.lock();
-        held.until = held.until.max(lease_ends - MARGIN);
-        drop(held);
+        let mut validity = self.validity.lock();
+        validity.until = validity.until.max(lease_ends - MARGIN);
+        drop(validity);
         self.is_valid()
     }
 
--- a/crates/front/src/planner.rs
+++ b/crates/front/src/planner.rs
@@ -5,7 +5,7 @@
 //! load and plans, and `quarantine` broadcasts and stores the list of suspected and quarantined
 //! requests.
 //!
-//! Lock order: the table before [`Fleet`].
+//! Lock order: the table before `Fleet`.
 
 mod adapters;
 mod demand;
@@ -37,7 +37,7 @@
 /// Interval between plans.
 const PLAN_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Number of replicas from which a plan runs on a blocking thread: it takes about 30 ms on half a
+/// Number of replicas above which a plan runs on a blocking thread: it takes about 30 ms on half a
 /// core by then. Below, waking a thread costs more than it saves.
 const BLOCKING_PLAN_REPLICAS: usize = 500;
 
--- a/crates/front/src/quarantine.rs
+++ b/crates/front/src/quarantine.rs
@@ -100,7 +100,7 @@
         for fingerprint in &changed {
             info!(target: "quarantine", event = "suspected", print = %fingerprint, "request suspected: it was in flight at several replica crashes");
         }
-        self.note(!changed.is_empty());
+        self.notify_if(!changed.is_empty());
     }
 
     /// Records that a run of a request succeeded on any host.
@@ -109,7 +109,7 @@
         if cleared {
             info!(target: "quarantine", event = "cleared", print = %fingerprint, "request cleared: a run succeeded");
         }
-        self.note(cleared);
+        self.notify_if(cleared);
     }
 
     /// Decides, on the leader, whether a request may run.
@@ -131,7 +131,7 @@
             .lock()
             .tracker
             .record_trial(fingerprint, outcome, now);
-        self.note(changed);
+        self.notify_if(changed);
     }
 
     /// Forgets a request that the leader has cleared.
@@ -139,7 +139,7 @@
         self.registry.lock().lift(fingerprint);
     }
 
-    fn note(&self, changed: bool) {
+    fn notify_if(&self, changed: bool) {
         if changed {
             self.changed.notify_one();
         }
--- a/crates/front/src/shares.rs
+++ b/crates/front/src/shares.rs
@@ -36,15 +36,15 @@
 
 /// Shares of accounts and of replicas.
 pub struct Shares {
-    accounts: Mutex<Table<Name>>,
+    accounts: Mutex<Group<Name>>,
     /// By the hash of the incarnation.
-    replicas: Mutex<Table<u32>>,
+    replicas: Mutex<Group<u32>>,
     /// Time until which the limiter is not asked.
     backoff_until: Mutex<Time>,
 }
 
 /// Shares of one kind, by subject.
-struct Table<K> {
+struct Group<K> {
     tolerance: Tolerance,
     shares: HashMap<K, Share>,
 }
@@ -52,8 +52,8 @@
 /// Makes the shares of a host that has been granted nothing yet.
 pub fn open(bounds: &Bounds) -> Shares {
     Shares {
-        accounts: Mutex::new(Table::new(tolerance(bounds))),
-        replicas: Mutex::new(Table::new(REPLICA_TOLERANCE)),
+        accounts: Mutex::new(Group::new(tolerance(bounds))),
+        replicas: Mutex::new(Group::new(REPLICA_TOLERANCE)),
         backoff_until: Mutex::default(),
     }
 }
@@ -78,9 +78,9 @@
     }
 }
 
-impl<K: Eq + Hash + Clone> Table<K> {
-    fn new(tolerance: Tolerance) -> Table<K> {
-        Table {
+impl<K: Eq + Hash + Clone> Group<K> {
+    fn new(tolerance: Tolerance) -> Group<K> {
+        Group {
             tolerance,
             shares: HashMap::new(),
         }
--- a/crates/front/tests/changes.rs
+++ b/crates/front/tests/changes.rs
@@ -169,8 +169,8 @@
     let _replica = engine(&store, "i-1", &["m1"]).await;
     let daemon = daemon(&store, "d1").await;
     let now = daemon.state().now();
-    let coming = [("m9".into(), 500)];
-    daemon.state().table.lock().set_model_etas(&coming, now);
+    let etas = [("m9".into(), 500)];
+    daemon.state().table.lock().set_model_etas(&etas, now);
     let addr = daemon.callers();
     let exchange = tokio::spawn(async move {
         let (_, request) = site::request("/stream/x", Some("m9"));
@@ -356,8 +356,8 @@
     let m2 = "m2".into();
     let is_loading = || {
         let state = daemon.state();
-        let coming = state.table.lock().model_eta(&m2, state.now());
-        coming.is_some() || replicas.iter().any(|r| r.models().contains_key("m2"))
+        let eta = state.table.lock().model_eta(&m2, state.now());
+        eta.is_some() || replicas.iter().any(|r| r.models().contains_key("m2"))
     };
     until(is_loading).await;
     let (_, answer) = ask(&daemon, "/stream/x", Some("m2")).await;
--- a/crates/front/tests/contact.rs
+++ b/crates/front/tests/contact.rs
@@ -41,8 +41,8 @@
 
 /// Merges another host's uptime as of `ms`.
 fn report(contact: &mut Contact, other: &Contact, ms: u64) {
-    if let Some(word) = other.ages(at(ms)) {
-        contact.merge(word, at(ms));
+    if let Some(ages) = other.ages(at(ms)) {
+        contact.merge(ages, at(ms));
     }
 }
 
@@ -125,9 +125,9 @@
         let end = 10_000 + outage;
         let answers: Vec<Vec<Time>> = starts
             .iter()
-            .map(|(phase, back)| {
+            .map(|(phase, recovery_delay)| {
                 let before = (*phase..10_000).step_by(400);
-                let after = (end + back..end + 6_000).step_by(400);
+                let after = (end + recovery_delay..end + 6_000).step_by(400);
                 before.chain(after).map(at).collect()
             })
             .collect();
--- a/crates/front/tests/suspended.rs
+++ b/crates/front/tests/suspended.rs
@@ -219,13 +219,13 @@
     let host = daemon(&store, "d1").await;
     until(|| host.state().leads()).await;
     let other = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
-    let sums = front::message::LoadReport {
+    let report = front::message::LoadReport {
         host: "other".into(),
         hall: "a".into(),
         round: 1,
         ..Default::default()
     };
-    let bytes = front::message::encode(&front::message::Message::Report(sums));
+    let bytes = front::message::encode(&front::message::Message::Report(report));
     let hosts = host.state().table.lock().host_count;
     suspend(&host);
     other.send_to(&bytes, host.state().settings.peers).unwrap();
