--- a/crates/front/src/peers/departures.rs
+++ b/crates/front/src/peers/departures.rs
@@ -1,34 +1,35 @@
-//! Telling which replicas leave by their own word: the answer comes to one host, and the others would each send that
-//! replica a request of their own to learn it.
+//! Spreads departures of replicas: only one host receives the announcement, and each other host would otherwise have
+//! to send the replica a request to learn of it.
 
 use super::Peers;
 use crate::feedback;
-use crate::message::departures::ROWS;
+use crate::message::departures::MAX_DEPARTURES;
 use crate::message::{Departures, Message};
 use platform::replica::Incarnation;
 use std::sync::Arc;
 use std::time::Duration;
 use unit::{Name, Span};
 
-/// Pause in which words are told together: a release lets several replicas leave at once.
-const TOGETHER: Duration = Duration::from_millis(10);
+/// Delay in which departures are batched; a release makes several replicas leave at once.
+const BATCH_DELAY: Duration = Duration::from_millis(10);
 
-/// Time for which a host tells the leader again what it heard itself, so that the next leader hears it too.
-const TOLD_AGAIN: Span = Span::from_secs(5);
+/// Time for which a host repeats a departure that it received itself to the leader, so that a new leader learns of
+/// it.
+const RESEND_FOR: Span = Span::from_secs(5);
 
 impl Peers {
-    /// Tells each word at once, until the daemon ends.
+    /// Sends new departures as they are received, until the daemon ends.
     pub async fn send_departures(self: Arc<Self>) {
         loop {
             self.state.departure_heard.notified().await;
-            tokio::time::sleep(TOGETHER).await;
-            let untold = self.state.table.lock().view.take_unannounced_departures();
+            tokio::time::sleep(BATCH_DELAY).await;
+            let unannounced = self.state.table.lock().view.take_unannounced_departures();
             if self.state.leads() {
-                self.tell_all_leaving(&untold).await;
+                self.broadcast_departure_list(&unannounced).await;
                 continue;
             }
-            let others = self.others.lock().clone();
-            for message in self.leaving(&untold) {
+            let others = self.direct_hosts.lock().clone();
+            for message in self.departure_messages(&unannounced) {
                 for other in &others {
                     self.send(&message, *other).await;
                 }
@@ -39,50 +40,55 @@
         }
     }
 
-    /// Tells the leader once more what this host has heard itself.
-    pub(super) async fn repeat_leaving(&self) {
+    /// Sends recent departures to the leader again.
+    pub(super) async fn resend_departures(&self) {
         if self.state.leads() {
             return;
         }
         let now = self.state.now();
-        let lately = self
+        let recent = self
             .state
             .table
             .lock()
             .view
-            .recent_departures(TOLD_AGAIN, now);
-        for message in self.leaving(&lately) {
+            .recent_departures(RESEND_FOR, now);
+        for message in self.departure_messages(&recent) {
             self.send_to_leader(message).await;
         }
     }
 
-    /// Tells all hosts, as the leader, which replicas that are there leave by their word.
+    /// Sends all departures of known replicas to all hosts; called by the leader.
     pub async fn broadcast_departures(&self) {
         let known = self.state.table.lock().view.departures();
-        self.tell_all_leaving(&known).await;
+        self.broadcast_departure_list(&known).await;
     }
 
-    async fn tell_all_leaving(&self, replicas: &[(Name, Incarnation)]) {
-        for message in self.leaving(replicas) {
+    async fn broadcast_departure_list(&self, replicas: &[(Name, Incarnation)]) {
+        for message in self.departure_messages(replicas) {
             self.broadcast(&message).await;
         }
     }
 
-    /// Words as this host tells them, in datagrams.
-    fn leaving(&self, replicas: &[(Name, Incarnation)]) -> Vec<Message> {
+    /// Departures as datagrams of this host.
+    fn departure_messages(&self, replicas: &[(Name, Incarnation)]) -> Vec<Message> {
         let message = |replicas: &[(Name, Incarnation)]| {
             Message::Departures(Departures {
                 host: self.state.settings.name.clone(),
                 replicas: replicas.to_vec(),
             })
         };
-        replicas.chunks(ROWS).map(message).collect()
+        replicas.chunks(MAX_DEPARTURES).map(message).collect()
     }
 
-    /// Takes in what another host heard.
-    pub(super) fn join_leaving(&self, told: &Departures) {
-        for (replica, incarnation) in &told.replicas {
-            feedback::record_reported_departure(&self.state, replica, *incarnation, &told.host);
+    /// Merges departures that another host received.
+    pub(super) fn merge_departures(&self, departures: &Departures) {
+        for (replica, incarnation) in &departures.replicas {
+            feedback::record_reported_departure(
+                &self.state,
+                replica,
+                *incarnation,
+                &departures.host,
+            );
         }
     }
 }
