--- a/crates/daemon/src/entry/answer.rs
+++ b/crates/daemon/src/entry/answer.rs
@@ -267,7 +267,7 @@
                 placed.inspect(|p| p.failed());
                 (retry::Failure::NotRun, format!("not run: {e}"))
             }
-            Failure::Refused(RefusalReason::UnknownStream) => (
+            Failure::Refused(RefusalReason::Unknown) => (
                 retry::Failure::UnknownStream,
                 "lost: the engine does not know the stream any more".into(),
             ),
@@ -307,7 +307,7 @@
         let resumed = engine::start(&self.core.pool, addr, Reuse::Fresh, &run, limit).await;
         running.stream = resumed.map_err(|failure| match failure {
             Failure::Unsent(e) => Failure::Lost(e.to_string()),
-            Failure::Refused(_) => Failure::Refused(RefusalReason::UnknownStream),
+            Failure::Refused(_) => Failure::Refused(RefusalReason::Unknown),
             lost => lost,
         })?;
         Ok(())
--- a/crates/daemon/src/fleet/placed.rs
+++ b/crates/daemon/src/fleet/placed.rs
@@ -87,7 +87,7 @@
         self.change(|now, entry| match cause {
             RefusalReason::Leaving => entry.refused_leaving = true,
             RefusalReason::Full => entry.limit.decrease(now),
-            RefusalReason::Absent | RefusalReason::UnknownStream => entry.reported_at = Time(0),
+            RefusalReason::Absent | RefusalReason::Unknown => entry.reported_at = Time(0),
         });
     }
 }
--- a/crates/standin/src/engine/runs.rs
+++ b/crates/standin/src/engine/runs.rs
@@ -25,7 +25,7 @@
     if let Some(offset) = run.resume_at {
         return Ok(match follow(&state, &run.attempt, offset, None) {
             Some(body) => Response::new(body),
-            None => refuse(&run.attempt, RefusalReason::UnknownStream),
+            None => refuse(&run.attempt, RefusalReason::Unknown),
         });
     }
     let faults = state.inner.lock().faults.clone();
--- a/crates/unit/src/engine.rs
+++ b/crates/unit/src/engine.rs
@@ -23,8 +23,7 @@
     /// The model, version or adapter is not loaded.
     Absent,
     /// The stream to be resumed does not exist there.
-    #[serde(rename = "unknown")]
-    UnknownStream,
+    Unknown,
 }
 
 /// Identity of loadable weights: a version of a model, or an adapter for it.
