--- a/crates/cli/src/bundles.rs
+++ b/crates/cli/src/bundles.rs
@@ -10,7 +10,7 @@
 use bundle::part::{self, Part};
 use bundle::{Draft, Head, Intent};
 use daemon::clock::wall_ms;
-use daemon::shelf::{self, At};
+use daemon::documents::{self, At};
 use ed25519_dalek::SigningKey;
 use place::fit::{self, Bin, Fit};
 use place::homes::Requirement;
@@ -93,7 +93,7 @@
 /// What rolling a bundle would mean.
 pub async fn compare(tool: &Tool, file: &str, text: &str) -> Result<Diff, Error> {
     let new = check(file, text)?;
-    let head = shelf::head(&tool.kv).await?;
+    let head = documents::head(&tool.kv).await?;
     let old = match head.value {
         Some(head) => content(tool, &head).await?,
         None => Intent::default(),
@@ -110,7 +110,7 @@
 /// Text of a head.
 pub async fn text(tool: &Tool, head: &Head) -> Result<String, Error> {
     let parts = &head.draft.parts;
-    let texts = shelf::parts(&tool.kv, parts, &HashMap::new()).await?;
+    let texts = documents::parts(&tool.kv, parts, &HashMap::new()).await?;
     let ordered = parts.iter().map(|at| &*texts[&at.hash]);
     Ok(part::concat(ordered))
 }
@@ -127,7 +127,7 @@
     check_key(tool, signing)?;
     let parts: Vec<Part> =
         part::split(file, text).map_err(|problems| Error::Bundle { problems })?;
-    let head = shelf::head(&tool.kv).await?;
+    let head = documents::head(&tool.kv).await?;
     let replaces = head.value.map_or(0, |h| h.sequence);
     let refs: Vec<_> = parts.iter().map(|p| p.reference.clone()).collect();
     let root = part::content_hash(&refs);
@@ -145,7 +145,7 @@
         ),
         approvals: Vec::new(),
     };
-    shelf::put_parts(&tool.kv, &parts).await?;
+    documents::put_parts(&tool.kv, &parts).await?;
     let text = to_text(&draft);
     let key = keys::draft(&draft.id);
     // The id is fresh, so a repeat after a lost answer can only meet this very draft.
@@ -175,7 +175,7 @@
 
 /// Reads a draft.
 pub async fn draft(tool: &Tool, id: &Name) -> Result<At<Draft>, Error> {
-    let at: At<Draft> = shelf::read(&tool.kv, &keys::draft(id)).await?;
+    let at: At<Draft> = documents::read(&tool.kv, &keys::draft(id)).await?;
     match at.value {
         Some(_) => Ok(at),
         None => Err(Error::NoDraft { id: id.clone() }),
@@ -193,7 +193,7 @@
                 operator: signing.operator.clone(),
             });
         }
-        let head = shelf::head(&tool.kv).await?;
+        let head = documents::head(&tool.kv).await?;
         check_overtaken(&draft, head.value.as_ref())?;
         let root = draft.content_hash();
         draft.approvals.retain(|a| a.operator != *signing.operator);
@@ -234,14 +234,14 @@
         .await?
         .value
         .expect("a draft that was found is there");
-    let at = shelf::head(&tool.kv).await?;
+    let at = documents::head(&tool.kv).await?;
     check_overtaken(&draft, at.value.as_ref())?;
     let revoked = match &at.value {
         Some(head) => content(tool, head).await?.revoked,
         None => Default::default(),
     };
     draft.verify(&tool.settings.trust, &revoked)?;
-    let texts = shelf::parts(&tool.kv, &draft.parts, &HashMap::new()).await?;
+    let texts = documents::parts(&tool.kv, &draft.parts, &HashMap::new()).await?;
     let intent = part::parse(draft.parts.iter().map(|p| &*texts[&p.hash]))
         .map_err(|problems| Error::Bundle { problems })?;
     must_fit(tool, &intent).await?;
@@ -256,7 +256,7 @@
     let what = format!("the roll of bundle {}", head.sequence);
     let written = settle(tool, keys::HEAD, at.revision, &to_text(&head), &what).await?;
     if !written && !was_in_force(tool, &head).await? {
-        let now = shelf::head(&tool.kv).await?;
+        let now = documents::head(&tool.kv).await?;
         check_overtaken(&head.draft, now.value.as_ref())?;
     }
     let _ = keep(tool, &head).await;
@@ -267,7 +267,7 @@
 ///
 /// Whoever rolls the next bundle keeps the one before it in the history first.
 async fn was_in_force(tool: &Tool, head: &Head) -> Result<bool, Error> {
-    let kept: Result<At<Head>, _> = shelf::read(&tool.kv, &keys::history(head.sequence)).await;
+    let kept: Result<At<Head>, _> = documents::read(&tool.kv, &keys::history(head.sequence)).await;
     let kept = kept.map_err(|_| Error::NotYetKnown {
         what: format!("the roll of bundle {}", head.sequence),
     })?;
@@ -285,7 +285,7 @@
         .await
     {
         Ok(_) => Ok(()),
-        Err(source) => Err(shelf::Error::Kv { source }.into()),
+        Err(source) => Err(documents::Error::Kv { source }.into()),
     }
 }
 
@@ -310,7 +310,7 @@
                 return Ok(found.is_some_and(|f| &*f.value == text));
             }
             Err(KvError::Indeterminate { .. }) => in_doubt = true,
-            Err(source) if !in_doubt => return Err(shelf::Error::Kv { source }.into()),
+            Err(source) if !in_doubt => return Err(documents::Error::Kv { source }.into()),
             Err(_) => {}
         }
         sleep(PAUSE).await;
@@ -321,23 +321,23 @@
 /// Past bundles, oldest first.
 pub async fn history(tool: &Tool) -> Result<Vec<Head>, Error> {
     let found = tool.kv.list(keys::HISTORY).await;
-    let found = found.map_err(|source| shelf::Error::Kv { source })?;
+    let found = found.map_err(|source| documents::Error::Kv { source })?;
     let mut heads = Vec::new();
     for value in &found {
-        heads.push(shelf::parse::<Head>(&value.key, &value.value)?);
+        heads.push(documents::parse::<Head>(&value.key, &value.value)?);
     }
     Ok(heads)
 }
 
 /// A bundle by sequence, or the one in force.
 pub async fn find(tool: &Tool, sequence: Option<u64>) -> Result<Head, Error> {
-    let head = shelf::head(&tool.kv).await?.value;
+    let head = documents::head(&tool.kv).await?.value;
     match (sequence, head) {
         (None, Some(head)) => Ok(head),
         (None, None) => Err(Error::NothingInForce),
         (Some(n), Some(head)) if head.sequence == n => Ok(head),
         (Some(n), _) => {
-            let at: At<Head> = shelf::read(&tool.kv, &keys::history(n)).await?;
+            let at: At<Head> = documents::read(&tool.kv, &keys::history(n)).await?;
             at.value.ok_or_else(|| Error::NotFound {
                 text: format!(
                     "There is no bundle {n}; 'coveford bundle history' lists those there were."
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -122,7 +122,7 @@
     #[snafu(display("{source}"), context(false))]
     Shelf {
         /// Its error.
-        source: daemon::shelf::Error,
+        source: daemon::documents::Error,
     },
     /// Whether a write took effect is not known.
     #[snafu(display(
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -8,7 +8,7 @@
 use crate::state::{self, Seen};
 use crate::{gauges, keys, losses, story, why};
 use bundle::part;
-use daemon::shelf;
+use daemon::documents;
 use serde_json::json;
 use snafu::ResultExt;
 use std::net::SocketAddr;
@@ -225,8 +225,8 @@
 }
 
 async fn bundle_status(options: &Options, tool: &Tool) -> Result<(), Error> {
-    let head = shelf::head(&tool.kv).await?.value;
-    let drafts = shelf::drafts(&tool.kv).await?;
+    let head = documents::head(&tool.kv).await?.value;
+    let drafts = documents::drafts(&tool.kv).await?;
     let seen = state::all(tool).await?;
     if options.json {
         json(&json!({
@@ -461,7 +461,7 @@
 }
 
 async fn key_list(options: &Options, tool: &Tool) -> Result<(), Error> {
-    let head = shelf::head(&tool.kv).await?.value;
+    let head = documents::head(&tool.kv).await?.value;
     let revoked = match &head {
         Some(head) => {
             let text = bundles::text(tool, head).await?;
--- a/crates/cli/src/why.rs
+++ b/crates/cli/src/why.rs
@@ -4,9 +4,9 @@
 use crate::platform_tool::Tool;
 use crate::state;
 use backing::keys;
+use daemon::documents;
 use daemon::operator::Status;
 use daemon::planner::State as Planner;
-use daemon::shelf;
 use daemon::teller::Record;
 use place::Ledger;
 use place::ledger::Move;
@@ -45,7 +45,7 @@
     halls.dedup();
     let mut ledgers = Vec::new();
     for hall in halls {
-        let at = shelf::read::<Ledger>(&tool.kv, &keys::ledger(&hall)).await?;
+        let at = documents::read::<Ledger>(&tool.kv, &keys::ledger(&hall)).await?;
         if let Some(ledger) = at.value {
             ledgers.push((hall, ledger));
         }
--- a/crates/daemon/src/claim.rs
+++ b/crates/daemon/src/claim.rs
@@ -7,8 +7,8 @@
 //! late creation expects.
 
 use crate::core::Core;
+use crate::documents;
 use crate::entry::Fault;
-use crate::shelf;
 use backing::keys;
 use backing::kv::{Error, SwapOutcome};
 use hyper::StatusCode;
@@ -171,7 +171,7 @@
             }
             Ok(SwapOutcome::Conflict(found)) => {
                 let found = found.ok_or_else(down)?;
-                let claim: Claim = shelf::parse(&held.key, &found.value).map_err(|_| down())?;
+                let claim: Claim = documents::parse(&held.key, &found.value).map_err(|_| down())?;
                 if claim.request == *request {
                     held.revision = found.revision;
                     return Ok(Taken::Ours(held));
@@ -283,7 +283,7 @@
             Ok(SwapOutcome::Written(_)) => return true,
             Ok(SwapOutcome::Conflict(None)) => return true,
             Ok(SwapOutcome::Conflict(Some(found))) => {
-                let Ok(claim) = shelf::parse::<Claim>(&held.key, &found.value) else {
+                let Ok(claim) = documents::parse::<Claim>(&held.key, &found.value) else {
                     return true;
                 };
                 let ours = claim.request == held.claim.request;
--- a/crates/daemon/src/planner.rs
+++ b/crates/daemon/src/planner.rs
@@ -87,7 +87,7 @@
         }
     }
 
-    async fn tick(&mut self, bundle: &InForce) -> Result<(), crate::shelf::Error> {
+    async fn tick(&mut self, bundle: &InForce) -> Result<(), crate::documents::Error> {
         self.book.open(&self.core).await?;
         let fleet = self.fleet(bundle).await;
         let elsewhere = elsewhere(&self.core, bundle);
--- a/crates/daemon/src/planner/book.rs
+++ b/crates/daemon/src/planner/book.rs
@@ -1,8 +1,8 @@
 //! The hall's ledger and the models' homes in the key-value service.
 
 use crate::core::Core;
+use crate::documents::{self, At, Error};
 use crate::settings::Settings;
-use crate::shelf::{self, At, Error};
 use backing::keys;
 use backing::kv::{Error as KvError, SwapOutcome};
 use place::plan::Plan;
@@ -65,7 +65,7 @@
         if self.revision.is_some() {
             return Ok(());
         }
-        let at: At<Ledger> = shelf::read(&core.kv, &self.key).await?;
+        let at: At<Ledger> = documents::read(&core.kv, &self.key).await?;
         self.ledger = at.value.unwrap_or_default();
         self.written = self.ledger.clone();
         self.revision = Some(at.revision);
@@ -87,7 +87,7 @@
         let text = text(&self.ledger);
         let writer = self.ledger.writer.clone();
         let is_ours = |found: &str| {
-            let found = shelf::parse::<Ledger>(&self.key, found);
+            let found = documents::parse::<Ledger>(&self.key, found);
             found.is_ok_and(|l| l.writer == writer)
         };
         match swap(core, &self.key, expected, &text, is_ours).await? {
@@ -106,7 +106,7 @@
 
     /// Reads the homes.
     pub(super) async fn homes(&mut self, core: &Core) -> Result<Homes, Error> {
-        self.homes = shelf::read(&core.kv, keys::HOMES).await?;
+        self.homes = documents::read(&core.kv, keys::HOMES).await?;
         Ok(self.homes.value.clone().unwrap_or_default())
     }
 
@@ -126,7 +126,7 @@
         homes.writer = self.nonce();
         let writer = homes.writer.clone();
         let is_ours = |found: &str| {
-            let found = shelf::parse::<Homes>(keys::HOMES, found);
+            let found = documents::parse::<Homes>(keys::HOMES, found);
             found.is_ok_and(|h| h.writer == writer)
         };
         // Another hall that wrote first is no failure: the next tick decides on what it wrote.
--- a/crates/daemon/src/spread.rs
+++ b/crates/daemon/src/spread.rs
@@ -14,7 +14,7 @@
 
 use crate::clock::wall_ms;
 use crate::core::Core;
-use crate::shelf;
+use crate::documents;
 use backing::keys;
 use bundle::{Delta, Head};
 use rand::RngExt;
@@ -87,7 +87,7 @@
     };
     // A stale read carries an older revision; it is not followed down.
     *revision = found.revision.max(*revision);
-    let head: Head = match shelf::parse(keys::HEAD, &found.value) {
+    let head: Head = match documents::parse(keys::HEAD, &found.value) {
         Ok(head) => head,
         Err(e) => {
             warn!(target: "spread", "the head cannot be read: {e}");
@@ -98,7 +98,7 @@
     if head.sequence <= core.force.sequence() {
         return true;
     }
-    let texts = match shelf::parts(&core.kv, &head.draft.parts, &held(core)).await {
+    let texts = match documents::parts(&core.kv, &head.draft.parts, &held(core)).await {
         Ok(texts) => texts,
         Err(e) => {
             warn!(target: "spread", "bundle {} is not whole yet: {e}", head.sequence);
@@ -139,13 +139,13 @@
     match answer {
         Frame::Head { sequence, head } => {
             let head = match head {
-                Some(text) => Some(shelf::parse::<Head>(keys::HEAD, &text).ok()?),
+                Some(text) => Some(documents::parse::<Head>(keys::HEAD, &text).ok()?),
                 None => None,
             };
             Some(Told { sequence, head })
         }
         Frame::Delta { sequence, delta } => {
-            let delta: Delta = shelf::parse(keys::HEAD, &delta).ok()?;
+            let delta: Delta = documents::parse(keys::HEAD, &delta).ok()?;
             let current = core.in_force()?;
             let base = match current.head.sequence == delta.base {
                 true => current.head.clone(),
--- a/crates/standin/tests/bundles.rs
+++ b/crates/standin/tests/bundles.rs
@@ -110,10 +110,10 @@
 async fn forge(fleet: &Fleet, change: impl Fn(&Fleet, &mut Draft)) -> u64 {
     let text = titled("forged");
     let parts = part::split("forged.ini", &text).unwrap();
-    daemon::shelf::put_parts(&fleet.tool.kv, &parts)
+    daemon::documents::put_parts(&fleet.tool.kv, &parts)
         .await
         .unwrap();
-    let at = daemon::shelf::head(&fleet.tool.kv).await.unwrap();
+    let at = daemon::documents::head(&fleet.tool.kv).await.unwrap();
     let replaces = at.value.unwrap().sequence;
     let refs: Vec<_> = parts.iter().map(|p| p.reference.clone()).collect();
     let root = part::content_hash(&refs);
@@ -240,7 +240,7 @@
         let rolled = bundles::roll(&fleet.tool, &draft.id).await;
         fleet.kv.set_faults(Faults::default());
         sleep(Duration::from_millis(100)).await;
-        let now = daemon::shelf::head(&fleet.tool.kv)
+        let now = daemon::documents::head(&fleet.tool.kv)
             .await
             .unwrap()
             .value
