--- a/crates/cli/src/bundles.rs
+++ b/crates/cli/src/bundles.rs
@@ -10,7 +10,7 @@
 use bundle::part::{self, Part};
 use bundle::{Draft, Head, Intent};
 use daemon::clock::wall_ms;
-use daemon::documents::{self, At};
+use daemon::documents::{self, Versioned};
 use ed25519_dalek::SigningKey;
 use place::fit::{self, Bin, Fit};
 use place::homes::Requirement;
@@ -174,8 +174,8 @@
 }
 
 /// Reads a draft.
-pub async fn draft(tool: &Tool, id: &Name) -> Result<At<Draft>, Error> {
-    let at: At<Draft> = documents::read(&tool.kv, &keys::draft(id)).await?;
+pub async fn draft(tool: &Tool, id: &Name) -> Result<Versioned<Draft>, Error> {
+    let at: Versioned<Draft> = documents::read(&tool.kv, &keys::draft(id)).await?;
     match at.value {
         Some(_) => Ok(at),
         None => Err(Error::NoDraft { id: id.clone() }),
@@ -267,7 +267,8 @@
 ///
 /// Whoever rolls the next bundle keeps the one before it in the history first.
 async fn was_in_force(tool: &Tool, head: &Head) -> Result<bool, Error> {
-    let kept: Result<At<Head>, _> = documents::read(&tool.kv, &keys::history(head.sequence)).await;
+    let kept: Result<Versioned<Head>, _> =
+        documents::read(&tool.kv, &keys::history(head.sequence)).await;
     let kept = kept.map_err(|_| Error::NotYetKnown {
         what: format!("the roll of bundle {}", head.sequence),
     })?;
@@ -337,7 +338,7 @@
         (None, None) => Err(Error::NothingInForce),
         (Some(n), Some(head)) if head.sequence == n => Ok(head),
         (Some(n), _) => {
-            let at: At<Head> = documents::read(&tool.kv, &keys::history(n)).await?;
+            let at: Versioned<Head> = documents::read(&tool.kv, &keys::history(n)).await?;
             at.value.ok_or_else(|| Error::NotFound {
                 text: format!(
                     "There is no bundle {n}; 'coveford bundle history' lists those there were."
--- a/crates/daemon/src/documents.rs
+++ b/crates/daemon/src/documents.rs
@@ -36,7 +36,7 @@
 
 /// Value with the revision it was read at; revision 0 means absent.
 #[derive(Debug, Clone)]
-pub struct At<T> {
+pub struct Versioned<T> {
     /// The value.
     pub value: Option<T>,
     /// Revision for the next compare-and-swap.
@@ -44,13 +44,13 @@
 }
 
 /// Reads a JSON value.
-pub async fn read<T: DeserializeOwned>(kv: &Kv, key: &str) -> Result<At<T>, Error> {
+pub async fn read<T: DeserializeOwned>(kv: &Kv, key: &str) -> Result<Versioned<T>, Error> {
     match kv.get(key).await? {
-        None => Ok(At {
+        None => Ok(Versioned {
             value: None,
             revision: 0,
         }),
-        Some(found) => Ok(At {
+        Some(found) => Ok(Versioned {
             value: Some(parse(key, &found.value)?),
             revision: found.revision,
         }),
@@ -66,7 +66,7 @@
 }
 
 /// Reads the head in force.
-pub async fn head(kv: &Kv) -> Result<At<Head>, Error> {
+pub async fn head(kv: &Kv) -> Result<Versioned<Head>, Error> {
     read(kv, keys::HEAD).await
 }
 
--- a/crates/daemon/src/planner/book.rs
+++ b/crates/daemon/src/planner/book.rs
@@ -1,7 +1,7 @@
 //! The hall's ledger and the models' homes in the key-value service.
 
 use crate::core::Core;
-use crate::documents::{self, At, Error};
+use crate::documents::{self, Error, Versioned};
 use crate::settings::Settings;
 use backing::keys;
 use backing::kv::{Error as KvError, SwapOutcome};
@@ -24,7 +24,7 @@
     /// Revision of the ledger; none when it must be read first.
     revision: Option<u64>,
     touched: bool,
-    homes: At<Homes>,
+    homes: Versioned<Homes>,
 }
 
 impl Book {
@@ -38,7 +38,7 @@
             written: Ledger::default(),
             revision: None,
             touched: false,
-            homes: At {
+            homes: Versioned {
                 value: None,
                 revision: 0,
             },
@@ -65,7 +65,7 @@
         if self.revision.is_some() {
             return Ok(());
         }
-        let at: At<Ledger> = documents::read(&core.kv, &self.key).await?;
+        let at: Versioned<Ledger> = documents::read(&core.kv, &self.key).await?;
         self.ledger = at.value.unwrap_or_default();
         self.written = self.ledger.clone();
         self.revision = Some(at.revision);
