--- a/crates/daemon/src/core.rs
+++ b/crates/daemon/src/core.rs
@@ -186,14 +186,14 @@
     }
 
     /// Other daemons, with the address of their inner protocol.
-    pub fn others(&self) -> Vec<Host> {
+    pub fn other_daemons(&self) -> Vec<Host> {
         let peers = self.peers.read();
         let others = peers.iter().filter(|p| p.name != self.settings.name);
         others.cloned().collect()
     }
 
     /// Address of another daemon's inner protocol.
-    pub fn peer(&self, name: &str) -> Option<SocketAddr> {
+    pub fn peer_addr(&self, name: &str) -> Option<SocketAddr> {
         let peers = self.peers.read();
         peers.iter().find(|p| &*p.name == name).map(|p| p.addr)
     }
--- a/crates/daemon/src/planner.rs
+++ b/crates/daemon/src/planner.rs
@@ -252,7 +252,7 @@
 
 /// Requests a second that arrive at all daemons, by model.
 async fn arriving(core: &Arc<Core>) -> BTreeMap<Name, f64> {
-    let peers = core.others();
+    let peers = core.other_daemons();
     let asked = peers
         .iter()
         .map(|peer| spread::ask(core, peer.addr, &Frame::GetDemand, DEMAND_LIMIT));
--- a/crates/daemon/src/spread.rs
+++ b/crates/daemon/src/spread.rs
@@ -161,7 +161,7 @@
 
 /// Takes over a peer's head if it is higher; tells whether the peer answered.
 async fn follow_peer(core: &Arc<Core>, peer: &Name, wait: Duration) -> bool {
-    let Some(addr) = core.peer(peer) else {
+    let Some(addr) = core.peer_addr(peer) else {
         return false;
     };
     let after = core.force.sequence();
@@ -241,7 +241,7 @@
 pub async fn compare(core: Arc<Core>) {
     loop {
         sleep(COMPARE_EVERY).await;
-        let others = core.others();
+        let others = core.other_daemons();
         if others.is_empty() {
             continue;
         }
