--- a/crates/daemon/src/core.rs
+++ b/crates/daemon/src/core.rs
@@ -54,7 +54,7 @@
     /// What the planner did last, when this host holds its hall's lease.
     pub planned: Planned,
     /// Notified when another process asks this daemon to drain and end.
-    pub stop: Notify,
+    pub shutdown: Notify,
     /// Lease that claims share.
     pub claims: claim::Lease,
     demand: Mutex<HashMap<Name, Demand>>,
@@ -86,7 +86,7 @@
         bodies: Arc::new(Semaphore::new(units as usize)),
         confirmed: Confirmed::default(),
         planned: Planned::default(),
-        stop: Notify::new(),
+        shutdown: Notify::new(),
         claims: claim::Lease::default(),
         demand: Mutex::default(),
         budgets: Mutex::default(),
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -68,7 +68,7 @@
     tokio::select! {
         _ = term.recv() => {}
         _ = interrupt.recv() => {}
-        _ = daemon.core.stop.notified() => {}
+        _ = daemon.core.shutdown.notified() => {}
     }
     daemon.drain().await
 }
--- a/crates/daemon/src/spread/peer.rs
+++ b/crates/daemon/src/spread/peer.rs
@@ -115,7 +115,7 @@
         },
         Frame::GetLoads => Frame::Loads { loads: loads(core) },
         Frame::Drain => {
-            core.stop.notify_one();
+            core.shutdown.notify_one();
             Frame::Draining {
                 in_flight: core.in_flight() as u64,
             }
