--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -125,7 +125,7 @@
     }
 
     /// Moves recorded samples into their buckets, so that they take no memory.
-    pub fn tidy(&self) {
+    pub fn run_upkeep(&self) {
         self.handle.run_upkeep();
     }
 }
--- a/crates/daemon/src/watch.rs
+++ b/crates/daemon/src/watch.rs
@@ -124,6 +124,6 @@
 pub async fn tidy(core: Arc<Core>) {
     loop {
         sleep(Duration::from_secs(5)).await;
-        core.metrics.tidy();
+        core.metrics.run_upkeep();
     }
 }
