--- a/crates/daemon/src/claim.rs
+++ b/crates/daemon/src/claim.rs
@@ -8,7 +8,7 @@
 
 use crate::core::Core;
 use crate::documents;
-use crate::entry::Fault;
+use crate::entry::ApiError;
 use backing::keys;
 use backing::kv::{Error, SwapOutcome};
 use hyper::StatusCode;
@@ -22,23 +22,23 @@
 use unit::{Name, Span, Time};
 
 /// Time for which claims are kept.
-const KEPT: Duration = Duration::from_secs(24 * 3_600);
+const CLAIM_TTL: Duration = Duration::from_secs(24 * 3_600);
 
 /// Age at which a daemon takes a new lease for its claims; one lease serves many.
-const LEASE_AGE: Span = Span::from_secs(600);
+const MAX_LEASE_AGE: Span = Span::from_secs(600);
 
 /// Tries to settle a write whose answer was lost, before the request is given up.
-const TRIES: u32 = 3;
+const ACQUIRE_ATTEMPTS: u32 = 3;
 
 /// Tries to settle a claim in the background, and the pause between them.
-const LATER_TRIES: u32 = 120;
-const LATER_PAUSE: Duration = Duration::from_secs(5);
+const SETTLE_ATTEMPTS: u32 = 120;
+const SETTLE_INTERVAL: Duration = Duration::from_secs(5);
 
 /// When a caller may come back after a conflict or an outage.
 const RETRY_AFTER: Span = Span::from_secs(1);
 
 /// Longest answer that is kept for resends, in bytes.
-const MOST_KEPT: usize = 64 * 1_024;
+const MAX_STORED_BYTES: usize = 64 * 1_024;
 
 /// State of a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -51,7 +51,7 @@
     /// The request ran to its end.
     Done {
         /// Its answer, unless it was too long to keep.
-        answer: Option<Stored>,
+        answer: Option<StoredResponse>,
     },
     /// The request may have run; its answer is lost.
     Lost,
@@ -60,11 +60,12 @@
 /// Answer kept for resends.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
-pub enum Stored {
+pub enum StoredResponse {
     /// Answer of a model.
     Model {
         /// Text and counts, as JSON.
-        whole: Name,
+        #[serde(rename = "whole")]
+        output: Name,
     },
     /// Answer of a plain service.
     Plain {
@@ -77,11 +78,11 @@
     },
 }
 
-impl Stored {
+impl StoredResponse {
     fn len(&self) -> usize {
         match self {
-            Stored::Model { whole } => whole.len(),
-            Stored::Plain { body, .. } => body.len(),
+            StoredResponse::Model { output } => output.len(),
+            StoredResponse::Plain { body, .. } => body.len(),
         }
     }
 }
@@ -99,18 +100,18 @@
 }
 
 /// Claim held by this daemon.
-pub struct Held {
+pub struct HeldClaim {
     key: String,
     revision: u64,
     claim: Claim,
 }
 
 /// What a resend or first sending meets.
-pub enum Taken {
+pub enum Acquisition {
     /// The claim is ours: the request may be dispatched.
-    Ours(Held),
+    Granted(HeldClaim),
     /// The first sending ran; this is its answer.
-    Answer(Stored),
+    Replay(StoredResponse),
 }
 
 /// Lease that claims of one daemon share for a while.
@@ -124,36 +125,36 @@
         let now = core.now();
         let current = *self.current.lock();
         if let Some((lease, at)) = current
-            && now.since(at) < LEASE_AGE
+            && now.since(at) < MAX_LEASE_AGE
         {
             return Ok(lease);
         }
-        let lease = core.kv.grant(KEPT).await?;
+        let lease = core.kv.grant(CLAIM_TTL).await?;
         *self.current.lock() = Some((lease, now));
         Ok(lease)
     }
 }
 
 /// Hash of what a request asks, for telling a resend from another request.
-pub fn content(method: &str, path: &str, body: &[u8]) -> Name {
+pub fn content_hash(method: &str, path: &str, body: &[u8]) -> Name {
     let mut hash = Sha256::new();
-    for piece in [method.as_bytes(), path.as_bytes(), body] {
-        hash.update((piece.len() as u64).to_be_bytes());
-        hash.update(piece);
+    for field in [method.as_bytes(), path.as_bytes(), body] {
+        hash.update((field.len() as u64).to_be_bytes());
+        hash.update(field);
     }
     hex::encode(hash.finalize()).into()
 }
 
 /// Takes the claim on a caller's key for a request.
-pub async fn take(
+pub async fn acquire(
     core: &Arc<Core>,
     caller: &Name,
     key: &Name,
     request: &Name,
     content: Name,
-) -> Result<Taken, Fault> {
+) -> Result<Acquisition, ApiError> {
     let hash = bundle::part::hash(format!("{caller}\0{key}").as_bytes());
-    let mut held = Held {
+    let mut held = HeldClaim {
         key: keys::claim(&hash),
         revision: 0,
         claim: Claim {
@@ -162,36 +163,41 @@
             state: State::Held,
         },
     };
-    let lease = core.claims.get(core).await.map_err(|_| down())?;
-    for _ in 0..TRIES {
+    let lease = core
+        .claim_lease
+        .get(core)
+        .await
+        .map_err(|_| kv_unavailable())?;
+    for _ in 0..ACQUIRE_ATTEMPTS {
         match write(core, &held, Some(lease)).await {
             Ok(SwapOutcome::Written(revision)) => {
                 held.revision = revision;
-                return Ok(Taken::Ours(held));
+                return Ok(Acquisition::Granted(held));
             }
             Ok(SwapOutcome::Conflict(found)) => {
-                let found = found.ok_or_else(down)?;
-                let claim: Claim = documents::parse(&held.key, &found.value).map_err(|_| down())?;
+                let found = found.ok_or_else(kv_unavailable)?;
+                let claim: Claim =
+                    documents::parse(&held.key, &found.value).map_err(|_| kv_unavailable())?;
                 if claim.request == *request {
                     held.revision = found.revision;
-                    return Ok(Taken::Ours(held));
+                    return Ok(Acquisition::Granted(held));
                 }
-                if let Some(taken) = met(&claim, &held.claim.content)? {
-                    return Ok(Taken::Answer(taken));
+                if let Some(stored) = check_existing(&claim, &held.claim.content)? {
+                    return Ok(Acquisition::Replay(stored));
                 }
                 held.revision = found.revision;
             }
             Err(Error::Indeterminate { .. }) => {}
             Err(Error::Unavailable { .. }) => sleep(Duration::from_millis(50)).await,
-            Err(Error::Lapsed) => *core.claims.current.lock() = None,
+            Err(Error::Lapsed) => *core.claim_lease.current.lock() = None,
         }
     }
     // Our write may have landed or land yet; nothing was or will be dispatched.
-    settle_later(core, held, State::Released);
-    Err(down())
+    settle_in_background(core, held, State::Released);
+    Err(kv_unavailable())
 }
 
-async fn write(core: &Core, held: &Held, lease: Option<u64>) -> Result<SwapOutcome, Error> {
+async fn write(core: &Core, held: &HeldClaim, lease: Option<u64>) -> Result<SwapOutcome, Error> {
     let value = serde_json::to_string(&held.claim).expect("a claim can always be written");
     core.kv
         .compare_and_swap(&held.key, held.revision, Some(&value), lease)
@@ -199,8 +205,8 @@
 }
 
 /// What another's claim means for a resend; none when it may be taken over.
-fn met(claim: &Claim, content: &Name) -> Result<Option<Stored>, Fault> {
-    let conflict = |outcome, code, message: &str| Fault {
+fn check_existing(claim: &Claim, content: &Name) -> Result<Option<StoredResponse>, ApiError> {
+    let conflict = |outcome, code, message: &str| ApiError {
         status: StatusCode::CONFLICT,
         outcome,
         code,
@@ -211,7 +217,7 @@
         return Ok(None);
     }
     if claim.content != *content {
-        return Err(Fault::refused(
+        return Err(ApiError::client_error(
             StatusCode::UNPROCESSABLE_ENTITY,
             "idempotency_key_reused",
             "This idempotency key was used for another request; choose a new one.",
@@ -226,7 +232,7 @@
             "already_run",
             "The request ran to its end; its answer was too long to keep for a resend.",
         )),
-        State::Held => Err(Fault {
+        State::Held => Err(ApiError {
             retry_after: Some(RETRY_AFTER),
             ..conflict(
                 Outcome::Unknown,
@@ -243,8 +249,8 @@
     }
 }
 
-fn down() -> Fault {
-    Fault::busy(
+fn kv_unavailable() -> ApiError {
+    ApiError::unavailable(
         "claims_unavailable",
         "The request was not run: its idempotency key cannot be claimed while the key-value service does not answer.",
         RETRY_AFTER,
@@ -252,31 +258,33 @@
 }
 
 /// Writes how a claimed request ended, in the background.
-pub fn settle(core: &Arc<Core>, held: Held, state: State) {
+pub fn settle(core: &Arc<Core>, held: HeldClaim, state: State) {
     let state = match state {
-        State::Done { answer: Some(a) } if a.len() > MOST_KEPT => State::Done { answer: None },
+        State::Done {
+            answer: Some(response),
+        } if response.len() > MAX_STORED_BYTES => State::Done { answer: None },
         state => state,
     };
-    settle_later(core, held, state);
+    settle_in_background(core, held, state);
 }
 
-fn settle_later(core: &Arc<Core>, mut held: Held, state: State) {
+fn settle_in_background(core: &Arc<Core>, mut held: HeldClaim, state: State) {
     held.claim.state = state;
     let core = core.clone();
     tokio::spawn(async move {
-        for _ in 0..LATER_TRIES {
+        for _ in 0..SETTLE_ATTEMPTS {
             if try_settle(&core, &mut held).await {
                 return;
             }
-            sleep(LATER_PAUSE).await;
+            sleep(SETTLE_INTERVAL).await;
         }
     });
 }
 
 /// Tries once to write the state; tells whether nothing is left to do.
-async fn try_settle(core: &Core, held: &mut Held) -> bool {
+async fn try_settle(core: &Core, held: &mut HeldClaim) -> bool {
     loop {
-        let Ok(lease) = core.claims.get(core).await else {
+        let Ok(lease) = core.claim_lease.get(core).await else {
             return false;
         };
         match write(core, held, Some(lease)).await {
@@ -286,8 +294,8 @@
                 let Ok(claim) = documents::parse::<Claim>(&held.key, &found.value) else {
                     return true;
                 };
-                let ours = claim.request == held.claim.request;
-                if !ours || claim.state == held.claim.state {
+                let is_own = claim.request == held.claim.request;
+                if !is_own || claim.state == held.claim.state {
                     return true;
                 }
                 held.revision = found.revision;
--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -11,7 +11,7 @@
 }
 
 /// First time a clock shows, so that "long ago" is before it.
-const FIRST: u64 = 3_600_000_000;
+const START_US: u64 = 3_600_000_000;
 
 impl Clock {
     /// Starts a clock.
@@ -23,12 +23,12 @@
 
     /// Time now.
     pub fn now(&self) -> Time {
-        Time(FIRST + self.start.elapsed().as_micros() as u64)
+        Time(START_US + self.start.elapsed().as_micros() as u64)
     }
 
     /// The runtime's instant of a time.
     pub fn instant(&self, time: Time) -> Instant {
-        self.start + std::time::Duration::from_micros(time.0.saturating_sub(FIRST))
+        self.start + std::time::Duration::from_micros(time.0.saturating_sub(START_US))
     }
 }
 
--- a/crates/daemon/src/core.rs
+++ b/crates/daemon/src/core.rs
@@ -48,7 +48,7 @@
     /// Other daemons in the host list, this one included.
     pub peers: RwLock<Vec<Host>>,
     /// Memory for bodies, in units of [`BODY_UNIT`].
-    pub bodies: Arc<Semaphore>,
+    pub body_memory: Arc<Semaphore>,
     /// How the spread of bundles stands.
     pub confirmed: Confirmed,
     /// What the planner did last, when this host holds its hall's lease.
@@ -56,9 +56,9 @@
     /// Notified when another process asks this daemon to drain and end.
     pub shutdown: Notify,
     /// Lease that claims share.
-    pub claims: claim::Lease,
+    pub claim_lease: claim::Lease,
     demand: Mutex<HashMap<Name, Demand>>,
-    budgets: Mutex<HashMap<Name, Budget>>,
+    retry_budgets: Mutex<HashMap<Name, Budget>>,
     draining: AtomicBool,
     in_flight: AtomicUsize,
     next_request: AtomicU64,
@@ -83,13 +83,13 @@
         metrics: metrics::open(),
         teller: Teller::default(),
         peers: RwLock::default(),
-        bodies: Arc::new(Semaphore::new(units as usize)),
+        body_memory: Arc::new(Semaphore::new(units as usize)),
         confirmed: Confirmed::default(),
         planned: Planned::default(),
         shutdown: Notify::new(),
-        claims: claim::Lease::default(),
+        claim_lease: claim::Lease::default(),
         demand: Mutex::default(),
-        budgets: Mutex::default(),
+        retry_budgets: Mutex::default(),
         draining: AtomicBool::new(false),
         in_flight: AtomicUsize::new(0),
         next_request: AtomicU64::new(1),
@@ -100,7 +100,7 @@
 
 impl Core {
     /// Identity for a new request: the host, its start, a number.
-    pub fn new_request(&self) -> Name {
+    pub fn new_request_id(&self) -> Name {
         let number = self.next_request.fetch_add(1, Ordering::Relaxed);
         let name = &self.settings.name;
         format!("{name}-{:x}-{number:x}", self.start & 0xffff_ffff).into()
@@ -127,7 +127,7 @@
     }
 
     /// Counts a request in until the guard is dropped.
-    pub fn enter(self: &Arc<Self>) -> InFlight {
+    pub fn track_request(self: &Arc<Self>) -> InFlight {
         self.in_flight.fetch_add(1, Ordering::SeqCst);
         InFlight { core: self.clone() }
     }
@@ -138,7 +138,7 @@
     }
 
     /// Notes an arrival for a model.
-    pub fn arrived(&self, model: &Name) {
+    pub fn record_arrival(&self, model: &Name) {
         let now = self.now();
         let mut demand = self.demand.lock();
         demand
@@ -148,9 +148,9 @@
     }
 
     /// Notes whether a request for a model met its targets.
-    pub fn ended(&self, model: &Name, met: bool) {
+    pub fn record_completion(&self, model: &Name, met_targets: bool) {
         if let Some(demand) = self.demand.lock().get_mut(model) {
-            demand.record_completion(met);
+            demand.record_completion(met_targets);
         }
     }
 
@@ -174,15 +174,18 @@
     }
 
     /// Notes a success of a caller, which earns it a share of a retry.
-    pub fn earn(&self, caller: &Name, percent: u32) {
-        let mut budgets = self.budgets.lock();
-        budgets.entry(caller.clone()).or_default().earn(percent);
+    pub fn earn_retry(&self, caller: &Name, percent: u32) {
+        let mut retry_budgets = self.retry_budgets.lock();
+        retry_budgets
+            .entry(caller.clone())
+            .or_default()
+            .earn(percent);
     }
 
     /// Spends a retry of a caller if it has one.
-    pub fn spend(&self, caller: &Name) -> bool {
-        let mut budgets = self.budgets.lock();
-        budgets.entry(caller.clone()).or_default().spend()
+    pub fn spend_retry(&self, caller: &Name) -> bool {
+        let mut retry_budgets = self.retry_budgets.lock();
+        retry_budgets.entry(caller.clone()).or_default().spend()
     }
 
     /// Other daemons, with the address of their inner protocol.
--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -1,16 +1,16 @@
 //! Entry: takes callers' requests and carries their answers.
 
-mod answer;
-mod ask;
-mod fault;
+mod error;
+mod generation;
+mod idempotency;
 mod render;
+mod request;
 mod respond;
 mod serve;
 mod service;
-mod settle;
 
-pub use ask::{Ask, Form};
-pub use fault::Fault;
+pub use error::ApiError;
+pub use request::{Completion, Endpoint};
 pub use serve::handle;
 
 /// Header that carries the request id to the caller.
--- a/crates/daemon/src/entry/fault.rs
+++ b/crates/daemon/src/entry/error.rs
@@ -7,7 +7,7 @@
 
 /// Error that ends a request.
 #[derive(Debug, Clone)]
-pub struct Fault {
+pub struct ApiError {
     /// HTTP status.
     pub status: StatusCode,
     /// What is known of the request.
@@ -20,10 +20,14 @@
     pub retry_after: Option<Span>,
 }
 
-impl Fault {
+impl ApiError {
     /// Request that was refused before dispatch for what it is.
-    pub fn refused(status: StatusCode, code: &'static str, message: impl Into<String>) -> Fault {
-        Fault {
+    pub fn client_error(
+        status: StatusCode,
+        code: &'static str,
+        message: impl Into<String>,
+    ) -> ApiError {
+        ApiError {
             status,
             outcome: Outcome::NotRun,
             code,
@@ -33,26 +37,30 @@
     }
 
     /// Bad request.
-    pub fn bad(code: &'static str, message: impl Into<String>) -> Fault {
-        Fault::refused(StatusCode::BAD_REQUEST, code, message)
+    pub fn bad_request(code: &'static str, message: impl Into<String>) -> ApiError {
+        ApiError::client_error(StatusCode::BAD_REQUEST, code, message)
     }
 
     /// Request that was not run for want of room; it may come again.
-    pub fn busy(code: &'static str, message: impl Into<String>, retry_after: Span) -> Fault {
-        Fault {
+    pub fn unavailable(
+        code: &'static str,
+        message: impl Into<String>,
+        retry_after: Span,
+    ) -> ApiError {
+        ApiError {
             retry_after: Some(retry_after),
-            ..Fault::refused(StatusCode::SERVICE_UNAVAILABLE, code, message)
+            ..ApiError::client_error(StatusCode::SERVICE_UNAVAILABLE, code, message)
         }
     }
 
     /// Request whose answer is lost.
-    pub fn lost(outcome: Outcome, message: impl Into<String>) -> Fault {
+    pub fn upstream_failure(outcome: Outcome, message: impl Into<String>) -> ApiError {
         let (status, code) = match outcome {
             Outcome::NotRun => (StatusCode::SERVICE_UNAVAILABLE, "upstream_not_reached"),
             _ => (StatusCode::BAD_GATEWAY, "outcome_unknown"),
         };
         let retry_after = (outcome == Outcome::NotRun).then_some(Span::from_secs(1));
-        Fault {
+        ApiError {
             status,
             outcome,
             code,
@@ -62,8 +70,8 @@
     }
 
     /// The error in the usual JSON form.
-    pub fn body(&self) -> Vec<u8> {
-        let kind = match self.status {
+    pub fn to_json(&self) -> Vec<u8> {
+        let error_type = match self.status {
             StatusCode::UNAUTHORIZED | StatusCode::FORBIDDEN => "authentication_error",
             status if status.is_client_error() => "invalid_request_error",
             _ => "server_error",
@@ -71,7 +79,7 @@
         let error = json!({
             "error": {
                 "message": self.message,
-                "type": kind,
+                "type": error_type,
                 "code": self.code,
                 "outcome": self.outcome.as_str(),
             }
--- a/crates/daemon/src/entry/answer.rs
+++ b/crates/daemon/src/entry/generation.rs
@@ -1,7 +1,7 @@
 //! Answer of a model: attempts, resumptions and continuations behind one stream of tokens.
 
-use super::ask::Ask;
-use super::fault::Fault;
+use super::error::ApiError;
+use super::request::Completion;
 use crate::core::{Core, InFlight};
 use crate::fleet::{Placed, Placeless, Target};
 use crate::metrics::{Class as ClassMetrics, record};
@@ -19,96 +19,98 @@
 const PREFIX_BYTES: usize = 512;
 
 /// Prefill time assumed per byte of prompt that is not cached; about 4 bytes a token.
-const PREFILL_PER_BYTE: f64 = 12.0;
+const PREFILL_US_PER_BYTE: f64 = 12.0;
 
 /// First-token targets an attempt may take before it is held to be lost.
-const FIRST_TOKEN_FACTOR: f64 = 4.0;
+const TTFT_TIMEOUT_FACTOR: f64 = 4.0;
 
 /// When a shed caller may come back.
-const SHED_RETRY: Span = Span::from_secs(2);
+const REJECTED_RETRY_AFTER: Span = Span::from_secs(2);
 
 /// When a caller of a model with no replica may come back.
-const ABSENT_RETRY: Span = Span::from_secs(5);
+const UNAVAILABLE_RETRY_AFTER: Span = Span::from_secs(5);
 
 /// Stream of an attempt, at its place.
-struct Running {
+struct ActiveAttempt {
     stream: Stream,
     placed: Placed,
     attempt: Attempt,
 }
 
 /// Answer under way.
-pub struct Answer {
+pub struct Generation {
     core: Arc<Core>,
     /// The request.
-    pub ask: Ask,
-    metrics: Arc<ClassMetrics>,
-    running: Option<Running>,
+    pub completion: Completion,
+    class_metrics: Arc<ClassMetrics>,
+    active: Option<ActiveAttempt>,
     /// First item, had before the answer's head was sent.
-    held: Option<Item>,
+    first_item: Option<Item>,
     /// End that was met among what had arrived already.
-    ending: Option<End>,
+    buffered_end: Option<End>,
     attempts: u32,
     resumes: u32,
     may_have_run: bool,
     avoid: Option<u64>,
-    given: String,
+    output: String,
     /// Tokens handed on so far.
     pub tokens: u32,
-    first_at: Option<Time>,
-    last_at: Time,
+    first_token_at: Option<Time>,
+    last_token_at: Time,
     late_tokens: u32,
     finished: bool,
     _in_flight: InFlight,
 }
 
 /// Starts an answer; it has its first token, or is whole, when this returns.
-pub async fn start(core: &Arc<Core>, ask: Ask) -> Result<Answer, Fault> {
-    let metrics = core.metrics.class(&ask.asker.caller, &ask.asker.class_name);
-    core.arrived(&ask.model);
-    let mut answer = Answer {
+pub async fn start(core: &Arc<Core>, completion: Completion) -> Result<Generation, ApiError> {
+    let class_metrics = core
+        .metrics
+        .class(&completion.meta.caller, &completion.meta.class_name);
+    core.record_arrival(&completion.model);
+    let mut generation = Generation {
         core: core.clone(),
-        metrics,
-        running: None,
-        held: None,
-        ending: None,
+        class_metrics,
+        active: None,
+        first_item: None,
+        buffered_end: None,
         attempts: 0,
         resumes: 0,
         may_have_run: false,
         avoid: None,
-        given: String::new(),
+        output: String::new(),
         tokens: 0,
-        first_at: None,
-        last_at: ask.asker.arrived,
+        first_token_at: None,
+        last_token_at: completion.meta.arrived,
         late_tokens: 0,
         finished: false,
-        _in_flight: core.enter(),
-        ask,
+        _in_flight: core.track_request(),
+        completion,
     };
-    answer.attempt().await?;
-    let item = answer.advance().await?;
-    answer.held = Some(item);
-    Ok(answer)
+    generation.start_attempt().await?;
+    let item = generation.receive().await?;
+    generation.first_item = Some(item);
+    Ok(generation)
 }
 
-impl Answer {
+impl Generation {
     /// Next tokens, or the end of the whole answer.
-    pub async fn next(&mut self) -> Result<Item, Fault> {
-        match self.held.take() {
+    pub async fn next(&mut self) -> Result<Item, ApiError> {
+        match self.first_item.take() {
             Some(item) => Ok(item),
-            None => self.advance().await,
+            None => self.receive().await,
         }
     }
 
     /// Next item if it has arrived already.
-    pub fn buffered(&mut self) -> Option<Item> {
-        match self.running.as_mut()?.stream.buffered()? {
+    pub fn try_next(&mut self) -> Option<Item> {
+        match self.active.as_mut()?.stream.buffered()? {
             Ok(Item::End(end)) => {
-                self.ending = Some(end);
+                self.buffered_end = Some(end);
                 None
             }
             Ok(item) => {
-                self.note(&item);
+                self.record_item(&item);
                 Some(item)
             }
             // A failure is met again, and dealt with, by the next call of `next`.
@@ -116,19 +118,19 @@
         }
     }
 
-    async fn advance(&mut self) -> Result<Item, Fault> {
-        if let Some(end) = self.ending.take() {
-            return Ok(self.end(end).await);
+    async fn receive(&mut self) -> Result<Item, ApiError> {
+        if let Some(end) = self.buffered_end.take() {
+            return Ok(self.finish(end).await);
         }
         loop {
-            let limit = self.token_limit();
-            let Some(running) = &mut self.running else {
+            let limit = self.token_timeout();
+            let Some(active) = &mut self.active else {
                 return Err(self.fail(Outcome::Unknown, "the stream is gone".into()));
             };
-            match running.stream.next(limit).await {
-                Ok(Item::End(end)) => return Ok(self.end(end).await),
+            match active.stream.next(limit).await {
+                Ok(Item::End(end)) => return Ok(self.finish(end).await),
                 Ok(item) => {
-                    self.note(&item);
+                    self.record_item(&item);
                     return Ok(item);
                 }
                 Err(failure) => self.recover(failure).await?,
@@ -137,110 +139,112 @@
     }
 
     /// Time that the next token may take.
-    fn token_limit(&self) -> Duration {
+    fn token_timeout(&self) -> Duration {
         let stall = self.core.settings.limits.stall;
-        if self.first_at.is_some() {
+        if self.first_token_at.is_some() {
             return stall.std();
         }
-        let patience = self.ask.asker.class.first_token * FIRST_TOKEN_FACTOR;
-        let left = self.ask.asker.deadline().since(self.core.now());
-        patience.max(stall).min(left.max(Span::from_ms(1))).std()
+        let ttft_timeout = self.completion.meta.class.first_token * TTFT_TIMEOUT_FACTOR;
+        let remaining = self.completion.meta.deadline().since(self.core.now());
+        ttft_timeout
+            .max(stall)
+            .min(remaining.max(Span::from_ms(1)))
+            .std()
     }
 
     /// Notes an item in histograms, and keeps the text for a continuation.
-    fn note(&mut self, item: &Item) {
+    fn record_item(&mut self, item: &Item) {
         let now = self.core.now();
         let Item::Tokens { text, count } = item else {
             return;
         };
-        match self.first_at {
+        match self.first_token_at {
             None => {
-                self.first_at = Some(now);
-                let delay = now.since(self.ask.asker.arrived);
-                record(&self.metrics.first_token, delay);
-                if let Some(running) = &self.running {
-                    let delay = now.since(running.placed.at);
-                    running
+                self.first_token_at = Some(now);
+                let delay = now.since(self.completion.meta.arrived);
+                record(&self.class_metrics.ttft, delay);
+                if let Some(active) = &self.active {
+                    let delay = now.since(active.placed.at);
+                    active
                         .placed
-                        .answered(delay, self.ask.asker.class.first_token);
+                        .answered(delay, self.completion.meta.class.first_token);
                 }
             }
             Some(_) => {
-                let gap = now.since(self.last_at);
-                record(&self.metrics.between_tokens, gap);
-                if gap > self.ask.asker.class.between_tokens {
+                let gap = now.since(self.last_token_at);
+                record(&self.class_metrics.inter_token, gap);
+                if gap > self.completion.meta.class.between_tokens {
                     self.late_tokens += 1;
                 }
             }
         }
-        self.last_at = now;
+        self.last_token_at = now;
         self.tokens += count;
-        if self.ask.asker.repeatable {
-            self.given.push_str(text);
+        if self.completion.meta.repeatable {
+            self.output.push_str(text);
         }
     }
 
     /// Notes the end of the whole answer and gives the place up.
-    async fn end(&mut self, end: End) -> Item {
+    async fn finish(&mut self, end: End) -> Item {
         self.finished = true;
-        let asker = &self.ask.asker;
-        let met = self.has_met_targets();
-        let percent = asker.bundle.intent.limits.retry_percent;
-        self.core.earn(&asker.caller, percent);
-        self.core.ended(&self.ask.model, met);
-        self.metrics.outcome(Outcome::Complete);
-        match met {
-            true => self.metrics.attained.increment(1),
-            false => self.metrics.missed.increment(1),
+        let meta = &self.completion.meta;
+        let met_targets = self.has_met_targets();
+        let percent = meta.bundle.intent.limits.retry_percent;
+        self.core.earn_retry(&meta.caller, percent);
+        self.core
+            .record_completion(&self.completion.model, met_targets);
+        self.class_metrics.record_outcome(Outcome::Complete);
+        match met_targets {
+            true => self.class_metrics.attained.increment(1),
+            false => self.class_metrics.missed.increment(1),
         }
         let reason = format!("{} tokens were handed on.", self.tokens);
-        self.core
-            .teller
-            .ended(&asker.request, Outcome::Complete, &reason);
-        if let Some(running) = self.running.take() {
-            self.core.teller.attempt_ended(&asker.request, "whole.");
-            let took = self.core.now().since(running.placed.at);
-            let first = self.first_at.unwrap_or(running.placed.at);
-            let first = first.since(running.placed.at);
-            running.placed.ended(first, took, Some(end.load));
-            count_dropped(&self.core, &running.stream);
-            running.stream.finish().await;
+        self.core.teller.ended(&meta.id, Outcome::Complete, &reason);
+        if let Some(active) = self.active.take() {
+            self.core.teller.attempt_ended(&meta.id, "whole.");
+            let elapsed = self.core.now().since(active.placed.at);
+            let ttft = self.first_token_at.unwrap_or(active.placed.at);
+            let ttft = ttft.since(active.placed.at);
+            active.placed.ended(ttft, elapsed, Some(end.load));
+            count_dropped(&self.core, &active.stream);
+            active.stream.finish().await;
         }
         Item::End(end)
     }
 
     /// Whether the first token came in time, and 95 in 100 of the others.
     fn has_met_targets(&self) -> bool {
-        let asker = &self.ask.asker;
-        let first = self.first_at.unwrap_or(self.core.now());
-        let in_time = first.since(asker.arrived) <= asker.class.first_token;
+        let meta = &self.completion.meta;
+        let first = self.first_token_at.unwrap_or(self.core.now());
+        let in_time = first.since(meta.arrived) <= meta.class.first_token;
         in_time && self.late_tokens * 20 <= self.tokens
     }
 
     /// Deals with the failure of a running attempt: its stream goes on, or the request ends.
-    async fn recover(&mut self, failure: Failure) -> Result<(), Fault> {
+    async fn recover(&mut self, failure: Failure) -> Result<(), ApiError> {
         let mut failure = failure;
         loop {
-            let (end, text) = self.ended(failure);
-            let known = Context {
-                repeatable: self.ask.asker.repeatable,
+            let (kind, text) = self.record_failure(failure);
+            let context = Context {
+                repeatable: self.completion.meta.repeatable,
                 attempts: self.attempts,
                 resumes: self.resumes,
                 may_have_run: self.may_have_run,
-                deadline: self.ask.asker.deadline(),
+                deadline: self.completion.meta.deadline(),
             };
-            match retry::decide(&known, end, self.core.now()) {
+            match retry::decide(&context, kind, self.core.now()) {
                 Action::Resume => match self.resume().await {
                     Ok(()) => return Ok(()),
-                    Err(again) => failure = again,
+                    Err(next) => failure = next,
                 },
-                Action::Retry if self.core.spend(&self.ask.asker.caller) => {
-                    self.abandon();
-                    return self.attempt().await;
+                Action::Retry if self.core.spend_retry(&self.completion.meta.caller) => {
+                    self.cancel_active();
+                    return self.start_attempt().await;
                 }
                 Action::Retry => {
                     let text = format!("{text}; the caller's retry budget is spent");
-                    return Err(self.fail(self.true_outcome(), text));
+                    return Err(self.fail(self.outcome_without_answer(), text));
                 }
                 Action::GiveUp(outcome) => return Err(self.fail(outcome, text)),
             }
@@ -248,21 +252,21 @@
     }
 
     /// Leaves the running attempt, if there is one, and cancels it upstream.
-    fn abandon(&mut self) {
-        if let Some(running) = self.running.take() {
-            cancel(&self.core, running.placed.addr, running.attempt);
+    fn cancel_active(&mut self) {
+        if let Some(active) = self.active.take() {
+            cancel(&self.core, active.placed.addr, active.attempt);
         }
     }
 
     /// Outcome that is true of the request so far, if it ended now.
-    fn true_outcome(&self) -> Outcome {
+    fn outcome_without_answer(&self) -> Outcome {
         Outcome::without_answer(self.may_have_run)
     }
 
     /// Notes how an attempt ended, for routing, for the record and for what follows.
-    fn ended(&mut self, failure: Failure) -> (retry::Failure, String) {
-        let placed = self.running.as_ref().map(|r| &r.placed);
-        let (end, text) = match failure {
+    fn record_failure(&mut self, failure: Failure) -> (retry::Failure, String) {
+        let placed = self.active.as_ref().map(|r| &r.placed);
+        let (kind, text) = match failure {
             Failure::Unsent(e) => {
                 placed.inspect(|p| p.failed());
                 (retry::Failure::NotRun, format!("not run: {e}"))
@@ -271,23 +275,23 @@
                 retry::Failure::UnknownStream,
                 "lost: the engine does not know the stream any more".into(),
             ),
-            Failure::Refused(cause) => {
-                placed.inspect(|p| p.refused(cause));
+            Failure::Refused(reason) => {
+                placed.inspect(|p| p.refused(reason));
                 (
                     retry::Failure::NotRun,
-                    format!("not run: the engine refused ({cause:?})"),
+                    format!("not run: the engine refused ({reason:?})"),
                 )
             }
-            Failure::Lost(why) => {
+            Failure::Lost(reason) => {
                 placed.inspect(|p| p.failed());
-                (retry::Failure::Lost, format!("lost: {why}"))
+                (retry::Failure::Lost, format!("lost: {reason}"))
             }
         };
-        self.may_have_run |= end != retry::Failure::NotRun;
+        self.may_have_run |= kind != retry::Failure::NotRun;
         self.core
             .teller
-            .attempt_ended(&self.ask.asker.request, &text);
-        (end, text)
+            .attempt_ended(&self.completion.meta.id, &text);
+        (kind, text)
     }
 
     /// Takes the same attempt's stream up again at its engine.
@@ -295,17 +299,17 @@
         self.resumes += 1;
         let counter = self.core.metrics.counter("coveford_resumes_total", &[]);
         counter.increment(1);
-        let Some(running) = &mut self.running else {
+        let Some(active) = &mut self.active else {
             return Err(Failure::Lost("the stream is gone".into()));
         };
-        let offset = running.stream.offset();
-        let mut run = run(&self.ask, running.attempt.clone());
+        let offset = active.stream.offset();
+        let mut run = engine_run(&self.completion, active.attempt.clone());
         run.resume_at = Some(offset);
         let limit = self.core.settings.limits.stall.std();
-        let addr = running.placed.addr;
+        let addr = active.placed.addr;
         // A resumption starts nothing, so what failed to reach the engine is still lost, not "not run".
         let resumed = engine::start(&self.core.pool, addr, Reuse::Fresh, &run, limit).await;
-        running.stream = resumed.map_err(|failure| match failure {
+        active.stream = resumed.map_err(|failure| match failure {
             Failure::Unsent(e) => Failure::Lost(e.to_string()),
             Failure::Refused(_) => Failure::Refused(RefusalReason::Unknown),
             lost => lost,
@@ -314,7 +318,7 @@
     }
 
     /// Makes another attempt; what was handed on already is given to it to continue.
-    async fn attempt(&mut self) -> Result<(), Fault> {
+    async fn start_attempt(&mut self) -> Result<(), ApiError> {
         loop {
             let placed = self.place().await?;
             self.attempts += 1;
@@ -324,27 +328,27 @@
                 counter.increment(1);
             }
             let attempt = Attempt {
-                request: self.ask.asker.request.clone(),
+                request: self.completion.meta.id.clone(),
                 number: self.attempts,
             };
-            self.decided(&placed);
+            self.record_decision(&placed);
             self.avoid = Some(rendezvous::hash(placed.upstream.as_bytes()));
-            let mut run = run(&self.ask, attempt.clone());
-            run.given.clone_from(&self.given);
+            let mut run = engine_run(&self.completion, attempt.clone());
+            run.given.clone_from(&self.output);
             run.given_tokens = self.tokens;
-            let reuse = match self.ask.asker.repeatable {
+            let reuse = match self.completion.meta.repeatable {
                 true => Reuse::Kept,
                 false => Reuse::Fresh,
             };
-            let limit = self.token_limit();
+            let limit = self.token_timeout();
             let addr = placed.addr;
             // A caller that leaves while the head is awaited must not leave the engine at work.
-            let guard = Cancel::new(&self.core, addr, attempt.clone());
+            let guard = CancelGuard::new(&self.core, addr, attempt.clone());
             let started = engine::start(&self.core.pool, addr, reuse, &run, limit).await;
             guard.disarm();
             match started {
                 Ok(stream) => {
-                    self.running = Some(Running {
+                    self.active = Some(ActiveAttempt {
                         stream,
                         placed,
                         attempt,
@@ -352,8 +356,8 @@
                     return Ok(());
                 }
                 Err(failure) => {
-                    let again = self.unstarted(failure, placed, attempt).await?;
-                    if !again {
+                    let retry = self.handle_failed_start(failure, placed, attempt).await?;
+                    if !retry {
                         return Ok(());
                     }
                 }
@@ -362,50 +366,50 @@
     }
 
     /// Deals with an attempt that did not start; tells whether to make another.
-    async fn unstarted(
+    async fn handle_failed_start(
         &mut self,
         failure: Failure,
         placed: Placed,
         attempt: Attempt,
-    ) -> Result<bool, Fault> {
-        let lost = matches!(failure, Failure::Lost(_));
+    ) -> Result<bool, ApiError> {
+        let is_lost = matches!(failure, Failure::Lost(_));
         match &failure {
-            Failure::Refused(cause) => placed.refused(*cause),
+            Failure::Refused(reason) => placed.refused(*reason),
             _ => placed.failed(),
         }
-        let (end, text) = self.ended(failure);
-        let resumable = lost && self.take_up(placed, attempt).await;
-        if resumable {
+        let (kind, text) = self.record_failure(failure);
+        let resumed = is_lost && self.try_resume(placed, attempt).await;
+        if resumed {
             return Ok(false);
         }
-        let known = Context {
-            repeatable: self.ask.asker.repeatable,
+        let context = Context {
+            repeatable: self.completion.meta.repeatable,
             attempts: self.attempts,
             resumes: u32::MAX,
             may_have_run: self.may_have_run,
-            deadline: self.ask.asker.deadline(),
+            deadline: self.completion.meta.deadline(),
         };
-        match retry::decide(&known, end, self.core.now()) {
-            Action::Retry if self.core.spend(&self.ask.asker.caller) => Ok(true),
+        match retry::decide(&context, kind, self.core.now()) {
+            Action::Retry if self.core.spend_retry(&self.completion.meta.caller) => Ok(true),
             Action::GiveUp(outcome) => Err(self.fail(outcome, text)),
             _ => {
                 let text = format!("{text}; the caller's retry budget is spent");
-                Err(self.fail(self.true_outcome(), text))
+                Err(self.fail(self.outcome_without_answer(), text))
             }
         }
     }
 
     /// Tries to take up a stream whose head was lost; the engine may be running it.
-    async fn take_up(&mut self, placed: Placed, attempt: Attempt) -> bool {
-        let mut run = run(&self.ask, attempt.clone());
+    async fn try_resume(&mut self, placed: Placed, attempt: Attempt) -> bool {
+        let mut run = engine_run(&self.completion, attempt.clone());
         run.resume_at = Some(self.tokens);
         let limit = self.core.settings.limits.stall.std();
-        let taken = engine::start(&self.core.pool, placed.addr, Reuse::Fresh, &run, limit).await;
-        let Ok(stream) = taken else {
+        let resumed = engine::start(&self.core.pool, placed.addr, Reuse::Fresh, &run, limit).await;
+        let Ok(stream) = resumed else {
             return false;
         };
         self.resumes += 1;
-        self.running = Some(Running {
+        self.active = Some(ActiveAttempt {
             stream,
             placed,
             attempt,
@@ -413,48 +417,48 @@
         true
     }
 
-    async fn place(&mut self) -> Result<Placed, Fault> {
-        let asker = &self.ask.asker;
+    async fn place(&mut self) -> Result<Placed, ApiError> {
+        let meta = &self.completion.meta;
         let target = Target::Model {
-            model: self.ask.model.clone(),
-            adapter: self.ask.adapter.clone(),
+            model: self.completion.model.clone(),
+            adapter: self.completion.adapter.clone(),
         };
-        let want = asker.want(
+        let want = meta.want(
             target,
             choose::Request {
-                prefix: Some(prefix(&self.ask.model, &self.ask.prompt)),
-                prefill: Span((self.ask.prompt.len() as f64 * PREFILL_PER_BYTE) as u64),
+                prefix: Some(prefix_hash(&self.completion.model, &self.completion.prompt)),
+                prefill: Span((self.completion.prompt.len() as f64 * PREFILL_US_PER_BYTE) as u64),
                 avoid: self.avoid,
             },
         );
-        let most = asker.bundle.intent.limits.queue as usize;
-        let from = self.core.now();
-        let placed = self.core.fleet.acquire(want, most).await;
-        let waited = self.core.now().since(from);
-        record(&self.metrics.wait, waited);
+        let max_queued = meta.bundle.intent.limits.queue as usize;
+        let queued_at = self.core.now();
+        let placed = self.core.fleet.acquire(want, max_queued).await;
+        let waited = self.core.now().since(queued_at);
+        record(&self.class_metrics.queue_time, waited);
         self.core
             .teller
-            .change(&asker.request, |record| record.waited += waited);
-        placed.map_err(|placeless| self.placeless(placeless))
+            .change(&meta.id, |record| record.waited += waited);
+        placed.map_err(|placeless| self.placement_error(placeless))
     }
 
-    fn placeless(&mut self, placeless: Placeless) -> Fault {
-        let outcome = self.true_outcome();
-        let (code, message, retry) = match placeless {
+    fn placement_error(&mut self, placeless: Placeless) -> ApiError {
+        let outcome = self.outcome_without_answer();
+        let (code, message, retry_after) = match placeless {
             Placeless::Shed(Rejection::Full) => (
                 "overloaded",
                 "The queue is full of requests that go before this one.",
-                SHED_RETRY,
+                REJECTED_RETRY_AFTER,
             ),
             Placeless::Shed(Rejection::Expired) => (
                 "too_late",
                 "The request cannot be answered before its deadline.",
-                SHED_RETRY,
+                REJECTED_RETRY_AFTER,
             ),
             Placeless::Absent => (
                 "model_not_ready",
                 "No upstream holds this model ready at the moment.",
-                ABSENT_RETRY,
+                UNAVAILABLE_RETRY_AFTER,
             ),
         };
         let counter = self
@@ -462,74 +466,74 @@
             .metrics
             .counter("coveford_shed_total", &[("reason", code)]);
         counter.increment(1);
-        self.close(outcome, message);
+        self.record_end(outcome, message);
         match outcome {
-            Outcome::NotRun => Fault::busy(code, message, retry),
-            _ => Fault::lost(outcome, message),
+            Outcome::NotRun => ApiError::unavailable(code, message, retry_after),
+            _ => ApiError::upstream_failure(outcome, message),
         }
     }
 
-    fn decided(&self, placed: &Placed) {
-        let asker = &self.ask.asker;
+    fn record_decision(&self, placed: &Placed) {
+        let meta = &self.completion.meta;
         let decision = Decision {
-            after: self.core.now().since(asker.arrived),
+            after: self.core.now().since(meta.arrived),
             attempt: self.attempts,
             upstream: placed.upstream.clone(),
             weighed: placed.weighed.clone(),
             ended: String::new(),
         };
-        self.core.teller.decided(&asker.request, decision);
+        self.core.teller.decided(&meta.id, decision);
     }
 
-    fn fail(&mut self, outcome: Outcome, text: String) -> Fault {
-        self.close(outcome, &text);
-        Fault::lost(outcome, format!("The answer could not be had ({text})."))
+    fn fail(&mut self, outcome: Outcome, text: String) -> ApiError {
+        self.record_end(outcome, &text);
+        ApiError::upstream_failure(outcome, format!("The answer could not be had ({text})."))
     }
 
     /// Notes the outcome of a request that was not answered whole.
-    fn close(&mut self, outcome: Outcome, text: &str) {
+    fn record_end(&mut self, outcome: Outcome, text: &str) {
         self.finished = true;
-        self.core.ended(&self.ask.model, false);
-        self.metrics.outcome(outcome);
-        self.metrics.missed.increment(1);
+        self.core.record_completion(&self.completion.model, false);
+        self.class_metrics.record_outcome(outcome);
+        self.class_metrics.missed.increment(1);
         self.core
             .teller
-            .ended(&self.ask.asker.request, outcome, text);
+            .ended(&self.completion.meta.id, outcome, text);
     }
 }
 
-impl Drop for Answer {
+impl Drop for Generation {
     /// A caller that goes away cancels upstream.
     fn drop(&mut self) {
-        self.abandon();
+        self.cancel_active();
         if !self.finished {
-            self.close(Outcome::Unknown, "the caller went away");
+            self.record_end(Outcome::Unknown, "the caller went away");
         }
     }
 }
 
 /// Cancels an attempt when dropped before it is disarmed.
-struct Cancel<'a> {
+struct CancelGuard<'a> {
     core: &'a Arc<Core>,
-    of: Option<(std::net::SocketAddr, Attempt)>,
+    target: Option<(std::net::SocketAddr, Attempt)>,
 }
 
-impl<'a> Cancel<'a> {
-    fn new(core: &'a Arc<Core>, addr: std::net::SocketAddr, attempt: Attempt) -> Cancel<'a> {
-        Cancel {
+impl<'a> CancelGuard<'a> {
+    fn new(core: &'a Arc<Core>, addr: std::net::SocketAddr, attempt: Attempt) -> CancelGuard<'a> {
+        CancelGuard {
             core,
-            of: Some((addr, attempt)),
+            target: Some((addr, attempt)),
         }
     }
 
     fn disarm(mut self) {
-        self.of = None;
+        self.target = None;
     }
 }
 
-impl Drop for Cancel<'_> {
+impl Drop for CancelGuard<'_> {
     fn drop(&mut self) {
-        if let Some((addr, attempt)) = self.of.take() {
+        if let Some((addr, attempt)) = self.target.take() {
             cancel(self.core, addr, attempt);
         }
     }
@@ -560,24 +564,24 @@
 }
 
 /// Hash of a model and the beginning of a prompt.
-pub fn prefix(model: &Name, prompt: &str) -> u64 {
+fn prefix_hash(model: &Name, prompt: &str) -> u64 {
     let bytes = prompt.as_bytes();
     let end = bytes.len().min(PREFIX_BYTES);
     rendezvous::hash(model.as_bytes()) ^ rendezvous::hash(&bytes[..end])
 }
 
-fn run(ask: &Ask, attempt: Attempt) -> Run {
+fn engine_run(completion: &Completion, attempt: Attempt) -> Run {
     Run {
         attempt,
-        model: ask.model.clone(),
+        model: completion.model.clone(),
         version: None,
-        adapter: ask.adapter.clone(),
-        prompt: ask.prompt.clone(),
+        adapter: completion.adapter.clone(),
+        prompt: completion.prompt.clone(),
         given: String::new(),
         given_tokens: 0,
         resume_at: None,
-        max_tokens: ask.max_tokens,
-        priority: ask.asker.class.priority,
-        sampling: ask.sampling.clone(),
+        max_tokens: completion.max_tokens,
+        priority: completion.meta.class.priority,
+        sampling: completion.sampling.clone(),
     }
 }
--- a/crates/daemon/src/entry/render.rs
+++ b/crates/daemon/src/entry/render.rs
@@ -1,8 +1,8 @@
 //! Answers of models in the forms that callers' libraries read.
 
-use super::answer::Answer;
-use super::ask::{Ask, Form};
-use super::fault::Fault;
+use super::error::ApiError;
+use super::generation::Generation;
+use super::request::{Completion, Endpoint};
 use bytes::{BufMut, Bytes, BytesMut};
 use serde_json::{Value, json};
 use unit::Name;
@@ -10,7 +10,7 @@
 
 /// Whole answer of a model.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Whole {
+pub struct Output {
     /// Text.
     pub text: String,
     /// Its tokens.
@@ -22,15 +22,15 @@
 }
 
 /// Reads an answer to its end.
-pub async fn collect(answer: &mut Answer) -> Result<Whole, Fault> {
+pub async fn collect(generation: &mut Generation) -> Result<Output, ApiError> {
     let mut text = String::new();
     loop {
-        match answer.next().await? {
-            Item::Tokens { text: more, .. } => text.push_str(&more),
+        match generation.next().await? {
+            Item::Tokens { text: next, .. } => text.push_str(&next),
             Item::End(end) => {
-                return Ok(Whole {
+                return Ok(Output {
                     text,
-                    tokens: answer.tokens,
+                    tokens: generation.tokens,
                     prompt_tokens: end.prompt_tokens,
                     finish: end.finish,
                 });
@@ -40,28 +40,28 @@
 }
 
 /// The whole answer as one JSON object.
-pub fn whole(ask: &Ask, created: u64, whole: &Whole) -> Vec<u8> {
-    let choice = match ask.form {
-        Form::Chat => json!({
+pub fn complete_json(completion: &Completion, created: u64, output: &Output) -> Vec<u8> {
+    let choice = match completion.endpoint {
+        Endpoint::Chat => json!({
             "index": 0,
-            "message": {"role": "assistant", "content": whole.text},
-            "finish_reason": whole.finish,
+            "message": {"role": "assistant", "content": output.text},
+            "finish_reason": output.finish,
         }),
-        Form::Text => json!({"index": 0, "text": whole.text, "finish_reason": whole.finish}),
+        Endpoint::Text => json!({"index": 0, "text": output.text, "finish_reason": output.finish}),
     };
-    let object = match ask.form {
-        Form::Chat => "chat.completion",
-        Form::Text => "text_completion",
+    let object = match completion.endpoint {
+        Endpoint::Chat => "chat.completion",
+        Endpoint::Text => "text_completion",
     };
-    let answer = json!({
-        "id": ask.asker.request,
+    let response = json!({
+        "id": completion.meta.id,
         "object": object,
         "created": created,
-        "model": ask.asked,
+        "model": completion.requested_model,
         "choices": [choice],
-        "usage": usage(whole.prompt_tokens, whole.tokens),
+        "usage": usage(output.prompt_tokens, output.tokens),
     });
-    answer.to_string().into_bytes()
+    response.to_string().into_bytes()
 }
 
 fn usage(prompt: u32, completion: u32) -> Value {
@@ -73,83 +73,83 @@
 }
 
 /// Renders server-sent events; what is the same in each is made once.
-pub struct Events {
-    before: String,
-    after: &'static str,
-    head: String,
-    form: Form,
-    usage: bool,
+pub struct EventWriter {
+    token_prefix: String,
+    token_suffix: &'static str,
+    event_prefix: String,
+    endpoint: Endpoint,
+    include_usage: bool,
 }
 
 /// Makes the renderer for a request.
-pub fn events(ask: &Ask, created: u64) -> Events {
+pub fn event_writer(completion: &Completion, created: u64) -> EventWriter {
     let quoted = |text: &str| Value::from(text).to_string();
-    let object = match ask.form {
-        Form::Chat => "chat.completion.chunk",
-        Form::Text => "text_completion",
+    let object = match completion.endpoint {
+        Endpoint::Chat => "chat.completion.chunk",
+        Endpoint::Text => "text_completion",
     };
-    let head = format!(
+    let event_prefix = format!(
         "data: {{\"id\":{},\"object\":\"{object}\",\"created\":{created},\"model\":{},",
-        quoted(&ask.asker.request),
-        quoted(&ask.asked)
+        quoted(&completion.meta.id),
+        quoted(&completion.requested_model)
     );
-    let (before, after) = match ask.form {
-        Form::Chat => (
+    let (token_prefix, token_suffix) = match completion.endpoint {
+        Endpoint::Chat => (
             "\"choices\":[{\"index\":0,\"delta\":{\"content\":",
             "},\"finish_reason\":null}]}\n\n",
         ),
-        Form::Text => (
+        Endpoint::Text => (
             "\"choices\":[{\"index\":0,\"text\":",
             ",\"finish_reason\":null}]}\n\n",
         ),
     };
-    Events {
-        before: format!("{head}{before}"),
-        after,
-        head,
-        form: ask.form,
-        usage: ask.usage,
+    EventWriter {
+        token_prefix: format!("{event_prefix}{token_prefix}"),
+        token_suffix,
+        event_prefix,
+        endpoint: completion.endpoint,
+        include_usage: completion.include_usage,
     }
 }
 
-impl Events {
+impl EventWriter {
     /// First event of a chat: the role.
     pub fn start(&self, out: &mut BytesMut) {
-        if self.form == Form::Chat {
-            out.put_slice(self.head.as_bytes());
+        if self.endpoint == Endpoint::Chat {
+            out.put_slice(self.event_prefix.as_bytes());
             out.put_slice(b"\"choices\":[{\"index\":0,\"delta\":{\"role\":\"assistant\",\"content\":\"\"},\"finish_reason\":null}]}\n\n");
         }
     }
 
     /// Event of new tokens.
     pub fn tokens(&self, out: &mut BytesMut, text: &str) {
-        out.reserve(self.before.len() + text.len() + self.after.len() + 8);
-        out.put_slice(self.before.as_bytes());
+        out.reserve(self.token_prefix.len() + text.len() + self.token_suffix.len() + 8);
+        out.put_slice(self.token_prefix.as_bytes());
         serde_json::to_writer(out.writer(), text).expect("text can always be written as JSON");
-        out.put_slice(self.after.as_bytes());
+        out.put_slice(self.token_suffix.as_bytes());
     }
 
     /// Events at the end of a whole answer.
     pub fn end(&self, out: &mut BytesMut, end: &End, tokens: u32) {
-        let choice = match self.form {
-            Form::Chat => json!([{"index": 0, "delta": {}, "finish_reason": end.finish}]),
-            Form::Text => json!([{"index": 0, "text": "", "finish_reason": end.finish}]),
+        let choice = match self.endpoint {
+            Endpoint::Chat => json!([{"index": 0, "delta": {}, "finish_reason": end.finish}]),
+            Endpoint::Text => json!([{"index": 0, "text": "", "finish_reason": end.finish}]),
         };
-        out.put_slice(self.head.as_bytes());
+        out.put_slice(self.event_prefix.as_bytes());
         out.put_slice(format!("\"choices\":{choice}}}\n\n").as_bytes());
-        if self.usage {
+        if self.include_usage {
             let usage = usage(end.prompt_tokens, tokens);
-            out.put_slice(self.head.as_bytes());
+            out.put_slice(self.event_prefix.as_bytes());
             out.put_slice(format!("\"choices\":[],\"usage\":{usage}}}\n\n").as_bytes());
         }
         out.put_slice(b": coveford-outcome complete\n\ndata: [DONE]\n\n");
     }
 
     /// Event that ends a stream which is not whole; no `[DONE]` follows.
-    pub fn fault(&self, fault: &Fault) -> Bytes {
+    pub fn error(&self, error: &ApiError) -> Bytes {
         let mut out = BytesMut::new();
         out.put_slice(b"data: ");
-        out.put_slice(&fault.body());
+        out.put_slice(&error.to_json());
         out.put_slice(b"\n\n");
         out.freeze()
     }
--- a/crates/daemon/src/entry/ask.rs
+++ b/crates/daemon/src/entry/request.rs
@@ -1,6 +1,6 @@
 //! Callers' requests to models, read from their JSON.
 
-use super::fault::Fault;
+use super::error::ApiError;
 use super::{CLASS_HEADER, IDEMPOTENCY_HEADER, UNREPEATABLE_HEADER};
 use crate::fleet::{Target, Want};
 use crate::force::InForce;
@@ -13,16 +13,16 @@
 use unit::{Name, Time};
 
 /// Tokens generated when the caller names no bound.
-const DEFAULT_TOKENS: u32 = 256;
+const DEFAULT_MAX_TOKENS: u32 = 256;
 
 /// Most tokens a caller may ask for.
-const MOST_TOKENS: u32 = 100_000;
+const MAX_TOKENS: u32 = 100_000;
 
 /// Longest idempotency key, in bytes.
-const MOST_KEY: usize = 256;
+const MAX_KEY_BYTES: usize = 256;
 
 /// Fields handed to the engine as they came.
-const SAMPLING: [&str; 8] = [
+const SAMPLING_FIELDS: [&str; 8] = [
     "temperature",
     "top_p",
     "stop",
@@ -35,7 +35,7 @@
 
 /// Form of a request and its answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Form {
+pub enum Endpoint {
     /// `/v1/chat/completions`.
     Chat,
     /// `/v1/completions`.
@@ -44,9 +44,9 @@
 
 /// Who asks, and under which rules.
 #[derive(Clone)]
-pub struct Asker {
+pub struct Metadata {
     /// Identity of the request.
-    pub request: Name,
+    pub id: Name,
     /// Name of the caller.
     pub caller: Name,
     /// Weight of its share.
@@ -58,21 +58,21 @@
     /// Whether the request may be repeated.
     pub repeatable: bool,
     /// Idempotency key, if it has one.
-    pub key: Option<Name>,
+    pub idempotency_key: Option<Name>,
     /// When it arrived.
     pub arrived: Time,
     /// Bundle it is served under, from its beginning to its end.
     pub bundle: Arc<InForce>,
 }
 
-impl Asker {
+impl Metadata {
     /// When nobody needs the answer any more.
     pub fn deadline(&self) -> Time {
         self.arrived + self.class.deadline
     }
 
     /// What the fleet is asked for on behalf of this request.
-    pub fn want(&self, target: Target, ask: choose::Request) -> Want {
+    pub fn want(&self, target: Target, request: choose::Request) -> Want {
         Want {
             target,
             caller: self.caller.clone(),
@@ -80,18 +80,18 @@
             priority: self.class.priority,
             arrived: self.arrived,
             deadline: self.deadline(),
-            ask,
+            ask: request,
         }
     }
 }
 
 /// Request to a model.
 #[derive(Clone)]
-pub struct Ask {
+pub struct Completion {
     /// Who asks.
-    pub asker: Asker,
+    pub meta: Metadata,
     /// Name that the caller used, echoed in the answer.
-    pub asked: Name,
+    pub requested_model: Name,
     /// Model that answers.
     pub model: Name,
     /// Adapter on it.
@@ -103,9 +103,9 @@
     /// Whether the answer is streamed.
     pub stream: bool,
     /// Whether the stream ends with the usage.
-    pub usage: bool,
+    pub include_usage: bool,
     /// Form.
-    pub form: Form,
+    pub endpoint: Endpoint,
     /// Sampling fields.
     pub sampling: Map<String, Value>,
 }
@@ -149,19 +149,20 @@
 pub fn authenticate<'a>(
     headers: &HeaderMap,
     bundle: &'a InForce,
-) -> Result<(&'a Name, &'a Caller), Fault> {
-    let refused =
-        |message: &str| Fault::refused(StatusCode::UNAUTHORIZED, "invalid_api_key", message);
+) -> Result<(&'a Name, &'a Caller), ApiError> {
+    let unauthorized = |message: &str| {
+        ApiError::client_error(StatusCode::UNAUTHORIZED, "invalid_api_key", message)
+    };
     let key = headers
         .get(hyper::header::AUTHORIZATION)
         .and_then(|value| value.to_str().ok())
         .and_then(|value| value.strip_prefix("Bearer "))
-        .ok_or_else(|| refused("A key is missing; send it as 'Authorization: Bearer KEY'."))?;
+        .ok_or_else(|| unauthorized("A key is missing; send it as 'Authorization: Bearer KEY'."))?;
     let hash = bundle::part::hash(key.trim().as_bytes());
     bundle
         .intent
         .caller(&hash)
-        .ok_or_else(|| refused("The key is not one of a known caller."))
+        .ok_or_else(|| unauthorized("The key is not one of a known caller."))
 }
 
 /// Whether the caller marked the request as unrepeatable.
@@ -172,15 +173,15 @@
 }
 
 /// Idempotency key of a request.
-pub fn idempotency_key(headers: &HeaderMap) -> Result<Option<Name>, Fault> {
+pub fn idempotency_key(headers: &HeaderMap) -> Result<Option<Name>, ApiError> {
     let Some(value) = headers.get(IDEMPOTENCY_HEADER) else {
         return Ok(None);
     };
     match value.to_str() {
-        Ok(key) if !key.is_empty() && key.len() <= MOST_KEY => Ok(Some(key.into())),
-        _ => Err(Fault::bad(
+        Ok(key) if !key.is_empty() && key.len() <= MAX_KEY_BYTES => Ok(Some(key.into())),
+        _ => Err(ApiError::bad_request(
             "bad_idempotency_key",
-            format!("The idempotency key must be 1 to {MOST_KEY} visible characters."),
+            format!("The idempotency key must be 1 to {MAX_KEY_BYTES} visible characters."),
         )),
     }
 }
@@ -190,16 +191,16 @@
     headers: &HeaderMap,
     bundle: &'a InForce,
     caller: &Caller,
-    own: &'a Name,
-) -> Result<(&'a Name, &'a Class), Fault> {
+    default_class: &'a Name,
+) -> Result<(&'a Name, &'a Class), ApiError> {
     let classes = &bundle.intent.classes;
     let name = match headers.get(CLASS_HEADER).map(|v| v.to_str()) {
-        None => own,
-        Some(Ok(named)) if caller.classes.iter().any(|c| &**c == named) => {
-            classes.get_key_value(named).map_or(own, |(name, _)| name)
-        }
+        None => default_class,
+        Some(Ok(requested)) if caller.classes.iter().any(|c| &**c == requested) => classes
+            .get_key_value(requested)
+            .map_or(default_class, |(name, _)| name),
         Some(_) => {
-            return Err(Fault::refused(
+            return Err(ApiError::client_error(
                 StatusCode::FORBIDDEN,
                 "class_not_allowed",
                 format!("The class named in {CLASS_HEADER} is not one of this caller's."),
@@ -207,7 +208,7 @@
         }
     };
     classes.get_key_value(name).ok_or_else(|| {
-        Fault::bad(
+        ApiError::bad_request(
             "unknown_class",
             format!("Class '{name}' is not in the bundle in force."),
         )
@@ -215,71 +216,79 @@
 }
 
 /// What is read from a body before the bundle is asked.
-pub struct Read {
+pub struct Parsed {
     body: Body,
-    form: Form,
+    endpoint: Endpoint,
 }
 
 /// Reads a body.
-pub fn read(bytes: &[u8], form: Form) -> Result<Read, Fault> {
+pub fn parse(bytes: &[u8], endpoint: Endpoint) -> Result<Parsed, ApiError> {
     let body: Body = serde_json::from_slice(bytes).map_err(|e| {
-        Fault::bad(
+        ApiError::bad_request(
             "invalid_json",
             format!("The body is not a request in JSON: {e}."),
         )
     })?;
-    Ok(Read { body, form })
+    Ok(Parsed { body, endpoint })
 }
 
-impl Read {
+impl Parsed {
     /// Name of the model or adapter asked for.
     pub fn model(&self) -> &str {
         &self.body.model
     }
 
     /// Checks the rest and makes the request.
-    pub fn ask(self, asker: Asker, model: Name, adapter: Option<Name>) -> Result<Ask, Fault> {
+    pub fn into_completion(
+        self,
+        meta: Metadata,
+        model: Name,
+        adapter: Option<Name>,
+    ) -> Result<Completion, ApiError> {
         let body = self.body;
         if body.n.is_some_and(|n| n != 1) {
-            return Err(Fault::bad("unsupported", "Only n = 1 is supported."));
+            return Err(ApiError::bad_request(
+                "unsupported",
+                "Only n = 1 is supported.",
+            ));
         }
-        let prompt = match self.form {
-            Form::Chat => chat_prompt(body.messages)?,
-            Form::Text => text_prompt(body.prompt)?,
+        let prompt = match self.endpoint {
+            Endpoint::Chat => chat_prompt(body.messages)?,
+            Endpoint::Text => text_prompt(body.prompt)?,
         };
-        let most = body.max_completion_tokens.or(body.max_tokens);
-        let max_tokens = match most {
-            None => DEFAULT_TOKENS,
-            Some(n) if (1..=u64::from(MOST_TOKENS)).contains(&n) => n as u32,
+        let requested = body.max_completion_tokens.or(body.max_tokens);
+        let max_tokens = match requested {
+            None => DEFAULT_MAX_TOKENS,
+            Some(n) if (1..=u64::from(MAX_TOKENS)).contains(&n) => n as u32,
             Some(n) => {
-                return Err(Fault::bad(
+                return Err(ApiError::bad_request(
                     "bad_max_tokens",
-                    format!("max_tokens is {n}; it must be from 1 to {MOST_TOKENS}."),
+                    format!("max_tokens is {n}; it must be from 1 to {MAX_TOKENS}."),
                 ));
             }
         };
         let mut sampling = body.rest;
-        sampling.retain(|key, value| SAMPLING.contains(&key.as_str()) && !value.is_null());
-        Ok(Ask {
-            asker,
-            asked: body.model.into(),
+        sampling.retain(|key, value| SAMPLING_FIELDS.contains(&key.as_str()) && !value.is_null());
+        Ok(Completion {
+            meta,
+            requested_model: body.model.into(),
             model,
             adapter,
             prompt,
             max_tokens,
             stream: body.stream.unwrap_or(false),
-            usage: body.stream_options.is_some_and(|o| o.include_usage),
-            form: self.form,
+            include_usage: body.stream_options.is_some_and(|o| o.include_usage),
+            endpoint: self.endpoint,
             sampling,
         })
     }
 }
 
 /// Joins messages into one prompt; parts other than text are kept as JSON.
-fn chat_prompt(messages: Option<Vec<Message>>) -> Result<Name, Fault> {
+fn chat_prompt(messages: Option<Vec<Message>>) -> Result<Name, ApiError> {
     let messages = messages.unwrap_or_default();
     if messages.is_empty() {
-        return Err(Fault::bad(
+        return Err(ApiError::bad_request(
             "missing_messages",
             "'messages' must hold at least one message.",
         ));
@@ -296,7 +305,7 @@
                 _ => prompt.push_str(&part.to_string()),
             }),
             _ => {
-                return Err(Fault::bad(
+                return Err(ApiError::bad_request(
                     "bad_content",
                     "The content of a message must be text or a list of parts.",
                 ));
@@ -307,12 +316,15 @@
     Ok(prompt.into())
 }
 
-fn text_prompt(prompt: Option<Value>) -> Result<Name, Fault> {
+fn text_prompt(prompt: Option<Value>) -> Result<Name, ApiError> {
     match prompt {
         Some(Value::String(text)) => Ok(text.into()),
-        Some(Value::Array(one)) if one.len() == 1 && one[0].is_string() => {
-            Ok(one[0].as_str().unwrap_or_default().into())
+        Some(Value::Array(prompts)) if prompts.len() == 1 && prompts[0].is_string() => {
+            Ok(prompts[0].as_str().unwrap_or_default().into())
         }
-        _ => Err(Fault::bad("missing_prompt", "'prompt' must be one text.")),
+        _ => Err(ApiError::bad_request(
+            "missing_prompt",
+            "'prompt' must be one text.",
+        )),
     }
 }
--- a/crates/daemon/src/entry/respond.rs
+++ b/crates/daemon/src/entry/respond.rs
@@ -1,7 +1,7 @@
 //! Responses to callers: their marks, errors, and the list of models.
 
-use super::ask;
-use super::fault::Fault;
+use super::error::ApiError;
+use super::request;
 use super::{OUTCOME_HEADER, REQUEST_HEADER};
 use crate::force::InForce;
 use bytes::Bytes;
@@ -21,8 +21,8 @@
 const SHOULD_RETRY: &str = "x-should-retry";
 
 /// Names of models and adapters that the caller of these headers may use.
-pub(super) fn usable(headers: &HeaderMap, bundle: &InForce) -> Vec<Name> {
-    let Ok((_, caller)) = ask::authenticate(headers, bundle) else {
+pub(super) fn accessible_models(headers: &HeaderMap, bundle: &InForce) -> Vec<Name> {
+    let Ok((_, caller)) = request::authenticate(headers, bundle) else {
         return Vec::new();
     };
     let models = bundle.intent.models.keys();
@@ -30,67 +30,70 @@
     names.filter(|name| caller.may_use(name)).cloned().collect()
 }
 
-pub(super) fn model_entry(name: &str) -> serde_json::Value {
+pub(super) fn model_object(name: &str) -> serde_json::Value {
     json!({"id": name, "object": "model", "created": 0, "owned_by": "coveford"})
 }
 
-pub(super) fn models(id: &Name, headers: &HeaderMap, bundle: &InForce) -> Response<Body> {
-    let data: Vec<_> = usable(headers, bundle)
+pub(super) fn list_models(id: &Name, headers: &HeaderMap, bundle: &InForce) -> Response<Body> {
+    let data: Vec<_> = accessible_models(headers, bundle)
         .iter()
-        .map(|n| model_entry(n))
+        .map(|n| model_object(n))
         .collect();
     let list = json!({"object": "list", "data": data});
-    whole_response(id, list.to_string().into_bytes())
+    json_response(id, list.to_string().into_bytes())
 }
 
-pub(super) fn one_model(
+pub(super) fn get_model(
     id: &Name,
     name: &str,
     headers: &HeaderMap,
     bundle: &InForce,
-) -> Result<Response<Body>, Fault> {
-    if usable(headers, bundle).iter().any(|n| &**n == name) {
-        return Ok(whole_response(
+) -> Result<Response<Body>, ApiError> {
+    if accessible_models(headers, bundle)
+        .iter()
+        .any(|n| &**n == name)
+    {
+        return Ok(json_response(
             id,
-            model_entry(name).to_string().into_bytes(),
+            model_object(name).to_string().into_bytes(),
         ));
     }
-    Err(Fault::refused(
+    Err(ApiError::client_error(
         StatusCode::NOT_FOUND,
         "model_not_found",
         format!("The model '{name}' does not exist or you may not use it."),
     ))
 }
 
-pub(super) fn full(bytes: impl Into<Bytes>) -> Body {
+pub(super) fn full_body(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
-        .map_err(|never| match never {})
+        .map_err(|infallible| match infallible {})
         .boxed_unsync()
 }
 
-pub(super) fn whole_response(id: &Name, body: Vec<u8>) -> Response<Body> {
-    let mut response = Response::new(full(body));
+pub(super) fn json_response(id: &Name, body: Vec<u8>) -> Response<Body> {
+    let mut response = Response::new(full_body(body));
     let headers = response.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    mark(headers, id, Outcome::Complete.as_str());
+    set_outcome_headers(headers, id, Outcome::Complete.as_str());
     response
 }
 
-pub(super) fn refuse(id: &Name, fault: &Fault) -> Response<Body> {
-    let mut response = whole_response(id, fault.body());
-    *response.status_mut() = fault.status;
+pub(super) fn error_response(id: &Name, error: &ApiError) -> Response<Body> {
+    let mut response = json_response(id, error.to_json());
+    *response.status_mut() = error.status;
     let headers = response.headers_mut();
-    mark(headers, id, fault.outcome.as_str());
-    if fault.outcome == Outcome::Unknown {
+    set_outcome_headers(headers, id, error.outcome.as_str());
+    if error.outcome == Outcome::Unknown {
         headers.insert(SHOULD_RETRY, HeaderValue::from_static("false"));
     }
-    if let Some(after) = fault.retry_after {
-        headers.insert(RETRY_AFTER, HeaderValue::from(after.secs().ceil() as u64));
+    if let Some(delay) = error.retry_after {
+        headers.insert(RETRY_AFTER, HeaderValue::from(delay.secs().ceil() as u64));
     }
     response
 }
 
-pub(super) fn mark(headers: &mut HeaderMap, id: &Name, outcome: &'static str) {
+pub(super) fn set_outcome_headers(headers: &mut HeaderMap, id: &Name, outcome: &'static str) {
     if let Ok(value) = HeaderValue::from_str(id) {
         headers.insert(REQUEST_HEADER, value);
     }
--- a/crates/daemon/src/entry/serve.rs
+++ b/crates/daemon/src/entry/serve.rs
@@ -1,13 +1,15 @@
 //! One request of a caller, from its head to its answer.
 
-use super::answer::{self, Answer};
-use super::ask::{self, Ask, Asker, Form};
-use super::fault::Fault;
-use super::render::{self, Whole};
-use super::respond::{Body, full, mark, models, one_model, refuse, whole_response};
+use super::error::ApiError;
+use super::generation::{self, Generation};
+use super::idempotency::{ClaimGuard, acquire_claim, stored_output, stored_reply};
+use super::render::{self, Output};
+use super::request::{self, Completion, Endpoint, Metadata};
+use super::respond::{
+    Body, error_response, full_body, get_model, json_response, list_models, set_outcome_headers,
+};
 use super::service::{self, Call};
-use super::settle::{Settle, stored, stored_plain, take_claim};
-use crate::claim::{Stored, Taken};
+use crate::claim::{Acquisition, StoredResponse};
 use crate::clock::wall_ms;
 use crate::core::{BODY_UNIT, Core};
 use crate::force::InForce;
@@ -29,20 +31,20 @@
 use upstream::engine::Item;
 
 /// Time a caller has to send a body.
-const BODY_LIMIT: Duration = Duration::from_secs(30);
+const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// When to come back to a daemon that has no bundle yet, or no memory for a body.
-const SOON: Span = Span::from_secs(1);
+const RETRY_AFTER: Span = Span::from_secs(1);
 
 /// Bytes of events sent at once at the most.
-const MOST_CHUNK: usize = 16 * 1_024;
+const MAX_CHUNK_BYTES: usize = 16 * 1_024;
 
 /// Answers a request of a caller.
 pub async fn handle(core: Arc<Core>, request: Request<Incoming>) -> Response<Body> {
-    let id = core.new_request();
+    let id = core.new_request_id();
     match route(&core, &id, request).await {
         Ok(response) => response,
-        Err(fault) => refuse(&id, &fault),
+        Err(error) => error_response(&id, &error),
     }
 }
 
@@ -50,28 +52,36 @@
     core: &Arc<Core>,
     id: &Name,
     request: Request<Incoming>,
-) -> Result<Response<Body>, Fault> {
-    let bundle = core
-        .in_force()
-        .ok_or_else(|| Fault::busy("not_ready", "This daemon has no bundle in force yet.", SOON))?;
-    ask::authenticate(request.headers(), &bundle)?;
+) -> Result<Response<Body>, ApiError> {
+    let bundle = core.in_force().ok_or_else(|| {
+        ApiError::unavailable(
+            "not_ready",
+            "This daemon has no bundle in force yet.",
+            RETRY_AFTER,
+        )
+    })?;
+    request::authenticate(request.headers(), &bundle)?;
     let path = request.uri().path().to_owned();
     let method = request.method().clone();
     match (&method, path.as_str()) {
-        (&Method::GET, "/v1/models") => Ok(models(id, request.headers(), &bundle)),
+        (&Method::GET, "/v1/models") => Ok(list_models(id, request.headers(), &bundle)),
         (&Method::GET, path) if path.starts_with("/v1/models/") => {
-            one_model(id, &path["/v1/models/".len()..], request.headers(), &bundle)
+            get_model(id, &path["/v1/models/".len()..], request.headers(), &bundle)
         }
         (&Method::POST, "/v1/chat/completions") => {
-            model(core, id, request, Form::Chat, bundle).await
+            handle_completion(core, id, request, Endpoint::Chat, bundle).await
         }
-        (&Method::POST, "/v1/completions") => model(core, id, request, Form::Text, bundle).await,
-        (_, "/v1/models" | "/v1/chat/completions" | "/v1/completions") => Err(Fault::refused(
-            StatusCode::METHOD_NOT_ALLOWED,
-            "method_not_allowed",
-            format!("{method} is not allowed on {path}."),
-        )),
-        _ => plain(core, id, request, bundle).await,
+        (&Method::POST, "/v1/completions") => {
+            handle_completion(core, id, request, Endpoint::Text, bundle).await
+        }
+        (_, "/v1/models" | "/v1/chat/completions" | "/v1/completions") => {
+            Err(ApiError::client_error(
+                StatusCode::METHOD_NOT_ALLOWED,
+                "method_not_allowed",
+                format!("{method} is not allowed on {path}."),
+            ))
+        }
+        _ => handle_service(core, id, request, bundle).await,
     }
 }
 
@@ -81,11 +91,11 @@
     memory: OwnedSemaphorePermit,
 }
 
-async fn read_body(core: &Core, bundle: &InForce, body: Incoming) -> Result<ReadBody, Fault> {
-    let most = bundle.intent.limits.body.0;
-    let announced = body.size_hint().exact();
+async fn read_body(core: &Core, bundle: &InForce, body: Incoming) -> Result<ReadBody, ApiError> {
+    let max_bytes = bundle.intent.limits.body.0;
+    let content_length = body.size_hint().exact();
     let too_long = || {
-        Fault::refused(
+        ApiError::client_error(
             StatusCode::PAYLOAD_TOO_LARGE,
             "body_too_long",
             format!(
@@ -94,110 +104,127 @@
             ),
         )
     };
-    if announced.is_some_and(|length| length > most) {
+    if content_length.is_some_and(|length| length > max_bytes) {
         return Err(too_long());
     }
-    let units = announced.unwrap_or(most).div_ceil(BODY_UNIT).max(1) as u32;
-    let memory = core.bodies.clone().try_acquire_many_owned(units);
+    let units = content_length
+        .unwrap_or(max_bytes)
+        .div_ceil(BODY_UNIT)
+        .max(1) as u32;
+    let memory = core.body_memory.clone().try_acquire_many_owned(units);
     let memory = memory.map_err(|_| {
-        Fault::busy(
+        ApiError::unavailable(
             "overloaded",
             "This daemon holds as many request bodies as it may.",
-            SOON,
+            RETRY_AFTER,
         )
     })?;
-    let read = timeout(BODY_LIMIT, Limited::new(body, most as usize).collect()).await;
+    let read = timeout(
+        BODY_TIMEOUT,
+        Limited::new(body, max_bytes as usize).collect(),
+    )
+    .await;
     match read {
-        Ok(Ok(whole)) => Ok(ReadBody {
-            bytes: whole.to_bytes(),
+        Ok(Ok(body)) => Ok(ReadBody {
+            bytes: body.to_bytes(),
             memory,
         }),
-        Ok(Err(e)) if e.is::<hyper::Error>() => Err(Fault::bad(
+        Ok(Err(e)) if e.is::<hyper::Error>() => Err(ApiError::bad_request(
             "body_broke_off",
             "The body broke off before its end.",
         )),
         Ok(Err(_)) => Err(too_long()),
-        Err(_) => Err(Fault::refused(
+        Err(_) => Err(ApiError::client_error(
             StatusCode::REQUEST_TIMEOUT,
             "body_too_slow",
-            format!("The body did not arrive within {} s.", BODY_LIMIT.as_secs()),
+            format!(
+                "The body did not arrive within {} s.",
+                BODY_TIMEOUT.as_secs()
+            ),
         )),
     }
 }
 
 /// Request to a model.
-async fn model(
+async fn handle_completion(
     core: &Arc<Core>,
     id: &Name,
     request: Request<Incoming>,
-    form: Form,
+    endpoint: Endpoint,
     bundle: Arc<InForce>,
-) -> Result<Response<Body>, Fault> {
+) -> Result<Response<Body>, ApiError> {
     let arrived = core.now();
     let (head, body) = request.into_parts();
-    let (caller_name, caller) = ask::authenticate(&head.headers, &bundle)?;
+    let (caller_name, caller) = request::authenticate(&head.headers, &bundle)?;
     let body = read_body(core, &bundle, body).await?;
-    let read = ask::read(&body.bytes, form)?;
-    let unknown = || {
-        Fault::refused(
+    let parsed = request::parse(&body.bytes, endpoint)?;
+    let not_found = || {
+        ApiError::client_error(
             StatusCode::NOT_FOUND,
             "model_not_found",
             format!(
                 "The model '{}' does not exist or you may not use it.",
-                read.model()
+                parsed.model()
             ),
         )
     };
-    let target = bundle.intent.target(read.model()).ok_or_else(unknown)?;
-    if !caller.may_use(read.model()) {
-        return Err(unknown());
+    let target = bundle.intent.target(parsed.model()).ok_or_else(not_found)?;
+    if !caller.may_use(parsed.model()) {
+        return Err(not_found());
     }
-    let (class_name, class) = ask::class(&head.headers, &bundle, caller, &target.entry.class)?;
-    let strict = ask::is_marked_unrepeatable(&head.headers);
-    let asker = Asker {
-        request: id.clone(),
+    let (class_name, class) = request::class(&head.headers, &bundle, caller, &target.entry.class)?;
+    let marked_unrepeatable = request::is_marked_unrepeatable(&head.headers);
+    let meta = Metadata {
+        id: id.clone(),
         caller: caller_name.clone(),
         weight: caller.weight,
         class_name: class_name.clone(),
         class: class.clone(),
-        repeatable: !strict && !target.entry.unrepeatable,
-        key: ask::idempotency_key(&head.headers)?,
+        repeatable: !marked_unrepeatable && !target.entry.unrepeatable,
+        idempotency_key: request::idempotency_key(&head.headers)?,
         arrived,
         bundle: bundle.clone(),
     };
     let (model, adapter) = (target.model.clone(), target.adapter.cloned());
-    let ask = read.ask(asker, model, adapter)?;
-    begin(core, &ask.asker, &ask.asked);
-    let held =
-        match take_claim(core, &ask.asker, &head.method, head.uri.path(), &body.bytes).await? {
-            Some(Taken::Answer(stored)) => return replay(&ask, stored),
-            Some(Taken::Ours(held)) => Some(held),
-            None => None,
-        };
-    let settle = Settle::new(core, held);
-    let answer = answer::start(core, ask.clone()).await;
-    let answer = match answer {
-        Ok(answer) => answer,
-        Err(fault) => {
-            settle.failed(&fault);
-            return Err(fault);
+    let completion = parsed.into_completion(meta, model, adapter)?;
+    start_record(core, &completion.meta, &completion.requested_model);
+    let held = match acquire_claim(
+        core,
+        &completion.meta,
+        &head.method,
+        head.uri.path(),
+        &body.bytes,
+    )
+    .await?
+    {
+        Some(Acquisition::Replay(stored)) => return replay(&completion, stored),
+        Some(Acquisition::Granted(held)) => Some(held),
+        None => None,
+    };
+    let claim = ClaimGuard::new(core, held);
+    let generation = generation::start(core, completion.clone()).await;
+    let generation = match generation {
+        Ok(generation) => generation,
+        Err(error) => {
+            claim.fail(&error);
+            return Err(error);
         }
     };
-    match ask.stream {
-        true => Ok(streamed(&ask, answer, settle, body.memory)),
-        false => collected(&ask, answer, settle).await,
+    match completion.stream {
+        true => Ok(stream_response(&completion, generation, claim, body.memory)),
+        false => collect_response(&completion, generation, claim).await,
     }
 }
 
 /// Starts the record of a request.
-fn begin(core: &Core, asker: &Asker, target: &Name) {
+fn start_record(core: &Core, meta: &Metadata, target: &Name) {
     core.teller.begin(Record {
-        request: asker.request.clone(),
-        caller: asker.caller.clone(),
-        class: asker.class_name.clone(),
+        request: meta.id.clone(),
+        caller: meta.caller.clone(),
+        class: meta.class_name.clone(),
         target: target.clone(),
-        repeatable: asker.repeatable,
-        bundle: asker.bundle.head.sequence,
+        repeatable: meta.repeatable,
+        bundle: meta.bundle.head.sequence,
         waited: Span::ZERO,
         decisions: Vec::new(),
         outcome: None,
@@ -205,57 +232,61 @@
     });
 }
 
-async fn collected(ask: &Ask, mut answer: Answer, settle: Settle) -> Result<Response<Body>, Fault> {
-    match render::collect(&mut answer).await {
-        Ok(whole) => {
-            settle.done(stored(&whole));
-            let body = render::whole(ask, wall_ms() / 1_000, &whole);
-            Ok(whole_response(&ask.asker.request, body))
+async fn collect_response(
+    completion: &Completion,
+    mut generation: Generation,
+    claim: ClaimGuard,
+) -> Result<Response<Body>, ApiError> {
+    match render::collect(&mut generation).await {
+        Ok(output) => {
+            claim.complete(stored_output(&output));
+            let body = render::complete_json(completion, wall_ms() / 1_000, &output);
+            Ok(json_response(&completion.meta.id, body))
         }
-        Err(fault) => {
-            settle.failed(&fault);
-            Err(fault)
+        Err(error) => {
+            claim.fail(&error);
+            Err(error)
         }
     }
 }
 
 /// What a streamed answer is made from, step by step.
-struct Streaming {
-    answer: Answer,
-    events: render::Events,
-    settle: Option<Settle>,
-    text: Option<String>,
+struct EventStream {
+    generation: Generation,
+    writer: render::EventWriter,
+    claim: Option<ClaimGuard>,
+    stored_text: Option<String>,
     started: bool,
-    last: Last,
+    phase: Phase,
     _memory: OwnedSemaphorePermit,
 }
 
 /// What remains after the last tokens.
-enum Last {
-    More,
-    Cut,
-    Nothing,
+enum Phase {
+    Open,
+    Aborting,
+    Ended,
 }
 
-fn streamed(
-    ask: &Ask,
-    answer: Answer,
-    settle: Settle,
+fn stream_response(
+    completion: &Completion,
+    generation: Generation,
+    claim: ClaimGuard,
     memory: OwnedSemaphorePermit,
 ) -> Response<Body> {
-    let keeps = settle.holds();
-    let streaming = Streaming {
-        answer,
-        events: render::events(ask, wall_ms() / 1_000),
-        settle: Some(settle),
-        text: keeps.then(String::new),
+    let stores_output = claim.has_claim();
+    let stream_state = EventStream {
+        generation,
+        writer: render::event_writer(completion, wall_ms() / 1_000),
+        claim: Some(claim),
+        stored_text: stores_output.then(String::new),
         started: false,
-        last: Last::More,
+        phase: Phase::Open,
         _memory: memory,
     };
-    let frames = stream::unfold(streaming, |mut streaming| async move {
-        let frame = streaming.step().await?;
-        Some((frame, streaming))
+    let frames = stream::unfold(stream_state, |mut state| async move {
+        let frame = state.next_frame().await?;
+        Some((frame, state))
     });
     let mut response = Response::new(BodyExt::boxed_unsync(StreamBody::new(frames)));
     let headers = response.headers_mut();
@@ -264,31 +295,31 @@
         hyper::header::CACHE_CONTROL,
         HeaderValue::from_static("no-cache"),
     );
-    mark(headers, &ask.asker.request, "streaming");
+    set_outcome_headers(headers, &completion.meta.id, "streaming");
     response
 }
 
-impl Streaming {
+impl EventStream {
     /// Next piece of the body; an error cuts the connection, so that it never looks whole.
-    async fn step(&mut self) -> Option<Result<Frame<Bytes>, io::Error>> {
-        match self.last {
-            Last::Nothing => return None,
-            Last::Cut => {
-                self.last = Last::Nothing;
+    async fn next_frame(&mut self) -> Option<Result<Frame<Bytes>, io::Error>> {
+        match self.phase {
+            Phase::Ended => return None,
+            Phase::Aborting => {
+                self.phase = Phase::Ended;
                 // What was said last must leave before the cut: a pause lets it be flushed.
                 tokio::task::yield_now().await;
                 return Some(Err(io::Error::other("the answer is not whole")));
             }
-            Last::More => {}
+            Phase::Open => {}
         }
-        match self.answer.next().await {
+        match self.generation.next().await {
             Ok(item) => Some(Ok(Frame::data(self.render(item)))),
-            Err(fault) => {
-                if let Some(settle) = self.settle.take() {
-                    settle.failed(&fault);
+            Err(error) => {
+                if let Some(claim) = self.claim.take() {
+                    claim.fail(&error);
                 }
-                self.last = Last::Cut;
-                Some(Ok(Frame::data(self.events.fault(&fault))))
+                self.phase = Phase::Aborting;
+                Some(Ok(Frame::data(self.writer.error(&error))))
             }
         }
     }
@@ -298,25 +329,25 @@
         let mut out = BytesMut::new();
         if !self.started {
             self.started = true;
-            self.events.start(&mut out);
+            self.writer.start(&mut out);
         }
         let mut next = Some(item);
         while let Some(item) = next {
             match item {
                 Item::Tokens { text, .. } => {
-                    self.events.tokens(&mut out, &text);
-                    if let Some(kept) = &mut self.text {
-                        kept.push_str(&text);
+                    self.writer.tokens(&mut out, &text);
+                    if let Some(stored_text) = &mut self.stored_text {
+                        stored_text.push_str(&text);
                     }
-                    next = match out.len() < MOST_CHUNK {
-                        true => self.answer.buffered(),
+                    next = match out.len() < MAX_CHUNK_BYTES {
+                        true => self.generation.try_next(),
                         false => None,
                     };
                 }
                 Item::End(end) => {
-                    self.events.end(&mut out, &end, self.answer.tokens);
-                    self.last = Last::Nothing;
-                    self.done(&end);
+                    self.writer.end(&mut out, &end, self.generation.tokens);
+                    self.phase = Phase::Ended;
+                    self.complete(&end);
                     next = None;
                 }
             }
@@ -324,92 +355,92 @@
         out.freeze()
     }
 
-    fn done(&mut self, end: &upstream::engine::End) {
-        let whole = self.text.take().map(|text| Whole {
+    fn complete(&mut self, end: &upstream::engine::End) {
+        let output = self.stored_text.take().map(|text| Output {
             text,
-            tokens: self.answer.tokens,
+            tokens: self.generation.tokens,
             prompt_tokens: end.prompt_tokens,
             finish: end.finish.clone(),
         });
-        if let Some(settle) = self.settle.take() {
-            settle.done(whole.as_ref().and_then(stored));
+        if let Some(claim) = self.claim.take() {
+            claim.complete(output.as_ref().and_then(stored_output));
         }
     }
 }
 
 /// Gives the first sending's answer again, in the form that is asked for now.
-fn replay(ask: &Ask, stored: Stored) -> Result<Response<Body>, Fault> {
-    let odd = || {
-        Fault::lost(
+fn replay(completion: &Completion, stored: StoredResponse) -> Result<Response<Body>, ApiError> {
+    let unreadable = || {
+        ApiError::upstream_failure(
             Outcome::Complete,
             "The first sending's answer cannot be read any more.",
         )
     };
-    let Stored::Model { whole } = stored else {
-        return Err(odd());
+    let StoredResponse::Model { output } = stored else {
+        return Err(unreadable());
     };
-    let whole: Whole = serde_json::from_str(&whole).map_err(|_| odd())?;
+    let output: Output = serde_json::from_str(&output).map_err(|_| unreadable())?;
     let created = wall_ms() / 1_000;
-    if !ask.stream {
-        return Ok(whole_response(
-            &ask.asker.request,
-            render::whole(ask, created, &whole),
+    if !completion.stream {
+        return Ok(json_response(
+            &completion.meta.id,
+            render::complete_json(completion, created, &output),
         ));
     }
-    let events = render::events(ask, created);
+    let writer = render::event_writer(completion, created);
     let mut out = BytesMut::new();
-    events.start(&mut out);
-    events.tokens(&mut out, &whole.text);
+    writer.start(&mut out);
+    writer.tokens(&mut out, &output.text);
     let end = upstream::engine::End {
-        finish: whole.finish.clone(),
-        prompt_tokens: whole.prompt_tokens,
+        finish: output.finish.clone(),
+        prompt_tokens: output.prompt_tokens,
         load: Default::default(),
     };
-    events.end(&mut out, &end, whole.tokens);
-    let mut response = Response::new(full(out.freeze()));
+    writer.end(&mut out, &end, output.tokens);
+    let mut response = Response::new(full_body(out.freeze()));
     let headers = response.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
-    mark(headers, &ask.asker.request, Outcome::Complete.as_str());
+    set_outcome_headers(headers, &completion.meta.id, Outcome::Complete.as_str());
     Ok(response)
 }
 
 /// Request to a plain service.
-async fn plain(
+async fn handle_service(
     core: &Arc<Core>,
     id: &Name,
     request: Request<Incoming>,
     bundle: Arc<InForce>,
-) -> Result<Response<Body>, Fault> {
+) -> Result<Response<Body>, ApiError> {
     let arrived = core.now();
     let (head, body) = request.into_parts();
     let path = head.uri.path().to_owned();
-    let (caller_name, caller) = ask::authenticate(&head.headers, &bundle)?;
+    let (caller_name, caller) = request::authenticate(&head.headers, &bundle)?;
     let (name, entry) = bundle.intent.service(&path).ok_or_else(|| {
-        Fault::refused(
+        ApiError::client_error(
             StatusCode::NOT_FOUND,
             "no_such_path",
             format!("No service of this bundle answers {path}."),
         )
     })?;
-    let below = format!("/{}", &path[entry.path.len()..]);
-    let strict = ask::is_marked_unrepeatable(&head.headers);
-    let (class_name, class) = ask::class(&head.headers, &bundle, caller, &entry.class)?;
-    let asker = Asker {
-        request: id.clone(),
+    let subpath = format!("/{}", &path[entry.path.len()..]);
+    let marked_unrepeatable = request::is_marked_unrepeatable(&head.headers);
+    let (class_name, class) = request::class(&head.headers, &bundle, caller, &entry.class)?;
+    let meta = Metadata {
+        id: id.clone(),
         caller: caller_name.clone(),
         weight: caller.weight,
         class_name: class_name.clone(),
         class: class.clone(),
-        repeatable: !strict && entry.is_repeatable(head.method.as_str(), &below),
-        key: ask::idempotency_key(&head.headers)?,
+        repeatable: !marked_unrepeatable && entry.is_repeatable(head.method.as_str(), &subpath),
+        idempotency_key: request::idempotency_key(&head.headers)?,
         arrived,
         bundle: bundle.clone(),
     };
     let body = read_body(core, &bundle, body).await?;
-    begin(core, &asker, name);
-    let held = match take_claim(core, &asker, &head.method, &path, &body.bytes).await? {
-        Some(Taken::Answer(stored)) => return replay_plain(id, stored),
-        Some(Taken::Ours(held)) => Some(held),
+    start_record(core, &meta, name);
+    let held = match acquire_claim(core, &meta, &head.method, &path, &body.bytes).await? {
+        Some(Acquisition::Replay(stored)) => return replay_service(id, stored),
+        Some(Acquisition::Granted(held)) => Some(held),
         None => None,
     };
     let query = head
@@ -418,55 +449,55 @@
         .map(|q| format!("?{q}"))
         .unwrap_or_default();
     let call = Call {
-        asker,
+        meta,
         service: name.clone(),
         method: head.method,
-        path: below + &query,
+        path: subpath + &query,
         headers: head.headers,
         body: body.bytes,
         refusal_status: entry.refusal_status,
     };
-    let settle = Settle::new(core, held);
+    let claim = ClaimGuard::new(core, held);
     match service::call(core, &call).await {
         Ok(reply) => {
-            settle.done(stored_plain(&reply));
-            Ok(passed_on(id, &reply))
+            claim.complete(stored_reply(&reply));
+            Ok(forward_reply(id, &reply))
         }
-        Err(fault) => {
-            settle.failed(&fault);
-            Err(fault)
+        Err(error) => {
+            claim.fail(&error);
+            Err(error)
         }
     }
 }
 
-fn passed_on(id: &Name, reply: &Reply) -> Response<Body> {
-    let mut response = Response::new(full(reply.body.clone()));
+fn forward_reply(id: &Name, reply: &Reply) -> Response<Body> {
+    let mut response = Response::new(full_body(reply.body.clone()));
     *response.status_mut() = reply.status;
-    *response.headers_mut() = service::answer_headers(reply);
-    mark(response.headers_mut(), id, Outcome::Complete.as_str());
+    *response.headers_mut() = service::response_headers(reply);
+    set_outcome_headers(response.headers_mut(), id, Outcome::Complete.as_str());
     response
 }
 
-fn replay_plain(id: &Name, stored: Stored) -> Result<Response<Body>, Fault> {
-    let odd = || {
-        Fault::lost(
+fn replay_service(id: &Name, stored: StoredResponse) -> Result<Response<Body>, ApiError> {
+    let unreadable = || {
+        ApiError::upstream_failure(
             Outcome::Complete,
             "The first sending's answer cannot be read any more.",
         )
     };
-    let Stored::Plain {
+    let StoredResponse::Plain {
         status,
         content_type,
         body,
     } = stored
     else {
-        return Err(odd());
+        return Err(unreadable());
     };
-    let mut response = Response::new(full(Bytes::copy_from_slice(body.as_bytes())));
-    *response.status_mut() = StatusCode::from_u16(status).map_err(|_| odd())?;
+    let mut response = Response::new(full_body(Bytes::copy_from_slice(body.as_bytes())));
+    *response.status_mut() = StatusCode::from_u16(status).map_err(|_| unreadable())?;
     if let Some(value) = content_type.and_then(|v| HeaderValue::from_str(&v).ok()) {
         response.headers_mut().insert(CONTENT_TYPE, value);
     }
-    mark(response.headers_mut(), id, Outcome::Complete.as_str());
+    set_outcome_headers(response.headers_mut(), id, Outcome::Complete.as_str());
     Ok(response)
 }
--- a/crates/daemon/src/entry/service.rs
+++ b/crates/daemon/src/entry/service.rs
@@ -1,8 +1,8 @@
 //! Plain services, passed through by path.
 
 use super::REQUEST_HEADER;
-use super::ask::Asker;
-use super::fault::Fault;
+use super::error::ApiError;
+use super::request::Metadata;
 use crate::core::Core;
 use crate::fleet::{Placeless, Target};
 use crate::metrics::record;
@@ -24,12 +24,12 @@
 const RETRY_AFTER: Span = Span::from_secs(2);
 
 /// Longest answer of a service, in bytes.
-const MOST_ANSWER: usize = 16_000_000;
+const MAX_RESPONSE_BYTES: usize = 16_000_000;
 
 /// Request to a service.
 pub struct Call {
     /// Who asks.
-    pub asker: Asker,
+    pub meta: Metadata,
     /// The service.
     pub service: Name,
     /// HTTP method.
@@ -45,37 +45,35 @@
 }
 
 /// Carries a request to a service and brings its whole answer.
-pub async fn call(core: &Arc<Core>, call: &Call) -> Result<Reply, Fault> {
-    let _in_flight = core.enter();
-    let metrics = core
-        .metrics
-        .class(&call.asker.caller, &call.asker.class_name);
-    let answered = attempts(core, call).await;
-    let took = core.now().since(call.asker.arrived);
-    let request = &call.asker.request;
-    match &answered {
+pub async fn call(core: &Arc<Core>, call: &Call) -> Result<Reply, ApiError> {
+    let _in_flight = core.track_request();
+    let metrics = core.metrics.class(&call.meta.caller, &call.meta.class_name);
+    let result = run_attempts(core, call).await;
+    let elapsed = core.now().since(call.meta.arrived);
+    let request = &call.meta.id;
+    match &result {
         Ok(reply) => {
-            record(&metrics.first_token, took);
-            metrics.outcome(Outcome::Complete);
-            match took <= call.asker.class.first_token {
+            record(&metrics.ttft, elapsed);
+            metrics.record_outcome(Outcome::Complete);
+            match elapsed <= call.meta.class.first_token {
                 true => metrics.attained.increment(1),
                 false => metrics.missed.increment(1),
             }
-            let percent = call.asker.bundle.intent.limits.retry_percent;
-            core.earn(&call.asker.caller, percent);
+            let percent = call.meta.bundle.intent.limits.retry_percent;
+            core.earn_retry(&call.meta.caller, percent);
             let reason = format!("The service answered with status {}.", reply.status);
             core.teller.ended(request, Outcome::Complete, &reason);
         }
-        Err(fault) => {
-            metrics.outcome(fault.outcome);
+        Err(error) => {
+            metrics.record_outcome(error.outcome);
             metrics.missed.increment(1);
-            core.teller.ended(request, fault.outcome, &fault.message);
+            core.teller.ended(request, error.outcome, &error.message);
         }
     }
-    answered
+    result
 }
 
-async fn attempts(core: &Arc<Core>, call: &Call) -> Result<Reply, Fault> {
+async fn run_attempts(core: &Arc<Core>, call: &Call) -> Result<Reply, ApiError> {
     let mut attempts = 0;
     let mut may_have_run = false;
     let mut avoid = None;
@@ -84,32 +82,33 @@
         attempts += 1;
         avoid = Some(rendezvous::hash(placed.upstream.as_bytes()));
         core.teller.decided(
-            &call.asker.request,
+            &call.meta.id,
             Decision {
-                after: core.now().since(call.asker.arrived),
+                after: core.now().since(call.meta.arrived),
                 attempt: attempts,
                 upstream: placed.upstream.clone(),
                 weighed: placed.weighed.clone(),
                 ended: String::new(),
             },
         );
-        let left = call.asker.deadline().since(core.now());
+        let remaining = call.meta.deadline().since(core.now());
         let rules = Rules {
-            reuse: match call.asker.repeatable {
+            reuse: match call.meta.repeatable {
                 true => Reuse::Kept,
                 false => Reuse::Fresh,
             },
             refusal_status: call.refusal_status,
-            limit: left.std(),
-            most: MOST_ANSWER,
+            limit: remaining.std(),
+            most: MAX_RESPONSE_BYTES,
         };
-        let request = request(call, placed.addr);
-        let id = &call.asker.request;
-        let (end, text) = match service::call(&core.pool, placed.addr, id, request, rules).await {
+        let request = upstream_request(call, placed.addr);
+        let id = &call.meta.id;
+        let (failure, text) = match service::call(&core.pool, placed.addr, id, request, rules).await
+        {
             Ok(reply) => {
-                let took = core.now().since(placed.at);
-                placed.answered(took, call.asker.class.first_token);
-                placed.ended(Span::ZERO, took, None);
+                let elapsed = core.now().since(placed.at);
+                placed.answered(elapsed, call.meta.class.first_token);
+                placed.ended(Span::ZERO, elapsed, None);
                 core.teller.attempt_ended(id, "whole.");
                 return Ok(reply);
             }
@@ -124,31 +123,36 @@
                     format!("not run: the service refused with status {}", reply.status),
                 )
             }
-            Err(Failure::Lost(why)) => {
+            Err(Failure::Lost(reason)) => {
                 placed.failed();
-                (retry::Failure::Lost, format!("lost: {why}"))
+                (retry::Failure::Lost, format!("lost: {reason}"))
             }
         };
         drop(placed);
         core.teller.attempt_ended(id, &text);
-        may_have_run |= end == retry::Failure::Lost;
-        let known = Context {
-            repeatable: call.asker.repeatable,
+        may_have_run |= failure == retry::Failure::Lost;
+        let context = Context {
+            repeatable: call.meta.repeatable,
             attempts,
             resumes: u32::MAX,
             may_have_run,
-            deadline: call.asker.deadline(),
+            deadline: call.meta.deadline(),
         };
-        match retry::decide(&known, end, core.now()) {
-            Action::Retry if core.spend(&call.asker.caller) => {}
-            Action::GiveUp(outcome) => return Err(lost(outcome, &text)),
-            _ => return Err(lost(Outcome::without_answer(may_have_run), &text)),
+        match retry::decide(&context, failure, core.now()) {
+            Action::Retry if core.spend_retry(&call.meta.caller) => {}
+            Action::GiveUp(outcome) => return Err(upstream_failure(outcome, &text)),
+            _ => {
+                return Err(upstream_failure(
+                    Outcome::without_answer(may_have_run),
+                    &text,
+                ));
+            }
         }
     }
 }
 
-fn lost(outcome: Outcome, text: &str) -> Fault {
-    Fault::lost(
+fn upstream_failure(outcome: Outcome, text: &str) -> ApiError {
+    ApiError::upstream_failure(
         outcome,
         format!("The service's answer could not be had ({text})."),
     )
@@ -159,10 +163,10 @@
     call: &Call,
     avoid: Option<u64>,
     may_have_run: bool,
-) -> Result<crate::fleet::Placed, Fault> {
-    let asker = &call.asker;
+) -> Result<crate::fleet::Placed, ApiError> {
+    let meta = &call.meta;
     let target = Target::Service(call.service.clone());
-    let want = asker.want(
+    let want = meta.want(
         target,
         choose::Request {
             prefix: None,
@@ -170,8 +174,8 @@
             avoid,
         },
     );
-    let most = asker.bundle.intent.limits.queue as usize;
-    let placed = core.fleet.acquire(want, most).await;
+    let max_queued = meta.bundle.intent.limits.queue as usize;
+    let placed = core.fleet.acquire(want, max_queued).await;
     placed.map_err(|placeless| {
         let message = match placeless {
             Placeless::Shed(Rejection::Full) => {
@@ -183,14 +187,14 @@
             Placeless::Absent => "No upstream of this service is there at the moment.",
         };
         match Outcome::without_answer(may_have_run) {
-            Outcome::NotRun => Fault::busy("overloaded", message, RETRY_AFTER),
-            outcome => Fault::lost(outcome, message),
+            Outcome::NotRun => ApiError::unavailable("overloaded", message, RETRY_AFTER),
+            outcome => ApiError::upstream_failure(outcome, message),
         }
     })
 }
 
 /// The request as the service gets it: without the caller's key, with its name.
-fn request(call: &Call, addr: std::net::SocketAddr) -> Request<conn::Body> {
+fn upstream_request(call: &Call, addr: std::net::SocketAddr) -> Request<conn::Body> {
     let mut request = Request::new(conn::Body::new(call.body.clone()));
     *request.method_mut() = call.method.clone();
     if let Ok(uri) = call.path.parse() {
@@ -209,14 +213,14 @@
         }
     };
     set("host", &addr.to_string());
-    set(REQUEST_HEADER, &call.asker.request);
-    set(CALLER_HEADER, &call.asker.caller);
+    set(REQUEST_HEADER, &call.meta.id);
+    set(CALLER_HEADER, &call.meta.caller);
     *request.headers_mut() = headers;
     request
 }
 
 /// Header fields of a service's answer that go on to the caller.
-pub fn answer_headers(reply: &Reply) -> HeaderMap {
+pub fn response_headers(reply: &Reply) -> HeaderMap {
     let mut headers = reply.headers.clone();
     for name in HOP_BY_HOP {
         headers.remove(name);
--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -7,10 +7,10 @@
 use std::process::ExitCode;
 
 /// Exit code for wrong use, such as bad settings.
-const WRONG_USE: u8 = 2;
+const USAGE_ERROR: u8 = 2;
 
 /// Exit code when something outside could not be had.
-const UNREACHABLE: u8 = 4;
+const UNAVAILABLE: u8 = 4;
 
 /// Error of the daemon; each message says what to do.
 #[derive(Debug, Snafu)]
@@ -54,13 +54,13 @@
     },
     /// Requests were cut at the end of the drain.
     #[snafu(display(
-        "{left} connections were still open when the drain's bound of {bound} ran out; raise [daemon] drain."
+        "{open} connections were still open when the drain's bound of {limit} ran out; raise [daemon] drain."
     ))]
-    Cut {
+    DrainTimeout {
         /// How many.
-        left: usize,
+        open: usize,
         /// The bound.
-        bound: unit::Span,
+        limit: unit::Span,
     },
 }
 
@@ -68,14 +68,14 @@
     /// Exit code that goes with the error.
     pub fn exit_code(&self) -> ExitCode {
         match self {
-            Error::ReadSettings { .. } | Error::Settings { .. } => ExitCode::from(WRONG_USE),
-            Error::Listen { .. } => ExitCode::from(UNREACHABLE),
+            Error::ReadSettings { .. } | Error::Settings { .. } => ExitCode::from(USAGE_ERROR),
+            Error::Listen { .. } => ExitCode::from(UNAVAILABLE),
             Error::Front { source } => match source {
-                front::Error::Settings { .. } => ExitCode::from(WRONG_USE),
-                front::Error::Listen { .. } => ExitCode::from(UNREACHABLE),
+                front::Error::Settings { .. } => ExitCode::from(USAGE_ERROR),
+                front::Error::Listen { .. } => ExitCode::from(UNAVAILABLE),
                 front::Error::Runtime { .. } => ExitCode::FAILURE,
             },
-            Error::Runtime { .. } | Error::Cut { .. } => ExitCode::FAILURE,
+            Error::Runtime { .. } | Error::DrainTimeout { .. } => ExitCode::FAILURE,
         }
     }
 }
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -26,11 +26,11 @@
 /// Histograms of one caller and class.
 pub struct Class {
     /// Time in the queue.
-    pub wait: Histogram,
+    pub queue_time: Histogram,
     /// Time to the first token, or to a plain answer.
-    pub first_token: Histogram,
+    pub ttft: Histogram,
     /// Time between tokens.
-    pub between_tokens: Histogram,
+    pub inter_token: Histogram,
     complete: Counter,
     not_run: Counter,
     unknown: Counter,
@@ -42,7 +42,7 @@
 
 impl Class {
     /// Counts an outcome.
-    pub fn outcome(&self, outcome: Outcome) {
+    pub fn record_outcome(&self, outcome: Outcome) {
         match outcome {
             Outcome::Complete => self.complete.increment(1),
             Outcome::NotRun => self.not_run.increment(1),
@@ -93,9 +93,9 @@
 
     /// Histograms of a caller and class, made at first use.
     pub fn class(&self, caller: &Name, class: &Name) -> Arc<Class> {
-        let at = (caller.clone(), class.clone());
-        if let Some(found) = self.classes.read().get(&at) {
-            return found.clone();
+        let key_pair = (caller.clone(), class.clone());
+        if let Some(class_metrics) = self.classes.read().get(&key_pair) {
+            return class_metrics.clone();
         }
         let labels = [("caller", &**caller), ("class", &**class)];
         let outcome = |word| {
@@ -106,17 +106,21 @@
             ];
             self.counter("coveford_requests_total", &labels)
         };
-        let made = Arc::new(Class {
-            wait: self.histogram("coveford_wait_seconds", &labels),
-            first_token: self.histogram("coveford_first_token_seconds", &labels),
-            between_tokens: self.histogram("coveford_between_tokens_seconds", &labels),
+        let created = Arc::new(Class {
+            queue_time: self.histogram("coveford_wait_seconds", &labels),
+            ttft: self.histogram("coveford_first_token_seconds", &labels),
+            inter_token: self.histogram("coveford_between_tokens_seconds", &labels),
             complete: outcome(Outcome::Complete.as_str()),
             not_run: outcome(Outcome::NotRun.as_str()),
             unknown: outcome(Outcome::Unknown.as_str()),
             attained: self.counter("coveford_attained_total", &labels),
             missed: self.counter("coveford_missed_total", &labels),
         });
-        self.classes.write().entry(at).or_insert(made).clone()
+        self.classes
+            .write()
+            .entry(key_pair)
+            .or_insert(created)
+            .clone()
     }
 
     /// All metrics as text.
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -3,7 +3,9 @@
 use crate::cli::Options;
 use crate::core::{self, Core};
 use crate::entry;
-use crate::error::{CutSnafu, Error, FrontSnafu, ListenSnafu, ReadSettingsSnafu, RuntimeSnafu};
+use crate::error::{
+    DrainTimeoutSnafu, Error, FrontSnafu, ListenSnafu, ReadSettingsSnafu, RuntimeSnafu,
+};
 use crate::settings::{self, Settings};
 use crate::{log, operator, planner, spread, watch};
 use conn::Server;
@@ -78,17 +80,17 @@
     let callers = listen(settings.callers).await?;
     let operators = listen(settings.operator).await?;
     let core = core::open(settings);
-    let most = core.settings.limits.connections;
+    let max_connections = core.settings.limits.connections;
     let callers = {
         let core = core.clone();
-        let answer = move |request| entry::handle(core.clone(), request).map(Ok);
-        conn::serve(callers, most, answer)
+        let handler = move |request| entry::handle(core.clone(), request).map(Ok);
+        conn::serve(callers, max_connections, handler)
     }
     .context(RuntimeSnafu)?;
     let operators = {
         let core = core.clone();
-        let answer = move |request| operator::handle(core.clone(), request).map(Ok);
-        conn::serve(operators, operator::MOST_CONNECTIONS, answer)
+        let handler = move |request| operator::handle(core.clone(), request).map(Ok);
+        conn::serve(operators, operator::MOST_CONNECTIONS, handler)
     }
     .context(RuntimeSnafu)?;
     let mut tasks = JoinSet::new();
@@ -133,12 +135,12 @@
         self.core.set_draining();
         info!(target: "daemon", "draining: readiness fails now, connections are refused in {}", settings.grace);
         tokio::time::sleep(settings.grace.std()).await;
-        let left = self.callers.drain(settings.drain.std()).await;
+        let open = self.callers.drain(settings.drain.std()).await;
         self.tasks.shutdown().await;
         self.operators.cut();
-        if left > 0 {
-            let bound = settings.drain;
-            return CutSnafu { left, bound }.fail();
+        if open > 0 {
+            let limit = settings.drain;
+            return DrainTimeoutSnafu { open, limit }.fail();
         }
         info!(target: "daemon", "drained: no request was cut");
         Ok(())
