--- a/crates/daemon/src/entry/generation.rs
+++ b/crates/daemon/src/entry/generation.rs
@@ -564,7 +564,7 @@
 }
 
 /// Hash of a model and the beginning of a prompt.
-fn prefix_hash(model: &Name, prompt: &str) -> u64 {
+pub fn prefix_hash(model: &Name, prompt: &str) -> u64 {
     let bytes = prompt.as_bytes();
     let end = bytes.len().min(PREFIX_BYTES);
     rendezvous::hash(model.as_bytes()) ^ rendezvous::hash(&bytes[..end])
