--- a/crates/front/src/attempt.rs
+++ b/crates/front/src/attempt.rs
@@ -19,8 +19,8 @@
 use conn::{Body, Error, Line};
 use hyper::body::Incoming;
 use hyper::{Request, Response};
-use platform::answer::{self, Said};
 use platform::ingress;
+use platform::response::{self, Said};
 use std::sync::Arc;
 use std::time::Duration;
 use unit::{Name, Span};
@@ -191,7 +191,7 @@
     line: Line,
     response: Response<Incoming>,
 ) -> Result<Exchange, Failure> {
-    let feedback = answer::read(response.status(), response.headers());
+    let feedback = response::read(response.status(), response.headers());
     feedback::apply(state, &reservation.source(call), &feedback);
     if !feedback.answers(&call.id) {
         reservation.record_bad_answer();
--- a/crates/front/src/feedback.rs
+++ b/crates/front/src/feedback.rs
@@ -7,8 +7,8 @@
 use crate::view::Origin;
 use conn::Body;
 use hyper::Request;
-use platform::answer::{self, Reading, Said};
 use platform::replica::Incarnation;
+use platform::response::{self, Reading, Said};
 use std::sync::Arc;
 use tracing::{info, warn};
 use unit::{Name, Span};
@@ -141,7 +141,7 @@
 pub fn observe_informational(state: &Arc<State>, request: &mut Request<Body>, source: Source) {
     let state = state.clone();
     hyper::ext::on_informational(request, move |response| {
-        let feedback = answer::read(response.status(), response.headers());
+        let feedback = response::read(response.status(), response.headers());
         apply(&state, &source, &feedback);
     });
 }
--- a/crates/front/src/rate_limit.rs
+++ b/crates/front/src/rate_limit.rs
@@ -12,7 +12,7 @@
 use crate::peers::quota::TIMEOUTS;
 use crate::state::State;
 use crate::table::{Choice, Criteria, LimitChange, LimitTerms};
-use platform::answer::Reading;
+use platform::response::Reading;
 use std::sync::Arc;
 use std::time::Duration;
 use tracing::{info, warn};
