--- a/crates/front/src/accounts.rs
+++ b/crates/front/src/accounts.rs
@@ -112,7 +112,7 @@
     let Some(accounts) = &routes.accounts else {
         return Ok(Caller::default());
     };
-    let id = ingress::ask(headers).id;
+    let id = ingress::parse(headers).id;
     let key = account::take_key(headers);
     let account = key.as_ref().ok().and_then(|key| accounts.find(key));
     if account.is_none() && route.public {
@@ -155,7 +155,7 @@
     let Some(key) = &call.caller.key else {
         return match call.route.public {
             true => Ok(None),
-            false => Err(Refusal::Unreadable(account::Unreadable::Missing)),
+            false => Err(Refusal::Unreadable(account::KeyError::Missing)),
         };
     };
     match accounts.find(key) {
@@ -209,7 +209,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Refusal {
     /// It has no readable key.
-    Unreadable(account::Unreadable),
+    Unreadable(account::KeyError),
     /// No account has the key.
     Unknown {
         /// Short hash of the key.
--- a/crates/front/src/attempt.rs
+++ b/crates/front/src/attempt.rs
@@ -20,7 +20,7 @@
 use hyper::body::Incoming;
 use hyper::{Request, Response};
 use platform::ingress;
-use platform::response::{self, Said};
+use platform::response::{self, Feedback};
 use std::sync::Arc;
 use std::time::Duration;
 use unit::{Name, Span};
@@ -33,7 +33,7 @@
     /// Head of the answer, with the body still to be read.
     pub response: Response<Incoming>,
     /// What the head says about the replica.
-    pub feedback: Said,
+    pub feedback: Feedback,
 }
 
 /// Why a send failed.
@@ -191,13 +191,13 @@
     line: Line,
     response: Response<Incoming>,
 ) -> Result<Exchange, Failure> {
-    let feedback = response::read(response.status(), response.headers());
+    let feedback = response::parse(response.status(), response.headers());
     feedback::apply(state, &reservation.source(call), &feedback);
     if !feedback.answers(&call.id) {
         reservation.record_bad_answer();
         return Err(Failure::Lost("an answer to another request came".into()));
     }
-    if feedback.not_run {
+    if feedback.not_executed {
         reservation.record_bad_answer();
         drain_refusal(state, &reservation.replica, line, &feedback, response).await;
         return Err(Failure::NotRun {
@@ -231,18 +231,18 @@
     state: &State,
     replica: &Name,
     line: Line,
-    feedback: &Said,
+    feedback: &Feedback,
     response: Response<Incoming>,
 ) {
     use http_body_util::{BodyExt, Limited};
-    if !feedback.keeps_connection {
+    if !feedback.keep_alive {
         return;
     }
     let read = Limited::new(response.into_body(), MAX_REFUSAL).collect();
     if matches!(tokio::time::timeout(REFUSAL_TIMEOUT, read).await, Ok(Ok(_))) {
         state
             .pool
-            .give(replica, line, feedback.keeps_for, state.now());
+            .give(replica, line, feedback.keep_alive_timeout, state.now());
     }
 }
 
@@ -262,13 +262,13 @@
     let mut request = Request::new(Body::new(call.body.clone()));
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.uri.clone();
-    let direction = ingress::Direction {
+    let direction = ingress::Overrides {
         replica: &choice.replica,
-        left: remaining.std(),
+        remaining: remaining.std(),
         priority: call.priority,
         last_event,
         account,
     };
-    *request.headers_mut() = ingress::forwarded(&call.headers, &direction);
+    *request.headers_mut() = ingress::request_headers(&call.headers, &direction);
     request
 }
--- a/crates/front/src/attempt/call.rs
+++ b/crates/front/src/attempt/call.rs
@@ -7,7 +7,7 @@
 use hyper::header::HeaderMap;
 use hyper::{Method, Uri};
 use platform::config::Route;
-use platform::ingress::Ask;
+use platform::ingress::Metadata;
 use std::sync::{Arc, OnceLock};
 use std::time::Duration;
 use tokio::sync::OwnedSemaphorePermit;
@@ -35,7 +35,7 @@
     /// Reservation of body memory, held until the request ends.
     pub _memory: Option<OwnedSemaphorePermit>,
     /// What the header fields ask for.
-    pub ask: Ask,
+    pub ask: Metadata,
     /// When the head arrived.
     pub arrived: Time,
     /// When the client stops waiting for the answer.
--- a/crates/front/src/feedback.rs
+++ b/crates/front/src/feedback.rs
@@ -8,7 +8,7 @@
 use conn::Body;
 use hyper::Request;
 use platform::replica::Incarnation;
-use platform::response::{self, Reading, Said};
+use platform::response::{self, Feedback, Field};
 use std::sync::Arc;
 use tracing::{info, warn};
 use unit::{Name, Span};
@@ -27,26 +27,26 @@
 }
 
 /// Applies everything that an answer says about its replica.
-pub fn apply(state: &State, source: &Source, feedback: &Said) {
-    if feedback.leaves {
+pub fn apply(state: &State, source: &Source, feedback: &Feedback) {
+    if feedback.leaving {
         record_departure(state, source);
     }
-    match &feedback.rest {
-        Reading::Value(requested) => record_backoff(state, source, Span::from_secs_f64(requested.as_secs_f64())),
-        Reading::Absent if feedback.is_turned_away() => record_backoff(state, source, Span::ZERO),
-        Reading::Unreadable(value) => state.log.rate_limited(|| {
+    match &feedback.backoff {
+        Field::Value(requested) => record_backoff(state, source, Span::from_secs_f64(requested.as_secs_f64())),
+        Field::Absent if feedback.is_turned_away() => record_backoff(state, source, Span::ZERO),
+        Field::Invalid(value) => state.log.rate_limited(|| {
             warn!(target: "replica", event = "unreadable", replica = &*source.replica, id = &*source.subject, value, "invalid backoff duration in a refusal; ignored")
         }),
-        Reading::Absent => {}
+        Field::Absent => {}
     }
     let answers = feedback.answers(&source.subject);
-    let ran = answers && feedback.signed && !feedback.not_run;
-    rate_limit::apply(state, source, &feedback.limit, ran);
+    let ran = answers && feedback.signed && !feedback.not_executed;
+    rate_limit::apply(state, source, &feedback.rate_limit, ran);
     let now = state.now();
     if answers && feedback.misdirected {
         let mut table = state.table.lock();
         table.record_misdirected(&source.replica, source.without_adapter, now);
-    } else if answers && (feedback.signed || feedback.not_run) {
+    } else if answers && (feedback.signed || feedback.not_executed) {
         state.table.lock().record_reached(&source.replica, now);
     }
 }
@@ -141,7 +141,7 @@
 pub fn observe_informational(state: &Arc<State>, request: &mut Request<Body>, source: Source) {
     let state = state.clone();
     hyper::ext::on_informational(request, move |response| {
-        let feedback = response::read(response.status(), response.headers());
+        let feedback = response::parse(response.status(), response.headers());
         apply(&state, &source, &feedback);
     });
 }
--- a/crates/front/src/planner/dispatch.rs
+++ b/crates/front/src/planner/dispatch.rs
@@ -6,7 +6,7 @@
 use crate::table::Permit;
 use platform::config::Engine;
 use platform::replica::{self, Entry, Operation, Order, Ordered};
-use platform::response::Said;
+use platform::response::Feedback;
 use std::sync::Arc;
 use std::time::Duration;
 use tracing::{info, warn};
@@ -135,7 +135,7 @@
     }
 
     /// Applies what an answer's head says about its replica.
-    fn take_feedback(&self, entry: &Entry, call: &str, said: Option<&Said>) {
+    fn take_feedback(&self, entry: &Entry, call: &str, said: Option<&Feedback>) {
         if let Some(said) = said {
             feedback::apply(&self.state, &source(entry, call), said);
         }
--- a/crates/front/src/rate_limit.rs
+++ b/crates/front/src/rate_limit.rs
@@ -12,7 +12,7 @@
 use crate::peers::quota::TIMEOUTS;
 use crate::state::State;
 use crate::table::{Choice, Criteria, LimitChange, LimitTerms};
-use platform::response::Reading;
+use platform::response::Field;
 use std::sync::Arc;
 use std::time::Duration;
 use tracing::{info, warn};
@@ -23,13 +23,13 @@
 
 /// Records the limit that an answer advertises. An answer without one withdraws the limit if the replica `ran` the
 /// request; a refusal without one changes nothing.
-pub fn apply(state: &State, source: &feedback::Source, limit: &Reading<f64>, ran: bool) {
+pub fn apply(state: &State, source: &feedback::Source, limit: &Field<f64>, ran: bool) {
     let rate = match limit {
         // Hosts exchange rates as `f32` and compare them.
-        Reading::Value(rate) => Some(f64::from((*rate as f32).min(f32::MAX))),
-        Reading::Absent if ran => None,
-        Reading::Absent => return,
-        Reading::Unreadable(value) => {
+        Field::Value(rate) => Some(f64::from((*rate as f32).min(f32::MAX))),
+        Field::Absent if ran => None,
+        Field::Absent => return,
+        Field::Invalid(value) => {
             state.log.rate_limited(|| {
                 warn!(target: "limit", event = "unreadable", replica = &*source.replica, value, "invalid rate limit in an answer; ignored")
             });
--- a/crates/front/src/relay.rs
+++ b/crates/front/src/relay.rs
@@ -19,7 +19,7 @@
 use hyper::body::{Frame, Incoming};
 use hyper::header::{self, HeaderMap};
 use platform::ingress;
-use platform::response::Said;
+use platform::response::Feedback;
 use std::io;
 use std::sync::Arc;
 use tracing::info;
@@ -83,11 +83,14 @@
 }
 
 /// Returns a connection to the pool after a complete answer, if the replica keeps it open.
-fn return_connection(state: &State, reservation: &Reservation, line: Line, feedback: &Said) {
-    if feedback.keeps_connection {
-        state
-            .pool
-            .give(&reservation.replica, line, feedback.keeps_for, state.now());
+fn return_connection(state: &State, reservation: &Reservation, line: Line, feedback: &Feedback) {
+    if feedback.keep_alive {
+        state.pool.give(
+            &reservation.replica,
+            line,
+            feedback.keep_alive_timeout,
+            state.now(),
+        );
     }
 }
 
@@ -122,7 +125,7 @@
 struct Source {
     reservation: Reservation,
     line: Line,
-    feedback: Said,
+    feedback: Feedback,
     body: Incoming,
 }
 
@@ -161,7 +164,7 @@
 
 /// Header fields that are forwarded, without the length.
 fn returned(headers: &HeaderMap) -> HeaderMap {
-    let mut headers = ingress::returned(headers);
+    let mut headers = ingress::response_headers(headers);
     headers.remove(header::CONTENT_LENGTH);
     headers
 }
--- a/crates/front/src/serve/read.rs
+++ b/crates/front/src/serve/read.rs
@@ -70,8 +70,8 @@
     let (mut head, body) = request.into_parts();
     let host = host(&head.uri, &head.headers);
     let caller = accounts::authenticate(state, routes, &route, &mut head.headers)?;
-    let ask = ingress::ask(&head.headers);
-    let timeout = ask.patience.unwrap_or(route.timeout).min(route.timeout);
+    let ask = ingress::parse(&head.headers);
+    let timeout = ask.timeout.unwrap_or(route.timeout).min(route.timeout);
     let deadline = arrived + Span::from(timeout);
     let (body, memory) = read_body(state, routes, body, deadline).await?;
     let id = ask.id.clone().unwrap_or_else(|| "-".into());
--- a/crates/front/src/table.rs
+++ b/crates/front/src/table.rs
@@ -34,7 +34,7 @@
 use pace::Paces;
 use planner_status::PlannerStatus;
 use platform::config::Service;
-use platform::ingress::Ask;
+use platform::ingress::Metadata;
 use platform::replica::Entry;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -86,7 +86,7 @@
     /// Service that the request goes to.
     pub service: &'a Name,
     /// Header fields of the request.
-    pub ask: &'a Ask,
+    pub ask: &'a Metadata,
     /// Priority, 0 is the most urgent.
     pub priority: u8,
     /// Longest allowed pause between events of a stream, if bounded.
@@ -285,17 +285,17 @@
     }
 
     /// Prompt tokens of a request that a replica has not cached, if no other prompt waits there.
-    pub fn unqueued_tokens(&self, replica: &str, ask: &Ask, now: Time) -> Option<f64> {
+    pub fn unqueued_tokens(&self, replica: &str, ask: &Metadata, now: Time) -> Option<f64> {
         let model = ask.model.as_ref()?;
         let state = self.replicas.get(replica);
         let load = state.map(|s| s.total_load(now, self.has_direct_loads(now)));
         let prefill_ms: f32 = load.unwrap_or_default().prefill_ms.iter().sum();
         let cached = state.map_or(0, |s| s.cached_tokens(model, ask));
-        (prefill_ms <= 0.0).then(|| ask.prompt.saturating_sub(cached) as f64)
+        (prefill_ms <= 0.0).then(|| ask.prompt_tokens.saturating_sub(cached) as f64)
     }
 
     /// Counts a request in the demand of its model and in the retry budget of its service.
-    pub fn record_arrival(&mut self, service: &Name, ask: &Ask, bounds: &Bounds, now: Time) {
+    pub fn record_arrival(&mut self, service: &Name, ask: &Metadata, bounds: &Bounds, now: Time) {
         let window = bounds.retry_window.into();
         let open = || WindowedBudget::new(bounds.retry_share, bounds.retry_slack, window);
         let budget = self
@@ -304,7 +304,7 @@
             .or_insert_with(open);
         budget.record_request(now);
         if let Some(model) = &ask.model {
-            self.demand.record(service, model, ask.prompt, now);
+            self.demand.record(service, model, ask.prompt_tokens, now);
         }
     }
 
--- a/crates/front/src/table/choose.rs
+++ b/crates/front/src/table/choose.rs
@@ -7,7 +7,7 @@
 use crate::message::PRIORITY_LEVELS;
 use crate::view::Replica;
 use platform::config::Engine;
-use platform::ingress::Ask;
+use platform::ingress::Metadata;
 use platform::replica::Entry;
 use route::batch::{self, Candidate};
 use std::net::SocketAddr;
@@ -298,8 +298,8 @@
 }
 
 /// Most tokens of the KV cache that a request needs.
-pub(super) fn max_tokens(ask: &Ask) -> u64 {
-    ask.prompt + ask.hinted_output.unwrap_or(ask.most_output)
+pub(super) fn max_tokens(ask: &Metadata) -> u64 {
+    ask.prompt_tokens + ask.output_hint.unwrap_or(ask.max_output_tokens)
 }
 
 /// Time that a replica may spend on prefill in one step without delaying events by more than `gap`.
--- a/crates/front/src/table/replica.rs
+++ b/crates/front/src/table/replica.rs
@@ -7,7 +7,7 @@
 use super::reachability::Reachability;
 use super::{Criteria, MAX_DIGEST_AGE, MAX_DIRECT_AGE};
 use crate::message::Load;
-use platform::ingress::Ask;
+use platform::ingress::Metadata;
 use std::collections::{BTreeMap, VecDeque};
 use unit::{Name, Time};
 
@@ -117,8 +117,8 @@
     }
 
     /// Tokens at the beginning of a prompt that the replica's prefix cache likely holds.
-    pub(super) fn cached_tokens(&self, model: &Name, ask: &Ask) -> u64 {
-        let cached = ask.parts.iter().map_while(|part| {
+    pub(super) fn cached_tokens(&self, model: &Name, ask: &Metadata) -> u64 {
+        let cached = ask.segments.iter().map_while(|part| {
             self.position(model, part.id)?;
             Some(part.tokens)
         });
@@ -126,8 +126,8 @@
     }
 
     /// Remembers the parts of a prompt, evicting the least recently used.
-    fn cache_parts(&mut self, model: &Name, ask: &Ask) {
-        for part in &ask.parts {
+    fn cache_parts(&mut self, model: &Name, ask: &Metadata) {
+        for part in &ask.segments {
             let known = self.position(model, part.id);
             let known = known.and_then(|at| self.cached_parts.remove(at));
             let newest = known.unwrap_or_else(|| (model.clone(), part.id));
--- a/crates/front/tests/fanout.rs
+++ b/crates/front/tests/fanout.rs
@@ -143,7 +143,7 @@
 #[test]
 fn a_host_that_does_not_know_the_host_count_has_no_retry_slack() {
     let service: Name = "web".into();
-    let ask = ingress::ask(&hyper::HeaderMap::new());
+    let ask = ingress::parse(&hyper::HeaderMap::new());
     let mut bounds = bounds();
     bounds.retry_slack = 400.0;
     let mut table = Table::new("a".into(), 1, HEARTBEAT);
--- a/crates/front/tests/load_exchange.rs
+++ b/crates/front/tests/load_exchange.rs
@@ -13,7 +13,7 @@
 fn table_with_requests(id: &Name) -> Table {
     let mut table = Table::new("a".into(), 1, HEARTBEAT);
     table.view.put(entry(id), 1);
-    let (service, ask) = ("web".into(), ingress::ask(&HeaderMap::new()));
+    let (service, ask) = ("web".into(), ingress::parse(&HeaderMap::new()));
     let want = Criteria {
         service: &service,
         ask: &ask,
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -189,7 +189,7 @@
         sent,
         connected,
     };
-    let keeps = reply.is_some_and(|r| response::read(r.status, &r.headers).keeps_connection);
+    let keeps = reply.is_some_and(|r| response::parse(r.status, &r.headers).keep_alive);
     book.told.lock().push(told);
     line.filter(|_| keeps).map(|line| (host, line))
 }
@@ -226,7 +226,7 @@
     if !reply.status.is_success() {
         return None;
     }
-    if !response::read(reply.status, &reply.headers).signed {
+    if !response::parse(reply.status, &reply.headers).signed {
         return Some("a success without a signature".into());
     }
     let text = String::from_utf8_lossy(&reply.body);
--- a/crates/standin/src/experiment/platform.rs
+++ b/crates/standin/src/experiment/platform.rs
@@ -6,7 +6,7 @@
 use front::message::{Digest, Load, Message, PackedLoad, encode};
 use front::table::{Criteria, Table};
 use place::copies::{self, Model, Replica};
-use platform::ingress::{Ask, Part};
+use platform::ingress::{Metadata, Segment};
 use platform::replica::{Entry, Held};
 use std::hint::black_box;
 use std::io;
@@ -78,18 +78,18 @@
         table.view.put(entry(n, models), n as u64 + 1);
     }
     let memory = (allocated() - before) as f64;
-    let ask = Ask {
+    let ask = Metadata {
         model: Some("model-0002".into()),
-        prompt: 1_460,
-        most_output: 200,
-        parts: vec![
-            Part { id: 1, tokens: 350 },
-            Part {
+        prompt_tokens: 1_460,
+        max_output_tokens: 200,
+        segments: vec![
+            Segment { id: 1, tokens: 350 },
+            Segment {
                 id: 2,
                 tokens: 1_110,
             },
         ],
-        ..Ask::default()
+        ..Metadata::default()
     };
     let service: Name = "llm".into();
     let want = Criteria {
