--- a/crates/front/src/attempt.rs
+++ b/crates/front/src/attempt.rs
@@ -117,7 +117,7 @@
     reservation: Reservation,
     last_event: Option<u64>,
 ) -> Result<Exchange, Failure> {
-    let is_repeatable = call.route.kind.is_repeatable();
+    let is_repeatable = call.route.kind.is_idempotent();
     let pooled = state.pool.take(&choice.replica, is_repeatable, state.now());
     let is_pooled = pooled.is_some();
     let mut line = match pooled {
@@ -193,7 +193,7 @@
 ) -> Result<Exchange, Failure> {
     let feedback = response::parse(response.status(), response.headers());
     feedback::apply(state, &reservation.source(call), &feedback);
-    if !feedback.answers(&call.id) {
+    if !feedback.matches_request(&call.id) {
         reservation.record_bad_answer();
         return Err(Failure::Lost("an answer to another request came".into()));
     }
--- a/crates/front/src/attempt/call.rs
+++ b/crates/front/src/attempt/call.rs
@@ -67,7 +67,7 @@
             service: &self.service,
             ask: &self.ask,
             priority: self.priority,
-            max_gap: self.route.gap.map(Span::from),
+            max_gap: self.route.max_gap.map(Span::from),
             excluded,
             is_resumption: false,
         }
--- a/crates/front/src/attempt/history.rs
+++ b/crates/front/src/attempt/history.rs
@@ -28,7 +28,7 @@
 
     /// Whether the route allows one more replica to run the request.
     pub fn may_run_again(&self, call: &Call) -> bool {
-        (self.may_have_run.len() as u32) < call.route.attempts
+        (self.may_have_run.len() as u32) < call.route.attempt_limit
     }
 }
 
--- a/crates/front/src/feedback.rs
+++ b/crates/front/src/feedback.rs
@@ -33,13 +33,13 @@
     }
     match &feedback.backoff {
         Field::Value(requested) => record_backoff(state, source, Span::from_secs_f64(requested.as_secs_f64())),
-        Field::Absent if feedback.is_turned_away() => record_backoff(state, source, Span::ZERO),
+        Field::Absent if feedback.is_shed() => record_backoff(state, source, Span::ZERO),
         Field::Invalid(value) => state.log.rate_limited(|| {
             warn!(target: "replica", event = "unreadable", replica = &*source.replica, id = &*source.subject, value, "invalid backoff duration in a refusal; ignored")
         }),
         Field::Absent => {}
     }
-    let answers = feedback.answers(&source.subject);
+    let answers = feedback.matches_request(&source.subject);
     let ran = answers && feedback.signed && !feedback.not_executed;
     rate_limit::apply(state, source, &feedback.rate_limit, ran);
     let now = state.now();
--- a/crates/front/src/fleet.rs
+++ b/crates/front/src/fleet.rs
@@ -15,7 +15,7 @@
 
 pub use bucket::Bucket;
 
-use platform::replica::{Entry, Held, Incarnation, Operation, Report};
+use platform::replica::{Entry, Incarnation, Operation, Report, Resident};
 use std::collections::{HashMap, VecDeque};
 use unanswered::Unanswered;
 use unit::{Name, Span, Time};
@@ -80,7 +80,7 @@
     /// Number of orders that the replica has accepted.
     pub orders_accepted: u64,
     /// Models that it holds, with their adapters.
-    pub held: Vec<Held>,
+    pub held: Vec<Resident>,
     pub pending: Option<Pending>,
     /// Orders to send, in order.
     pub queue: VecDeque<Job>,
@@ -277,7 +277,7 @@
         }
         self.unanswered_before.expire(now);
         if let Some(pending) = &self.pending {
-            let holds = entry.held.iter().any(|h| h.model == pending.job.model);
+            let holds = entry.resident.iter().any(|h| h.model == pending.job.model);
             let loads = pending.job.operation == Operation::Load;
             let overdue = now > pending.due + OVERDUE_AFTER;
             if loads && holds {
@@ -299,12 +299,12 @@
 
     /// Whether an entry lists other models than the record.
     fn differs(&self, entry: &Entry) -> bool {
-        let names = |held: &[Held]| {
+        let names = |held: &[Resident]| {
             let mut names: Vec<Name> = held.iter().map(|h| h.model.clone()).collect();
             names.sort();
             names
         };
-        names(&self.held) != names(&entry.held)
+        names(&self.held) != names(&entry.resident)
     }
 
     /// Applies a report, which counts as the newest state unless it is from an incarnation whose
@@ -315,9 +315,9 @@
             return;
         }
         self.last_ordered = now;
-        self.orders_accepted = report.orders;
-        self.held.clone_from(&report.held);
-        for (model, adapter) in &report.coming {
+        self.orders_accepted = report.orders_accepted;
+        self.held.clone_from(&report.resident);
+        for (model, adapter) in &report.loading_adapters {
             if let Some(held) = self.held.iter_mut().find(|h| h.model == *model)
                 && !held.adapters.contains(adapter)
             {
@@ -334,7 +334,7 @@
     pub fn apply(&mut self, job: &Job, now: Time) {
         let at = self.held.iter().position(|h| h.model == job.model);
         match (job.operation, &job.adapter, at) {
-            (Operation::Load, None, None) => self.held.push(Held {
+            (Operation::Load, None, None) => self.held.push(Resident {
                 model: job.model.clone(),
                 version: 0,
                 adapters: Vec::new(),
--- a/crates/front/src/fleet/capacity.rs
+++ b/crates/front/src/fleet/capacity.rs
@@ -19,7 +19,7 @@
                     .jobs()
                     .filter(|job| job.adapter.is_some())
                     .count();
-                is_held || self.adapters().len() + late_loads < engine.adapters as usize
+                is_held || self.adapters().len() + late_loads < engine.adapter_slots as usize
             }
             None => {
                 let model = engine.models.iter().find(|m| m.name == job.model);
@@ -49,6 +49,6 @@
             .filter(|j| j.operation == Operation::Load && j.adapter.is_none())
             .filter(|j| !self.held.iter().any(|h| h.model == j.model));
         let incoming: f64 = loading.map(|j| size(&j.model)).sum();
-        engine.memory_mb - held - incoming - largest * f64::from(engine.adapters)
+        engine.memory_mb - held - incoming - largest * f64::from(engine.adapter_slots)
     }
 }
--- a/crates/front/src/follow.rs
+++ b/crates/front/src/follow.rs
@@ -55,12 +55,12 @@
         match fetch(&state, after).await {
             Next::Relayed(changes) => {
                 after = after.max(Some(changes.revision));
-                apply_changes(&state, changes.found);
+                apply_changes(&state, changes.items);
             }
             Next::Watched(changes) => {
                 after = after.max(Some(changes.revision));
-                let has_changes = !changes.found.is_empty();
-                apply_changes(&state, changes.found);
+                let has_changes = !changes.items.is_empty();
+                apply_changes(&state, changes.items);
                 if has_changes {
                     pause_after_changes(&state).await;
                 }
@@ -107,7 +107,7 @@
     let changes = tokio::select! {
         changes = state.store.watch("", after, watch_wait(state)) => changes,
         // As a root this host must answer with current data, so a long watch is cancelled.
-        _ = promoted => return Next::Relayed(Listing { found: Vec::new(), revision: after }),
+        _ = promoted => return Next::Relayed(Listing { items: Vec::new(), revision: after }),
     };
     if let Err(platform::Error::Compacted { after }) = changes {
         info!(target: "store", event = "compacted", after, "the store has compacted the watched revision; reading a snapshot");
@@ -116,7 +116,7 @@
     let Some(changes) = record_answer(state, changes, sent_at) else {
         return Next::Failed;
     };
-    readers::record_changes(state, &changes.found, changes.revision, sent_at);
+    readers::record_changes(state, &changes.items, changes.revision, sent_at);
     Next::Watched(changes)
 }
 
--- a/crates/front/src/follow/apply.rs
+++ b/crates/front/src/follow/apply.rs
@@ -13,15 +13,15 @@
 /// Applies a snapshot of the store.
 pub(super) fn apply_snapshot(state: &State, snapshot: Listing<Item>) {
     let present: Vec<Name> = snapshot
-        .found
+        .items
         .iter()
         .filter(|item| item.key.starts_with(names::REPLICAS))
         .map(|item| replica::id(&item.key).into())
         .collect();
     let now = state.now();
-    let contains = |key: &str| snapshot.found.iter().any(|item| &*item.key == key);
+    let contains = |key: &str| snapshot.items.iter().any(|item| &*item.key == key);
     let (has_leader, has_quarantine) = (contains(leader::KEY), contains(quarantine::KEY));
-    for item in snapshot.found {
+    for item in snapshot.items {
         apply_written(state, item);
     }
     let updates = {
--- a/crates/front/src/follow/bootstrap.rs
+++ b/crates/front/src/follow/bootstrap.rs
@@ -32,20 +32,23 @@
 pub(super) async fn read(state: &State) -> Next {
     // The response is as of when it was requested; it may have been queued during a pause of this host.
     let sent_at = state.now();
-    let page = state.store.page("", None, Freshness::Newest).await;
+    let page = state.store.page("", None, Freshness::Linearizable).await;
     let Some(page) = record_answer(state, page, sent_at) else {
         return Next::Failed;
     };
-    if page.more {
+    if page.has_more {
         apply_first_page(state, &page);
         if let Some(next) = fetch_rest(state, page.revision).await {
             return next;
         }
     }
-    let rest = state.store.rest("", page, Freshness::Newest).await;
+    let rest = state
+        .store
+        .remaining_pages("", page, Freshness::Linearizable)
+        .await;
     match record_answer(state, rest, sent_at) {
         Some(snapshot) => {
-            readers::record_snapshot(state, &snapshot.found, snapshot.revision, sent_at);
+            readers::record_snapshot(state, &snapshot.items, snapshot.revision, sent_at);
             Next::Snapshot(snapshot)
         }
         None => Next::Failed,
@@ -57,7 +60,7 @@
 fn apply_first_page(state: &State, page: &Page) {
     let is_needed =
         |item: &&Item| [names::CONFIG, leader::KEY, quarantine::KEY].contains(&&*item.key);
-    for item in page.found.iter().filter(is_needed) {
+    for item in page.items.iter().filter(is_needed) {
         apply_written(state, item.clone());
     }
 }
@@ -103,7 +106,7 @@
         match result {
             Ok(Ok(changes)) => {
                 revision = changes.revision;
-                apply_changes(state, changes.found);
+                apply_changes(state, changes.items);
             }
             Ok(Err(why)) => {
                 info!(target: "store", event = "not_watched", why = %why, "cannot watch for the leader");
--- a/crates/front/src/leader.rs
+++ b/crates/front/src/leader.rs
@@ -10,7 +10,7 @@
 use crate::follow::set_leader;
 use crate::state::{Leader, State};
 use parking_lot::Mutex;
-use platform::store::{Committed, Freshness, Item, Lease, Transaction};
+use platform::store::{CommitOutcome, Freshness, Item, Lease, Transaction};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -188,7 +188,7 @@
         Created::Confirmed(token) => (token, is_first),
         Created::ReadBack(token) => (token, false),
         Created::Failed => {
-            let _ = state.store.end(lease.id).await;
+            let _ = state.store.revoke(lease.id).await;
             return None;
         }
     };
@@ -217,8 +217,8 @@
 /// Creates the leader's entry unless there is one, and the first-term key in the first term.
 async fn create(state: &State, lease: &Lease, is_first: bool) -> Created {
     match state.store.commit(&creation(state, lease, is_first)).await {
-        Ok(Committed::Done(revision)) => Created::Confirmed(revision),
-        Ok(Committed::Conflict(items)) => {
+        Ok(CommitOutcome::Applied(revision)) => Created::Confirmed(revision),
+        Ok(CommitOutcome::Conflict(items)) => {
             note_conflict(state, &items);
             Created::Failed
         }
@@ -248,7 +248,7 @@
     let mut txn = Transaction {
         expected: vec![(KEY.into(), expected)],
         writes: vec![(KEY.into(), value, lease.id)],
-        removed: Vec::new(),
+        removals: Vec::new(),
     };
     if is_first && expected == 0 {
         txn.expected.push((FIRST_TERM_KEY.into(), 0));
@@ -268,7 +268,7 @@
 /// Reads back whether a creation without an answer has taken effect.
 async fn read_back(state: &State, lease: &Lease, why: &str) -> Option<u64> {
     info!(target: "leader", event = "in_doubt", why, "no answer to the creation of the leader's entry; reading it back");
-    let item = state.store.get(KEY, Freshness::Newest).await.ok()??;
+    let item = state.store.get(KEY, Freshness::Linearizable).await.ok()??;
     (item.lease == lease.id).then_some(item.revision)
 }
 
@@ -336,7 +336,7 @@
         Err(platform::Error::LeaseEnded { .. }) => return Ok(None),
         Err(why) => return Err(why),
     };
-    let item = state.store.get(KEY, Freshness::Newest).await?;
+    let item = state.store.get(KEY, Freshness::Linearizable).await?;
     Ok(item.filter(|i| i.lease == lease.id).map(|_| ttl))
 }
 
@@ -344,7 +344,7 @@
 async fn step_down(state: &State, lease: Lease, term: &Term) {
     term.end();
     warn!(target: "leader", event = "lost", term = term.token, "this host is no longer the leader");
-    let _ = state.store.end(lease.id).await;
+    let _ = state.store.revoke(lease.id).await;
     let mut leader = state.leader.lock();
     if leader.as_ref().is_some_and(|l| l.term == term.token) {
         *leader = None;
--- a/crates/front/src/planner.rs
+++ b/crates/front/src/planner.rs
@@ -283,7 +283,7 @@
 
 /// Logs what a newly discovered replica holds.
 fn log_found(entry: &Entry) {
-    let held: Vec<&str> = entry.held.iter().map(|h| &*h.model).collect();
+    let held: Vec<&str> = entry.resident.iter().map(|h| &*h.model).collect();
     let (held, in_memory, on_disk) = (
         held.join(","),
         entry.in_memory.join(","),
--- a/crates/front/src/planner/adapters.rs
+++ b/crates/front/src/planner/adapters.rs
@@ -127,7 +127,7 @@
         let Some(record) = self.records.get_mut(id) else {
             return;
         };
-        if record.adapters_expected() >= engine.adapters as usize
+        if record.adapters_expected() >= engine.adapter_slots as usize
             && let Some(((model, adapter), _)) = record.least_recent_adapter()
         {
             record
@@ -194,7 +194,7 @@
             else {
                 continue;
             };
-            let is_full = record.adapters_expected() >= engine.adapters as usize;
+            let is_full = record.adapters_expected() >= engine.adapter_slots as usize;
             if is_full && !can_evict(record, now) {
                 continue;
             }
--- a/crates/front/src/planner/dispatch.rs
+++ b/crates/front/src/planner/dispatch.rs
@@ -5,7 +5,7 @@
 use crate::fleet::{Job, Pending, Record};
 use crate::table::Permit;
 use platform::config::Engine;
-use platform::replica::{self, Entry, Operation, Order, Ordered};
+use platform::replica::{self, Entry, Operation, Order, OrderStatus};
 use platform::response::Feedback;
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 /// Typical time until an ordered adapter is loaded.
 const ADAPTER_LOAD_TIME: Duration = Duration::from_millis(25);
 
-type Answer = Result<Ordered, platform::Error>;
+type Answer = Result<OrderStatus, platform::Error>;
 
 /// Next action for a replica.
 enum Next {
@@ -107,8 +107,8 @@
             return false;
         };
         let reply = replica::report(&self.pool, entry.addr, &entry.id, CALL_TIMEOUT).await;
-        self.take_feedback(entry, "report", reply.said.as_ref());
-        match reply.outcome {
+        self.take_feedback(entry, "report", reply.feedback.as_ref());
+        match reply.result {
             Ok(report) => {
                 let is_same_incarnation = report
                     .incarnation
@@ -122,7 +122,7 @@
                     return false;
                 };
                 record.apply_report(&report, self.state.now());
-                info!(target: "planner", event = "looked", replica = &*entry.id, orders = report.orders, busy = report.busy, "replica report applied");
+                info!(target: "planner", event = "looked", replica = &*entry.id, orders = report.orders_accepted, busy = report.busy, "replica report applied");
                 !report.busy
             }
             Err(why) => {
@@ -153,13 +153,13 @@
             operation: job.operation,
             model: job.model.clone(),
             adapter: job.adapter.clone(),
-            expected,
+            expected_orders: expected,
             holder: self.state.settings.name.clone(),
             fence: self.term.token,
         };
         let reply = replica::order(&self.pool, entry.addr, &entry.id, &order, CALL_TIMEOUT).await;
-        self.take_feedback(entry, "order", reply.said.as_ref());
-        let answer = reply.outcome;
+        self.take_feedback(entry, "order", reply.feedback.as_ref());
+        let answer = reply.result;
         let now = self.state.now();
         self.log_order(entry, &order, &answer);
         self.apply_answer(entry, job, expected, answer, now)
@@ -179,7 +179,7 @@
         metrics
             .counter("coveford_orders_total", &labels)
             .increment(1);
-        info!(target: "planner", event = "ordered", replica = &*entry.id, operation, model = &*order.model, adapter = order.adapter.as_deref(), expected = order.expected, term = self.term.token, outcome, "order sent")
+        info!(target: "planner", event = "ordered", replica = &*entry.id, operation, model = &*order.model, adapter = order.adapter.as_deref(), expected = order.expected_orders, term = self.term.token, outcome, "order sent")
     }
 
     /// Applies the answer to an order, and returns whether to continue.
@@ -204,18 +204,18 @@
             return false;
         }
         match answer {
-            Ok(Ordered::Accepted) if job.adapter.is_none() => {
+            Ok(OrderStatus::Accepted) if job.adapter.is_none() => {
                 record.orders_accepted = expected + 1;
                 set_pending(record, job, now);
                 return true;
             }
-            Ok(Ordered::Accepted) if job.operation == Operation::Unload => {
+            Ok(OrderStatus::Accepted) if job.operation == Operation::Unload => {
                 // The adapter is unloaded when its last request has ended, and holds its slot until
                 // then.
                 record.orders_accepted = expected + 1;
                 record.require_report(now);
             }
-            Ok(Ordered::Accepted | Ordered::InForce) if job.adapter.is_some() => {
+            Ok(OrderStatus::Accepted | OrderStatus::InForce) if job.adapter.is_some() => {
                 record.orders_accepted = expected + 1;
                 record.apply(&job, now);
                 if let (Operation::Load, Some(adapter)) = (job.operation, job.adapter) {
@@ -223,11 +223,11 @@
                 }
                 return true;
             }
-            Ok(Ordered::InForce) => {
+            Ok(OrderStatus::InForce) => {
                 record.apply(&job, now);
                 record.require_report(now);
             }
-            Ok(Ordered::Fenced) => {
+            Ok(OrderStatus::Fenced) => {
                 warn!(target: "planner", event = "fenced", term = self.term.token, "a later leader sends orders; this term ends");
                 self.term.end();
             }
@@ -261,7 +261,7 @@
     /// Reserves capacity for an order that may have been executed without an answer: at the
     /// replica, also across a restart, and at the weight store for a load from there.
     fn note_unanswered(&mut self, entry: &Entry, job: &Job, why: &platform::Error, now: Time) {
-        if !matches!(why, platform::Error::Unknown { .. }) {
+        if !matches!(why, platform::Error::Indeterminate { .. }) {
             return;
         }
         if let Some(record) = self.records.get_mut(&entry.id) {
@@ -299,11 +299,11 @@
 /// Value of the metric label `outcome`.
 fn outcome_label(answer: &Answer) -> &'static str {
     match answer {
-        Ok(Ordered::Accepted | Ordered::InForce) => "taken",
-        Ok(Ordered::Conflict) => "conflict",
-        Ok(Ordered::Fenced) => "fenced",
+        Ok(OrderStatus::Accepted | OrderStatus::InForce) => "taken",
+        Ok(OrderStatus::Conflict) => "conflict",
+        Ok(OrderStatus::Fenced) => "fenced",
         Ok(_) => "refused",
-        Err(platform::Error::Unknown { .. }) => "unanswered",
+        Err(platform::Error::Indeterminate { .. }) => "unanswered",
         Err(_) => "not_sent",
     }
 }
--- a/crates/front/src/planner/prefetch.rs
+++ b/crates/front/src/planner/prefetch.rs
@@ -27,12 +27,12 @@
                     .map_or_else(Replica::default, |r| adapter_slots(r, engine))
             })
             .collect();
-        let counts: Vec<u32> = engine.models.iter().map(|m| m.adapters).collect();
+        let counts: Vec<u32> = engine.models.iter().map(|m| m.adapter_count).collect();
         let order = by_demand(&fleet, service, engine);
         for (replica, model, number) in adapters::plan(&replicas, &counts, &order, MAX_PREFETCHES) {
             let model = &engine.models[model];
             if let Some(record) = fleet.records.get_mut(&entries[replica].id) {
-                let load = job(Operation::Load, &model.name, &model.adapter(number));
+                let load = job(Operation::Load, &model.name, &model.adapter_name(number));
                 record.queue.push_back(load);
             }
         }
@@ -46,7 +46,7 @@
         fleet.demand.get(&key).map_or(0.0, |d| d.current + d.recent)
     };
     let mut order: Vec<usize> = (0..engine.models.len())
-        .filter(|m| engine.models[*m].adapters > 0)
+        .filter(|m| engine.models[*m].adapter_count > 0)
         .collect();
     order.sort_by(|a, b| demand(b).total_cmp(&demand(a)));
     order
@@ -67,7 +67,7 @@
         });
     Replica {
         models: record.held.iter().filter_map(|h| index(&h.model)).collect(),
-        free_slots: (engine.adapters as usize).saturating_sub(record.adapters_expected()),
+        free_slots: (engine.adapter_slots as usize).saturating_sub(record.adapters_expected()),
         adapters: held.collect(),
         accepts_orders: record.accepts_orders(),
     }
--- a/crates/front/src/planner/quarantine.rs
+++ b/crates/front/src/planner/quarantine.rs
@@ -4,7 +4,7 @@
 use crate::leader;
 use crate::message::Message;
 use crate::quarantine::{self, KEY};
-use platform::store::{Committed, Item, Transaction};
+use platform::store::{CommitOutcome, Item, Transaction};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use tracing::warn;
@@ -52,13 +52,13 @@
         let txn = Transaction {
             expected: vec![(leader::KEY.into(), entry), (KEY.into(), revision)],
             writes: vec![(KEY.into(), value.clone(), 0)],
-            removed: Vec::new(),
+            removals: Vec::new(),
         };
         match self.state.store.commit(&txn).await {
-            Ok(Committed::Done(revision)) => {
+            Ok(CommitOutcome::Applied(revision)) => {
                 quarantine::apply_stored(&self.state, &stored_item(value, revision));
             }
-            Ok(Committed::Conflict(items)) => {
+            Ok(CommitOutcome::Conflict(items)) => {
                 for item in items.iter().filter(|item| &*item.key == KEY) {
                     quarantine::apply_conflict(&self.state, item);
                 }
--- a/crates/front/src/planner/service.rs
+++ b/crates/front/src/planner/service.rs
@@ -243,9 +243,9 @@
 /// Order to load a model; its duration depends on where the weights come from.
 fn load_job(entry: &Entry, model: &config::Model, from_store: bool) -> Job {
     let duration = match () {
-        _ if from_store => model.load,
-        _ if entry.in_memory.contains(&model.name) => model.load_warm,
-        _ => model.load_disk,
+        _ if from_store => model.load_time,
+        _ if entry.in_memory.contains(&model.name) => model.load_time_from_memory,
+        _ => model.load_time_from_disk,
     };
     Job {
         operation: Operation::Load,
@@ -273,8 +273,8 @@
             demand: demand.current,
             recent_demand: demand.recent,
             unserved_secs: demand.unserved_since.map_or(0.0, |at| now.since(at).secs()),
-            store_factor: model.load_disk.as_secs_f64()
-                / model.load.as_secs_f64().max(MIN_LOAD_SECS),
+            store_factor: model.load_time_from_disk.as_secs_f64()
+                / model.load_time.as_secs_f64().max(MIN_LOAD_SECS),
             expected_demand: expected,
         }
     };
@@ -365,7 +365,7 @@
     let capacity = |entry: &Entry| {
         let rate = table.limit_of(&entry.id, now)?;
         let durations = entry
-            .held
+            .resident
             .iter()
             .map(|held| table.pace(service, &held.model).1);
         let longest = durations.max()?;
--- a/crates/front/src/quarantine/admit.rs
+++ b/crates/front/src/quarantine/admit.rs
@@ -60,7 +60,7 @@
     }
     let fingerprint = call.fingerprint();
     let request = RequestId(rendezvous::hash(call.id.as_bytes()));
-    let held_until = call.arrived + Span::from(call.route.target) * MAX_HELD_FRACTION;
+    let held_until = call.arrived + Span::from(call.route.target_latency) * MAX_HELD_FRACTION;
     loop {
         let now = state.now();
         let permit = match state.quarantine.status(fingerprint, now) {
--- a/crates/front/src/readers/client.rs
+++ b/crates/front/src/readers/client.rs
@@ -132,14 +132,20 @@
         Payload::Changes(rows) => {
             let found: Vec<Change> = rows.into_iter().map(Change::from).collect();
             record_changes(state, &found, revision, confirmed);
-            Ok(StoreUpdate::Changes(Listing { found, revision }))
+            Ok(StoreUpdate::Changes(Listing {
+                items: found,
+                revision,
+            }))
         }
         Payload::Snapshot(_) if revision <= after => Err(Error::Behind { revision, after }),
         Payload::Snapshot(rows) => {
             let changes = rows.into_iter().map(Change::from);
             let found: Vec<Item> = changes.filter_map(written_item).collect();
             record_snapshot(state, &found, revision, confirmed);
-            Ok(StoreUpdate::Snapshot(Listing { found, revision }))
+            Ok(StoreUpdate::Snapshot(Listing {
+                items: found,
+                revision,
+            }))
         }
     }
 }
--- a/crates/front/src/relay.rs
+++ b/crates/front/src/relay.rs
@@ -228,7 +228,7 @@
         let now = self.state.now();
         let pause = now.since(self.last_event_at);
         self.last_event_at = now;
-        let gap = self.call.route.gap.map(Span::from);
+        let gap = self.call.route.max_gap.map(Span::from);
         let is_long = gap.is_some_and(|gap| pause > gap * LONG_PAUSE_FRACTION);
         if let Some(source) = self.source.as_ref().filter(|_| is_long) {
             let mut table = self.state.table.lock();
@@ -254,8 +254,8 @@
         let ms = self.state.now().since(self.call.arrived).ms();
         let route = &self.call.route;
         let model = self.call.ask.model.as_deref();
-        let target_ms = Span::from(route.target).ms();
-        let gap_ms = route.gap.map(|gap| Span::from(gap).ms());
+        let target_ms = Span::from(route.target_latency).ms();
+        let gap_ms = route.max_gap.map(|gap| Span::from(gap).ms());
         let (first_ms, pause_ms) = (self.ttft.ms(), self.longest_pause.duration.ms());
         let (in_flight, unread_ms) = (
             self.longest_pause.in_flight,
@@ -289,7 +289,7 @@
     async fn next_frame(&mut self) -> Result<Option<Frame<Bytes>>, Failure> {
         let deadline = self.call.deadline;
         let clock = &self.state.clock;
-        let is_resumable = self.call.route.kind.is_repeatable();
+        let is_resumable = self.call.route.kind.is_idempotent();
         let Some(source) = &mut self.source else {
             return Ok(None);
         };
--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -205,7 +205,7 @@
 impl Progress {
     /// Whether a retry may replace this answer, which is a server error.
     fn may_improve(&self, call: &Call, response: &Response<Body>) -> bool {
-        let is_repeatable = call.route.kind.is_repeatable();
+        let is_repeatable = call.route.kind.is_idempotent();
         response.status().is_server_error() && is_repeatable && self.history.may_run_again(call)
     }
 }
@@ -239,7 +239,7 @@
         | Failure::Unauthorized(_)
         | Failure::Quarantined(_) => false,
         Failure::Lost(_) | Failure::ServerError(_) => {
-            call.route.kind.is_repeatable()
+            call.route.kind.is_idempotent()
                 && progress.history.may_run_again(call)
                 && quarantine::may_retry(state, call)
         }
--- a/crates/front/src/serve/admit.rs
+++ b/crates/front/src/serve/admit.rs
@@ -106,7 +106,7 @@
     waiter: &mut Option<WaitGuard>,
 ) -> Result<Selection, Rejection> {
     let state = &context.state;
-    let retry_deadline = call.arrived + Span::from(call.route.target) * RETRY_WAIT_FRACTION;
+    let retry_deadline = call.arrived + Span::from(call.route.target_latency) * RETRY_WAIT_FRACTION;
     loop {
         let now = state.now();
         let criteria = call.criteria(excluded);
@@ -141,7 +141,7 @@
 ) -> Result<Selection, Rejection> {
     let state = &context.state;
     let now = state.now();
-    let target = Span::from(call.route.target);
+    let target = Span::from(call.route.target_latency);
     let expected = now.since(call.arrived) + choice.ttft;
     let is_queued = context.queues.lock().has_waiters(call);
     if choice.fits_prefill_limit && !is_queued {
--- a/crates/front/src/serve/read.rs
+++ b/crates/front/src/serve/read.rs
@@ -124,7 +124,7 @@
     if body.is_end_stream() {
         return Ok((Bytes::new(), None));
     }
-    let max = routes.limits.body;
+    let max = routes.limits.body_bytes;
     let memory = reserve_memory(state, &body, max)?;
     let read = Limited::new(body, max).collect();
     match state.clock.timeout_at(deadline, read).await {
--- a/crates/front/src/serve/report.rs
+++ b/crates/front/src/serve/report.rs
@@ -38,7 +38,7 @@
     };
     state.log.metrics.record_outcome(&call.route.name, outcome);
     state.log.sampled(&call.id, || {
-        info!(target: "request", event = "answered", id = &*call.id, route = &*call.route.name, status, ms = took.ms(), target_ms = Span::from(call.route.target).ms(), "answer forwarded")
+        info!(target: "request", event = "answered", id = &*call.id, route = &*call.route.name, status, ms = took.ms(), target_ms = Span::from(call.route.target_latency).ms(), "answer forwarded")
     });
 }
 
--- a/crates/front/src/serve/unavailable.rs
+++ b/crates/front/src/serve/unavailable.rs
@@ -43,7 +43,7 @@
     waiter: &mut Option<WaitGuard>,
     now: Time,
 ) -> (Time, Rejection) {
-    let deadline = call.arrived + Span::from(call.route.target) * CAPACITY_WAIT_FRACTION;
+    let deadline = call.arrived + Span::from(call.route.target_latency) * CAPACITY_WAIT_FRACTION;
     if waiter.is_none() && now + saturation.wait > deadline {
         return (now, saturated_rejection(call, saturation));
     }
@@ -83,7 +83,7 @@
     retry_deadline: Time,
     now: Time,
 ) -> (Time, Rejection) {
-    let target = Span::from(call.route.target);
+    let target = Span::from(call.route.target_latency);
     match reason {
         Unplaceable::NoModel(Some(eta))
             if now.since(call.arrived) + eta < target * MODEL_WAIT_FRACTION =>
--- a/crates/front/src/table.rs
+++ b/crates/front/src/table.rs
@@ -168,7 +168,7 @@
 
     /// Whether a replica holds a model, by its entry or by the leader's digest.
     fn holds_model(&self, entry: &Entry, model: &Name, now: Time) -> bool {
-        let in_entry = entry.held.iter().any(|h| h.model == *model);
+        let in_entry = entry.resident.iter().any(|h| h.model == *model);
         in_entry || self.planner_status.loaded.contains(&entry.id, model, now)
     }
 
--- a/crates/front/src/table/adapters.rs
+++ b/crates/front/src/table/adapters.rs
@@ -70,7 +70,7 @@
         return reported(state);
     }
     let in_entry = entry
-        .held
+        .resident
         .iter()
         .any(|h| h.model == *model && h.adapters.contains(adapter));
     in_entry || state.is_some_and(reported)
--- a/crates/front/src/table/choose.rs
+++ b/crates/front/src/table/choose.rs
@@ -186,7 +186,7 @@
             criteria,
             model,
             pace: self.paces.get(criteria.service, model),
-            token_capacity: engine.map_or(0.0, |e| e.tokens as f64),
+            token_capacity: engine.map_or(0.0, |e| e.token_capacity as f64),
             uses_direct_loads: self.has_direct_loads(now),
             now,
         }
@@ -289,7 +289,7 @@
 
 /// What a request needs of a batch.
 fn batch_request(criteria: &Criteria, engine: Option<&Engine>, jitter: Span) -> batch::Request {
-    let stride = engine.map_or(1, |e| e.stride);
+    let stride = engine.map_or(1, |e| e.tokens_per_event);
     batch::Request {
         tokens: max_tokens(criteria.ask) as f64,
         prefill_limit: criteria.max_gap.map(|gap| prefill_limit(gap, stride)),
--- a/crates/front/src/view.rs
+++ b/crates/front/src/view.rs
@@ -118,7 +118,7 @@
                 Write::Stale
             }
             (known, new) if known != new => Write::Restart,
-            _ if entry.beat < self.entry.beat => Write::Stale,
+            _ if entry.sequence < self.entry.sequence => Write::Stale,
             _ => Write::Next,
         }
     }
--- a/crates/front/tests/fleet.rs
+++ b/crates/front/tests/fleet.rs
@@ -4,13 +4,13 @@
 
 use front::fleet::{Bucket, Job, Pending, Record};
 use platform::config::{Engine, Model};
-use platform::replica::{Entry, Held, Operation, Report};
+use platform::replica::{Entry, Operation, Report, Resident};
 use site::at;
 use std::time::Duration;
 use unit::Span;
 
-fn held(models: &[&str]) -> Vec<Held> {
-    let held = models.iter().map(|m| Held {
+fn held(models: &[&str]) -> Vec<Resident> {
+    let held = models.iter().map(|m| Resident {
         model: (*m).into(),
         version: 1,
         adapters: Vec::new(),
@@ -21,18 +21,18 @@
 fn entry(models: &[&str]) -> Entry {
     Entry {
         service: "llm".into(),
-        held: held(models),
+        resident: held(models),
         ..site::entry("i-1")
     }
 }
 
 fn report(models: &[&str], orders: u64, busy: bool) -> Report {
     Report {
-        held: held(models),
-        coming: Vec::new(),
+        resident: held(models),
+        loading_adapters: Vec::new(),
         busy,
-        orders,
-        waiting: 0,
+        orders_accepted: orders,
+        queued: 0,
         running: 0,
         tokens_used: 0,
         leaving: false,
@@ -44,19 +44,19 @@
     let model = |name: &str| Model {
         name: name.into(),
         memory_mb: 40.0,
-        load: Duration::from_secs(8),
-        load_warm: Duration::from_secs(1),
-        load_disk: Duration::from_secs(2),
-        adapters: 4,
+        load_time: Duration::from_secs(8),
+        load_time_from_memory: Duration::from_secs(1),
+        load_time_from_disk: Duration::from_secs(2),
+        adapter_count: 4,
         adapter_mb: 1.0,
     };
     Engine {
         slots: 8,
-        tokens: 1_000,
+        token_capacity: 1_000,
         memory_mb: 100.0,
-        adapters: 2,
-        host_mb: 0.0,
-        stride: 2,
+        adapter_slots: 2,
+        host_memory_mb: 0.0,
+        tokens_per_event: 2,
         loads_per_second: 1.4,
         models: ["m1", "m2", "m3"].map(model).into(),
     }
--- a/crates/front/tests/site/mod.rs
+++ b/crates/front/tests/site/mod.rs
@@ -43,8 +43,8 @@
             Route::new("stream", stream(false), "llm", 1),
             Route::new("later", stream(false), "llm", 1).with_priority(2),
             Route::new("resume", stream(true), "llm", 2),
-            Route::new("once", Kind::Unrepeatable, "web", 2),
-            Route::new("again", Kind::Repeatable, "web", 2),
+            Route::new("once", Kind::NonIdempotent, "web", 2),
+            Route::new("again", Kind::Idempotent, "web", 2),
         ],
     )
 }
@@ -52,7 +52,7 @@
 /// [`configuration`] with client accounts and a route `/open/` that needs no key.
 pub fn with_accounts(version: u64, accounts: &[Account]) -> Value {
     let mut configuration = configuration(version);
-    let open = Route::new("open", Kind::Repeatable, "web", 2).open_to_all();
+    let open = Route::new("open", Kind::Idempotent, "web", 2).open_to_all();
     let open = platform_standin::configuration(version, &[open]);
     let routes = configuration["routes"].as_array_mut().unwrap();
     routes.push(open["routes"][0].clone());
@@ -169,11 +169,11 @@
         hall: "a".into(),
         slots: 8,
         leaving: false,
-        leaves_in: None,
-        held: Vec::new(),
+        departs_in: None,
+        resident: Vec::new(),
         in_memory: Vec::new(),
         on_disk: Vec::new(),
-        beat: 1,
+        sequence: 1,
         incarnation: None,
     }
 }
--- a/crates/front/tests/view.rs
+++ b/crates/front/tests/view.rs
@@ -12,7 +12,7 @@
     Entry {
         service: "llm".into(),
         leaving,
-        beat,
+        sequence: beat,
         ..site::entry("i-1")
     }
 }
--- a/crates/soak/src/site.rs
+++ b/crates/soak/src/site.rs
@@ -225,9 +225,9 @@
     let routes = [
         Route::new("stream", stream(false), "llm", 1),
         Route::new("resume", stream(true), "llm", 2),
-        Route::new("once", Kind::Unrepeatable, "web", 2),
-        Route::new("again", Kind::Repeatable, "web", 2),
-        Route::new(&format!("v{version}"), Kind::Repeatable, "web", 2),
+        Route::new("once", Kind::NonIdempotent, "web", 2),
+        Route::new("again", Kind::Idempotent, "web", 2),
+        Route::new(&format!("v{version}"), Kind::Idempotent, "web", 2),
     ];
     let configuration = platform_standin::configuration(version, &routes);
     platform_standin::with_accounts(configuration, &accounts::of(version))
--- a/crates/standin/src/experiment/platform.rs
+++ b/crates/standin/src/experiment/platform.rs
@@ -7,7 +7,7 @@
 use front::table::{Criteria, Table};
 use place::copies::{self, Model, Replica};
 use platform::ingress::{Metadata, Segment};
-use platform::replica::{Entry, Held};
+use platform::replica::{Entry, Resident};
 use std::hint::black_box;
 use std::io;
 use std::time::{Duration, Instant};
@@ -48,7 +48,7 @@
 }
 
 fn entry(n: usize, models: usize) -> Entry {
-    let held = |m: usize| Held {
+    let held = |m: usize| Resident {
         model: format!("model-{:04}", m % models).into(),
         version: 1,
         adapters: Vec::new(),
@@ -60,12 +60,12 @@
         hall: "a".into(),
         slots: 32,
         leaving: false,
-        leaves_in: None,
-        held: vec![held(n), held(n + 1), held(n + 7)],
+        departs_in: None,
+        resident: vec![held(n), held(n + 1), held(n + 7)],
         in_memory: Vec::new(),
         on_disk: Vec::new(),
         incarnation: None,
-        beat: 1,
+        sequence: 1,
     }
 }
 
