--- a/crates/daemon/src/core.rs
+++ b/crates/daemon/src/core.rs
@@ -54,7 +54,7 @@
     /// What the planner did last, when this host holds its hall's lease.
     pub planned: Planned,
     /// Notified when another process asks this daemon to drain and end.
-    pub stop: Notify,
+    pub shutdown: Notify,
     /// Lease that claims share.
     pub claims: claim::Lease,
     demand: Mutex<HashMap<Name, Demand>>,
@@ -86,7 +86,7 @@
         bodies: Arc::new(Semaphore::new(units as usize)),
         confirmed: Confirmed::default(),
         planned: Planned::default(),
-        stop: Notify::new(),
+        shutdown: Notify::new(),
         claims: claim::Lease::default(),
         demand: Mutex::default(),
         budgets: Mutex::default(),
@@ -186,14 +186,14 @@
     }
 
     /// Other daemons, with the address of their inner protocol.
-    pub fn others(&self) -> Vec<Host> {
+    pub fn other_daemons(&self) -> Vec<Host> {
         let peers = self.peers.read();
         let others = peers.iter().filter(|p| p.name != self.settings.name);
         others.cloned().collect()
     }
 
     /// Address of another daemon's inner protocol.
-    pub fn peer(&self, name: &str) -> Option<SocketAddr> {
+    pub fn peer_addr(&self, name: &str) -> Option<SocketAddr> {
         let peers = self.peers.read();
         peers.iter().find(|p| &*p.name == name).map(|p| p.addr)
     }
--- a/crates/daemon/src/planner.rs
+++ b/crates/daemon/src/planner.rs
@@ -87,7 +87,7 @@
         }
     }
 
-    async fn tick(&mut self, bundle: &InForce) -> Result<(), crate::shelf::Error> {
+    async fn tick(&mut self, bundle: &InForce) -> Result<(), crate::documents::Error> {
         self.book.open(&self.core).await?;
         let fleet = self.fleet(bundle).await;
         let elsewhere = elsewhere(&self.core, bundle);
@@ -252,7 +252,7 @@
 
 /// Requests a second that arrive at all daemons, by model.
 async fn arriving(core: &Arc<Core>) -> BTreeMap<Name, f64> {
-    let peers = core.others();
+    let peers = core.other_daemons();
     let asked = peers
         .iter()
         .map(|peer| spread::ask(core, peer.addr, &Frame::GetDemand, DEMAND_LIMIT));
