--- a/crates/front/src/serve/read.rs
+++ b/crates/front/src/serve/read.rs
@@ -71,8 +71,8 @@
     let (mut head, body) = request.into_parts();
     let host = host(&head.uri, &head.headers);
     let caller = accounts::authenticate(state, routes, &route, &mut head.headers)?;
-    let ask = ingress::ask(&head.headers);
-    let timeout = ask.patience.unwrap_or(route.timeout).min(route.timeout);
+    let ask = ingress::parse(&head.headers);
+    let timeout = ask.timeout.unwrap_or(route.timeout).min(route.timeout);
     let deadline = arrived + Span::from(timeout);
     let (body, memory) = read_body(state, routes, body, deadline).await?;
     let id = ask.id.clone().unwrap_or_else(|| "-".into());
@@ -125,7 +125,7 @@
     if body.is_end_stream() {
         return Ok((Bytes::new(), None));
     }
-    let max = routes.limits.body;
+    let max = routes.limits.body_bytes;
     let memory = reserve_memory(state, &body, max)?;
     let read = Limited::new(body, max).collect();
     match state.clock.timeout_at(deadline, read).await {
