--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -1,4 +1,4 @@
-//! Entry: takes callers' requests and carries their answers.
+//! HTTP API for callers: models and plain services.
 
 mod error;
 mod generation;
@@ -13,20 +13,21 @@
 pub use request::{Completion, Endpoint};
 pub use serve::handle;
 
-/// Header that carries the request id to the caller.
+/// Response header with the request id.
 pub const REQUEST_HEADER: &str = "coveford-request";
 
-/// Header that carries the outcome: `complete`, `not-run`, `unknown`, or `streaming`.
+/// Response header with the outcome: `complete`, `not-run`, `unknown`, or `streaming`.
 ///
-/// A stream states its outcome at its end: `[DONE]` stands behind a complete
-/// one only.
+/// A stream states its outcome at its end: `[DONE]` follows only a complete
+/// response.
 pub const OUTCOME_HEADER: &str = "coveford-outcome";
 
-/// Header by which a caller marks a request as unrepeatable; it can only make it stricter.
+/// Request header that marks a request as unrepeatable, so that it is not retried once it may
+/// have run. It cannot make an unrepeatable model or service repeatable.
 pub const UNREPEATABLE_HEADER: &str = "coveford-unrepeatable";
 
-/// Header by which a caller names one of its classes.
+/// Request header that selects one of the caller's classes.
 pub const CLASS_HEADER: &str = "coveford-class";
 
-/// Header that makes resends of an unrepeatable request known as such.
+/// Request header with the key that identifies resends of an unrepeatable request.
 pub const IDEMPOTENCY_HEADER: &str = "idempotency-key";
--- a/crates/daemon/src/entry/error.rs
+++ b/crates/daemon/src/entry/error.rs
@@ -1,27 +1,26 @@
-//! Errors as callers see them.
+//! Error responses to callers.
 
 use hyper::StatusCode;
 use route::retry::Outcome;
 use serde_json::json;
 use unit::Span;
 
-/// Error that ends a request.
+/// Error response that ends a request.
 #[derive(Debug, Clone)]
 pub struct ApiError {
-    /// HTTP status.
     pub status: StatusCode,
-    /// What is known of the request.
+    /// Whether the request ran.
     pub outcome: Outcome,
     /// Machine-readable code.
     pub code: &'static str,
-    /// Full sentence for people.
+    /// Human-readable message: a full sentence.
     pub message: String,
-    /// When to come back, where that helps.
+    /// Value of `Retry-After`, if a retry may succeed.
     pub retry_after: Option<Span>,
 }
 
 impl ApiError {
-    /// Request that was refused before dispatch for what it is.
+    /// Rejects an invalid request before dispatch.
     pub fn client_error(
         status: StatusCode,
         code: &'static str,
@@ -36,12 +35,12 @@
         }
     }
 
-    /// Bad request.
+    /// Rejects a request with status 400.
     pub fn bad_request(code: &'static str, message: impl Into<String>) -> ApiError {
         ApiError::client_error(StatusCode::BAD_REQUEST, code, message)
     }
 
-    /// Request that was not run for want of room; it may come again.
+    /// Rejects a request that was not run for lack of capacity (status 503).
     pub fn unavailable(
         code: &'static str,
         message: impl Into<String>,
@@ -53,7 +52,8 @@
         }
     }
 
-    /// Request whose answer is lost.
+    /// Reports a request without a response from its upstream: status 503 if it did not run,
+    /// else 502.
     pub fn upstream_failure(outcome: Outcome, message: impl Into<String>) -> ApiError {
         let (status, code) = match outcome {
             Outcome::NotRun => (StatusCode::SERVICE_UNAVAILABLE, "upstream_not_reached"),
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The error in the usual JSON form.
+    /// Encodes the error as the OpenAI API does, with the outcome added.
     pub fn to_json(&self) -> Vec<u8> {
         let error_type = match self.status {
             StatusCode::UNAUTHORIZED | StatusCode::FORBIDDEN => "authentication_error",
--- a/crates/daemon/src/entry/generation.rs
+++ b/crates/daemon/src/entry/generation.rs
@@ -1,4 +1,4 @@
-//! Answer of a model: attempts, resumptions and continuations behind one stream of tokens.
+//! Output of a model as one stream of tokens, across retries and resumed streams.
 
 use super::error::ApiError;
 use super::request::Completion;
@@ -15,54 +15,57 @@
 use unit::{Name, Span, Time, rendezvous};
 use upstream::engine::{self, Attempt, End, Failure, Item, RefusalReason, Run, Stream};
 
-/// Bytes of a prompt that make up its prefix for affinity.
+/// Length of the prompt prefix that is hashed for prefix affinity.
 const PREFIX_BYTES: usize = 512;
 
-/// Prefill time assumed per byte of prompt that is not cached; about 4 bytes a token.
+/// Estimated prefill time per byte of uncached prompt, in microseconds; assumes 4 bytes a token.
 const PREFILL_US_PER_BYTE: f64 = 12.0;
 
-/// First-token targets an attempt may take before it is held to be lost.
+/// Multiple of the time-to-first-token target after which an attempt counts as lost.
 const TTFT_TIMEOUT_FACTOR: f64 = 4.0;
 
-/// When a shed caller may come back.
+/// `Retry-After` of requests that the queue rejected.
 const REJECTED_RETRY_AFTER: Span = Span::from_secs(2);
 
-/// When a caller of a model with no replica may come back.
+/// `Retry-After` of requests to a model without a ready replica.
 const UNAVAILABLE_RETRY_AFTER: Span = Span::from_secs(5);
 
-/// Stream of an attempt, at its place.
+/// Attempt with an open stream.
 struct ActiveAttempt {
     stream: Stream,
     placed: Placed,
     attempt: Attempt,
 }
 
-/// Answer under way.
+/// Output of a model being generated; dropping it cancels the attempt upstream.
 pub struct Generation {
     core: Arc<Core>,
-    /// The request.
     pub completion: Completion,
     class_metrics: Arc<ClassMetrics>,
     active: Option<ActiveAttempt>,
-    /// First item, had before the answer's head was sent.
+    /// First item, which is received before the response headers are sent.
     first_item: Option<Item>,
-    /// End that was met among what had arrived already.
+    /// End of the stream, if [`Generation::try_next`] received it.
     buffered_end: Option<End>,
     attempts: u32,
     resumes: u32,
     may_have_run: bool,
+    /// Hash of the upstream of the last attempt.
     avoid: Option<u64>,
+    /// Text passed on so far; a retry continues it. Empty for unrepeatable requests.
     output: String,
-    /// Tokens handed on so far.
+    /// Number of tokens passed on so far.
     pub tokens: u32,
     first_token_at: Option<Time>,
     last_token_at: Time,
+    /// Tokens that exceeded the target for the time between tokens.
     late_tokens: u32,
+    /// Whether the outcome has been recorded.
     finished: bool,
     _in_flight: InFlight,
 }
 
-/// Starts an answer; it has its first token, or is whole, when this returns.
+/// Starts a generation; returns once its first item has arrived, with retries until then.
 pub async fn start(core: &Arc<Core>, completion: Completion) -> Result<Generation, ApiError> {
     let class_metrics = core
         .metrics
@@ -94,7 +97,7 @@
 }
 
 impl Generation {
-    /// Next tokens, or the end of the whole answer.
+    /// Next tokens, or the end of the complete output.
     pub async fn next(&mut self) -> Result<Item, ApiError> {
         match self.first_item.take() {
             Some(item) => Ok(item),
@@ -102,7 +105,7 @@
         }
     }
 
-    /// Next item if it has arrived already.
+    /// Next tokens if they have arrived already.
     pub fn try_next(&mut self) -> Option<Item> {
         match self.active.as_mut()?.stream.buffered()? {
             Ok(Item::End(end)) => {
@@ -113,7 +116,7 @@
                 self.record_item(&item);
                 Some(item)
             }
-            // A failure is met again, and dealt with, by the next call of `next`.
+            // The next call of `next` gets the failure again and handles it.
             Err(_) => None,
         }
     }
@@ -138,7 +141,7 @@
         }
     }
 
-    /// Time that the next token may take.
+    /// Timeout for the next token.
     fn token_timeout(&self) -> Duration {
         let stall = self.core.settings.limits.stall;
         if self.first_token_at.is_some() {
@@ -152,7 +155,7 @@
             .std()
     }
 
-    /// Notes an item in histograms, and keeps the text for a continuation.
+    /// Records the latency of an item, and keeps its text for retries.
     fn record_item(&mut self, item: &Item) {
         let now = self.core.now();
         let Item::Tokens { text, count } = item else {
@@ -185,7 +188,7 @@
         }
     }
 
-    /// Notes the end of the whole answer and gives the place up.
+    /// Records the completed request and releases its placement.
     async fn finish(&mut self, end: End) -> Item {
         self.finished = true;
         let meta = &self.completion.meta;
@@ -213,7 +216,7 @@
         Item::End(end)
     }
 
-    /// Whether the first token came in time, and 95 in 100 of the others.
+    /// Whether the first token met its target, and at most 5 % of the tokens were late.
     fn has_met_targets(&self) -> bool {
         let meta = &self.completion.meta;
         let first = self.first_token_at.unwrap_or(self.core.now());
@@ -221,7 +224,7 @@
         in_time && self.late_tokens * 20 <= self.tokens
     }
 
-    /// Deals with the failure of a running attempt: its stream goes on, or the request ends.
+    /// Resumes or retries after the failure of a running attempt, or fails the request.
     async fn recover(&mut self, failure: Failure) -> Result<(), ApiError> {
         let mut failure = failure;
         loop {
@@ -251,19 +254,20 @@
         }
     }
 
-    /// Leaves the running attempt, if there is one, and cancels it upstream.
+    /// Cancels the active attempt, if any, upstream.
     fn cancel_active(&mut self) {
         if let Some(active) = self.active.take() {
             cancel(&self.core, active.placed.addr, active.attempt);
         }
     }
 
-    /// Outcome that is true of the request so far, if it ended now.
+    /// Outcome of the request if it ended now.
     fn outcome_without_answer(&self) -> Outcome {
         Outcome::without_answer(self.may_have_run)
     }
 
-    /// Notes how an attempt ended, for routing, for the record and for what follows.
+    /// Records the failure of an attempt at its replica and in the request's record, and classifies
+    /// it for the retry decision.
     fn record_failure(&mut self, failure: Failure) -> (retry::Failure, String) {
         let placed = self.active.as_ref().map(|r| &r.placed);
         let (kind, text) = match failure {
@@ -294,7 +298,7 @@
         (kind, text)
     }
 
-    /// Takes the same attempt's stream up again at its engine.
+    /// Resumes the stream of the active attempt at the same engine.
     async fn resume(&mut self) -> Result<(), Failure> {
         self.resumes += 1;
         let counter = self.core.metrics.counter("coveford_resumes_total", &[]);
@@ -307,7 +311,7 @@
         run.resume_at = Some(offset);
         let limit = self.core.settings.limits.stall.std();
         let addr = active.placed.addr;
-        // A resumption starts nothing, so what failed to reach the engine is still lost, not "not run".
+        // The attempt runs already, so a failure to reach the engine means lost, not "not run".
         let resumed = engine::start(&self.core.pool, addr, Reuse::Fresh, &run, limit).await;
         active.stream = resumed.map_err(|failure| match failure {
             Failure::Unsent(e) => Failure::Lost(e.to_string()),
@@ -317,7 +321,7 @@
         Ok(())
     }
 
-    /// Makes another attempt; what was handed on already is given to it to continue.
+    /// Starts an attempt, which continues the output passed on so far.
     async fn start_attempt(&mut self) -> Result<(), ApiError> {
         loop {
             let placed = self.place().await?;
@@ -342,7 +346,7 @@
             };
             let limit = self.token_timeout();
             let addr = placed.addr;
-            // A caller that leaves while the head is awaited must not leave the engine at work.
+            // Cancels the attempt if the caller disconnects before the response headers arrive.
             let guard = CancelGuard::new(&self.core, addr, attempt.clone());
             let started = engine::start(&self.core.pool, addr, reuse, &run, limit).await;
             guard.disarm();
@@ -365,7 +369,8 @@
         }
     }
 
-    /// Deals with an attempt that did not start; tells whether to make another.
+    /// Handles an attempt that failed to start. Returns whether to make another; false if its
+    /// stream could be resumed.
     async fn handle_failed_start(
         &mut self,
         failure: Failure,
@@ -399,7 +404,7 @@
         }
     }
 
-    /// Tries to take up a stream whose head was lost; the engine may be running it.
+    /// Tries to resume a stream whose response headers were lost, since the engine may be running it.
     async fn try_resume(&mut self, placed: Placed, attempt: Attempt) -> bool {
         let mut run = engine_run(&self.completion, attempt.clone());
         run.resume_at = Some(self.tokens);
@@ -490,7 +495,7 @@
         ApiError::upstream_failure(outcome, format!("The answer could not be had ({text})."))
     }
 
-    /// Notes the outcome of a request that was not answered whole.
+    /// Records the outcome of a request without a complete response.
     fn record_end(&mut self, outcome: Outcome, text: &str) {
         self.finished = true;
         self.core.record_completion(&self.completion.model, false);
@@ -503,7 +508,7 @@
 }
 
 impl Drop for Generation {
-    /// A caller that goes away cancels upstream.
+    /// Cancels upstream, and records a request whose caller disconnected.
     fn drop(&mut self) {
         self.cancel_active();
         if !self.finished {
@@ -512,7 +517,7 @@
     }
 }
 
-/// Cancels an attempt when dropped before it is disarmed.
+/// Cancels an attempt if dropped before it is disarmed.
 struct CancelGuard<'a> {
     core: &'a Arc<Core>,
     target: Option<(std::net::SocketAddr, Attempt)>,
@@ -563,7 +568,7 @@
     count("doubled", stream.doubled);
 }
 
-/// Hash of a model and the beginning of a prompt.
+/// Hash of a model and a prompt's prefix, for prefix affinity.
 pub fn prefix_hash(model: &Name, prompt: &str) -> u64 {
     let bytes = prompt.as_bytes();
     let end = bytes.len().min(PREFIX_BYTES);
--- a/crates/daemon/src/entry/idempotency.rs
+++ b/crates/daemon/src/entry/idempotency.rs
@@ -1,4 +1,4 @@
-//! Claims of requests: taken before dispatch, settled when the request has ended.
+//! Claims of unrepeatable requests: acquired before dispatch, settled when the request ends.
 
 use super::error::ApiError;
 use super::render::Output;
@@ -12,7 +12,9 @@
 use std::sync::Arc;
 use unit::Name;
 
-/// Takes the claim of an unrepeatable request with a key.
+/// Acquires the claim of an unrepeatable request that has an idempotency key.
+///
+/// Returns `None` if the request needs no claim.
 pub(super) async fn acquire_claim(
     core: &Arc<Core>,
     meta: &Metadata,
@@ -51,14 +53,13 @@
     }
 }
 
-/// Claim to be settled when its request has ended.
+/// Settles the claim of a request, if there is one; as lost if dropped before.
 pub(super) struct ClaimGuard {
     core: Arc<Core>,
     claim: Option<HeldClaim>,
 }
 
 impl ClaimGuard {
-    /// Starts with the claim that was taken, if there was one.
     pub(super) fn new(core: &Arc<Core>, claim: Option<HeldClaim>) -> ClaimGuard {
         ClaimGuard {
             core: core.clone(),
@@ -66,7 +67,6 @@
         }
     }
 
-    /// Whether there is a claim to settle.
     pub(super) fn has_claim(&self) -> bool {
         self.claim.is_some()
     }
@@ -90,7 +90,7 @@
 }
 
 impl Drop for ClaimGuard {
-    /// A caller that went away mid-answer leaves a request that may have run.
+    /// A request whose caller disconnected may have run.
     fn drop(&mut self) {
         self.settle(State::Lost);
     }
--- a/crates/daemon/src/entry/render.rs
+++ b/crates/daemon/src/entry/render.rs
@@ -1,4 +1,4 @@
-//! Answers of models in the forms that callers' libraries read.
+//! Encodes responses of models as the OpenAI API does: JSON and server-sent events.
 
 use super::error::ApiError;
 use super::generation::Generation;
@@ -8,20 +8,21 @@
 use unit::Name;
 use upstream::engine::{End, Item};
 
-/// Whole answer of a model.
+/// Complete output of a model.
+///
+/// Stored as JSON with the claim of an unrepeatable request, for resends.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Output {
-    /// Text.
     pub text: String,
-    /// Its tokens.
+    /// Number of generated tokens.
     pub tokens: u32,
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Why it ended.
+    /// Finish reason, such as `stop` or `length`.
     pub finish: Name,
 }
 
-/// Reads an answer to its end.
+/// Reads a generation to its end.
 pub async fn collect(generation: &mut Generation) -> Result<Output, ApiError> {
     let mut text = String::new();
     loop {
@@ -39,7 +40,7 @@
     }
 }
 
-/// The whole answer as one JSON object.
+/// Encodes a complete output as one JSON object; `created` is in Unix seconds.
 pub fn complete_json(completion: &Completion, created: u64, output: &Output) -> Vec<u8> {
     let choice = match completion.endpoint {
         Endpoint::Chat => json!({
@@ -72,7 +73,7 @@
     })
 }
 
-/// Renders server-sent events; what is the same in each is made once.
+/// Encodes server-sent events; the parts that all events share are built once.
 pub struct EventWriter {
     token_prefix: String,
     token_suffix: &'static str,
@@ -81,7 +82,7 @@
     include_usage: bool,
 }
 
-/// Makes the renderer for a request.
+/// Creates the writer for a request; `created` is in Unix seconds.
 pub fn event_writer(completion: &Completion, created: u64) -> EventWriter {
     let quoted = |text: &str| Value::from(text).to_string();
     let object = match completion.endpoint {
@@ -113,7 +114,7 @@
 }
 
 impl EventWriter {
-    /// First event of a chat: the role.
+    /// Writes the first event of a chat, which carries the role.
     pub fn start(&self, out: &mut BytesMut) {
         if self.endpoint == Endpoint::Chat {
             out.put_slice(self.event_prefix.as_bytes());
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Event of new tokens.
+    /// Writes an event with new tokens.
     pub fn tokens(&self, out: &mut BytesMut, text: &str) {
         out.reserve(self.token_prefix.len() + text.len() + self.token_suffix.len() + 8);
         out.put_slice(self.token_prefix.as_bytes());
@@ -129,7 +130,7 @@
         out.put_slice(self.token_suffix.as_bytes());
     }
 
-    /// Events at the end of a whole answer.
+    /// Writes the events that end a complete response.
     pub fn end(&self, out: &mut BytesMut, end: &End, tokens: u32) {
         let choice = match self.endpoint {
             Endpoint::Chat => json!([{"index": 0, "delta": {}, "finish_reason": end.finish}]),
@@ -145,7 +146,7 @@
         out.put_slice(b": coveford-outcome complete\n\ndata: [DONE]\n\n");
     }
 
-    /// Event that ends a stream which is not whole; no `[DONE]` follows.
+    /// Returns the event that ends an incomplete stream; no `[DONE]` follows.
     pub fn error(&self, error: &ApiError) -> Bytes {
         let mut out = BytesMut::new();
         out.put_slice(b"data: ");
--- a/crates/daemon/src/entry/request.rs
+++ b/crates/daemon/src/entry/request.rs
@@ -1,4 +1,4 @@
-//! Callers' requests to models, read from their JSON.
+//! Requests to models: parsing of headers and JSON bodies.
 
 use super::error::ApiError;
 use super::{CLASS_HEADER, IDEMPOTENCY_HEADER, UNREPEATABLE_HEADER};
@@ -12,16 +12,16 @@
 use std::sync::Arc;
 use unit::{Name, Time};
 
-/// Tokens generated when the caller names no bound.
+/// Maximum number of output tokens if the request sets none.
 const DEFAULT_MAX_TOKENS: u32 = 256;
 
-/// Most tokens a caller may ask for.
+/// Largest `max_tokens` that a request may set.
 const MAX_TOKENS: u32 = 100_000;
 
-/// Longest idempotency key, in bytes.
+/// Maximum length of an idempotency key.
 const MAX_KEY_BYTES: usize = 256;
 
-/// Fields handed to the engine as they came.
+/// Fields of the body that are forwarded to the engine unchanged.
 const SAMPLING_FIELDS: [&str; 8] = [
     "temperature",
     "top_p",
@@ -33,7 +33,7 @@
     "response_format",
 ];
 
-/// Form of a request and its answer.
+/// API endpoint, which determines the format of request and response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Endpoint {
     /// `/v1/chat/completions`.
@@ -42,36 +42,32 @@
     Text,
 }
 
-/// Who asks, and under which rules.
+/// Metadata of a request to a model or a service.
 #[derive(Clone)]
 pub struct Metadata {
-    /// Identity of the request.
     pub id: Name,
-    /// Name of the caller.
+    /// Client account.
     pub caller: Name,
-    /// Weight of its share.
+    /// Weight of the caller in fair queueing.
     pub weight: u32,
-    /// Name of the class.
     pub class_name: Name,
-    /// Targets and rank.
+    /// Latency targets, deadline and priority.
     pub class: Class,
-    /// Whether the request may be repeated.
+    /// Whether the request may be retried after it may have run.
     pub repeatable: bool,
-    /// Idempotency key, if it has one.
     pub idempotency_key: Option<Name>,
-    /// When it arrived.
     pub arrived: Time,
-    /// Bundle it is served under, from its beginning to its end.
+    /// Bundle in force at arrival; it applies until the request ends.
     pub bundle: Arc<InForce>,
 }
 
 impl Metadata {
-    /// When nobody needs the answer any more.
+    /// Time after which the response is of no use to the caller.
     pub fn deadline(&self) -> Time {
         self.arrived + self.class.deadline
     }
 
-    /// What the fleet is asked for on behalf of this request.
+    /// Criteria for the placement of this request.
     pub fn want(&self, target: Target, request: choose::Request) -> Want {
         Want {
             target,
@@ -88,29 +84,24 @@
 /// Request to a model.
 #[derive(Clone)]
 pub struct Completion {
-    /// Who asks.
     pub meta: Metadata,
-    /// Name that the caller used, echoed in the answer.
+    /// Name of the model or adapter in the request, echoed in the response.
     pub requested_model: Name,
-    /// Model that answers.
+    /// Base model.
     pub model: Name,
-    /// Adapter on it.
     pub adapter: Option<Name>,
-    /// Prompt.
     pub prompt: Name,
-    /// Most tokens.
+    /// Maximum number of output tokens.
     pub max_tokens: u32,
-    /// Whether the answer is streamed.
     pub stream: bool,
-    /// Whether the stream ends with the usage.
+    /// Whether a stream ends with an event of the token usage.
     pub include_usage: bool,
-    /// Form.
     pub endpoint: Endpoint,
-    /// Sampling fields.
+    /// Sampling parameters, forwarded unchanged.
     pub sampling: Map<String, Value>,
 }
 
-/// Body of a request, as far as it concerns routing.
+/// Body of a request; `rest` holds the fields that are not interpreted here.
 #[derive(Deserialize)]
 struct Body {
     model: String,
@@ -145,7 +136,7 @@
     content: Value,
 }
 
-/// Finds the caller of a bearer key.
+/// Returns the caller of the API key in the `Authorization` header.
 pub fn authenticate<'a>(
     headers: &HeaderMap,
     bundle: &'a InForce,
@@ -165,14 +156,14 @@
         .ok_or_else(|| unauthorized("The key is not one of a known caller."))
 }
 
-/// Whether the caller marked the request as unrepeatable.
+/// Whether [`UNREPEATABLE_HEADER`] is set to anything but `no`.
 pub fn is_marked_unrepeatable(headers: &HeaderMap) -> bool {
     headers
         .get(UNREPEATABLE_HEADER)
         .is_some_and(|value| !value.as_bytes().eq_ignore_ascii_case(b"no"))
 }
 
-/// Idempotency key of a request.
+/// Returns the idempotency key, or an error if it is empty, too long or not visible ASCII.
 pub fn idempotency_key(headers: &HeaderMap) -> Result<Option<Name>, ApiError> {
     let Some(value) = headers.get(IDEMPOTENCY_HEADER) else {
         return Ok(None);
@@ -186,7 +177,8 @@
     }
 }
 
-/// Class of a request: named by the caller if it may, else the target's own.
+/// Class of a request: the one in [`CLASS_HEADER`] if the caller may use it, else the default of
+/// the model or service.
 pub fn class<'a>(
     headers: &HeaderMap,
     bundle: &'a InForce,
@@ -215,13 +207,13 @@
     })
 }
 
-/// What is read from a body before the bundle is asked.
+/// Parsed body, not validated yet.
 pub struct Parsed {
     body: Body,
     endpoint: Endpoint,
 }
 
-/// Reads a body.
+/// Parses a body.
 pub fn parse(bytes: &[u8], endpoint: Endpoint) -> Result<Parsed, ApiError> {
     let body: Body = serde_json::from_slice(bytes).map_err(|e| {
         ApiError::bad_request(
@@ -233,12 +225,12 @@
 }
 
 impl Parsed {
-    /// Name of the model or adapter asked for.
+    /// Name of the requested model or adapter.
     pub fn model(&self) -> &str {
         &self.body.model
     }
 
-    /// Checks the rest and makes the request.
+    /// Validates the fields and builds the request.
     pub fn into_completion(
         self,
         meta: Metadata,
@@ -284,7 +276,7 @@
     }
 }
 
-/// Joins messages into one prompt; parts other than text are kept as JSON.
+/// Joins messages into one prompt; parts other than text are included as JSON.
 fn chat_prompt(messages: Option<Vec<Message>>) -> Result<Name, ApiError> {
     let messages = messages.unwrap_or_default();
     if messages.is_empty() {
--- a/crates/daemon/src/entry/respond.rs
+++ b/crates/daemon/src/entry/respond.rs
@@ -1,4 +1,4 @@
-//! Responses to callers: their marks, errors, and the list of models.
+//! Responses to callers: headers, errors and the list of models.
 
 use super::error::ApiError;
 use super::request;
@@ -14,13 +14,13 @@
 use std::io;
 use unit::Name;
 
-/// Body of an answer.
+/// Response body.
 pub type Body = UnsyncBoxBody<Bytes, io::Error>;
 
-/// Header by which callers' usual libraries are kept from sending a request again by themselves.
+/// Response header by which OpenAI client libraries decide whether to retry automatically.
 const SHOULD_RETRY: &str = "x-should-retry";
 
-/// Names of models and adapters that the caller of these headers may use.
+/// Names of the models and adapters that the authenticated caller may use.
 pub(super) fn accessible_models(headers: &HeaderMap, bundle: &InForce) -> Vec<Name> {
     let Ok((_, caller)) = request::authenticate(headers, bundle) else {
         return Vec::new();
--- a/crates/daemon/src/entry/serve.rs
+++ b/crates/daemon/src/entry/serve.rs
@@ -1,4 +1,4 @@
-//! One request of a caller, from its head to its answer.
+//! Handles a request of a caller: routing, body, idempotency claim and response.
 
 use super::error::ApiError;
 use super::generation::{self, Generation};
@@ -30,16 +30,16 @@
 use unit::{Name, Span};
 use upstream::engine::Item;
 
-/// Time a caller has to send a body.
+/// Time within which a body must arrive.
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// When to come back to a daemon that has no bundle yet, or no memory for a body.
+/// `Retry-After` of a daemon that has no bundle yet, or no memory for a body.
 const RETRY_AFTER: Span = Span::from_secs(1);
 
-/// Bytes of events sent at once at the most.
+/// Size at which a batch of events is sent.
 const MAX_CHUNK_BYTES: usize = 16 * 1_024;
 
-/// Answers a request of a caller.
+/// Handles a request of a caller; errors become error responses.
 pub async fn handle(core: Arc<Core>, request: Request<Incoming>) -> Response<Body> {
     let id = core.new_request_id();
     match route(&core, &id, request).await {
@@ -85,7 +85,7 @@
     }
 }
 
-/// Body read whole, with the memory that it takes until it is dropped.
+/// Request body with its permit for memory, which is returned on drop.
 struct ReadBody {
     bytes: Bytes,
     memory: OwnedSemaphorePermit,
@@ -145,7 +145,7 @@
     }
 }
 
-/// Request to a model.
+/// Handles a chat or text completion.
 async fn handle_completion(
     core: &Arc<Core>,
     id: &Name,
@@ -216,7 +216,7 @@
     }
 }
 
-/// Starts the record of a request.
+/// Starts the record of a request, which explains its routing to operators.
 fn start_record(core: &Core, meta: &Metadata, target: &Name) {
     core.teller.begin(Record {
         request: meta.id.clone(),
@@ -250,7 +250,7 @@
     }
 }
 
-/// What a streamed answer is made from, step by step.
+/// State of a streamed response.
 struct EventStream {
     generation: Generation,
     writer: render::EventWriter,
@@ -261,9 +261,9 @@
     _memory: OwnedSemaphorePermit,
 }
 
-/// What remains after the last tokens.
 enum Phase {
     Open,
+    /// The error event was sent; the connection is closed next.
     Aborting,
     Ended,
 }
@@ -300,13 +300,14 @@
 }
 
 impl EventStream {
-    /// Next piece of the body; an error cuts the connection, so that it never looks whole.
+    /// Next frame of the body. An error closes the connection, so that the caller cannot take an
+    /// incomplete response for a complete one.
     async fn next_frame(&mut self) -> Option<Result<Frame<Bytes>, io::Error>> {
         match self.phase {
             Phase::Ended => return None,
             Phase::Aborting => {
                 self.phase = Phase::Ended;
-                // What was said last must leave before the cut: a pause lets it be flushed.
+                // Yields so that hyper flushes the error event before it closes the connection.
                 tokio::task::yield_now().await;
                 return Some(Err(io::Error::other("the answer is not whole")));
             }
@@ -324,7 +325,7 @@
         }
     }
 
-    /// Renders an item and those that have arrived behind it.
+    /// Encodes an item and the buffered ones that follow it.
     fn render(&mut self, item: Item) -> Bytes {
         let mut out = BytesMut::new();
         if !self.started {
@@ -368,7 +369,7 @@
     }
 }
 
-/// Gives the first sending's answer again, in the form that is asked for now.
+/// Answers a resend with the stored response, streamed or not as the resend requests.
 fn replay(completion: &Completion, stored: StoredResponse) -> Result<Response<Body>, ApiError> {
     let unreadable = || {
         ApiError::upstream_failure(
@@ -404,7 +405,7 @@
     Ok(response)
 }
 
-/// Request to a plain service.
+/// Handles a request to a plain service.
 async fn handle_service(
     core: &Arc<Core>,
     id: &Name,
--- a/crates/daemon/src/entry/service.rs
+++ b/crates/daemon/src/entry/service.rs
@@ -1,4 +1,4 @@
-//! Plain services, passed through by path.
+//! Proxies requests to plain services, which are selected by path.
 
 use super::REQUEST_HEADER;
 use super::error::ApiError;
@@ -17,34 +17,28 @@
 use unit::{Name, Span, rendezvous};
 use upstream::service::{self, Failure, Rules};
 
-/// Header that tells a service which caller asks.
+/// Request header with the caller's name, sent to the service.
 const CALLER_HEADER: &str = "coveford-caller";
 
-/// When a shed caller may come back.
+/// `Retry-After` of requests that could not be placed.
 const RETRY_AFTER: Span = Span::from_secs(2);
 
-/// Longest answer of a service, in bytes.
 const MAX_RESPONSE_BYTES: usize = 16_000_000;
 
 /// Request to a service.
 pub struct Call {
-    /// Who asks.
     pub meta: Metadata,
-    /// The service.
     pub service: Name,
-    /// HTTP method.
     pub method: Method,
-    /// Path and query below the service's prefix.
+    /// Path and query, without the service's prefix.
     pub path: String,
-    /// Header fields.
     pub headers: HeaderMap,
-    /// Whole body.
     pub body: bytes::Bytes,
-    /// Status by which the service states that it ran nothing.
+    /// Status by which the service states that it did not run the request.
     pub refusal_status: Option<u16>,
 }
 
-/// Carries a request to a service and brings its whole answer.
+/// Forwards a request to a service, with retries, and returns its complete response.
 pub async fn call(core: &Arc<Core>, call: &Call) -> Result<Reply, ApiError> {
     let _in_flight = core.track_request();
     let metrics = core.metrics.class(&call.meta.caller, &call.meta.class_name);
@@ -193,7 +187,7 @@
     })
 }
 
-/// The request as the service gets it: without the caller's key, with its name.
+/// Builds the request for the service: without the caller's API key, with its name.
 fn upstream_request(call: &Call, addr: std::net::SocketAddr) -> Request<conn::Body> {
     let mut request = Request::new(conn::Body::new(call.body.clone()));
     *request.method_mut() = call.method.clone();
@@ -219,7 +213,7 @@
     request
 }
 
-/// Header fields of a service's answer that go on to the caller.
+/// Headers of a service's response that are forwarded to the caller.
 pub fn response_headers(reply: &Reply) -> HeaderMap {
     let mut headers = reply.headers.clone();
     for name in HOP_BY_HOP {
