--- a/crates/daemon/src/claim.rs
+++ b/crates/daemon/src/claim.rs
@@ -1,10 +1,10 @@
-//! Claims on idempotency keys: resends of an unrepeatable request, perhaps to
+//! Claims on idempotency keys: resends of an unrepeatable request, also to
 //! another daemon, never run it twice.
 //!
-//! A claim is created in the key-value service before dispatch. A creation
-//! whose answer was lost may land later, so a claim that was given up is not
-//! removed but marked as released: its revision is then past the one that a
-//! late creation expects.
+//! A claim is created in the key-value service before dispatch. A create whose
+//! response was lost may still be applied later. An abandoned claim is therefore
+//! not deleted but marked as released: its revision then differs from the one
+//! that a late create expects.
 
 use crate::core::Core;
 use crate::documents;
@@ -21,59 +21,58 @@
 use tokio::time::sleep;
 use unit::{Name, Span, Time};
 
-/// Time for which claims are kept.
+/// Time to live of claims.
 const CLAIM_TTL: Duration = Duration::from_secs(24 * 3_600);
 
-/// Age at which a daemon takes a new lease for its claims; one lease serves many.
+/// Age at which a daemon requests a new lease; claims share a lease until then.
 const MAX_LEASE_AGE: Span = Span::from_secs(600);
 
-/// Tries to settle a write whose answer was lost, before the request is given up.
+/// Attempts to write a claim before the request is rejected.
 const ACQUIRE_ATTEMPTS: u32 = 3;
 
-/// Tries to settle a claim in the background, and the pause between them.
+/// Attempts to settle a claim in the background.
 const SETTLE_ATTEMPTS: u32 = 120;
+/// Pause between attempts to settle a claim.
 const SETTLE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// When a caller may come back after a conflict or an outage.
+/// `Retry-After` while a request with the same key runs, or during an outage of the key-value
+/// service.
 const RETRY_AFTER: Span = Span::from_secs(1);
 
-/// Longest answer that is kept for resends, in bytes.
+/// Maximum size of a stored response.
 const MAX_STORED_BYTES: usize = 64 * 1_024;
 
 /// State of a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "state", rename_all = "snake_case")]
 pub enum State {
-    /// A daemon dispatches the request, or was lost doing so.
+    /// A daemon has dispatched or is about to dispatch the request, and may have crashed since.
     Held,
-    /// The request was proven not to have run; a resend may run.
+    /// The request certainly did not run; a resend may run.
     Released,
     /// The request ran to its end.
     Done {
-        /// Its answer, unless it was too long to keep.
+        /// Its response, unless it was too large or not text.
         answer: Option<StoredResponse>,
     },
-    /// The request may have run; its answer is lost.
+    /// The request may have run; its response is lost.
     Lost,
 }
 
-/// Answer kept for resends.
+/// Response stored for resends.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum StoredResponse {
-    /// Answer of a model.
+    /// Output of a model.
     Model {
-        /// Text and counts, as JSON.
+        /// JSON of `entry::render::Output`.
         #[serde(rename = "whole")]
         output: Name,
     },
-    /// Answer of a plain service.
+    /// Response of a plain service.
     Plain {
-        /// HTTP status.
         status: u16,
-        /// Content type.
         content_type: Option<Name>,
-        /// Body, when it is text.
         body: Name,
     },
 }
@@ -87,14 +86,13 @@
     }
 }
 
-/// Claim as it stands in the service.
+/// Claim as stored in the key-value service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// Request that holds it; also the nonce by which a daemon knows its own write.
+    /// Id of the request that holds the claim; a daemon recognizes its own writes by it.
     pub request: Name,
-    /// Hash of what was asked, so that a key is not used for another request.
+    /// Result of [`content_hash`], which detects a key that is reused for another request.
     pub content: Name,
-    /// State.
     #[serde(flatten)]
     pub state: State,
 }
@@ -106,15 +104,15 @@
     claim: Claim,
 }
 
-/// What a resend or first sending meets.
+/// Result of acquiring a claim.
 pub enum Acquisition {
-    /// The claim is ours: the request may be dispatched.
+    /// The request holds the claim and may be dispatched.
     Granted(HeldClaim),
-    /// The first sending ran; this is its answer.
+    /// An earlier request with this key ran; this is its response.
     Replay(StoredResponse),
 }
 
-/// Lease that claims of one daemon share for a while.
+/// Lease in the key-value service that the claims of one daemon share.
 #[derive(Default)]
 pub struct Lease {
     current: Mutex<Option<(u64, Time)>>,
@@ -135,7 +133,7 @@
     }
 }
 
-/// Hash of what a request asks, for telling a resend from another request.
+/// SHA-256 of a request's method, path and body, each prefixed with its length.
 pub fn content_hash(method: &str, path: &str, body: &[u8]) -> Name {
     let mut hash = Sha256::new();
     for field in [method.as_bytes(), path.as_bytes(), body] {
@@ -145,7 +143,12 @@
     hex::encode(hash.finalize()).into()
 }
 
-/// Takes the claim on a caller's key for a request.
+/// Acquires the claim on a caller's idempotency key for a request.
+///
+/// # Errors
+///
+/// Fails if another request holds the claim, ran without a stored response, or differs in
+/// content; and if the key-value service does not answer.
 pub async fn acquire(
     core: &Arc<Core>,
     caller: &Name,
@@ -192,19 +195,20 @@
             Err(Error::Lapsed) => *core.claim_lease.current.lock() = None,
         }
     }
-    // Our write may have landed or land yet; nothing was or will be dispatched.
+    // The write may have been applied or may be yet, but the request is not dispatched.
     settle_in_background(core, held, State::Released);
     Err(kv_unavailable())
 }
 
 async fn write(core: &Core, held: &HeldClaim, lease: Option<u64>) -> Result<SwapOutcome, Error> {
-    let value = serde_json::to_string(&held.claim).expect("a claim can always be written");
+    let value = serde_json::to_string(&held.claim).expect("a claim serializes to JSON");
     core.kv
         .compare_and_swap(&held.key, held.revision, Some(&value), lease)
         .await
 }
 
-/// What another's claim means for a resend; none when it may be taken over.
+/// Decides on a request whose key another request has claimed: replays the stored response, or
+/// returns `None` if the claim may be taken over.
 fn check_existing(claim: &Claim, content: &Name) -> Result<Option<StoredResponse>, ApiError> {
     let conflict = |outcome, code, message: &str| ApiError {
         status: StatusCode::CONFLICT,
@@ -257,7 +261,7 @@
     )
 }
 
-/// Writes how a claimed request ended, in the background.
+/// Records in the background how a claimed request ended.
 pub fn settle(core: &Arc<Core>, held: HeldClaim, state: State) {
     let state = match state {
         State::Done {
@@ -281,7 +285,7 @@
     });
 }
 
-/// Tries once to write the state; tells whether nothing is left to do.
+/// Attempts once to write the state. Returns whether the claim needs no further attempt.
 async fn try_settle(core: &Core, held: &mut HeldClaim) -> bool {
     loop {
         let Ok(lease) = core.claim_lease.get(core).await else {
--- a/crates/daemon/src/cli.rs
+++ b/crates/daemon/src/cli.rs
@@ -4,12 +4,11 @@
 use bpaf::{OptionParser, Parser, construct, long};
 use std::path::PathBuf;
 
-/// What the command line asks for.
+/// Command-line options.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Settings file.
     pub settings: PathBuf,
-    /// Only check the settings.
+    /// Check the settings and exit.
     pub check: bool,
 }
 
@@ -20,16 +19,16 @@
         .help("Settings file in INI form")
         .argument::<PathBuf>("FILE.ini");
     let check = long("check")
-        .help("Check the settings, say what is wrong, and end")
+        .help("Check the settings, print the problems found, and exit")
         .switch();
     construct!(Options { settings, check })
         .to_options()
         .version(env!("CARGO_PKG_VERSION"))
         .descr("Carries callers' requests to models on fewer accelerators")
-        .footer("Example: covefordd --settings d1.ini --check\nSIGTERM drains: readiness fails first, requests in flight end, then exit code 0.")
+        .footer("Example: covefordd --settings d1.ini --check\nSIGTERM drains: the readiness check fails, requests in flight complete, and the exit code is 0.")
 }
 
-/// Reads the command line of this process.
+/// Parses the command line; prints help or usage errors and exits where these are due.
 pub fn options() -> Result<Options, Error> {
     Ok(parser().run())
 }
--- a/crates/daemon/src/core.rs
+++ b/crates/daemon/src/core.rs
@@ -1,4 +1,4 @@
-//! What all parts of a daemon share.
+//! Shared state of a daemon.
 
 use crate::claim;
 use crate::clock::Clock;
@@ -22,50 +22,48 @@
 use tokio::sync::{Notify, Semaphore};
 use unit::{Name, Time, rendezvous};
 
-/// Unit in which the memory for bodies is counted; a semaphore counts small numbers only.
+/// Bytes per permit of [`Core::body_memory`]; permits are acquired in `u32` numbers.
 pub const BODY_UNIT: u64 = 1_024;
 
 /// Shared state of one daemon.
 pub struct Core {
-    /// Its settings.
     pub settings: Settings,
-    /// Its clock.
     pub clock: Clock,
-    /// The bundle in force.
+    /// Bundle in force.
     pub force: Force,
-    /// Upstreams and queues.
+    /// Upstreams, and queues of requests for them.
     pub fleet: Arc<Fleet>,
-    /// Key-value service.
+    /// Client of the key-value service.
     pub kv: Kv,
-    /// Host list.
+    /// Client of the host list.
     pub hosts: Hosts,
     /// Connections to upstreams and other daemons.
     pub pool: Pool,
-    /// Metrics.
     pub metrics: Metrics,
-    /// Reasons.
+    /// Records of requests, which explain their routing.
     pub teller: Teller,
-    /// Other daemons in the host list, this one included.
+    /// All daemons in the host list, including this one.
     pub peers: RwLock<Vec<Host>>,
-    /// Memory for bodies, in units of [`BODY_UNIT`].
+    /// Memory for request bodies, in units of [`BODY_UNIT`].
     pub body_memory: Arc<Semaphore>,
-    /// How the spread of bundles stands.
+    /// Progress of the propagation of bundles.
     pub confirmed: Confirmed,
-    /// What the planner did last, when this host holds its hall's lease.
+    /// Last result of the planner, if this host holds its hall's lease.
     pub planned: Planned,
-    /// Notified when another process asks this daemon to drain and end.
+    /// Notified when another process requests that this daemon drains and exits.
     pub shutdown: Notify,
-    /// Lease that claims share.
+    /// Lease that claims on idempotency keys share.
     pub claim_lease: claim::Lease,
     demand: Mutex<HashMap<Name, Demand>>,
     retry_budgets: Mutex<HashMap<Name, Budget>>,
     draining: AtomicBool,
     in_flight: AtomicUsize,
     next_request: AtomicU64,
+    /// Wall clock at start, in milliseconds.
     start: u64,
 }
 
-/// Makes the shared state.
+/// Creates the shared state; connects to nothing yet.
 pub fn open(settings: Settings) -> Arc<Core> {
     let clock = Clock::start();
     let call_limit = settings.call_limit.std();
@@ -99,45 +97,42 @@
 }
 
 impl Core {
-    /// Identity for a new request: the host, its start, a number.
+    /// Returns a unique request id: host name, time of start and a sequence number.
     pub fn new_request_id(&self) -> Name {
         let number = self.next_request.fetch_add(1, Ordering::Relaxed);
         let name = &self.settings.name;
         format!("{name}-{:x}-{number:x}", self.start & 0xffff_ffff).into()
     }
 
-    /// Time now.
     pub fn now(&self) -> Time {
         self.clock.now()
     }
 
-    /// The bundle in force.
     pub fn in_force(&self) -> Option<Arc<InForce>> {
         self.force.current()
     }
 
-    /// Whether this daemon has been told to stop.
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::SeqCst)
     }
 
-    /// Starts the drain.
+    /// Makes the daemon report that it is draining.
     pub fn set_draining(&self) {
         self.draining.store(true, Ordering::SeqCst);
     }
 
-    /// Counts a request in until the guard is dropped.
+    /// Counts a request as in flight until the guard is dropped.
     pub fn track_request(self: &Arc<Self>) -> InFlight {
         self.in_flight.fetch_add(1, Ordering::SeqCst);
         InFlight { core: self.clone() }
     }
 
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight.load(Ordering::SeqCst)
     }
 
-    /// Notes an arrival for a model.
+    /// Records an arrival for a model.
     pub fn record_arrival(&self, model: &Name) {
         let now = self.now();
         let mut demand = self.demand.lock();
@@ -147,14 +142,14 @@
             .record_arrival(now);
     }
 
-    /// Notes whether a request for a model met its targets.
+    /// Records whether a request for a model met its targets.
     pub fn record_completion(&self, model: &Name, met_targets: bool) {
         if let Some(demand) = self.demand.lock().get_mut(model) {
             demand.record_completion(met_targets);
         }
     }
 
-    /// Demand seen here, by model.
+    /// Demand for each model at this daemon.
     pub fn demands(&self) -> Vec<wire::Demand> {
         let waiting: HashMap<Name, usize> = self
             .fleet
@@ -173,7 +168,7 @@
         demands.collect()
     }
 
-    /// Notes a success of a caller, which earns it a share of a retry.
+    /// Adds `percent` of a retry to a caller's retry budget, after a completed request.
     pub fn earn_retry(&self, caller: &Name, percent: u32) {
         let mut retry_budgets = self.retry_budgets.lock();
         retry_budgets
@@ -182,27 +177,27 @@
             .earn(percent);
     }
 
-    /// Spends a retry of a caller if it has one.
+    /// Takes a retry from a caller's retry budget. Returns false if the budget is exhausted.
     pub fn spend_retry(&self, caller: &Name) -> bool {
         let mut retry_budgets = self.retry_budgets.lock();
         retry_budgets.entry(caller.clone()).or_default().spend()
     }
 
-    /// Other daemons, with the address of their inner protocol.
+    /// Other daemons in the host list.
     pub fn other_daemons(&self) -> Vec<Host> {
         let peers = self.peers.read();
         let others = peers.iter().filter(|p| p.name != self.settings.name);
         others.cloned().collect()
     }
 
-    /// Address of another daemon's inner protocol.
+    /// Address of a daemon for messages between daemons.
     pub fn peer_addr(&self, name: &str) -> Option<SocketAddr> {
         let peers = self.peers.read();
         peers.iter().find(|p| &*p.name == name).map(|p| p.addr)
     }
 }
 
-/// Request in flight; dropping it counts it out.
+/// Guard that counts a request as in flight until dropped.
 pub struct InFlight {
     core: Arc<Core>,
 }
@@ -213,7 +208,7 @@
     }
 }
 
-/// Whether a host is one of coveford's own.
+/// Whether a host runs the daemon.
 pub fn is_daemon(host: &Host) -> bool {
     matches!(host.kind, Kind::Daemon { .. })
 }
--- a/crates/daemon/src/documents.rs
+++ b/crates/daemon/src/documents.rs
@@ -1,4 +1,4 @@
-//! Heads and parts of bundles in the key-value service.
+//! JSON documents and parts of bundles in the key-value service.
 
 use backing::keys;
 use backing::kv::{Error as KvError, Kv, SwapOutcome};
@@ -9,41 +9,29 @@
 use std::collections::HashMap;
 use unit::Name;
 
-/// Why something could not be read from or written to the service.
+/// Error of reading from or writing to the key-value service.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The service could not be used.
+    /// A call of the key-value service failed.
     #[snafu(display("{source}"), context(false))]
-    Kv {
-        /// Its error.
-        source: KvError,
-    },
-    /// A value is not what it should be.
+    Kv { source: KvError },
+    /// A value is malformed or differs from its hash.
     #[snafu(display("The value at {key} cannot be read: {reason}."))]
-    Corrupt {
-        /// Where.
-        key: Name,
-        /// What is wrong.
-        reason: String,
-    },
-    /// A part is missing.
+    Corrupt { key: Name, reason: String },
     #[snafu(display("Part {hash} is missing from the key-value service."))]
-    Missing {
-        /// Its hash.
-        hash: Name,
-    },
+    Missing { hash: Name },
 }
 
-/// Value with the revision it was read at; revision 0 means absent.
+/// Value with its revision.
 #[derive(Debug, Clone)]
 pub struct Versioned<T> {
-    /// The value.
+    /// `None` if the key does not exist.
     pub value: Option<T>,
-    /// Revision for the next compare-and-swap.
+    /// Revision to expect in the next compare-and-swap; 0 if the key does not exist.
     pub revision: u64,
 }
 
-/// Reads a JSON value.
+/// Reads and parses the JSON value at `key`.
 pub async fn read<T: DeserializeOwned>(kv: &Kv, key: &str) -> Result<Versioned<T>, Error> {
     match kv.get(key).await? {
         None => Ok(Versioned {
@@ -57,7 +45,7 @@
     }
 }
 
-/// Reads a JSON text that came from `key`.
+/// Parses a JSON value; `key` is named in the error.
 pub fn parse<T: DeserializeOwned>(key: &str, text: &str) -> Result<T, Error> {
     serde_json::from_str(text).map_err(|e| Error::Corrupt {
         key: key.into(),
@@ -65,7 +53,7 @@
     })
 }
 
-/// Reads the head in force.
+/// Reads the head of the bundle in force.
 pub async fn head(kv: &Kv) -> Result<Versioned<Head>, Error> {
     read(kv, keys::HEAD).await
 }
@@ -76,19 +64,20 @@
     found.iter().map(|v| parse(&v.key, &v.value)).collect()
 }
 
-/// Reads the texts of parts, those in `have` without asking the service; hashes are checked.
+/// Returns the texts of parts by hash. Parts missing from `cached` are fetched and their hashes
+/// verified.
 pub async fn parts(
     kv: &Kv,
     refs: &[Ref],
-    have: &HashMap<Name, Name>,
+    cached: &HashMap<Name, Name>,
 ) -> Result<HashMap<Name, Name>, Error> {
     let mut texts = HashMap::new();
-    for at in refs {
-        let text = match have.get(&at.hash) {
+    for reference in refs {
+        let text = match cached.get(&reference.hash) {
             Some(text) => text.clone(),
-            None => fetch(kv, &at.hash).await?,
+            None => fetch(kv, &reference.hash).await?,
         };
-        texts.insert(at.hash.clone(), text);
+        texts.insert(reference.hash.clone(), text);
     }
     Ok(texts)
 }
@@ -100,16 +89,16 @@
     if part::hash(found.value.as_bytes()) != *hash {
         return Err(Error::Corrupt {
             key: key.into(),
-            reason: "its content does not have this hash".into(),
+            reason: "its content does not match its hash".into(),
         });
     }
     Ok(found.value)
 }
 
-/// Tries to write a part before giving up.
-const PART_TRIES: u32 = 5;
+/// Attempts to write a part.
+const PART_ATTEMPTS: u32 = 5;
 
-/// Writes parts that are not there yet; a part's key is its hash, so a repeat is harmless.
+/// Writes parts that do not exist yet. A part's key is its hash, so retries are idempotent.
 pub async fn put_parts(kv: &Kv, parts: &[Part]) -> Result<(), Error> {
     for part in parts {
         put_part(kv, part).await?;
@@ -119,7 +108,7 @@
 
 async fn put_part(kv: &Kv, part: &Part) -> Result<(), Error> {
     let key = keys::part(&part.reference.hash);
-    let mut tries = 1;
+    let mut attempt = 1;
     loop {
         match kv.compare_and_swap(&key, 0, Some(&part.text), None).await {
             Ok(SwapOutcome::Written(_)) => return Ok(()),
@@ -127,11 +116,11 @@
             Ok(SwapOutcome::Conflict(_)) => {
                 return Err(Error::Corrupt {
                     key: key.into(),
-                    reason: "another content stands there".into(),
+                    reason: "it exists with different content".into(),
                 });
             }
-            Err(source) if tries >= PART_TRIES => return Err(Error::Kv { source }),
-            Err(_) => tries += 1,
+            Err(source) if attempt >= PART_ATTEMPTS => return Err(Error::Kv { source }),
+            Err(_) => attempt += 1,
         }
     }
 }
--- a/crates/daemon/src/entry/generation.rs
+++ b/crates/daemon/src/entry/generation.rs
@@ -269,7 +269,7 @@
     /// Records the failure of an attempt at its replica and in the request's record, and classifies
     /// it for the retry decision.
     fn record_failure(&mut self, failure: Failure) -> (retry::Failure, String) {
-        let placed = self.active.as_ref().map(|r| &r.placed);
+        let placed = self.active.as_ref().map(|active| &active.placed);
         let (kind, text) = match failure {
             Failure::Unsent(e) => {
                 placed.inspect(|p| p.failed());
--- a/crates/daemon/src/entry/render.rs
+++ b/crates/daemon/src/entry/render.rs
@@ -126,7 +126,7 @@
     pub fn tokens(&self, out: &mut BytesMut, text: &str) {
         out.reserve(self.token_prefix.len() + text.len() + self.token_suffix.len() + 8);
         out.put_slice(self.token_prefix.as_bytes());
-        serde_json::to_writer(out.writer(), text).expect("text can always be written as JSON");
+        serde_json::to_writer(out.writer(), text).expect("text serializes to JSON");
         out.put_slice(self.token_suffix.as_bytes());
     }
 
--- a/crates/daemon/src/entry/serve.rs
+++ b/crates/daemon/src/entry/serve.rs
@@ -309,7 +309,7 @@
                 self.phase = Phase::Ended;
                 // Yields so that hyper flushes the error event before it closes the connection.
                 tokio::task::yield_now().await;
-                return Some(Err(io::Error::other("the answer is not whole")));
+                return Some(Err(io::Error::other("response incomplete: the stream from upstream failed")));
             }
             Phase::Open => {}
         }
--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the daemon could not start or had to end.
+//! Errors that end the daemon.
 
 use bundle::ini::{self, Problem};
 use snafu::Snafu;
@@ -6,66 +6,52 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Exit code for wrong use, such as bad settings.
+/// Exit code for invalid settings.
 const USAGE_ERROR: u8 = 2;
 
-/// Exit code when something outside could not be had.
+/// Exit code when an address cannot be listened on.
 const UNAVAILABLE: u8 = 4;
 
-/// Error of the daemon; each message says what to do.
+/// Error that ends the daemon; the message says what to do where the operator can.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum Error {
     /// The settings file cannot be read.
     #[snafu(display("The settings file {} cannot be read: {source}. Check its path and permissions.", path.display()))]
     ReadSettings {
-        /// Which.
         path: PathBuf,
-        /// What the system said.
         source: std::io::Error,
     },
-    /// The settings are wrong.
-    #[snafu(display("The settings have {} problems; mend them all:\n{}", problems.len(), ini::format_problems(problems)))]
-    Settings {
-        /// All that is wrong.
-        problems: Vec<Problem>,
-    },
+    /// The settings are invalid.
+    #[snafu(display("The settings have {} problems; fix them all:\n{}", problems.len(), ini::format_problems(problems)))]
+    Settings { problems: Vec<Problem> },
     /// An address cannot be listened on.
     #[snafu(display(
-        "{addr} cannot be listened on: {source}. Choose another address or end what holds it."
+        "Cannot listen on {addr}: {source}. Choose another address, or stop the process that uses it."
     ))]
     Listen {
-        /// Which.
         addr: SocketAddr,
-        /// What the system said.
         source: std::io::Error,
     },
     /// The runtime could not start.
     #[snafu(display("The runtime could not start: {source}."))]
-    Runtime {
-        /// What the system said.
-        source: std::io::Error,
-    },
-    /// A daemon on a platform could not start.
+    Runtime { source: std::io::Error },
+    /// A daemon on a platform failed.
     #[snafu(display("{source}"))]
-    Front {
-        /// Why.
-        source: front::Error,
-    },
-    /// Requests were cut at the end of the drain.
+    Front { source: front::Error },
+    /// Connections were still open at the end of the drain.
     #[snafu(display(
-        "{open} connections were still open when the drain's bound of {limit} ran out; raise [daemon] drain."
+        "{open} connections were still open after the drain timeout of {limit}; raise [daemon] drain."
     ))]
     DrainTimeout {
-        /// How many.
+        /// Number of open connections.
         open: usize,
-        /// The bound.
+        /// Maximum duration of the drain.
         limit: unit::Span,
     },
 }
 
 impl Error {
-    /// Exit code that goes with the error.
     pub fn exit_code(&self) -> ExitCode {
         match self {
             Error::ReadSettings { .. } | Error::Settings { .. } => ExitCode::from(USAGE_ERROR),
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,7 +1,6 @@
-//! The coveford daemon: every role of a host, in one process.
+//! The coveford daemon, which runs all functions of a host in one process.
 //!
-//! Locks are taken in this order and never the other way round: `fleet`,
-//! then `teller`, then `metrics`. No lock is held across an await.
+//! Lock order: `fleet`, `teller`, `metrics`. No lock is held across an await.
 
 pub mod claim;
 pub mod cli;
--- a/crates/daemon/src/log.rs
+++ b/crates/daemon/src/log.rs
@@ -1,10 +1,10 @@
-//! Logs: short sentences; the part that speaks is the target.
+//! Logging setup. The target of a log line is the module that it concerns.
 
 use crate::settings::{Log, LogFormat};
 use tracing_subscriber::EnvFilter;
 use tracing_subscriber::fmt;
 
-/// Starts logging to standard error; a second start in one process does nothing.
+/// Starts logging to standard error; has no effect if logging has been started already.
 pub fn start(log: &Log) {
     let filter = EnvFilter::new(&*log.level);
     let builder = fmt()
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! `covefordd`: the daemon that runs on each of coveford's hosts.
+//! `covefordd`: the daemon that runs on each host.
 
 use std::process::ExitCode;
 
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of one daemon, in the text form that collectors read.
+//! Metrics of a daemon, in the Prometheus text format.
 
 use ::metrics::{Counter, Gauge, Histogram, Key, Label, Level, Metadata, Recorder};
 use metrics_exporter_prometheus::{PrometheusBuilder, PrometheusHandle, PrometheusRecorder};
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use unit::{Name, Span};
 
-/// Bounds of all histograms of time, in seconds.
+/// Bucket bounds of all histograms, in seconds.
 const BUCKETS: [f64; 20] = [
     0.0005, 0.001, 0.002, 0.005, 0.010, 0.020, 0.033, 0.050, 0.100, 0.200, 0.400, 0.800, 1.6, 3.0,
     6.0, 10.0, 20.0, 40.0, 80.0, 160.0,
@@ -16,18 +16,18 @@
 
 const METADATA: Metadata<'static> = Metadata::new("coveford", Level::INFO, None);
 
-/// Metrics; a recorder of its own, so that daemons in one process stay apart.
+/// Metrics of one daemon. Each has its own recorder, so that daemons in one process do not share
+/// metrics.
 pub struct Metrics {
     recorder: PrometheusRecorder,
     handle: PrometheusHandle,
     classes: RwLock<HashMap<(Name, Name), Arc<Class>>>,
 }
 
-/// Histograms of one caller and class.
+/// Metrics of one caller and class.
 pub struct Class {
-    /// Time in the queue.
     pub queue_time: Histogram,
-    /// Time to the first token, or to a plain answer.
+    /// Time to first token, or to the response of a plain service.
     pub ttft: Histogram,
     /// Time between tokens.
     pub inter_token: Histogram,
@@ -36,12 +36,11 @@
     unknown: Counter,
     /// Requests that met their targets.
     pub attained: Counter,
-    /// Requests that did not.
+    /// Requests that did not meet their targets.
     pub missed: Counter,
 }
 
 impl Class {
-    /// Counts an outcome.
     pub fn record_outcome(&self, outcome: Outcome) {
         match outcome {
             Outcome::Complete => self.complete.increment(1),
@@ -51,7 +50,7 @@
     }
 }
 
-/// Makes the metrics of a daemon.
+/// Creates the metrics of a daemon.
 pub fn open() -> Metrics {
     let recorder = PrometheusBuilder::new()
         .set_buckets(&BUCKETS)
@@ -74,35 +73,35 @@
 }
 
 impl Metrics {
-    /// A counter.
+    /// Returns the counter, registered at first use.
     pub fn counter(&self, name: &'static str, labels: &[(&'static str, &str)]) -> Counter {
         self.recorder
             .register_counter(&key(name, labels), &METADATA)
     }
 
-    /// A gauge.
+    /// Returns the gauge, registered at first use.
     pub fn gauge(&self, name: &'static str, labels: &[(&'static str, &str)]) -> Gauge {
         self.recorder.register_gauge(&key(name, labels), &METADATA)
     }
 
-    /// A histogram of seconds.
+    /// Returns the histogram of seconds, registered at first use.
     pub fn histogram(&self, name: &'static str, labels: &[(&'static str, &str)]) -> Histogram {
         self.recorder
             .register_histogram(&key(name, labels), &METADATA)
     }
 
-    /// Histograms of a caller and class, made at first use.
+    /// Returns the metrics of a caller and class, registered at first use.
     pub fn class(&self, caller: &Name, class: &Name) -> Arc<Class> {
         let key_pair = (caller.clone(), class.clone());
         if let Some(class_metrics) = self.classes.read().get(&key_pair) {
             return class_metrics.clone();
         }
         let labels = [("caller", &**caller), ("class", &**class)];
-        let outcome = |word| {
+        let outcome = |label| {
             let labels = [
                 ("caller", &**caller),
                 ("class", &**class),
-                ("outcome", word),
+                ("outcome", label),
             ];
             self.counter("coveford_requests_total", &labels)
         };
@@ -123,12 +122,13 @@
             .clone()
     }
 
-    /// All metrics as text.
+    /// Encodes all metrics in the Prometheus text format.
     pub fn render(&self) -> String {
         self.handle.render()
     }
 
-    /// Moves recorded samples into their buckets, so that they take no memory.
+    /// Aggregates recorded samples into their buckets, which bounds the recorder's memory; to be
+    /// called regularly.
     pub fn run_upkeep(&self) {
         self.handle.run_upkeep();
     }
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -1,4 +1,4 @@
-//! Starting, draining and ending a daemon.
+//! Startup, drain and shutdown of a daemon.
 
 use crate::cli::Options;
 use crate::core::{self, Core};
@@ -27,7 +27,7 @@
     tasks: JoinSet<()>,
 }
 
-/// Does what the command line asks for.
+/// Runs the daemon, or checks its settings, as the command line requests.
 pub fn run(options: Options) -> Result<(), Error> {
     if is_on_platform(&options.settings) {
         return run_front(&options);
@@ -45,12 +45,13 @@
     runtime.block_on(serve(settings))
 }
 
-/// Whether a settings file names a platform's store; one that cannot be read is told of later.
+/// Whether a settings file is for a daemon on a platform. False if the file cannot be read,
+/// which is reported when it is loaded.
 fn is_on_platform(path: &Path) -> bool {
     std::fs::read_to_string(path).is_ok_and(|text| front::settings::is_on_platform(&text))
 }
 
-/// Checks the settings of a daemon on a platform, and runs it.
+/// Runs a daemon on a platform, or checks its settings.
 fn run_front(options: &Options) -> Result<(), Error> {
     let path = &options.settings;
     let text = std::fs::read_to_string(path).context(ReadSettingsSnafu { path })?;
@@ -75,7 +76,7 @@
     daemon.drain().await
 }
 
-/// Starts a daemon and returns once it listens.
+/// Starts a daemon; returns once it listens.
 pub async fn spawn(settings: Settings) -> Result<Daemon, Error> {
     let callers = listen(settings.callers).await?;
     let operators = listen(settings.operator).await?;
@@ -100,7 +101,7 @@
     tasks.spawn(spread::follow(core.clone()));
     tasks.spawn(spread::compare(core.clone()));
     tasks.spawn(planner::run(core.clone()));
-    info!(target: "daemon", "{} answers callers at {} and operators at {}", core.settings.name, callers.addr, operators.addr);
+    info!(target: "daemon", "{} listens on {} for callers and on {} for operators", core.settings.name, callers.addr, operators.addr);
     Ok(Daemon {
         core,
         callers,
@@ -114,26 +115,30 @@
 }
 
 impl Daemon {
-    /// Where it answers callers.
+    /// Address of the API for callers.
     pub fn callers(&self) -> SocketAddr {
         self.callers.addr
     }
 
-    /// Where it answers operators.
+    /// Address of the API for operators.
     pub fn operator(&self) -> SocketAddr {
         self.operators.addr
     }
 
-    /// Its shared state.
     pub fn core(&self) -> &Arc<Core> {
         &self.core
     }
 
-    /// Ends without cutting a request: readiness fails, then no new connections, then the end.
+    /// Shuts down gracefully: fails the readiness check for the grace period, then refuses new
+    /// connections and waits for the open ones.
+    ///
+    /// # Errors
+    ///
+    /// Fails if connections are still open when the drain times out.
     pub async fn drain(mut self) -> Result<(), Error> {
         let settings = &self.core.settings;
         self.core.set_draining();
-        info!(target: "daemon", "draining: readiness fails now, connections are refused in {}", settings.grace);
+        info!(target: "daemon", "draining: readiness check fails from now, new connections are refused in {}", settings.grace);
         tokio::time::sleep(settings.grace.std()).await;
         let open = self.callers.drain(settings.drain.std()).await;
         self.tasks.shutdown().await;
@@ -142,11 +147,11 @@
             let limit = settings.drain;
             return DrainTimeoutSnafu { open, limit }.fail();
         }
-        info!(target: "daemon", "drained: no request was cut");
+        info!(target: "daemon", "drained: no request was interrupted");
         Ok(())
     }
 
-    /// Ends at once, as a killed process would; for tests.
+    /// Closes all connections at once, as a killed process would; for tests.
     pub fn kill(self) {
         self.callers.cut();
         self.operators.cut();
