--- a/crates/daemon/src/entry/serve.rs
+++ b/crates/daemon/src/entry/serve.rs
@@ -309,7 +309,9 @@
                 self.phase = Phase::Ended;
                 // Yields so that hyper flushes the error event before it closes the connection.
                 tokio::task::yield_now().await;
-                return Some(Err(io::Error::other("response incomplete: the stream from upstream failed")));
+                return Some(Err(io::Error::other(
+                    "response incomplete: the stream from upstream failed",
+                )));
             }
             Phase::Open => {}
         }
--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -27,7 +27,7 @@
     Settings { problems: Vec<Problem> },
     /// An address cannot be listened on.
     #[snafu(display(
-        "Cannot listen on {addr}: {source}. Choose another address, or stop the process that uses it."
+        "Cannot listen on {addr}: {source}. Choose another address or stop the process that uses it."
     ))]
     Listen {
         addr: SocketAddr,
