--- a/crates/daemon/src/force.rs
+++ b/crates/daemon/src/active_bundle.rs
@@ -12,7 +12,7 @@
 use unit::Name;
 
 /// Bundle in force.
-pub struct InForce {
+pub struct Bundle {
     /// Its head.
     pub head: Head,
     /// The head as text, as it is passed on.
@@ -28,7 +28,7 @@
 pub enum Error {
     /// It is not higher than the one in force.
     #[snafu(display("Bundle {sequence} is not above {current}, which is in force."))]
-    NotHigher {
+    NotNewer {
         /// Its sequence.
         sequence: u64,
         /// The one in force.
@@ -36,13 +36,13 @@
     },
     /// It is not signed as it must be.
     #[snafu(display("{source}"), context(false))]
-    Refused {
+    Rejected {
         /// What is missing.
         source: head::Error,
     },
     /// A part is missing or is not what its hash says.
     #[snafu(display("Part {hash} of bundle {sequence} is missing or corrupt."))]
-    Part {
+    InvalidPart {
         /// Its hash.
         hash: Name,
         /// The bundle.
@@ -50,7 +50,7 @@
     },
     /// Its content is no valid bundle.
     #[snafu(display("Bundle {sequence} has {} problems; the first: {}", problems.len(), problems[0]))]
-    Content {
+    InvalidContent {
         /// The bundle.
         sequence: u64,
         /// What is wrong.
@@ -59,31 +59,31 @@
 }
 
 /// Heads kept, so that followers a few bundles behind are sent only what changed.
-const KEPT_HEADS: usize = 32;
+const MAX_PAST_HEADS: usize = 32;
 
 /// Holder of the bundle in force.
-pub struct Force {
+pub struct ActiveBundle {
     trust: Trust,
-    current: ArcSwapOption<InForce>,
-    switching: Mutex<()>,
-    past: Mutex<VecDeque<Head>>,
+    current: ArcSwapOption<Bundle>,
+    activation: Mutex<()>,
+    past_heads: Mutex<VecDeque<Head>>,
     sequence: watch::Sender<u64>,
 }
 
 /// Makes a holder with nothing in force.
-pub fn open(trust: Trust) -> Force {
-    Force {
+pub fn open(trust: Trust) -> ActiveBundle {
+    ActiveBundle {
         trust,
         current: ArcSwapOption::empty(),
-        switching: Mutex::new(()),
-        past: Mutex::default(),
+        activation: Mutex::new(()),
+        past_heads: Mutex::default(),
         sequence: watch::Sender::new(0),
     }
 }
 
-impl Force {
+impl ActiveBundle {
     /// The bundle in force, if any.
-    pub fn current(&self) -> Option<Arc<InForce>> {
+    pub fn current(&self) -> Option<Arc<Bundle>> {
         self.current.load_full()
     }
 
@@ -93,8 +93,8 @@
     }
 
     /// A head that was in force here before, if it is still kept.
-    pub fn past(&self, sequence: u64) -> Option<Head> {
-        let past = self.past.lock();
+    pub fn past_head(&self, sequence: u64) -> Option<Head> {
+        let past = self.past_heads.lock();
         past.iter().find(|head| head.sequence == sequence).cloned()
     }
 
@@ -104,17 +104,17 @@
     }
 
     /// Puts a head in force when it is higher, signed, and whole.
-    pub fn switch(
+    pub fn activate(
         &self,
         text: &Name,
         head: Head,
         texts: &HashMap<Name, Name>,
     ) -> Result<(), Error> {
-        let _one_at_a_time = self.switching.lock();
+        let _guard = self.activation.lock();
         let current = self.current();
         let sequence = head.sequence;
         if sequence <= self.sequence() {
-            return Err(Error::NotHigher {
+            return Err(Error::NotNewer {
                 sequence,
                 current: self.sequence(),
             });
@@ -122,17 +122,17 @@
         let revoked = current.as_ref().map(|c| c.intent.revoked.clone());
         let revoked = revoked.unwrap_or_default();
         head.verify(&self.trust, &revoked)?;
-        let parts = verified(&head, texts)?;
+        let parts = verify_parts(&head, texts)?;
         let ordered = head.draft.parts.iter().map(|at| &*parts[&at.hash]);
-        let intent =
-            part::parse(ordered).map_err(|problems| Error::Content { sequence, problems })?;
+        let intent = part::parse(ordered)
+            .map_err(|problems| Error::InvalidContent { sequence, problems })?;
         if let Some(current) = current {
-            let mut past = self.past.lock();
+            let mut past = self.past_heads.lock();
             past.push_back(current.head.clone());
-            let surplus = past.len().saturating_sub(KEPT_HEADS);
+            let surplus = past.len().saturating_sub(MAX_PAST_HEADS);
             past.drain(..surplus);
         }
-        self.current.store(Some(Arc::new(InForce {
+        self.current.store(Some(Arc::new(Bundle {
             head,
             text: text.clone(),
             parts,
@@ -144,13 +144,13 @@
 }
 
 /// Exactly the parts that a head names, each checked against its hash.
-fn verified(head: &Head, texts: &HashMap<Name, Name>) -> Result<HashMap<Name, Name>, Error> {
+fn verify_parts(head: &Head, texts: &HashMap<Name, Name>) -> Result<HashMap<Name, Name>, Error> {
     let mut parts = HashMap::new();
     for at in &head.draft.parts {
         let text = texts
             .get(&at.hash)
             .filter(|text| part::hash(text.as_bytes()) == at.hash)
-            .ok_or_else(|| Error::Part {
+            .ok_or_else(|| Error::InvalidPart {
                 hash: at.hash.clone(),
                 sequence: head.sequence,
             })?;
--- a/crates/daemon/src/core.rs
+++ b/crates/daemon/src/core.rs
@@ -1,9 +1,9 @@
 //! What all parts of a daemon share.
 
+use crate::active_bundle::{self, ActiveBundle, Bundle};
 use crate::claim;
 use crate::clock::Clock;
 use crate::fleet::{self, Fleet};
-use crate::force::{self, Force, InForce};
 use crate::metrics::{self, Metrics};
 use crate::planner::Planned;
 use crate::settings::Settings;
@@ -32,7 +32,7 @@
     /// Its clock.
     pub clock: Clock,
     /// The bundle in force.
-    pub force: Force,
+    pub active_bundle: ActiveBundle,
     /// Upstreams and queues.
     pub fleet: Arc<Fleet>,
     /// Key-value service.
@@ -75,7 +75,7 @@
     let units = settings.limits.bodies.0 / BODY_UNIT;
     Arc::new(Core {
         clock,
-        force: force::open(settings.trust.clone()),
+        active_bundle: active_bundle::open(settings.trust.clone()),
         fleet: fleet::open(clock, seed, settings.hall.clone(), distance),
         kv: backing::kv::open(&settings.kv, call_limit),
         hosts: backing::hosts::open(settings.hosts, call_limit),
@@ -112,8 +112,8 @@
     }
 
     /// The bundle in force.
-    pub fn in_force(&self) -> Option<Arc<InForce>> {
-        self.force.current()
+    pub fn in_force(&self) -> Option<Arc<Bundle>> {
+        self.active_bundle.current()
     }
 
     /// Whether this daemon has been told to stop.
--- a/crates/daemon/src/entry/ask.rs
+++ b/crates/daemon/src/entry/ask.rs
@@ -2,8 +2,8 @@
 
 use super::fault::Fault;
 use super::{CLASS_HEADER, IDEMPOTENCY_HEADER, UNREPEATABLE_HEADER};
+use crate::active_bundle::Bundle;
 use crate::fleet::{Target, Want};
-use crate::force::InForce;
 use bundle::intent::{Caller, Class};
 use hyper::{HeaderMap, StatusCode};
 use route::choose;
@@ -62,7 +62,7 @@
     /// When it arrived.
     pub arrived: Time,
     /// Bundle it is served under, from its beginning to its end.
-    pub bundle: Arc<InForce>,
+    pub bundle: Arc<Bundle>,
 }
 
 impl Asker {
@@ -148,7 +148,7 @@
 /// Finds the caller of a bearer key.
 pub fn authenticate<'a>(
     headers: &HeaderMap,
-    bundle: &'a InForce,
+    bundle: &'a Bundle,
 ) -> Result<(&'a Name, &'a Caller), Fault> {
     let refused =
         |message: &str| Fault::refused(StatusCode::UNAUTHORIZED, "invalid_api_key", message);
@@ -188,7 +188,7 @@
 /// Class of a request: named by the caller if it may, else the target's own.
 pub fn class<'a>(
     headers: &HeaderMap,
-    bundle: &'a InForce,
+    bundle: &'a Bundle,
     caller: &Caller,
     own: &'a Name,
 ) -> Result<(&'a Name, &'a Class), Fault> {
--- a/crates/daemon/src/entry/respond.rs
+++ b/crates/daemon/src/entry/respond.rs
@@ -3,7 +3,7 @@
 use super::ask;
 use super::fault::Fault;
 use super::{OUTCOME_HEADER, REQUEST_HEADER};
-use crate::force::InForce;
+use crate::active_bundle::Bundle;
 use bytes::Bytes;
 use http_body_util::combinators::UnsyncBoxBody;
 use http_body_util::{BodyExt, Full};
@@ -21,7 +21,7 @@
 const SHOULD_RETRY: &str = "x-should-retry";
 
 /// Names of models and adapters that the caller of these headers may use.
-pub(super) fn usable(headers: &HeaderMap, bundle: &InForce) -> Vec<Name> {
+pub(super) fn usable(headers: &HeaderMap, bundle: &Bundle) -> Vec<Name> {
     let Ok((_, caller)) = ask::authenticate(headers, bundle) else {
         return Vec::new();
     };
@@ -34,7 +34,7 @@
     json!({"id": name, "object": "model", "created": 0, "owned_by": "coveford"})
 }
 
-pub(super) fn models(id: &Name, headers: &HeaderMap, bundle: &InForce) -> Response<Body> {
+pub(super) fn models(id: &Name, headers: &HeaderMap, bundle: &Bundle) -> Response<Body> {
     let data: Vec<_> = usable(headers, bundle)
         .iter()
         .map(|n| model_entry(n))
@@ -47,7 +47,7 @@
     id: &Name,
     name: &str,
     headers: &HeaderMap,
-    bundle: &InForce,
+    bundle: &Bundle,
 ) -> Result<Response<Body>, Fault> {
     if usable(headers, bundle).iter().any(|n| &**n == name) {
         return Ok(whole_response(
--- a/crates/daemon/src/entry/serve.rs
+++ b/crates/daemon/src/entry/serve.rs
@@ -7,10 +7,10 @@
 use super::respond::{Body, full, mark, models, one_model, refuse, whole_response};
 use super::service::{self, Call};
 use super::settle::{Settle, stored, stored_plain, take_claim};
+use crate::active_bundle::Bundle;
 use crate::claim::{Stored, Taken};
 use crate::clock::wall_ms;
 use crate::core::{BODY_UNIT, Core};
-use crate::force::InForce;
 use crate::teller::Record;
 use bytes::{Bytes, BytesMut};
 use conn::Reply;
@@ -81,7 +81,7 @@
     memory: OwnedSemaphorePermit,
 }
 
-async fn read_body(core: &Core, bundle: &InForce, body: Incoming) -> Result<ReadBody, Fault> {
+async fn read_body(core: &Core, bundle: &Bundle, body: Incoming) -> Result<ReadBody, Fault> {
     let most = bundle.intent.limits.body.0;
     let announced = body.size_hint().exact();
     let too_long = || {
@@ -131,7 +131,7 @@
     id: &Name,
     request: Request<Incoming>,
     form: Form,
-    bundle: Arc<InForce>,
+    bundle: Arc<Bundle>,
 ) -> Result<Response<Body>, Fault> {
     let arrived = core.now();
     let (head, body) = request.into_parts();
@@ -378,7 +378,7 @@
     core: &Arc<Core>,
     id: &Name,
     request: Request<Incoming>,
-    bundle: Arc<InForce>,
+    bundle: Arc<Bundle>,
 ) -> Result<Response<Body>, Fault> {
     let arrived = core.now();
     let (head, body) = request.into_parts();
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -3,6 +3,7 @@
 //! Locks are taken in this order and never the other way round: `fleet`,
 //! then `teller`, then `metrics`. No lock is held across an await.
 
+pub mod active_bundle;
 pub mod claim;
 pub mod cli;
 pub mod clock;
@@ -11,7 +12,6 @@
 pub mod entry;
 pub mod error;
 pub mod fleet;
-pub mod force;
 pub mod log;
 pub mod metrics;
 pub mod operator;
--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -63,7 +63,7 @@
     if core.is_draining() {
         return refuse("draining\n");
     }
-    if core.force.sequence() == 0 {
+    if core.active_bundle.sequence() == 0 {
         return refuse("no bundle in force yet\n");
     }
     match core.confirmed.is_confirmed(core.now()) {
@@ -89,7 +89,10 @@
     kv("write", calls.writes.load(Relaxed));
     kv("lease", calls.leases.load(Relaxed));
     gauge("coveford_in_flight", core.in_flight() as f64);
-    gauge("coveford_bundle_sequence", core.force.sequence() as f64);
+    gauge(
+        "coveford_bundle_sequence",
+        core.active_bundle.sequence() as f64,
+    );
     let waiting: usize = core.fleet.waiting().iter().map(|(_, n)| n).sum();
     gauge("coveford_waiting", waiting as f64);
     core.metrics.render()
--- a/crates/daemon/src/operator/status.rs
+++ b/crates/daemon/src/operator/status.rs
@@ -100,7 +100,7 @@
         name: core.settings.name.clone(),
         hall: core.settings.hall.clone(),
         draining: core.is_draining(),
-        bundle: core.force.sequence(),
+        bundle: core.active_bundle.sequence(),
         title: current
             .as_ref()
             .map_or("".into(), |c| c.head.draft.title.clone()),
--- a/crates/daemon/src/planner.rs
+++ b/crates/daemon/src/planner.rs
@@ -11,8 +11,8 @@
 
 pub use state::{Planned, State};
 
+use crate::active_bundle::Bundle;
 use crate::core::Core;
-use crate::force::InForce;
 use crate::spread;
 use backing::hosts::Kind;
 use book::Book;
@@ -87,7 +87,7 @@
         }
     }
 
-    async fn tick(&mut self, bundle: &InForce) -> Result<(), crate::documents::Error> {
+    async fn tick(&mut self, bundle: &Bundle) -> Result<(), crate::documents::Error> {
         self.book.open(&self.core).await?;
         let fleet = self.fleet(bundle).await;
         let elsewhere = elsewhere(&self.core, bundle);
@@ -126,7 +126,7 @@
     }
 
     /// Upstreams of this hall with reports read over their order connections.
-    async fn fleet(&mut self, bundle: &InForce) -> Fleet {
+    async fn fleet(&mut self, bundle: &Bundle) -> Fleet {
         let hall = &self.core.settings.hall;
         let entries = self.core.fleet.entries();
         let here = entries.into_iter().filter(|e| e.host.hall == *hall);
@@ -215,7 +215,7 @@
 }
 
 /// Models of a bundle as the planner wants them.
-pub fn wants(bundle: &InForce) -> Vec<Spec> {
+pub fn wants(bundle: &Bundle) -> Vec<Spec> {
     let intent = &bundle.intent;
     let adapters = |model: &Name| {
         let of = intent.adapters.iter().filter(|(_, a)| a.model == *model);
@@ -269,7 +269,7 @@
 }
 
 /// Upstreams of other halls, as last reported to this daemon.
-fn elsewhere(core: &Core, bundle: &InForce) -> Fleet {
+fn elsewhere(core: &Core, bundle: &Bundle) -> Fleet {
     let entries = core.fleet.entries();
     let others = entries.iter().filter(|e| e.host.hall != core.settings.hall);
     let upstreams = others.filter_map(|entry| {
--- a/crates/daemon/src/spread.rs
+++ b/crates/daemon/src/spread.rs
@@ -95,7 +95,7 @@
             return true;
         }
     };
-    if head.sequence <= core.force.sequence() {
+    if head.sequence <= core.active_bundle.sequence() {
         return true;
     }
     let texts = match documents::parts(&core.kv, &head.draft.parts, &held(core)).await {
@@ -150,7 +150,7 @@
             let base = match current.head.sequence == delta.base {
                 true => current.head.clone(),
                 // A bundle came by another way meanwhile.
-                false => core.force.past(delta.base)?,
+                false => core.active_bundle.past_head(delta.base)?,
             };
             let head = Some(delta.apply(&base));
             Some(Told { sequence, head })
@@ -164,7 +164,7 @@
     let Some(addr) = core.peer_addr(peer) else {
         return false;
     };
-    let after = core.force.sequence();
+    let after = core.active_bundle.sequence();
     let question = Frame::Follow {
         after,
         wait_ms: wait.as_millis() as u64,
@@ -182,7 +182,7 @@
     let Some(head) = head else {
         return true;
     };
-    if head.sequence <= core.force.sequence() {
+    if head.sequence <= core.active_bundle.sequence() {
         return true;
     }
     let mut texts = held(core);
@@ -216,7 +216,7 @@
 ) -> bool {
     let sequence = head.sequence;
     let lag = Span::from_ms(wall_ms().saturating_sub(head.rolled_ms));
-    match core.force.switch(text, head, texts) {
+    match core.active_bundle.activate(text, head, texts) {
         Ok(()) => {
             let histogram = core
                 .metrics
@@ -225,7 +225,7 @@
             info!(target: "spread", "bundle {sequence} is in force, {lag} after its roll, from a {from}");
             true
         }
-        Err(crate::force::Error::NotHigher { .. }) => true,
+        Err(crate::active_bundle::Error::NotNewer { .. }) => true,
         Err(e) => {
             let counter = core
                 .metrics
--- a/crates/daemon/src/spread/peer.rs
+++ b/crates/daemon/src/spread/peer.rs
@@ -133,12 +133,12 @@
 }
 
 async fn head_past(core: &Arc<Core>, after: u64, wait: Duration) -> Frame {
-    let mut sequence = core.force.subscribe();
+    let mut sequence = core.active_bundle.subscribe();
     // A lapsed wait is answered with what is in force.
     let _ = timeout(wait, sequence.wait_for(|s| *s > after)).await;
     let current = core.in_force();
     let sequence = current.as_ref().map_or(0, |c| c.head.sequence);
-    if let (Some(current), Some(past)) = (&current, core.force.past(after))
+    if let (Some(current), Some(past)) = (&current, core.active_bundle.past_head(after))
         && sequence > after
     {
         let delta = Delta::between(&past, &current.head);
--- a/crates/standin/src/experiment/spread.rs
+++ b/crates/standin/src/experiment/spread.rs
@@ -113,7 +113,7 @@
             if way == Way::TreeServiceDies {
                 while parts
                     .iter()
-                    .all(|p| p.core.force.sequence() < head.sequence)
+                    .all(|p| p.core.active_bundle.sequence() < head.sequence)
                 {
                     sleep(Duration::from_millis(1)).await;
                 }
@@ -202,7 +202,7 @@
     let from = Instant::now();
     let mut waiting = JoinSet::new();
     for part in parts {
-        let mut current = part.core.force.subscribe();
+        let mut current = part.core.active_bundle.subscribe();
         waiting.spawn(async move {
             let reached = timeout(LIMIT, current.wait_for(|s| *s >= sequence)).await;
             reached.is_ok().then(|| from.elapsed())
--- a/crates/standin/tests/bundles.rs
+++ b/crates/standin/tests/bundles.rs
@@ -32,7 +32,7 @@
     fleet
         .daemons
         .iter()
-        .all(|d| d.core().force.sequence() == sequence)
+        .all(|d| d.core().active_bundle.sequence() == sequence)
 }
 
 #[tokio::test]
@@ -287,7 +287,7 @@
         fleet
             .daemons
             .iter()
-            .any(|d| d.core().force.sequence() == head.sequence)
+            .any(|d| d.core().active_bundle.sequence() == head.sequence)
     };
     assert!(fleet.eventually(PATIENCE, one).await);
     fleet.kv.set_faults(Faults {
@@ -326,7 +326,7 @@
         // Rolls may fail on stale reads; what is accepted must hold.
         let _ = fleet.roll(&titled(&format!("round {round}"))).await;
         for (i, daemon) in fleet.daemons.iter().enumerate() {
-            let now = daemon.core().force.sequence();
+            let now = daemon.core().active_bundle.sequence();
             let before = highest.insert(i, now).unwrap_or(0);
             assert!(now >= before, "daemon {i} fell from {before} to {now}");
         }
