--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -441,7 +441,8 @@
     })?;
     let key = &tool.settings.wire_key;
     let asked =
-        daemon::spread::exchange(&tool.pool, key, found.addr, &Frame::Drain, Duration::ZERO).await;
+        daemon::distribution::exchange(&tool.pool, key, found.addr, &Frame::Drain, Duration::ZERO)
+            .await;
     match asked {
         Ok((Frame::Draining { in_flight }, _)) => {
             out(format!(
--- a/crates/daemon/src/core.rs
+++ b/crates/daemon/src/core.rs
@@ -3,11 +3,11 @@
 use crate::active_bundle::{self, ActiveBundle, Bundle};
 use crate::claim;
 use crate::clock::Clock;
+use crate::distribution::Freshness;
 use crate::fleet::{self, Fleet};
 use crate::metrics::{self, Metrics};
 use crate::planner::Planned;
 use crate::settings::Settings;
-use crate::spread::Confirmed;
 use crate::teller::Teller;
 use backing::hosts::{Host, Hosts, Kind};
 use backing::kv::Kv;
@@ -50,7 +50,7 @@
     /// Memory for bodies, in units of [`BODY_UNIT`].
     pub bodies: Arc<Semaphore>,
     /// How the spread of bundles stands.
-    pub confirmed: Confirmed,
+    pub freshness: Freshness,
     /// What the planner did last, when this host holds its hall's lease.
     pub planned: Planned,
     /// Notified when another process asks this daemon to drain and end.
@@ -84,7 +84,7 @@
         teller: Teller::default(),
         peers: RwLock::default(),
         bodies: Arc::new(Semaphore::new(units as usize)),
-        confirmed: Confirmed::default(),
+        freshness: Freshness::default(),
         planned: Planned::default(),
         shutdown: Notify::new(),
         claims: claim::Lease::default(),
--- a/crates/daemon/src/spread.rs
+++ b/crates/daemon/src/distribution.rs
@@ -6,11 +6,11 @@
 //! bundle by seconds at most. Sequence numbers, the fan-out and the lag
 //! measured at each end follow the paper on Quicksilver.
 
-mod confirm;
+mod freshness;
 mod peer;
 
-pub use confirm::Confirmed;
-pub use peer::{answer, ask, exchange};
+pub use freshness::Freshness;
+pub use peer::{call, exchange, handle};
 
 use crate::clock::wall_ms;
 use crate::core::Core;
@@ -81,7 +81,7 @@
         Ok(found) => found,
         Err(_) => return false,
     };
-    core.confirmed.by_service(core.now());
+    core.freshness.record_service(core.now());
     let Some(found) = found else {
         return true;
     };
@@ -169,7 +169,7 @@
         after,
         wait_ms: wait.as_millis() as u64,
     };
-    let Ok(answer) = ask(core, addr, &question, wait).await else {
+    let Ok(answer) = call(core, addr, &question, wait).await else {
         return false;
     };
     let Some(Told { sequence, head }) = told(core, answer) else {
@@ -177,7 +177,7 @@
         return false;
     };
     if sequence > 0 && sequence >= after {
-        core.confirmed.by_peer(core.now());
+        core.freshness.record_peer(core.now());
     }
     let Some(head) = head else {
         return true;
@@ -195,7 +195,7 @@
         .collect();
     if !missing.is_empty() {
         let question = Frame::Fetch { hashes: missing };
-        let Ok(Frame::Parts { texts: got }) = ask(core, addr, &question, WAIT).await else {
+        let Ok(Frame::Parts { texts: got }) = call(core, addr, &question, WAIT).await else {
             return false;
         };
         let hashed = got
@@ -238,7 +238,7 @@
 }
 
 /// Compares sequences with a random peer now and then, until the process ends.
-pub async fn compare(core: Arc<Core>) {
+pub async fn run_anti_entropy(core: Arc<Core>) {
     loop {
         sleep(COMPARE_EVERY).await;
         let others = core.other_daemons();
--- a/crates/daemon/src/spread/peer.rs
+++ b/crates/daemon/src/distribution/peer.rs
@@ -48,7 +48,7 @@
 }
 
 /// Sends a frame to another daemon, reads its answer and counts the bytes.
-pub async fn ask(
+pub async fn call(
     core: &Core,
     addr: SocketAddr,
     question: &Frame,
@@ -103,7 +103,7 @@
 }
 
 /// Answers a frame of another daemon.
-pub async fn answer(core: &Arc<Core>, question: Frame) -> Frame {
+pub async fn handle(core: &Arc<Core>, question: Frame) -> Frame {
     match question {
         Frame::Follow { after, wait_ms } => {
             let wait = Duration::from_millis(wait_ms).min(MOST_WAIT);
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -8,6 +8,7 @@
 pub mod cli;
 pub mod clock;
 pub mod core;
+pub mod distribution;
 pub mod documents;
 pub mod entry;
 pub mod error;
@@ -18,7 +19,6 @@
 pub mod planner;
 pub mod run;
 pub mod settings;
-pub mod spread;
 pub mod teller;
 pub mod watch;
 
--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -5,7 +5,7 @@
 pub use status::{Model, Replica, Status, Upstream};
 
 use crate::core::Core;
-use crate::spread;
+use crate::distribution;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -66,7 +66,7 @@
     if core.active_bundle.sequence() == 0 {
         return refuse("no bundle in force yet\n");
     }
-    match core.confirmed.is_confirmed(core.now()) {
+    match core.freshness.is_confirmed(core.now()) {
         true => text(StatusCode::OK, "ready\n"),
         // Still serving: an old bundle is better than none.
         false => text(
@@ -126,7 +126,7 @@
             return text(StatusCode::FORBIDDEN, format!("{e}\n"));
         }
     };
-    let answer = spread::answer(core, question).await;
+    let answer = distribution::handle(core, question).await;
     match wire::encode(key, &message, &answer) {
         Ok(sealed) => Response::new(Full::new(sealed.into())),
         Err(e) => text(StatusCode::INTERNAL_SERVER_ERROR, format!("{e}\n")),
--- a/crates/daemon/src/operator/status.rs
+++ b/crates/daemon/src/operator/status.rs
@@ -1,8 +1,8 @@
 //! State of a daemon, for `coveford status` and `coveford why`.
 
 use crate::core::Core;
+use crate::distribution::is_relay;
 use crate::fleet::{Entry, Target};
-use crate::spread::is_relay;
 use route::breaker;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -104,8 +104,8 @@
         title: current
             .as_ref()
             .map_or("".into(), |c| c.head.draft.title.clone()),
-        confirmed: core.confirmed.is_confirmed(now),
-        service_answers: core.confirmed.service_answers(now),
+        confirmed: core.freshness.is_confirmed(now),
+        service_answers: core.freshness.is_service_reachable(now),
         relay: is_relay(core),
         planner: core.planned.state().holds,
         in_flight: core.in_flight() as u64,
--- a/crates/daemon/src/planner.rs
+++ b/crates/daemon/src/planner.rs
@@ -13,7 +13,7 @@
 
 use crate::active_bundle::Bundle;
 use crate::core::Core;
-use crate::spread;
+use crate::distribution;
 use backing::hosts::Kind;
 use book::Book;
 use lease::Lease;
@@ -255,7 +255,7 @@
     let peers = core.other_daemons();
     let asked = peers
         .iter()
-        .map(|peer| spread::ask(core, peer.addr, &Frame::GetDemand, DEMAND_LIMIT));
+        .map(|peer| distribution::call(core, peer.addr, &Frame::GetDemand, DEMAND_LIMIT));
     let answers = futures::future::join_all(asked).await;
     let mut sum: BTreeMap<Name, f64> = BTreeMap::new();
     let others = answers.into_iter().flat_map(|answer| match answer {
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -5,7 +5,7 @@
 use crate::entry;
 use crate::error::{CutSnafu, Error, FrontSnafu, ListenSnafu, ReadSettingsSnafu, RuntimeSnafu};
 use crate::settings::{self, Settings};
-use crate::{log, operator, planner, spread, watch};
+use crate::{distribution, log, operator, planner, watch};
 use conn::Server;
 use futures::FutureExt;
 use snafu::ResultExt;
@@ -95,8 +95,8 @@
     tasks.spawn(watch::hosts(core.clone()));
     tasks.spawn(watch::reports(core.clone()));
     tasks.spawn(watch::tidy(core.clone()));
-    tasks.spawn(spread::follow(core.clone()));
-    tasks.spawn(spread::compare(core.clone()));
+    tasks.spawn(distribution::follow(core.clone()));
+    tasks.spawn(distribution::run_anti_entropy(core.clone()));
     tasks.spawn(planner::run(core.clone()));
     info!(target: "daemon", "{} answers callers at {} and operators at {}", core.settings.name, callers.addr, operators.addr);
     Ok(Daemon {
--- a/crates/standin/src/experiment/spread.rs
+++ b/crates/standin/src/experiment/spread.rs
@@ -9,7 +9,7 @@
 use cli::render::{json, out, table};
 use conn::Server;
 use daemon::core::{self, Core};
-use daemon::{operator, spread};
+use daemon::{distribution, operator};
 use futures::FutureExt;
 use serde_json::json;
 use std::io;
@@ -180,8 +180,9 @@
         kill_relays(&mut parts);
     }
     for part in &mut parts {
-        part._tasks.spawn(spread::follow(part.core.clone()));
-        part._tasks.spawn(spread::compare(part.core.clone()));
+        part._tasks.spawn(distribution::follow(part.core.clone()));
+        part._tasks
+            .spawn(distribution::run_anti_entropy(part.core.clone()));
     }
     Ok(parts)
 }
@@ -190,7 +191,7 @@
 fn kill_relays(parts: &mut Vec<Part>) {
     for hall in 0..HALLS {
         let hall = fleet::hall(hall);
-        let relay = |p: &Part| p.core.settings.hall == hall && spread::is_relay(&p.core);
+        let relay = |p: &Part| p.core.settings.hall == hall && distribution::is_relay(&p.core);
         if let Some(at) = parts.iter().position(relay) {
             parts.remove(at);
         }
--- a/crates/standin/tests/bundles.rs
+++ b/crates/standin/tests/bundles.rs
@@ -300,7 +300,7 @@
 #[tokio::test]
 async fn a_killed_relay_is_replaced() {
     let mut fleet = nine().await;
-    let is_relay = |d: &daemon::Daemon| daemon::spread::is_relay(d.core());
+    let is_relay = |d: &daemon::Daemon| daemon::distribution::is_relay(d.core());
     let relays: Vec<usize> = (0..fleet.daemons.len())
         .filter(|i| is_relay(&fleet.daemons[*i]))
         .collect();
