--- a/crates/cli/src/why.rs
+++ b/crates/cli/src/why.rs
@@ -7,7 +7,7 @@
 use daemon::documents;
 use daemon::operator::Status;
 use daemon::planner::State as Planner;
-use daemon::teller::Record;
+use daemon::request_log::Record;
 use place::Ledger;
 use place::ledger::Move;
 use unit::Name;
--- a/crates/daemon/src/core.rs
+++ b/crates/daemon/src/core.rs
@@ -7,8 +7,8 @@
 use crate::fleet::{self, Fleet};
 use crate::metrics::{self, Metrics};
 use crate::planner::Planned;
+use crate::request_log::RequestLog;
 use crate::settings::Settings;
-use crate::teller::Teller;
 use backing::hosts::{Host, Hosts, Kind};
 use backing::kv::Kv;
 use conn::Pool;
@@ -44,7 +44,7 @@
     /// Metrics.
     pub metrics: Metrics,
     /// Reasons.
-    pub teller: Teller,
+    pub request_log: RequestLog,
     /// Other daemons in the host list, this one included.
     pub peers: RwLock<Vec<Host>>,
     /// Memory for bodies, in units of [`BODY_UNIT`].
@@ -81,7 +81,7 @@
         hosts: backing::hosts::open(settings.hosts, call_limit),
         pool: Pool::default(),
         metrics: metrics::open(),
-        teller: Teller::default(),
+        request_log: RequestLog::default(),
         peers: RwLock::default(),
         bodies: Arc::new(Semaphore::new(units as usize)),
         freshness: Freshness::default(),
--- a/crates/daemon/src/entry/answer.rs
+++ b/crates/daemon/src/entry/answer.rs
@@ -5,7 +5,7 @@
 use crate::core::{Core, InFlight};
 use crate::fleet::{Placed, Placeless, Target};
 use crate::metrics::{Class as ClassMetrics, record};
-use crate::teller::Decision;
+use crate::request_log::Decision;
 use conn::Reuse;
 use route::choose;
 use route::queue::Rejection;
@@ -195,10 +195,12 @@
         }
         let reason = format!("{} tokens were handed on.", self.tokens);
         self.core
-            .teller
-            .ended(&asker.request, Outcome::Complete, &reason);
+            .request_log
+            .record_outcome(&asker.request, Outcome::Complete, &reason);
         if let Some(running) = self.running.take() {
-            self.core.teller.attempt_ended(&asker.request, "whole.");
+            self.core
+                .request_log
+                .record_attempt_end(&asker.request, "whole.");
             let took = self.core.now().since(running.placed.at);
             let first = self.first_at.unwrap_or(running.placed.at);
             let first = first.since(running.placed.at);
@@ -285,8 +287,8 @@
         };
         self.may_have_run |= end != retry::Failure::NotRun;
         self.core
-            .teller
-            .attempt_ended(&self.ask.asker.request, &text);
+            .request_log
+            .record_attempt_end(&self.ask.asker.request, &text);
         (end, text)
     }
 
@@ -433,8 +435,8 @@
         let waited = self.core.now().since(from);
         record(&self.metrics.wait, waited);
         self.core
-            .teller
-            .change(&asker.request, |record| record.waited += waited);
+            .request_log
+            .update(&asker.request, |record| record.waited += waited);
         placed.map_err(|placeless| self.placeless(placeless))
     }
 
@@ -478,7 +480,9 @@
             weighed: placed.weighed.clone(),
             ended: String::new(),
         };
-        self.core.teller.decided(&asker.request, decision);
+        self.core
+            .request_log
+            .record_decision(&asker.request, decision);
     }
 
     fn fail(&mut self, outcome: Outcome, text: String) -> Fault {
@@ -493,8 +497,8 @@
         self.metrics.outcome(outcome);
         self.metrics.missed.increment(1);
         self.core
-            .teller
-            .ended(&self.ask.asker.request, outcome, text);
+            .request_log
+            .record_outcome(&self.ask.asker.request, outcome, text);
     }
 }
 
--- a/crates/daemon/src/entry/serve.rs
+++ b/crates/daemon/src/entry/serve.rs
@@ -11,7 +11,7 @@
 use crate::claim::{Stored, Taken};
 use crate::clock::wall_ms;
 use crate::core::{BODY_UNIT, Core};
-use crate::teller::Record;
+use crate::request_log::Record;
 use bytes::{Bytes, BytesMut};
 use conn::Reply;
 use futures::stream;
@@ -191,7 +191,7 @@
 
 /// Starts the record of a request.
 fn begin(core: &Core, asker: &Asker, target: &Name) {
-    core.teller.begin(Record {
+    core.request_log.begin(Record {
         request: asker.request.clone(),
         caller: asker.caller.clone(),
         class: asker.class_name.clone(),
--- a/crates/daemon/src/entry/service.rs
+++ b/crates/daemon/src/entry/service.rs
@@ -6,7 +6,7 @@
 use crate::core::Core;
 use crate::fleet::{Placeless, Target};
 use crate::metrics::record;
-use crate::teller::Decision;
+use crate::request_log::Decision;
 use conn::{HOP_BY_HOP, Reply, Reuse};
 use hyper::header::{self, HeaderMap, HeaderName};
 use hyper::{Method, Request};
@@ -64,12 +64,14 @@
             let percent = call.asker.bundle.intent.limits.retry_percent;
             core.earn(&call.asker.caller, percent);
             let reason = format!("The service answered with status {}.", reply.status);
-            core.teller.ended(request, Outcome::Complete, &reason);
+            core.request_log
+                .record_outcome(request, Outcome::Complete, &reason);
         }
         Err(fault) => {
             metrics.outcome(fault.outcome);
             metrics.missed.increment(1);
-            core.teller.ended(request, fault.outcome, &fault.message);
+            core.request_log
+                .record_outcome(request, fault.outcome, &fault.message);
         }
     }
     answered
@@ -83,7 +85,7 @@
         let placed = place(core, call, avoid, may_have_run).await?;
         attempts += 1;
         avoid = Some(rendezvous::hash(placed.upstream.as_bytes()));
-        core.teller.decided(
+        core.request_log.record_decision(
             &call.asker.request,
             Decision {
                 after: core.now().since(call.asker.arrived),
@@ -110,7 +112,7 @@
                 let took = core.now().since(placed.at);
                 placed.answered(took, call.asker.class.first_token);
                 placed.ended(Span::ZERO, took, None);
-                core.teller.attempt_ended(id, "whole.");
+                core.request_log.record_attempt_end(id, "whole.");
                 return Ok(reply);
             }
             Err(Failure::Unsent(e)) => {
@@ -130,7 +132,7 @@
             }
         };
         drop(placed);
-        core.teller.attempt_ended(id, &text);
+        core.request_log.record_attempt_end(id, &text);
         may_have_run |= end == retry::Failure::Lost;
         let known = Context {
             repeatable: call.asker.repeatable,
--- a/crates/daemon/src/entry/settle.rs
+++ b/crates/daemon/src/entry/settle.rs
@@ -36,7 +36,7 @@
         }
         Ok(answer) => {
             counter("replayed").increment(1);
-            core.teller.ended(
+            core.request_log.record_outcome(
                 &asker.request,
                 Outcome::Complete,
                 "The first sending's answer was given again.",
@@ -45,8 +45,8 @@
         }
         Err(fault) => {
             counter("refused").increment(1);
-            core.teller
-                .ended(&asker.request, Outcome::NotRun, &fault.message);
+            core.request_log
+                .record_outcome(&asker.request, Outcome::NotRun, &fault.message);
             Err(fault)
         }
     }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,7 +1,7 @@
 //! The coveford daemon: every role of a host, in one process.
 //!
 //! Locks are taken in this order and never the other way round: `fleet`,
-//! then `teller`, then `metrics`. No lock is held across an await.
+//! then `request_log`, then `metrics`. No lock is held across an await.
 
 pub mod active_bundle;
 pub mod claim;
@@ -17,9 +17,9 @@
 pub mod metrics;
 pub mod operator;
 pub mod planner;
+pub mod request_log;
 pub mod run;
 pub mod settings;
-pub mod teller;
 pub mod watch;
 
 pub use error::Error;
--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -43,10 +43,10 @@
         "/readyz" => readiness(&core),
         "/metrics" => text(StatusCode::OK, metrics(&core)),
         "/status" => json(&status::status(&core)),
-        "/requests" => json(&core.teller.newest(NEWEST)),
+        "/requests" => json(&core.request_log.newest(NEWEST)),
         "/planner" => json(&core.planned.state()),
         path => match path.strip_prefix("/why/request/") {
-            Some(id) => match core.teller.find(id) {
+            Some(id) => match core.request_log.find(id) {
                 Some(record) => json(&record),
                 None => text(
                     StatusCode::NOT_FOUND,
--- a/crates/daemon/src/teller.rs
+++ b/crates/daemon/src/request_log.rs
@@ -8,10 +8,10 @@
 use unit::{Name, Span};
 
 /// Requests whose reasons are kept.
-const KEPT: usize = 4_096;
+const MAX_RECORDS: usize = 4_096;
 
 /// Decisions kept for one request.
-const KEPT_DECISIONS: usize = 8;
+const MAX_DECISIONS: usize = 8;
 
 /// Decision on one attempt.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -117,7 +117,7 @@
 
 /// Ring of records.
 #[derive(Default)]
-pub struct Teller {
+pub struct RequestLog {
     ring: Mutex<Ring>,
 }
 
@@ -127,11 +127,11 @@
     records: HashMap<Name, Record>,
 }
 
-impl Teller {
+impl RequestLog {
     /// Starts the record of a request; the oldest goes when the ring is full.
     pub fn begin(&self, record: Record) {
         let mut ring = self.ring.lock();
-        if ring.order.len() >= KEPT
+        if ring.order.len() >= MAX_RECORDS
             && let Some(oldest) = ring.order.pop_front()
         {
             ring.records.remove(&oldest);
@@ -141,24 +141,24 @@
     }
 
     /// Changes a record, if it is still kept.
-    pub fn change(&self, request: &Name, change: impl FnOnce(&mut Record)) {
+    pub fn update(&self, request: &Name, update: impl FnOnce(&mut Record)) {
         if let Some(record) = self.ring.lock().records.get_mut(request) {
-            change(record);
+            update(record);
         }
     }
 
     /// Adds a decision to a record.
-    pub fn decided(&self, request: &Name, decision: Decision) {
-        self.change(request, |record| {
-            if record.decisions.len() < KEPT_DECISIONS {
+    pub fn record_decision(&self, request: &Name, decision: Decision) {
+        self.update(request, |record| {
+            if record.decisions.len() < MAX_DECISIONS {
                 record.decisions.push(decision);
             }
         });
     }
 
     /// Notes how the last attempt ended.
-    pub fn attempt_ended(&self, request: &Name, ended: &str) {
-        self.change(request, |record| {
+    pub fn record_attempt_end(&self, request: &Name, ended: &str) {
+        self.update(request, |record| {
             if let Some(last) = record.decisions.last_mut() {
                 last.ended = ended.to_owned();
             }
@@ -166,8 +166,8 @@
     }
 
     /// Notes the outcome.
-    pub fn ended(&self, request: &Name, outcome: Outcome, reason: &str) {
-        self.change(request, |record| {
+    pub fn record_outcome(&self, request: &Name, outcome: Outcome, reason: &str) {
+        self.update(request, |record| {
             record.outcome = Some(outcome);
             record.reason = reason.to_owned();
         });
