--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -17,10 +17,10 @@
 pub mod metrics;
 pub mod operator;
 pub mod planner;
+pub mod polling;
 pub mod request_log;
 pub mod run;
 pub mod settings;
-pub mod watch;
 
 pub use error::Error;
 pub use run::{Daemon, spawn};
--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -18,7 +18,7 @@
 use tracing::warn;
 
 /// Connections of operators, collectors and daemons at once.
-pub const MOST_CONNECTIONS: usize = 4_096;
+pub const MAX_CONNECTIONS: usize = 4_096;
 
 /// Time for a whole frame to arrive.
 const FRAME_LIMIT: Duration = Duration::from_secs(10);
--- a/crates/daemon/src/watch.rs
+++ b/crates/daemon/src/polling.rs
@@ -13,13 +13,13 @@
 use upstream::engine::Orders;
 
 /// Time between two reads of the host list.
-const HOSTS_EVERY: Duration = Duration::from_millis(500);
+const HOSTS_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Time between two looks at which reports are old.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+const REPORTS_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time for one poll of an upstream.
-const POLL_LIMIT: Duration = Duration::from_millis(800);
+const POLL_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Follows the host list until the process ends.
 pub async fn hosts(core: Arc<Core>) {
@@ -29,7 +29,7 @@
             Ok(news) => {
                 failing = false;
                 if let Some(hosts) = news {
-                    take(&core, hosts);
+                    apply_hosts(&core, hosts);
                 }
             }
             // The last list stays in force: silence is not leaving.
@@ -39,26 +39,26 @@
             }
             Err(_) => {}
         }
-        sleep(HOSTS_EVERY).await;
+        sleep(HOSTS_INTERVAL).await;
     }
 }
 
-fn take(core: &Core, hosts: Vec<Host>) {
+fn apply_hosts(core: &Core, hosts: Vec<Host>) {
     core.fleet.set_hosts(&hosts);
     let peers = hosts.into_iter().filter(is_daemon).collect();
     *core.peers.write() = peers;
 }
 
 /// Connection to an engine and how far its cache events were read.
-struct Poll {
+struct Connection {
     orders: Orders,
     cache_after: u64,
 }
 
 /// Kept connections, and the upstreams that are being polled.
 #[derive(Default)]
-struct Polls {
-    kept: HashMap<Name, Poll>,
+struct Connections {
+    kept: HashMap<Name, Connection>,
     busy: HashSet<Name>,
 }
 
@@ -69,9 +69,10 @@
 /// nobody else's poll.
 pub async fn reports(core: Arc<Core>) {
     let settings = core.settings.reports;
-    let each = (u64::from(settings.per_second) * LOOK_EVERY.as_millis() as u64).div_ceil(1_000);
-    let polls: Arc<Mutex<Polls>> = Arc::default();
-    let mut looks = interval(LOOK_EVERY);
+    let each =
+        (u64::from(settings.per_second) * REPORTS_INTERVAL.as_millis() as u64).div_ceil(1_000);
+    let polls: Arc<Mutex<Connections>> = Arc::default();
+    let mut looks = interval(REPORTS_INTERVAL);
     looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         looks.tick().await;
@@ -84,9 +85,9 @@
     }
 }
 
-async fn poll(core: Arc<Core>, polls: Arc<Mutex<Polls>>, name: Name, addr: SocketAddr) {
+async fn poll(core: Arc<Core>, polls: Arc<Mutex<Connections>>, name: Name, addr: SocketAddr) {
     let kept = polls.lock().kept.remove(&name);
-    let asked = ask(&core, kept, &name, addr).await;
+    let asked = poll_once(&core, kept, &name, addr).await;
     let mut polls = polls.lock();
     polls.busy.remove(&name);
     match asked {
@@ -97,16 +98,16 @@
     }
 }
 
-async fn ask(
+async fn poll_once(
     core: &Arc<Core>,
-    kept: Option<Poll>,
+    kept: Option<Connection>,
     name: &Name,
     addr: SocketAddr,
-) -> Result<Poll, conn::Error> {
+) -> Result<Connection, conn::Error> {
     let mut poll = match kept {
         Some(poll) => poll,
-        None => Poll {
-            orders: Orders::open(addr, POLL_LIMIT).await?,
+        None => Connection {
+            orders: Orders::open(addr, POLL_TIMEOUT).await?,
             cache_after: 0,
         },
     };
@@ -121,7 +122,7 @@
 }
 
 /// Keeps metrics from piling up, until the process ends.
-pub async fn tidy(core: Arc<Core>) {
+pub async fn metrics_upkeep(core: Arc<Core>) {
     loop {
         sleep(Duration::from_secs(5)).await;
         core.metrics.run_upkeep();
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -5,7 +5,7 @@
 use crate::entry;
 use crate::error::{CutSnafu, Error, FrontSnafu, ListenSnafu, ReadSettingsSnafu, RuntimeSnafu};
 use crate::settings::{self, Settings};
-use crate::{distribution, log, operator, planner, watch};
+use crate::{distribution, log, operator, planner, polling};
 use conn::Server;
 use futures::FutureExt;
 use snafu::ResultExt;
@@ -88,13 +88,13 @@
     let operators = {
         let core = core.clone();
         let answer = move |request| operator::handle(core.clone(), request).map(Ok);
-        conn::serve(operators, operator::MOST_CONNECTIONS, answer)
+        conn::serve(operators, operator::MAX_CONNECTIONS, answer)
     }
     .context(RuntimeSnafu)?;
     let mut tasks = JoinSet::new();
-    tasks.spawn(watch::hosts(core.clone()));
-    tasks.spawn(watch::reports(core.clone()));
-    tasks.spawn(watch::tidy(core.clone()));
+    tasks.spawn(polling::hosts(core.clone()));
+    tasks.spawn(polling::reports(core.clone()));
+    tasks.spawn(polling::metrics_upkeep(core.clone()));
     tasks.spawn(distribution::follow(core.clone()));
     tasks.spawn(distribution::run_anti_entropy(core.clone()));
     tasks.spawn(planner::run(core.clone()));
--- a/crates/standin/src/experiment/spread.rs
+++ b/crates/standin/src/experiment/spread.rs
@@ -151,7 +151,7 @@
         let core = core::open(settings);
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
         let shared = core.clone();
-        let server = conn::serve(listener, operator::MOST_CONNECTIONS, move |request| {
+        let server = conn::serve(listener, operator::MAX_CONNECTIONS, move |request| {
             operator::handle(shared.clone(), request).map(Ok)
         })?;
         hosts.push(Host {
