--- a/crates/cli/src/why.rs
+++ b/crates/cli/src/why.rs
@@ -6,7 +6,7 @@
 use backing::keys;
 use daemon::documents;
 use daemon::operator::Status;
-use daemon::planner::State as Planner;
+use daemon::planner::Status as Planner;
 use daemon::request_log::Record;
 use place::Ledger;
 use place::ledger::Move;
--- a/crates/daemon/src/core.rs
+++ b/crates/daemon/src/core.rs
@@ -6,7 +6,7 @@
 use crate::distribution::Freshness;
 use crate::fleet::{self, Fleet};
 use crate::metrics::{self, Metrics};
-use crate::planner::Planned;
+use crate::planner::StatusCell;
 use crate::request_log::RequestLog;
 use crate::settings::Settings;
 use backing::hosts::{Host, Hosts, Kind};
@@ -52,7 +52,7 @@
     /// How the spread of bundles stands.
     pub freshness: Freshness,
     /// What the planner did last, when this host holds its hall's lease.
-    pub planned: Planned,
+    pub planner_status: StatusCell,
     /// Notified when another process asks this daemon to drain and end.
     pub shutdown: Notify,
     /// Lease that claims share.
@@ -85,7 +85,7 @@
         peers: RwLock::default(),
         bodies: Arc::new(Semaphore::new(units as usize)),
         freshness: Freshness::default(),
-        planned: Planned::default(),
+        planner_status: StatusCell::default(),
         shutdown: Notify::new(),
         claims: claim::Lease::default(),
         demand: Mutex::default(),
--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -44,7 +44,7 @@
         "/metrics" => text(StatusCode::OK, metrics(&core)),
         "/status" => json(&status::status(&core)),
         "/requests" => json(&core.request_log.newest(NEWEST)),
-        "/planner" => json(&core.planned.state()),
+        "/planner" => json(&core.planner_status.get()),
         path => match path.strip_prefix("/why/request/") {
             Some(id) => match core.request_log.find(id) {
                 Some(record) => json(&record),
--- a/crates/daemon/src/operator/status.rs
+++ b/crates/daemon/src/operator/status.rs
@@ -107,7 +107,7 @@
         confirmed: core.freshness.is_confirmed(now),
         service_answers: core.freshness.is_service_reachable(now),
         relay: is_relay(core),
-        planner: core.planned.state().holds,
+        planner: core.planner_status.get().holds,
         in_flight: core.in_flight() as u64,
         upstreams: entries.iter().map(|e| upstream(core, e)).collect(),
         models: models(core, &entries),
--- a/crates/daemon/src/planner.rs
+++ b/crates/daemon/src/planner.rs
@@ -7,9 +7,9 @@
 mod book;
 mod lease;
 mod lines;
-mod state;
+mod status;
 
-pub use state::{Planned, State};
+pub use status::{Status, StatusCell};
 
 use crate::active_bundle::Bundle;
 use crate::core::Core;
@@ -78,7 +78,7 @@
         let held = self.lease.hold(&self.core).await;
         if !held {
             self.book.forget();
-            self.core.planned.step_down();
+            self.core.planner_status.record_step_down();
             return;
         }
         if let Err(e) = self.tick(&bundle).await {
@@ -120,7 +120,9 @@
         );
         self.book.write_homes(&self.core, &plan).await?;
         self.book.write(&self.core).await?;
-        self.core.planned.planned(self.book.ledger(), &plan);
+        self.core
+            .planner_status
+            .record_plan(self.book.ledger(), &plan);
         self.send(&fleet, plan).await;
         Ok(())
     }
@@ -215,7 +217,7 @@
 }
 
 /// Models of a bundle as the planner wants them.
-pub fn wants(bundle: &Bundle) -> Vec<Spec> {
+fn wants(bundle: &Bundle) -> Vec<Spec> {
     let intent = &bundle.intent;
     let adapters = |model: &Name| {
         let of = intent.adapters.iter().filter(|(_, a)| a.model == *model);
--- a/crates/daemon/src/planner/state.rs
+++ b/crates/daemon/src/planner/status.rs
@@ -9,13 +9,13 @@
 
 /// Holder of the planner's state.
 #[derive(Default)]
-pub struct Planned {
-    state: Mutex<State>,
+pub struct StatusCell {
+    status: Mutex<Status>,
 }
 
-/// State of the planner.
+/// Status of the planner.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct State {
+pub struct Status {
     /// Whether this host plans for its hall.
     pub holds: bool,
     /// Its term.
@@ -28,9 +28,9 @@
     pub notes: BTreeMap<Name, String>,
 }
 
-impl Planned {
-    pub(super) fn planned(&self, ledger: &Ledger, plan: &Plan) {
-        *self.state.lock() = State {
+impl StatusCell {
+    pub(super) fn record_plan(&self, ledger: &Ledger, plan: &Plan) {
+        *self.status.lock() = Status {
             holds: true,
             term: ledger.term,
             open: ledger.open.clone(),
@@ -39,12 +39,12 @@
         };
     }
 
-    pub(super) fn step_down(&self) {
-        self.state.lock().holds = false;
+    pub(super) fn record_step_down(&self) {
+        self.status.lock().holds = false;
     }
 
     /// Copy of the state.
-    pub fn state(&self) -> State {
-        self.state.lock().clone()
+    pub fn get(&self) -> Status {
+        self.status.lock().clone()
     }
 }
--- a/crates/standin/tests/bundles.rs
+++ b/crates/standin/tests/bundles.rs
@@ -399,7 +399,7 @@
         fleet
             .daemons
             .iter()
-            .position(|d| d.core().planned.state().holds)
+            .position(|d| d.core().planner_status.get().holds)
     };
     assert!(
         fleet
