--- a/crates/daemon/src/core.rs
+++ b/crates/daemon/src/core.rs
@@ -158,7 +158,7 @@
     pub fn demands(&self) -> Vec<wire::Demand> {
         let waiting: HashMap<Name, usize> = self
             .fleet
-            .waiting()
+            .queue_lengths()
             .into_iter()
             .map(|(target, n)| (target.to_string().into(), n))
             .collect();
--- a/crates/daemon/src/distribution/peer.rs
+++ b/crates/daemon/src/distribution/peer.rs
@@ -172,7 +172,7 @@
     let seen = entries.iter().filter(|e| e.report.is_some());
     let load = |e: &crate::fleet::Entry| wire::Load {
         upstream: e.host.name.clone(),
-        age: now.since(e.loaded_at),
+        age: now.since(e.load_at),
         running: e.load.running,
         waiting: e.load.waiting,
     };
--- a/crates/daemon/src/entry/answer.rs
+++ b/crates/daemon/src/entry/answer.rs
@@ -3,7 +3,7 @@
 use super::ask::Ask;
 use super::fault::Fault;
 use crate::core::{Core, InFlight};
-use crate::fleet::{Placed, Placeless, Target};
+use crate::fleet::{AcquireError, Reservation, Target};
 use crate::metrics::{Class as ClassMetrics, record};
 use crate::request_log::Decision;
 use conn::Reuse;
@@ -33,7 +33,7 @@
 /// Stream of an attempt, at its place.
 struct Running {
     stream: Stream,
-    placed: Placed,
+    placed: Reservation,
     attempt: Attempt,
 }
 
@@ -159,10 +159,10 @@
                 let delay = now.since(self.ask.asker.arrived);
                 record(&self.metrics.first_token, delay);
                 if let Some(running) = &self.running {
-                    let delay = now.since(running.placed.at);
+                    let delay = now.since(running.placed.reserved_at);
                     running
                         .placed
-                        .answered(delay, self.ask.asker.class.first_token);
+                        .record_first_response(delay, self.ask.asker.class.first_token);
                 }
             }
             Some(_) => {
@@ -201,10 +201,12 @@
             self.core
                 .request_log
                 .record_attempt_end(&asker.request, "whole.");
-            let took = self.core.now().since(running.placed.at);
-            let first = self.first_at.unwrap_or(running.placed.at);
-            let first = first.since(running.placed.at);
-            running.placed.ended(first, took, Some(end.load));
+            let took = self.core.now().since(running.placed.reserved_at);
+            let first = self.first_at.unwrap_or(running.placed.reserved_at);
+            let first = first.since(running.placed.reserved_at);
+            running
+                .placed
+                .record_completion(first, took, Some(end.load));
             count_dropped(&self.core, &running.stream);
             running.stream.finish().await;
         }
@@ -266,7 +268,7 @@
         let placed = self.running.as_ref().map(|r| &r.placed);
         let (end, text) = match failure {
             Failure::Unsent(e) => {
-                placed.inspect(|p| p.failed());
+                placed.inspect(|p| p.record_failure());
                 (retry::Failure::NotRun, format!("not run: {e}"))
             }
             Failure::Refused(RefusalReason::Unknown) => (
@@ -274,14 +276,14 @@
                 "lost: the engine does not know the stream any more".into(),
             ),
             Failure::Refused(cause) => {
-                placed.inspect(|p| p.refused(cause));
+                placed.inspect(|p| p.record_refusal(cause));
                 (
                     retry::Failure::NotRun,
                     format!("not run: the engine refused ({cause:?})"),
                 )
             }
             Failure::Lost(why) => {
-                placed.inspect(|p| p.failed());
+                placed.inspect(|p| p.record_failure());
                 (retry::Failure::Lost, format!("lost: {why}"))
             }
         };
@@ -367,13 +369,13 @@
     async fn unstarted(
         &mut self,
         failure: Failure,
-        placed: Placed,
+        placed: Reservation,
         attempt: Attempt,
     ) -> Result<bool, Fault> {
         let lost = matches!(failure, Failure::Lost(_));
         match &failure {
-            Failure::Refused(cause) => placed.refused(*cause),
-            _ => placed.failed(),
+            Failure::Refused(cause) => placed.record_refusal(*cause),
+            _ => placed.record_failure(),
         }
         let (end, text) = self.ended(failure);
         let resumable = lost && self.take_up(placed, attempt).await;
@@ -398,7 +400,7 @@
     }
 
     /// Tries to take up a stream whose head was lost; the engine may be running it.
-    async fn take_up(&mut self, placed: Placed, attempt: Attempt) -> bool {
+    async fn take_up(&mut self, placed: Reservation, attempt: Attempt) -> bool {
         let mut run = run(&self.ask, attempt.clone());
         run.resume_at = Some(self.tokens);
         let limit = self.core.settings.limits.stall.std();
@@ -415,7 +417,7 @@
         true
     }
 
-    async fn place(&mut self) -> Result<Placed, Fault> {
+    async fn place(&mut self) -> Result<Reservation, Fault> {
         let asker = &self.ask.asker;
         let target = Target::Model {
             model: self.ask.model.clone(),
@@ -440,20 +442,20 @@
         placed.map_err(|placeless| self.placeless(placeless))
     }
 
-    fn placeless(&mut self, placeless: Placeless) -> Fault {
+    fn placeless(&mut self, placeless: AcquireError) -> Fault {
         let outcome = self.true_outcome();
         let (code, message, retry) = match placeless {
-            Placeless::Shed(Rejection::Full) => (
+            AcquireError::Rejected(Rejection::Full) => (
                 "overloaded",
                 "The queue is full of requests that go before this one.",
                 SHED_RETRY,
             ),
-            Placeless::Shed(Rejection::Expired) => (
+            AcquireError::Rejected(Rejection::Expired) => (
                 "too_late",
                 "The request cannot be answered before its deadline.",
                 SHED_RETRY,
             ),
-            Placeless::Absent => (
+            AcquireError::Unavailable => (
                 "model_not_ready",
                 "No upstream holds this model ready at the moment.",
                 ABSENT_RETRY,
@@ -471,13 +473,13 @@
         }
     }
 
-    fn decided(&self, placed: &Placed) {
+    fn decided(&self, placed: &Reservation) {
         let asker = &self.ask.asker;
         let decision = Decision {
             after: self.core.now().since(asker.arrived),
             attempt: self.attempts,
             upstream: placed.upstream.clone(),
-            weighed: placed.weighed.clone(),
+            weighed: placed.evaluations.clone(),
             ended: String::new(),
         };
         self.core
--- a/crates/daemon/src/entry/ask.rs
+++ b/crates/daemon/src/entry/ask.rs
@@ -3,7 +3,7 @@
 use super::fault::Fault;
 use super::{CLASS_HEADER, IDEMPOTENCY_HEADER, UNREPEATABLE_HEADER};
 use crate::active_bundle::Bundle;
-use crate::fleet::{Target, Want};
+use crate::fleet::{self, Target};
 use bundle::intent::{Caller, Class};
 use hyper::{HeaderMap, StatusCode};
 use route::choose;
@@ -72,15 +72,15 @@
     }
 
     /// What the fleet is asked for on behalf of this request.
-    pub fn want(&self, target: Target, ask: choose::Request) -> Want {
-        Want {
+    pub fn want(&self, target: Target, ask: choose::Request) -> fleet::Request {
+        fleet::Request {
             target,
             caller: self.caller.clone(),
             weight: self.weight,
             priority: self.class.priority,
             arrived: self.arrived,
             deadline: self.deadline(),
-            ask,
+            criteria: ask,
         }
     }
 }
--- a/crates/daemon/src/entry/service.rs
+++ b/crates/daemon/src/entry/service.rs
@@ -4,7 +4,7 @@
 use super::ask::Asker;
 use super::fault::Fault;
 use crate::core::Core;
-use crate::fleet::{Placeless, Target};
+use crate::fleet::{AcquireError, Target};
 use crate::metrics::record;
 use crate::request_log::Decision;
 use conn::{HOP_BY_HOP, Reply, Reuse};
@@ -91,7 +91,7 @@
                 after: core.now().since(call.asker.arrived),
                 attempt: attempts,
                 upstream: placed.upstream.clone(),
-                weighed: placed.weighed.clone(),
+                weighed: placed.evaluations.clone(),
                 ended: String::new(),
             },
         );
@@ -109,25 +109,25 @@
         let id = &call.asker.request;
         let (end, text) = match service::call(&core.pool, placed.addr, id, request, rules).await {
             Ok(reply) => {
-                let took = core.now().since(placed.at);
-                placed.answered(took, call.asker.class.first_token);
-                placed.ended(Span::ZERO, took, None);
+                let took = core.now().since(placed.reserved_at);
+                placed.record_first_response(took, call.asker.class.first_token);
+                placed.record_completion(Span::ZERO, took, None);
                 core.request_log.record_attempt_end(id, "whole.");
                 return Ok(reply);
             }
             Err(Failure::Unsent(e)) => {
-                placed.failed();
+                placed.record_failure();
                 (retry::Failure::NotRun, format!("not run: {e}"))
             }
             Err(Failure::Refused(reply)) => {
-                placed.refused(upstream::engine::RefusalReason::Full);
+                placed.record_refusal(upstream::engine::RefusalReason::Full);
                 (
                     retry::Failure::NotRun,
                     format!("not run: the service refused with status {}", reply.status),
                 )
             }
             Err(Failure::Lost(why)) => {
-                placed.failed();
+                placed.record_failure();
                 (retry::Failure::Lost, format!("lost: {why}"))
             }
         };
@@ -161,7 +161,7 @@
     call: &Call,
     avoid: Option<u64>,
     may_have_run: bool,
-) -> Result<crate::fleet::Placed, Fault> {
+) -> Result<crate::fleet::Reservation, Fault> {
     let asker = &call.asker;
     let target = Target::Service(call.service.clone());
     let want = asker.want(
@@ -176,13 +176,13 @@
     let placed = core.fleet.acquire(want, most).await;
     placed.map_err(|placeless| {
         let message = match placeless {
-            Placeless::Shed(Rejection::Full) => {
+            AcquireError::Rejected(Rejection::Full) => {
                 "The queue is full of requests that go before this one."
             }
-            Placeless::Shed(Rejection::Expired) => {
+            AcquireError::Rejected(Rejection::Expired) => {
                 "The request cannot be answered before its deadline."
             }
-            Placeless::Absent => "No upstream of this service is there at the moment.",
+            AcquireError::Unavailable => "No upstream of this service is there at the moment.",
         };
         match Outcome::without_answer(may_have_run) {
             Outcome::NotRun => Fault::busy("overloaded", message, RETRY_AFTER),
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -3,18 +3,18 @@
 //! One mutex holds both; the work under it is short and never waits.
 
 mod entry;
-mod placed;
+mod reservation;
 mod tables;
 
 pub use entry::{Entry, Target};
-pub use placed::Placed;
+pub use reservation::Reservation;
 
 use crate::clock::Clock;
 use backing::hosts::Host;
 use parking_lot::Mutex;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
-use route::choose::Request;
+use route::choose;
 use route::queue::{Rejection, Ticket};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -26,11 +26,11 @@
 use upstream::engine::{Cached, Load, Report};
 
 /// Time a request waits for a replica when there is none at all, such as while one restarts.
-pub const ABSENT_PATIENCE: Span = Span::from_secs(3);
+pub const UNAVAILABLE_WAIT: Span = Span::from_secs(3);
 
 /// Request that wants a place.
 #[derive(Debug, Clone)]
-pub struct Want {
+pub struct Request {
     /// What must answer it.
     pub target: Target,
     /// Who sent it.
@@ -44,16 +44,16 @@
     /// When nobody needs it any more.
     pub deadline: Time,
     /// How it is to be placed.
-    pub ask: Request,
+    pub criteria: choose::Request,
 }
 
 /// Why no place could be had; the request was not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Placeless {
+pub enum AcquireError {
     /// It was shed.
-    Shed(Rejection),
+    Rejected(Rejection),
     /// No upstream holds what it asked for.
-    Absent,
+    Unavailable,
 }
 
 /// Running table; clones of the `Arc` share it.
@@ -72,26 +72,26 @@
 }
 
 /// What a waiting request is told: its place, or that it was shed.
-type Grant = Result<Placed, Placeless>;
+type Acquired = Result<Reservation, AcquireError>;
 
 impl Fleet {
     /// Gets a place for a request, waiting in the queue if it must.
-    pub async fn acquire(self: &Arc<Self>, want: Want, queue_most: usize) -> Grant {
-        let deadline = want.deadline;
+    pub async fn acquire(self: &Arc<Self>, request: Request, queue_capacity: usize) -> Acquired {
+        let deadline = request.deadline;
         let waiting = {
             let mut tables = self.tables.lock();
             let now = self.clock.now();
-            match tables.place_now(self, now, &want) {
+            match tables.try_place(self, now, &request) {
                 Some(placed) => return Ok(placed),
-                None => enqueue(&mut tables, now, want, queue_most)?,
+                None => enqueue(&mut tables, now, request, queue_capacity)?,
             }
         };
         let until = self.clock.instant(waiting.until);
         match timeout_at(until, waiting.receiver).await {
             Ok(Ok(grant)) => grant,
-            Ok(Err(_)) => Err(Placeless::Shed(Rejection::Full)),
-            Err(_) if waiting.until < deadline => Err(Placeless::Absent),
-            Err(_) => Err(Placeless::Shed(Rejection::Expired)),
+            Ok(Err(_)) => Err(AcquireError::Rejected(Rejection::Full)),
+            Err(_) if waiting.until < deadline => Err(AcquireError::Unavailable),
+            Err(_) => Err(AcquireError::Rejected(Rejection::Expired)),
         }
     }
 
@@ -99,40 +99,40 @@
     pub fn set_hosts(self: &Arc<Self>, hosts: &[Host]) {
         let mut tables = self.tables.lock();
         tables.set_hosts(hosts);
-        tables.pump_all(self, self.clock.now());
+        tables.serve_all(self, self.clock.now());
     }
 
     /// Takes in a report that was read just now.
-    pub fn reported(self: &Arc<Self>, upstream: &str, report: Report) {
+    pub fn record_report(self: &Arc<Self>, upstream: &str, report: Report) {
         let mut tables = self.tables.lock();
-        tables.reported(self.clock.now(), upstream, report);
-        tables.pump_all(self, self.clock.now());
+        tables.record_report(self.clock.now(), upstream, report);
+        tables.serve_all(self, self.clock.now());
     }
 
     /// Takes in the load that rode on an answer.
-    pub fn loaded(&self, slot: usize, load: Load) {
-        self.tables.lock().loaded(self.clock.now(), slot, load);
+    pub fn record_load(&self, slot: usize, load: Load) {
+        self.tables.lock().record_load(self.clock.now(), slot, load);
     }
 
     /// Takes in cache events.
-    pub fn cached(&self, upstream: &str, events: &[Cached]) {
-        self.tables.lock().cached(upstream, events);
+    pub fn record_cache_events(&self, upstream: &str, events: &[Cached]) {
+        self.tables.lock().record_cache_events(upstream, events);
     }
 
     /// Notes that a poll of an upstream failed.
-    pub fn unanswered(&self, upstream: &str) {
+    pub fn record_poll_failure(&self, upstream: &str) {
         let now = self.clock.now();
         let mut tables = self.tables.lock();
         if let Some(entry) = tables.find_mut(upstream) {
-            entry.health.record_failure(now);
+            entry.breaker.record_failure(now);
         }
     }
 
     /// Gives up the place of a request and serves those that wait.
-    fn release(self: &Arc<Self>, slot: usize, flight: u64) {
+    fn release(self: &Arc<Self>, slot: usize, attempt: u64) {
         let mut tables = self.tables.lock();
-        tables.land(slot, flight);
-        tables.pump(self, self.clock.now(), slot);
+        tables.finish(slot, attempt);
+        tables.serve_waiting(self, self.clock.now(), slot);
     }
 
     /// Changes the entry of a slot.
@@ -147,23 +147,23 @@
     }
 
     /// Upstreams whose last report is older than `age`, oldest first.
-    pub fn stale(&self, age: Span) -> Vec<(Name, SocketAddr)> {
-        self.tables.lock().stale(self.clock.now(), age)
+    pub fn stale_reports(&self, age: Span) -> Vec<(Name, SocketAddr)> {
+        self.tables.lock().stale_reports(self.clock.now(), age)
     }
 
     /// Requests that wait, by model or service.
-    pub fn waiting(&self) -> Vec<(Target, usize)> {
-        self.tables.lock().waiting()
+    pub fn queue_lengths(&self) -> Vec<(Target, usize)> {
+        self.tables.lock().queue_lengths()
     }
 
     /// Whether an upstream that is not leaving holds a target ready.
-    pub fn is_reachable(&self, target: &Target) -> bool {
-        self.tables.lock().is_reachable(target)
+    pub fn is_available(&self, target: &Target) -> bool {
+        self.tables.lock().is_available(target)
     }
 }
 
 struct Waiting {
-    receiver: oneshot::Receiver<Grant>,
+    receiver: oneshot::Receiver<Acquired>,
     until: Time,
 }
 
@@ -171,35 +171,35 @@
 fn enqueue(
     tables: &mut Tables,
     now: Time,
-    want: Want,
-    queue_most: usize,
-) -> Result<Waiting, Placeless> {
-    let reachable = tables.is_reachable(&want.target);
+    request: Request,
+    queue_capacity: usize,
+) -> Result<Waiting, AcquireError> {
+    let reachable = tables.is_available(&request.target);
     let until = match reachable {
-        true => want.deadline,
-        false => want.deadline.min(now + ABSENT_PATIENCE),
+        true => request.deadline,
+        false => request.deadline.min(now + UNAVAILABLE_WAIT),
     };
-    let queue = tables.queue(&want.target, queue_most);
-    if let Some(wait) = queue.expected_wait(now, want.priority)
-        && now + wait > want.deadline
+    let queue = tables.queue(&request.target, queue_capacity);
+    if let Some(wait) = queue.expected_wait(now, request.priority)
+        && now + wait > request.deadline
     {
-        return Err(Placeless::Shed(Rejection::Expired));
+        return Err(AcquireError::Rejected(Rejection::Expired));
     }
     let (sender, receiver) = oneshot::channel();
     let ticket = Ticket {
-        caller: want.caller.clone(),
-        weight: want.weight,
-        priority: want.priority,
-        arrived: want.arrived,
-        deadline: want.deadline,
-        payload: tables::Waiter { want, sender },
+        caller: request.caller.clone(),
+        weight: request.weight,
+        priority: request.priority,
+        arrived: request.arrived,
+        deadline: request.deadline,
+        payload: tables::Waiter { request, sender },
     };
     queue.expire(now, |waiter| waiter.sender.is_closed());
     if let Some(shed) = queue.push(now, ticket) {
         let _ = shed
             .payload
             .sender
-            .send(Err(Placeless::Shed(Rejection::Full)));
+            .send(Err(AcquireError::Rejected(Rejection::Full)));
     }
     Ok(Waiting { receiver, until })
 }
--- a/crates/daemon/src/fleet/entry.rs
+++ b/crates/daemon/src/fleet/entry.rs
@@ -10,16 +10,16 @@
 use upstream::engine::{Load, Report, State};
 
 /// Requests in flight that a new limit allows, per batch slot of the engine.
-const START_PER_BATCH: u32 = 2;
+const INITIAL_PER_BATCH: u32 = 2;
 
 /// Most requests in flight, per batch slot.
-const MOST_PER_BATCH: u32 = 4;
+const MAX_PER_BATCH: u32 = 4;
 
 /// Batch assumed before the first report, and for plain services.
-const UNKNOWN_BATCH: u32 = 32;
+const DEFAULT_BATCH: u32 = 32;
 
 /// Prefixes remembered per upstream from cache events; hints, so few will do.
-const MOST_PREFIXES: usize = 512;
+const MAX_PREFIXES: usize = 512;
 
 /// What must answer a request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -50,7 +50,7 @@
 
 /// Request of this daemon in flight.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Flight {
+pub(super) struct Attempt {
     pub(super) id: u64,
     pub(super) sent: Time,
 }
@@ -67,18 +67,18 @@
     /// Its newest load, from a report or an answer.
     pub load: Load,
     /// When that load came.
-    pub loaded_at: Time,
+    pub load_at: Time,
     /// Whether it fails.
-    pub health: Breaker,
+    pub breaker: Breaker,
     /// Requests of this daemon that may be in flight there.
     pub limit: Limit,
     /// Time that one request takes there.
-    pub service: ServiceTime,
+    pub service_time: ServiceTime,
     /// Whether it refused a request since it is leaving, in this incarnation.
     pub refused_leaving: bool,
     /// What it serves now, as last put into the index.
     pub(super) serves: Vec<Target>,
-    pub(super) flights: Vec<Flight>,
+    pub(super) attempts: Vec<Attempt>,
     pub(super) prefixes: HashMap<u64, u64>,
 }
 
@@ -89,16 +89,16 @@
             report: None,
             reported_at: Time(0),
             load: Load::default(),
-            loaded_at: Time(0),
-            health: Breaker::default(),
+            load_at: Time(0),
+            breaker: Breaker::default(),
             limit: Limit::new(
-                UNKNOWN_BATCH * START_PER_BATCH,
-                UNKNOWN_BATCH * MOST_PER_BATCH,
+                DEFAULT_BATCH * INITIAL_PER_BATCH,
+                DEFAULT_BATCH * MAX_PER_BATCH,
             ),
-            service: ServiceTime::default(),
+            service_time: ServiceTime::default(),
             refused_leaving: false,
             serves: Vec::new(),
-            flights: Vec::new(),
+            attempts: Vec::new(),
             prefixes: HashMap::new(),
         }
     }
@@ -110,11 +110,11 @@
 
     /// Requests of this daemon in flight there.
     pub fn in_flight(&self) -> u32 {
-        self.flights.len() as u32
+        self.attempts.len() as u32
     }
 
     /// Takes in a report, unless it is older than the newest of the same incarnation.
-    pub(super) fn take(&mut self, now: Time, report: Report) {
+    pub(super) fn record_report(&mut self, now: Time, report: Report) {
         if let Some(known) = &self.report {
             let same = known.incarnation == report.incarnation;
             if same && report.number < known.number {
@@ -131,13 +131,13 @@
             self.limit = limit(report.batch);
         }
         self.load = report.load;
-        self.loaded_at = now;
+        self.load_at = now;
         self.reported_at = now;
         self.report = Some(report);
     }
 
     /// What it can answer now.
-    pub(super) fn answers(&self) -> Vec<Target> {
+    pub(super) fn targets(&self) -> Vec<Target> {
         if let Kind::Service { service } = &self.host.kind {
             return vec![Target::Service(service.clone())];
         }
@@ -166,30 +166,30 @@
         distance: Span,
         prefix: Option<u64>,
     ) -> Candidate<'_> {
-        let age = choose::report_age(now, self.loaded_at, Span::ZERO);
-        let before = self.flights.partition_point(|f| f.sent <= self.loaded_at);
+        let age = choose::report_age(now, self.load_at, Span::ZERO);
+        let before = self.attempts.partition_point(|f| f.sent <= self.load_at);
         Candidate {
             upstream: &self.host.name,
             distance,
             reported: self.load.running + self.load.waiting,
             age,
-            sent_since: (self.flights.len() - before) as u32,
-            batch: self.report.as_ref().map_or(UNKNOWN_BATCH, |r| r.batch),
-            service_time: self.service.estimate(),
+            sent_since: (self.attempts.len() - before) as u32,
+            batch: self.report.as_ref().map_or(DEFAULT_BATCH, |r| r.batch),
+            service_time: self.service_time.estimate(),
             in_flight: self.in_flight(),
             limit: self.limit.allowed(),
-            breaker: self.health.state(now),
+            breaker: self.breaker.state(now),
             cached: prefix.is_some_and(|p| self.prefixes.contains_key(&p)),
         }
     }
 
     /// Takes in a cache event; a gap in the numbers forgets everything.
-    pub(super) fn cached(&mut self, number: u64, prefix: u64, held: bool) {
+    pub(super) fn record_cache_event(&mut self, number: u64, prefix: u64, held: bool) {
         if !held {
             self.prefixes.remove(&prefix);
             return;
         }
-        if self.prefixes.len() >= MOST_PREFIXES
+        if self.prefixes.len() >= MAX_PREFIXES
             && let Some(oldest) = self
                 .prefixes
                 .iter()
@@ -203,5 +203,5 @@
 }
 
 fn limit(batch: u32) -> Limit {
-    Limit::new(batch * START_PER_BATCH, batch * MOST_PER_BATCH)
+    Limit::new(batch * INITIAL_PER_BATCH, batch * MAX_PER_BATCH)
 }
--- a/crates/daemon/src/fleet/placed.rs
+++ b/crates/daemon/src/fleet/reservation.rs
@@ -9,44 +9,44 @@
 use upstream::engine::{Load, RefusalReason};
 
 /// Place of one attempt.
-pub struct Placed {
+pub struct Reservation {
     fleet: Option<Arc<Fleet>>,
     slot: usize,
-    flight: u64,
+    attempt: u64,
     /// The upstream.
     pub upstream: Name,
     /// Its address.
     pub addr: SocketAddr,
-    /// How the candidates were weighed.
-    pub weighed: Vec<Evaluation>,
+    /// How the candidates were evaluated.
+    pub evaluations: Vec<Evaluation>,
     /// When it was given.
-    pub at: Time,
+    pub reserved_at: Time,
 }
 
-impl Placed {
+impl Reservation {
     pub(super) fn new(
         fleet: Arc<Fleet>,
         slot: usize,
-        flight: u64,
+        attempt: u64,
         host: &Host,
-        weighed: Vec<Evaluation>,
-        at: Time,
-    ) -> Placed {
-        Placed {
+        evaluations: Vec<Evaluation>,
+        reserved_at: Time,
+    ) -> Reservation {
+        Reservation {
             fleet: Some(fleet),
             slot,
-            flight,
+            attempt,
             upstream: host.name.clone(),
             addr: host.addr,
-            weighed,
-            at,
+            evaluations,
+            reserved_at,
         }
     }
 
     /// Takes the place apart without giving it up.
-    pub(super) fn forget(mut self) -> (usize, u64) {
+    pub(super) fn into_parts(mut self) -> (usize, u64) {
         self.fleet = None;
-        (self.slot, self.flight)
+        (self.slot, self.attempt)
     }
 
     fn change(&self, change: impl FnOnce(Time, &mut super::Entry)) {
@@ -56,34 +56,34 @@
     }
 
     /// Notes the first sign of an answer: `delay` after sending, which should be within `target`.
-    pub fn answered(&self, delay: Span, target: Span) {
+    pub fn record_first_response(&self, delay: Span, target: Span) {
         self.change(|now, entry| {
-            entry.health.record_success();
+            entry.breaker.record_success();
             let in_flight = entry.in_flight();
             entry.limit.observe(now, in_flight, delay, target);
         });
     }
 
     /// Notes the end of a whole answer: its delay to the first sign, and its whole time.
-    pub fn ended(&self, first: Span, whole: Span, load: Option<Load>) {
+    pub fn record_completion(&self, first: Span, whole: Span, load: Option<Load>) {
         self.change(|_, entry| {
-            entry.health.record_success();
-            entry.service.record(first, whole);
+            entry.breaker.record_success();
+            entry.service_time.record(first, whole);
         });
         if let (Some(fleet), Some(load)) = (&self.fleet, load) {
-            fleet.loaded(self.slot, load);
+            fleet.record_load(self.slot, load);
         }
     }
 
     /// Notes a failure.
-    pub fn failed(&self) {
+    pub fn record_failure(&self) {
         self.change(|now, entry| {
-            entry.health.record_failure(now);
+            entry.breaker.record_failure(now);
         });
     }
 
     /// Notes a documented refusal.
-    pub fn refused(&self, cause: RefusalReason) {
+    pub fn record_refusal(&self, cause: RefusalReason) {
         self.change(|now, entry| match cause {
             RefusalReason::Leaving => entry.refused_leaving = true,
             RefusalReason::Full => entry.limit.decrease(now),
@@ -92,10 +92,10 @@
     }
 }
 
-impl Drop for Placed {
+impl Drop for Reservation {
     fn drop(&mut self) {
         if let Some(fleet) = self.fleet.take() {
-            fleet.release(self.slot, self.flight);
+            fleet.release(self.slot, self.attempt);
         }
     }
 }
--- a/crates/daemon/src/fleet/tables.rs
+++ b/crates/daemon/src/fleet/tables.rs
@@ -1,8 +1,8 @@
 //! The tables behind the fleet's mutex.
 
-use super::entry::{Entry, Flight, Target};
-use super::placed::Placed;
-use super::{Fleet, Grant, Want};
+use super::entry::{Attempt, Entry, Target};
+use super::reservation::Reservation;
+use super::{Acquired, Fleet, Request};
 use backing::hosts::{Host, Kind};
 use rand_chacha::ChaCha8Rng;
 use route::choose::{self, Candidate, Selection};
@@ -15,12 +15,12 @@
 use upstream::engine::{Cached, Load, Report};
 
 /// Delay assumed to a hall that the settings do not name.
-const FAR: Span = Span::from_ms(5);
+const DEFAULT_DISTANCE: Span = Span::from_ms(5);
 
 /// Request that waits, with the way to its owner.
 pub(super) struct Waiter {
-    pub(super) want: Want,
-    pub(super) sender: oneshot::Sender<Grant>,
+    pub(super) request: Request,
+    pub(super) sender: oneshot::Sender<Acquired>,
 }
 
 pub(super) struct Tables {
@@ -71,70 +71,82 @@
         self.upstreams.set_hosts(hosts);
     }
 
-    pub(super) fn reported(&mut self, now: Time, upstream: &str, report: Report) {
-        self.upstreams.reported(now, upstream, report);
+    pub(super) fn record_report(&mut self, now: Time, upstream: &str, report: Report) {
+        self.upstreams.record_report(now, upstream, report);
     }
 
-    pub(super) fn loaded(&mut self, now: Time, slot: usize, load: Load) {
+    pub(super) fn record_load(&mut self, now: Time, slot: usize, load: Load) {
         let entry = self.entry_mut(slot);
         entry.load = load;
-        entry.loaded_at = now;
+        entry.load_at = now;
     }
 
-    pub(super) fn cached(&mut self, upstream: &str, events: &[Cached]) {
+    pub(super) fn record_cache_events(&mut self, upstream: &str, events: &[Cached]) {
         if let Some(entry) = self.find_mut(upstream) {
             for event in events {
-                entry.cached(event.number, event.prefix, event.held);
+                entry.record_cache_event(event.number, event.prefix, event.held);
             }
         }
     }
 
-    pub(super) fn is_reachable(&self, target: &Target) -> bool {
+    pub(super) fn is_available(&self, target: &Target) -> bool {
         !self.upstreams.serving(target).is_empty()
     }
 
     /// Places a request now, unless others wait before it or there is no room.
-    pub(super) fn place_now(
+    pub(super) fn try_place(
         &mut self,
         fleet: &Arc<Fleet>,
         now: Time,
-        want: &Want,
-    ) -> Option<Placed> {
-        let waiting = self.queues.get(&want.target).is_some_and(|q| !q.is_empty());
+        request: &Request,
+    ) -> Option<Reservation> {
+        let waiting = self
+            .queues
+            .get(&request.target)
+            .is_some_and(|q| !q.is_empty());
         if waiting {
             return None;
         }
-        self.place(fleet, now, want)
+        self.place(fleet, now, request)
     }
 
-    fn place(&mut self, fleet: &Arc<Fleet>, now: Time, want: &Want) -> Option<Placed> {
-        let slots = self.upstreams.serving(&want.target);
-        let candidates = self.upstreams.candidates(now, &slots, want.ask.prefix);
-        let verdict = choose::choose(&want.ask, &candidates, &mut self.rng);
+    fn place(&mut self, fleet: &Arc<Fleet>, now: Time, request: &Request) -> Option<Reservation> {
+        let slots = self.upstreams.serving(&request.target);
+        let candidates = self
+            .upstreams
+            .candidates(now, &slots, request.criteria.prefix);
+        let verdict = choose::choose(&request.criteria, &candidates, &mut self.rng);
         let Selection::Take(taken) = verdict else {
             return None;
         };
-        let weighed = choose::evaluate(&want.ask, &candidates, taken);
+        let evaluations = choose::evaluate(&request.criteria, &candidates, taken);
         let slot = slots[taken];
-        let flight = self.take_off(now, slot);
+        let attempt = self.begin(now, slot);
         let host = &self.upstreams.entries[slot].host;
-        Some(Placed::new(fleet.clone(), slot, flight, host, weighed, now))
+        Some(Reservation::new(
+            fleet.clone(),
+            slot,
+            attempt,
+            host,
+            evaluations,
+            now,
+        ))
     }
 
-    fn take_off(&mut self, now: Time, slot: usize) -> u64 {
+    fn begin(&mut self, now: Time, slot: usize) -> u64 {
         self.next_flight += 1;
         let id = self.next_flight;
         let entry = self.entry_mut(slot);
-        entry.health.record_sent(now);
-        entry.flights.push(Flight { id, sent: now });
+        entry.breaker.record_sent(now);
+        entry.attempts.push(Attempt { id, sent: now });
         id
     }
 
     /// Takes a request out of those in flight.
-    pub(super) fn land(&mut self, slot: usize, flight: u64) {
+    pub(super) fn finish(&mut self, slot: usize, attempt: u64) {
         let entry = self.entry_mut(slot);
-        entry.flights.retain(|f| f.id != flight);
-        entry.health.record_inconclusive();
+        entry.attempts.retain(|f| f.id != attempt);
+        entry.breaker.record_inconclusive();
     }
 
     pub(super) fn queue(&mut self, target: &Target, most: usize) -> &mut Queue<Waiter> {
@@ -147,7 +159,7 @@
     }
 
     /// Serves requests that wait for what a slot answers, the first in rank first.
-    pub(super) fn pump(&mut self, fleet: &Arc<Fleet>, now: Time, slot: usize) {
+    pub(super) fn serve_waiting(&mut self, fleet: &Arc<Fleet>, now: Time, slot: usize) {
         let serves = self.upstreams.entries[slot].serves.clone();
         loop {
             let ranked = |target: &&Target| {
@@ -168,7 +180,7 @@
     }
 
     /// Serves all queues as far as there is room.
-    pub(super) fn pump_all(&mut self, fleet: &Arc<Fleet>, now: Time) {
+    pub(super) fn serve_all(&mut self, fleet: &Arc<Fleet>, now: Time) {
         self.queues.retain(|_, queue| !queue.is_empty());
         let targets: Vec<Target> = self.queues.keys().cloned().collect();
         for target in targets {
@@ -185,21 +197,21 @@
         let Some(first) = queue.peek(now) else {
             return false;
         };
-        let want = first.payload.want.clone();
-        let Some(placed) = self.place(fleet, now, &want) else {
+        let request = first.payload.request.clone();
+        let Some(placed) = self.place(fleet, now, &request) else {
             return false;
         };
         let ticket = self.queues.get_mut(target).and_then(|q| q.pop(now));
         let sent = ticket.map(|t| t.payload.sender.send(Ok(placed)));
         if let Some(Err(Ok(unused))) = sent {
             // Its owner has just gone; dropping the place here would take the lock we hold.
-            let (slot, flight) = unused.forget();
-            self.land(slot, flight);
+            let (slot, attempt) = unused.into_parts();
+            self.finish(slot, attempt);
         }
         true
     }
 
-    pub(super) fn stale(&self, now: Time, age: Span) -> Vec<(Name, SocketAddr)> {
+    pub(super) fn stale_reports(&self, now: Time, age: Span) -> Vec<(Name, SocketAddr)> {
         let mut stale: Vec<&Entry> = self
             .upstreams
             .entries
@@ -214,7 +226,7 @@
             .collect()
     }
 
-    pub(super) fn waiting(&self) -> Vec<(Target, usize)> {
+    pub(super) fn queue_lengths(&self) -> Vec<(Target, usize)> {
         let waiting = self.queues.iter().filter(|(_, q)| !q.is_empty());
         waiting.map(|(t, q)| (t.clone(), q.len())).collect()
     }
@@ -261,17 +273,17 @@
         self.reindex(slot);
     }
 
-    fn reported(&mut self, now: Time, upstream: &str, report: Report) {
+    fn record_report(&mut self, now: Time, upstream: &str, report: Report) {
         let Some(slot) = self.slots.get(upstream).copied() else {
             return;
         };
-        self.entries[slot].take(now, report);
+        self.entries[slot].record_report(now, report);
         self.reindex(slot);
     }
 
     /// Brings the index of targets up to what an upstream answers now.
     fn reindex(&mut self, slot: usize) {
-        let now = self.entries[slot].answers();
+        let now = self.entries[slot].targets();
         if now == self.entries[slot].serves {
             return;
         }
@@ -298,7 +310,10 @@
             let entry = &self.entries[*slot];
             let distance = match entry.host.hall == self.hall {
                 true => Span::ZERO,
-                false => *self.distance.get(&entry.host.hall).unwrap_or(&FAR),
+                false => *self
+                    .distance
+                    .get(&entry.host.hall)
+                    .unwrap_or(&DEFAULT_DISTANCE),
             };
             entry.candidate(now, distance, prefix)
         };
--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -93,7 +93,7 @@
         "coveford_bundle_sequence",
         core.active_bundle.sequence() as f64,
     );
-    let waiting: usize = core.fleet.waiting().iter().map(|(_, n)| n).sum();
+    let waiting: usize = core.fleet.queue_lengths().iter().map(|(_, n)| n).sum();
     gauge("coveford_waiting", waiting as f64);
     core.metrics.render()
 }
--- a/crates/daemon/src/operator/status.rs
+++ b/crates/daemon/src/operator/status.rs
@@ -121,7 +121,7 @@
         name: entry.host.name.clone(),
         hall: entry.host.hall.clone(),
         leaving: entry.is_leaving(),
-        ejected: matches!(entry.health.state(now), breaker::State::Open(_)),
+        ejected: matches!(entry.breaker.state(now), breaker::State::Open(_)),
         report_age: now.since(entry.reported_at),
         memory: report.map(|r| r.memory).unwrap_or_default(),
         taken: report
@@ -162,7 +162,7 @@
             }
         }
     }
-    for (target, n) in core.fleet.waiting() {
+    for (target, n) in core.fleet.queue_lengths() {
         if let Target::Model { model, .. } = target
             && let Some(found) = models.get_mut(&model)
         {
--- a/crates/daemon/src/planner.rs
+++ b/crates/daemon/src/planner.rs
@@ -299,7 +299,7 @@
         let Some(report) = &entry.report else {
             continue;
         };
-        let service = entry.service.estimate();
+        let service = entry.service_time.estimate();
         if service == Span::ZERO {
             continue;
         }
--- a/crates/daemon/src/polling.rs
+++ b/crates/daemon/src/polling.rs
@@ -76,7 +76,7 @@
     looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         looks.tick().await;
-        let stale = core.fleet.stale(settings.every);
+        let stale = core.fleet.stale_reports(settings.every);
         for (name, addr) in stale.into_iter().take(each as usize) {
             if polls.lock().busy.insert(name.clone()) {
                 tokio::spawn(poll(core.clone(), polls.clone(), name, addr));
@@ -94,7 +94,7 @@
         Ok(poll) => {
             polls.kept.insert(name, poll);
         }
-        Err(_) => core.fleet.unanswered(&name),
+        Err(_) => core.fleet.record_poll_failure(&name),
     }
 }
 
@@ -112,11 +112,11 @@
         },
     };
     let report = poll.orders.report().await?;
-    core.fleet.reported(name, report);
+    core.fleet.record_report(name, report);
     let events = poll.orders.cache(poll.cache_after).await?;
     if let Some(last) = events.last() {
         poll.cache_after = last.number;
-        core.fleet.cached(name, &events);
+        core.fleet.record_cache_events(name, &events);
     }
     Ok(poll)
 }
--- a/crates/standin/src/fleet.rs
+++ b/crates/standin/src/fleet.rs
@@ -282,7 +282,7 @@
             let adapters = adapters.map(|(a, e)| (e.model.clone(), Some(a.clone())));
             let reachable = |(model, adapter)| {
                 let target = daemon::fleet::Target::Model { model, adapter };
-                core.fleet.is_reachable(&target)
+                core.fleet.is_available(&target)
             };
             current.head.sequence >= sequence && models.chain(adapters).all(reachable)
         })
