--- a/crates/standin/src/experiment/platform.rs
+++ b/crates/standin/src/experiment/platform.rs
@@ -6,8 +6,8 @@
 use front::message::{Digest, Load, Message, PackedLoad, encode};
 use front::table::{Criteria, Table};
 use place::copies::{self, Model, Replica};
-use platform::ingress::{Ask, Part};
-use platform::replica::{Entry, Held};
+use platform::ingress::{Metadata, Segment};
+use platform::replica::{Entry, Resident};
 use std::hint::black_box;
 use std::io;
 use std::time::{Duration, Instant};
@@ -48,7 +48,7 @@
 }
 
 fn entry(n: usize, models: usize) -> Entry {
-    let held = |m: usize| Held {
+    let held = |m: usize| Resident {
         model: format!("model-{:04}", m % models).into(),
         version: 1,
         adapters: Vec::new(),
@@ -60,12 +60,12 @@
         hall: "a".into(),
         slots: 32,
         leaving: false,
-        leaves_in: None,
-        held: vec![held(n), held(n + 1), held(n + 7)],
+        departs_in: None,
+        resident: vec![held(n), held(n + 1), held(n + 7)],
         in_memory: Vec::new(),
         on_disk: Vec::new(),
         incarnation: None,
-        beat: 1,
+        sequence: 1,
     }
 }
 
@@ -78,18 +78,18 @@
         table.view.put(entry(n, models), n as u64 + 1);
     }
     let memory = (allocated() - before) as f64;
-    let ask = Ask {
+    let ask = Metadata {
         model: Some("model-0002".into()),
-        prompt: 1_460,
-        most_output: 200,
-        parts: vec![
-            Part { id: 1, tokens: 350 },
-            Part {
+        prompt_tokens: 1_460,
+        max_output_tokens: 200,
+        segments: vec![
+            Segment { id: 1, tokens: 350 },
+            Segment {
                 id: 2,
                 tokens: 1_110,
             },
         ],
-        ..Ask::default()
+        ..Metadata::default()
     };
     let service: Name = "llm".into();
     let want = Criteria {
