--- a/crates/standin/src/experiment/slopes/points.rs
+++ b/crates/standin/src/experiment/slopes/points.rs
@@ -242,7 +242,7 @@
                 };
                 (weights, Bytes::from_gb(8))
             });
-            table.reported(&host.name, report(held.collect()));
+            table.record_report(&host.name, report(held.collect()));
         }
         table
     })
