--- a/crates/daemon/src/core.rs
+++ b/crates/daemon/src/core.rs
@@ -72,7 +72,7 @@
     let start = crate::clock::wall_ms();
     let seed = rendezvous::hash(format!("{} {start}", settings.name).as_bytes());
     let distance = settings.distance.clone();
-    let units = settings.limits.bodies.0 / BODY_UNIT;
+    let units = settings.limits.body_memory.0 / BODY_UNIT;
     Arc::new(Core {
         clock,
         active_bundle: active_bundle::open(settings.trust.clone()),
--- a/crates/daemon/src/entry/answer.rs
+++ b/crates/daemon/src/entry/answer.rs
@@ -138,7 +138,7 @@
 
     /// Time that the next token may take.
     fn token_limit(&self) -> Duration {
-        let stall = self.core.settings.limits.stall;
+        let stall = self.core.settings.limits.stall_timeout;
         if self.first_at.is_some() {
             return stall.std();
         }
@@ -305,7 +305,7 @@
         let offset = running.stream.offset();
         let mut run = run(&self.ask, running.attempt.clone());
         run.resume_at = Some(offset);
-        let limit = self.core.settings.limits.stall.std();
+        let limit = self.core.settings.limits.stall_timeout.std();
         let addr = running.placed.addr;
         // A resumption starts nothing, so what failed to reach the engine is still lost, not "not run".
         let resumed = engine::start(&self.core.pool, addr, Reuse::Fresh, &run, limit).await;
@@ -403,7 +403,7 @@
     async fn take_up(&mut self, placed: Reservation, attempt: Attempt) -> bool {
         let mut run = run(&self.ask, attempt.clone());
         run.resume_at = Some(self.tokens);
-        let limit = self.core.settings.limits.stall.std();
+        let limit = self.core.settings.limits.stall_timeout.std();
         let taken = engine::start(&self.core.pool, placed.addr, Reuse::Fresh, &run, limit).await;
         let Ok(stream) = taken else {
             return false;
--- a/crates/daemon/src/polling.rs
+++ b/crates/daemon/src/polling.rs
@@ -69,14 +69,14 @@
 /// nobody else's poll.
 pub async fn reports(core: Arc<Core>) {
     let settings = core.settings.reports;
-    let each =
-        (u64::from(settings.per_second) * REPORTS_INTERVAL.as_millis() as u64).div_ceil(1_000);
+    let each = (u64::from(settings.polls_per_second) * REPORTS_INTERVAL.as_millis() as u64)
+        .div_ceil(1_000);
     let polls: Arc<Mutex<Connections>> = Arc::default();
     let mut looks = interval(REPORTS_INTERVAL);
     looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         looks.tick().await;
-        let stale = core.fleet.stale_reports(settings.every);
+        let stale = core.fleet.stale_reports(settings.poll_interval);
         for (name, addr) in stale.into_iter().take(each as usize) {
             if polls.lock().busy.insert(name.clone()) {
                 tokio::spawn(poll(core.clone(), polls.clone(), name, addr));
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -75,8 +75,8 @@
 
 /// Starts a daemon and returns once it listens.
 pub async fn spawn(settings: Settings) -> Result<Daemon, Error> {
-    let callers = listen(settings.callers).await?;
-    let operators = listen(settings.operator).await?;
+    let callers = listen(settings.caller_addr).await?;
+    let operators = listen(settings.operator_addr).await?;
     let core = core::open(settings);
     let most = core.settings.limits.connections;
     let callers = {
@@ -131,13 +131,13 @@
     pub async fn drain(mut self) -> Result<(), Error> {
         let settings = &self.core.settings;
         self.core.set_draining();
-        info!(target: "daemon", "draining: readiness fails now, connections are refused in {}", settings.grace);
-        tokio::time::sleep(settings.grace.std()).await;
-        let left = self.callers.drain(settings.drain.std()).await;
+        info!(target: "daemon", "draining: readiness fails now, connections are refused in {}", settings.drain_delay);
+        tokio::time::sleep(settings.drain_delay.std()).await;
+        let left = self.callers.drain(settings.drain_timeout.std()).await;
         self.tasks.shutdown().await;
         self.operators.cut();
         if left > 0 {
-            let bound = settings.drain;
+            let bound = settings.drain_timeout;
             return CutSnafu { left, bound }.fail();
         }
         info!(target: "daemon", "drained: no request was cut");
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -18,13 +18,13 @@
     /// Data hall it stands in.
     pub hall: Name,
     /// Where it answers callers.
-    pub callers: SocketAddr,
+    pub caller_addr: SocketAddr,
     /// Where it answers operators and other daemons.
-    pub operator: SocketAddr,
+    pub operator_addr: SocketAddr,
     /// Longest time that requests in flight have to end when the daemon stops.
-    pub drain: Span,
+    pub drain_timeout: Span,
     /// Time between failing readiness and refusing connections, for the balancer to notice.
-    pub grace: Span,
+    pub drain_delay: Span,
     /// Key-value service, one or more addresses.
     pub kv: Vec<SocketAddr>,
     /// Host list.
@@ -53,18 +53,18 @@
     /// Open connections of callers.
     pub connections: usize,
     /// Memory of request bodies held at once.
-    pub bodies: Bytes,
+    pub body_memory: Bytes,
     /// Time without a token after which a stream is held to be lost.
-    pub stall: Span,
+    pub stall_timeout: Span,
 }
 
 /// How upstreams' reports are had.
 #[derive(Debug, Clone, Copy)]
 pub struct Reports {
     /// Time between two polls of an upstream whose reports do not ride on answers.
-    pub every: Span,
+    pub poll_interval: Span,
     /// Polls a second in all, so that control traffic does not grow with the fleet.
-    pub per_second: u32,
+    pub polls_per_second: u32,
     /// Age a report has already when it comes.
     pub lag: Span,
 }
@@ -101,7 +101,7 @@
 }
 
 /// Sections a settings file may have.
-const KINDS: &str =
+const SECTIONS: &str =
     "daemon, platform, wire, approvals, operator NAME, limits, reports, planner, distance, log";
 
 /// Reads settings from a file.
@@ -114,8 +114,8 @@
 pub fn read(file: &str, text: &str) -> Result<Settings, Vec<Problem>> {
     let mut problems = Problems::new(file);
     let document = ini::parse(text, &mut problems);
-    check_kinds(&document, &mut problems);
-    let settings = assemble(&document, &mut problems);
+    check_sections(&document, &mut problems);
+    let settings = read_document(&document, &mut problems);
     let settings = problems.into_result(settings)?;
     Ok(settings.expect("settings without a problem are whole"))
 }
@@ -146,7 +146,7 @@
 pub fn read_tool(file: &str, text: &str) -> Result<Tool, Vec<Problem>> {
     let mut problems = Problems::new(file);
     let document = ini::parse(text, &mut problems);
-    check_kinds(&document, &mut problems);
+    check_sections(&document, &mut problems);
     let platform = read_platform(&document.section("platform"), &mut problems);
     let wire_key = read_wire(&document.section("wire"), &mut problems);
     let approvals = document.section("approvals");
@@ -167,7 +167,7 @@
     sections.filter(|s| &*s.kind == "operator").collect()
 }
 
-fn check_kinds(document: &Document, problems: &mut Problems) {
+fn check_sections(document: &Document, problems: &mut Problems) {
     let mut lines: BTreeMap<String, u32> = BTreeMap::new();
     for section in &document.sections {
         let known = match &*section.kind {
@@ -180,7 +180,7 @@
         if !known {
             problems.add(
                 section.line,
-                format!("[{header}] is not a section of the settings; known are: {KINDS}."),
+                format!("[{header}] is not a section of the settings; known are: {SECTIONS}."),
             );
         }
         if let Some(first) = lines.insert(header.clone(), section.line) {
@@ -192,7 +192,7 @@
     }
 }
 
-fn assemble(document: &Document, problems: &mut Problems) -> Option<Settings> {
+fn read_document(document: &Document, problems: &mut Problems) -> Option<Settings> {
     let find = |kind: &str| document.section(kind);
     let host = read_host(&find("daemon"), problems);
     let platform = read_platform(&find("platform"), problems);
@@ -207,10 +207,10 @@
     Some(Settings {
         name: host.name,
         hall: host.hall,
-        callers: host.callers,
-        operator: host.operator,
-        drain: host.drain,
-        grace: host.grace,
+        caller_addr: host.caller_addr,
+        operator_addr: host.operator_addr,
+        drain_timeout: host.drain_timeout,
+        drain_delay: host.drain_delay,
         kv: platform.kv,
         hosts: platform.hosts,
         call_limit: platform.call_limit,
@@ -227,29 +227,29 @@
 struct Host {
     name: Name,
     hall: Name,
-    callers: SocketAddr,
-    operator: SocketAddr,
-    drain: Span,
-    grace: Span,
+    caller_addr: SocketAddr,
+    operator_addr: SocketAddr,
+    drain_timeout: Span,
+    drain_delay: Span,
 }
 
 fn read_host(section: &Section, problems: &mut Problems) -> Option<Host> {
     let mut fields = Fields::new(section, problems);
     let name = fields.required("name");
     let hall = fields.required("hall");
-    let callers = address(&mut fields, "callers");
-    let operator = address(&mut fields, "operator");
+    let caller_addr = address(&mut fields, "callers");
+    let operator_addr = address(&mut fields, "operator");
     let hour = Span::from_secs(3_600);
-    let drain = fields.value("drain", Span::from_secs(600), Span::from_ms(1)..=hour);
-    let grace = fields.value("grace", Span::from_secs(2), Span::ZERO..=hour);
+    let drain_timeout = fields.value("drain", Span::from_secs(600), Span::from_ms(1)..=hour);
+    let drain_delay = fields.value("grace", Span::from_secs(2), Span::ZERO..=hour);
     fields.finish();
     Some(Host {
         name: name?,
         hall: hall?,
-        callers: callers?,
-        operator: operator?,
-        drain,
-        grace,
+        caller_addr: caller_addr?,
+        operator_addr: operator_addr?,
+        drain_timeout,
+        drain_delay,
     })
 }
 
@@ -267,13 +267,13 @@
     }
 }
 
-struct Services {
+struct Platform {
     kv: Vec<SocketAddr>,
     hosts: SocketAddr,
     call_limit: Span,
 }
 
-fn read_platform(section: &Section, problems: &mut Problems) -> Option<Services> {
+fn read_platform(section: &Section, problems: &mut Problems) -> Option<Platform> {
     let mut fields = Fields::new(section, problems);
     let texts = match fields.required("kv") {
         Some(_) => fields.list("kv"),
@@ -290,7 +290,7 @@
     let bounds = Span::from_ms(10)..=Span::from_secs(60);
     let call_limit = fields.value("call_limit", Span::from_secs(1), bounds);
     fields.finish();
-    Some(Services {
+    Some(Platform {
         kv,
         hosts: hosts?,
         call_limit,
@@ -344,12 +344,12 @@
     let mut fields = Fields::new(section, problems);
     let limits = Limits {
         connections: fields.value("connections", 10_000, 1..=1_000_000),
-        bodies: fields.value(
+        body_memory: fields.value(
             "bodies",
             Bytes::from_mb(64),
             Bytes::from_mb(1)..=Bytes::from_gb(64),
         ),
-        stall: fields.value(
+        stall_timeout: fields.value(
             "stall",
             Span::from_secs(5),
             Span::from_ms(10)..=Span::from_secs(600),
@@ -361,11 +361,11 @@
 
 fn read_reports(section: &Section, problems: &mut Problems) -> Reports {
     let mut fields = Fields::new(section, problems);
-    let (least, most) = (Span::from_ms(10), Span::from_secs(60));
+    let (min, max) = (Span::from_ms(10), Span::from_secs(60));
     let reports = Reports {
-        every: fields.value("every", Span::from_ms(500), least..=most),
-        per_second: fields.value("per_second", 50, 1..=10_000),
-        lag: fields.value("lag", Span::from_ms(500), Span::ZERO..=most),
+        poll_interval: fields.value("every", Span::from_ms(500), min..=max),
+        polls_per_second: fields.value("per_second", 50, 1..=10_000),
+        lag: fields.value("lag", Span::from_ms(500), Span::ZERO..=max),
     };
     fields.finish();
     reports
@@ -373,12 +373,12 @@
 
 fn read_planner(section: &Section, problems: &mut Problems) -> Planner {
     let mut fields = Fields::new(section, problems);
-    let (least, most) = (Span::from_ms(10), Span::from_secs(600));
+    let (min, max) = (Span::from_ms(10), Span::from_secs(600));
     let default = Capacity::default();
     let planner = Planner {
-        tick: fields.value("tick", Span::from_secs(1), least..=most),
-        lease: fields.value("lease", Span::from_secs(5), Span::from_ms(100)..=most),
-        order_limit: fields.value("order_limit", Span::from_secs(2), least..=most),
+        tick: fields.value("tick", Span::from_secs(1), min..=max),
+        lease: fields.value("lease", Span::from_secs(5), Span::from_ms(100)..=max),
+        order_limit: fields.value("order_limit", Span::from_secs(2), min..=max),
         store: Capacity {
             loads_per_second: fields.value(
                 "loads_per_second",
--- a/crates/standin/src/fleet.rs
+++ b/crates/standin/src/fleet.rs
@@ -246,8 +246,8 @@
         let read = settings::read(&format!("{name}.ini"), &text);
         let mut settings = read.map_err(|problems| io::Error::other(format!("{problems:?}")))?;
         // In one process the system may choose ports itself: none is taken in between.
-        settings.callers.set_port(0);
-        settings.operator.set_port(0);
+        settings.caller_addr.set_port(0);
+        settings.operator_addr.set_port(0);
         Ok(settings)
     }
 
