--- a/crates/daemon/src/core.rs
+++ b/crates/daemon/src/core.rs
@@ -1,14 +1,14 @@
 //! Shared state of a daemon.
 
+use crate::active_bundle::{self, ActiveBundle, Bundle};
 use crate::claim;
 use crate::clock::Clock;
+use crate::distribution::Freshness;
 use crate::fleet::{self, Fleet};
-use crate::force::{self, Force, InForce};
 use crate::metrics::{self, Metrics};
-use crate::planner::Planned;
+use crate::planner::StatusCell;
+use crate::request_log::RequestLog;
 use crate::settings::Settings;
-use crate::spread::Confirmed;
-use crate::teller::Teller;
 use backing::hosts::{Host, Hosts, Kind};
 use backing::kv::Kv;
 use conn::Pool;
@@ -30,7 +30,7 @@
     pub settings: Settings,
     pub clock: Clock,
     /// Bundle in force.
-    pub force: Force,
+    pub active_bundle: ActiveBundle,
     /// Upstreams, and queues of requests for them.
     pub fleet: Arc<Fleet>,
     /// Client of the key-value service.
@@ -41,15 +41,15 @@
     pub pool: Pool,
     pub metrics: Metrics,
     /// Records of requests, which explain their routing.
-    pub teller: Teller,
+    pub request_log: RequestLog,
     /// All daemons in the host list, including this one.
     pub peers: RwLock<Vec<Host>>,
     /// Memory for request bodies, in units of [`BODY_UNIT`].
     pub body_memory: Arc<Semaphore>,
     /// Progress of the propagation of bundles.
-    pub confirmed: Confirmed,
+    pub freshness: Freshness,
     /// Last result of the planner, if this host holds its hall's lease.
-    pub planned: Planned,
+    pub planner_status: StatusCell,
     /// Notified when another process requests that this daemon drains and exits.
     pub shutdown: Notify,
     /// Lease that claims on idempotency keys share.
@@ -70,20 +70,20 @@
     let start = crate::clock::wall_ms();
     let seed = rendezvous::hash(format!("{} {start}", settings.name).as_bytes());
     let distance = settings.distance.clone();
-    let units = settings.limits.bodies.0 / BODY_UNIT;
+    let units = settings.limits.body_memory.0 / BODY_UNIT;
     Arc::new(Core {
         clock,
-        force: force::open(settings.trust.clone()),
+        active_bundle: active_bundle::open(settings.trust.clone()),
         fleet: fleet::open(clock, seed, settings.hall.clone(), distance),
         kv: backing::kv::open(&settings.kv, call_limit),
         hosts: backing::hosts::open(settings.hosts, call_limit),
         pool: Pool::default(),
         metrics: metrics::open(),
-        teller: Teller::default(),
+        request_log: RequestLog::default(),
         peers: RwLock::default(),
         body_memory: Arc::new(Semaphore::new(units as usize)),
-        confirmed: Confirmed::default(),
-        planned: Planned::default(),
+        freshness: Freshness::default(),
+        planner_status: StatusCell::default(),
         shutdown: Notify::new(),
         claim_lease: claim::Lease::default(),
         demand: Mutex::default(),
@@ -108,8 +108,8 @@
         self.clock.now()
     }
 
-    pub fn in_force(&self) -> Option<Arc<InForce>> {
-        self.force.current()
+    pub fn in_force(&self) -> Option<Arc<Bundle>> {
+        self.active_bundle.current()
     }
 
     pub fn is_draining(&self) -> bool {
@@ -153,7 +153,7 @@
     pub fn demands(&self) -> Vec<wire::Demand> {
         let waiting: HashMap<Name, usize> = self
             .fleet
-            .waiting()
+            .queue_lengths()
             .into_iter()
             .map(|(target, n)| (target.to_string().into(), n))
             .collect();
--- a/crates/daemon/src/entry/generation.rs
+++ b/crates/daemon/src/entry/generation.rs
@@ -3,9 +3,9 @@
 use super::error::ApiError;
 use super::request::Completion;
 use crate::core::{Core, InFlight};
-use crate::fleet::{Placed, Placeless, Target};
+use crate::fleet::{AcquireError, Reservation, Target};
 use crate::metrics::{Class as ClassMetrics, record};
-use crate::teller::Decision;
+use crate::request_log::Decision;
 use conn::Reuse;
 use route::choose;
 use route::queue::Rejection;
@@ -33,7 +33,7 @@
 /// Attempt with an open stream.
 struct ActiveAttempt {
     stream: Stream,
-    placed: Placed,
+    placed: Reservation,
     attempt: Attempt,
 }
 
@@ -143,7 +143,7 @@
 
     /// Timeout for the next token.
     fn token_timeout(&self) -> Duration {
-        let stall = self.core.settings.limits.stall;
+        let stall = self.core.settings.limits.stall_timeout;
         if self.first_token_at.is_some() {
             return stall.std();
         }
@@ -167,10 +167,10 @@
                 let delay = now.since(self.completion.meta.arrived);
                 record(&self.class_metrics.ttft, delay);
                 if let Some(active) = &self.active {
-                    let delay = now.since(active.placed.at);
+                    let delay = now.since(active.placed.reserved_at);
                     active
                         .placed
-                        .answered(delay, self.completion.meta.class.first_token);
+                        .record_first_response(delay, self.completion.meta.class.first_token);
                 }
             }
             Some(_) => {
@@ -203,13 +203,17 @@
             false => self.class_metrics.missed.increment(1),
         }
         let reason = format!("{} tokens were handed on.", self.tokens);
-        self.core.teller.ended(&meta.id, Outcome::Complete, &reason);
+        self.core
+            .request_log
+            .record_outcome(&meta.id, Outcome::Complete, &reason);
         if let Some(active) = self.active.take() {
-            self.core.teller.attempt_ended(&meta.id, "whole.");
-            let elapsed = self.core.now().since(active.placed.at);
-            let ttft = self.first_token_at.unwrap_or(active.placed.at);
-            let ttft = ttft.since(active.placed.at);
-            active.placed.ended(ttft, elapsed, Some(end.load));
+            self.core.request_log.record_attempt_end(&meta.id, "whole.");
+            let elapsed = self.core.now().since(active.placed.reserved_at);
+            let ttft = self.first_token_at.unwrap_or(active.placed.reserved_at);
+            let ttft = ttft.since(active.placed.reserved_at);
+            active
+                .placed
+                .record_completion(ttft, elapsed, Some(end.load));
             count_dropped(&self.core, &active.stream);
             active.stream.finish().await;
         }
@@ -272,7 +276,7 @@
         let placed = self.active.as_ref().map(|active| &active.placed);
         let (kind, text) = match failure {
             Failure::Unsent(e) => {
-                placed.inspect(|p| p.failed());
+                placed.inspect(|p| p.record_failure());
                 (retry::Failure::NotRun, format!("not run: {e}"))
             }
             Failure::Refused(RefusalReason::Unknown) => (
@@ -280,21 +284,21 @@
                 "lost: the engine does not know the stream any more".into(),
             ),
             Failure::Refused(reason) => {
-                placed.inspect(|p| p.refused(reason));
+                placed.inspect(|p| p.record_refusal(reason));
                 (
                     retry::Failure::NotRun,
                     format!("not run: the engine refused ({reason:?})"),
                 )
             }
             Failure::Lost(reason) => {
-                placed.inspect(|p| p.failed());
+                placed.inspect(|p| p.record_failure());
                 (retry::Failure::Lost, format!("lost: {reason}"))
             }
         };
         self.may_have_run |= kind != retry::Failure::NotRun;
         self.core
-            .teller
-            .attempt_ended(&self.completion.meta.id, &text);
+            .request_log
+            .record_attempt_end(&self.completion.meta.id, &text);
         (kind, text)
     }
 
@@ -309,7 +313,7 @@
         let offset = active.stream.offset();
         let mut run = engine_run(&self.completion, active.attempt.clone());
         run.resume_at = Some(offset);
-        let limit = self.core.settings.limits.stall.std();
+        let limit = self.core.settings.limits.stall_timeout.std();
         let addr = active.placed.addr;
         // The attempt runs already, so a failure to reach the engine means lost, not "not run".
         let resumed = engine::start(&self.core.pool, addr, Reuse::Fresh, &run, limit).await;
@@ -374,13 +378,13 @@
     async fn handle_failed_start(
         &mut self,
         failure: Failure,
-        placed: Placed,
+        placed: Reservation,
         attempt: Attempt,
     ) -> Result<bool, ApiError> {
         let is_lost = matches!(failure, Failure::Lost(_));
         match &failure {
-            Failure::Refused(reason) => placed.refused(*reason),
-            _ => placed.failed(),
+            Failure::Refused(reason) => placed.record_refusal(*reason),
+            _ => placed.record_failure(),
         }
         let (kind, text) = self.record_failure(failure);
         let resumed = is_lost && self.try_resume(placed, attempt).await;
@@ -405,10 +409,10 @@
     }
 
     /// Tries to resume a stream whose response headers were lost, since the engine may be running it.
-    async fn try_resume(&mut self, placed: Placed, attempt: Attempt) -> bool {
+    async fn try_resume(&mut self, placed: Reservation, attempt: Attempt) -> bool {
         let mut run = engine_run(&self.completion, attempt.clone());
         run.resume_at = Some(self.tokens);
-        let limit = self.core.settings.limits.stall.std();
+        let limit = self.core.settings.limits.stall_timeout.std();
         let resumed = engine::start(&self.core.pool, placed.addr, Reuse::Fresh, &run, limit).await;
         let Ok(stream) = resumed else {
             return false;
@@ -422,7 +426,7 @@
         true
     }
 
-    async fn place(&mut self) -> Result<Placed, ApiError> {
+    async fn place(&mut self) -> Result<Reservation, ApiError> {
         let meta = &self.completion.meta;
         let target = Target::Model {
             model: self.completion.model.clone(),
@@ -442,25 +446,25 @@
         let waited = self.core.now().since(queued_at);
         record(&self.class_metrics.queue_time, waited);
         self.core
-            .teller
-            .change(&meta.id, |record| record.waited += waited);
+            .request_log
+            .update(&meta.id, |record| record.waited += waited);
         placed.map_err(|placeless| self.placement_error(placeless))
     }
 
-    fn placement_error(&mut self, placeless: Placeless) -> ApiError {
+    fn placement_error(&mut self, placeless: AcquireError) -> ApiError {
         let outcome = self.outcome_without_answer();
         let (code, message, retry_after) = match placeless {
-            Placeless::Shed(Rejection::Full) => (
+            AcquireError::Rejected(Rejection::Full) => (
                 "overloaded",
                 "The queue is full of requests that go before this one.",
                 REJECTED_RETRY_AFTER,
             ),
-            Placeless::Shed(Rejection::Expired) => (
+            AcquireError::Rejected(Rejection::Expired) => (
                 "too_late",
                 "The request cannot be answered before its deadline.",
                 REJECTED_RETRY_AFTER,
             ),
-            Placeless::Absent => (
+            AcquireError::Unavailable => (
                 "model_not_ready",
                 "No upstream holds this model ready at the moment.",
                 UNAVAILABLE_RETRY_AFTER,
@@ -478,16 +482,16 @@
         }
     }
 
-    fn record_decision(&self, placed: &Placed) {
+    fn record_decision(&self, placed: &Reservation) {
         let meta = &self.completion.meta;
         let decision = Decision {
             after: self.core.now().since(meta.arrived),
             attempt: self.attempts,
             upstream: placed.upstream.clone(),
-            weighed: placed.weighed.clone(),
+            weighed: placed.evaluations.clone(),
             ended: String::new(),
         };
-        self.core.teller.decided(&meta.id, decision);
+        self.core.request_log.record_decision(&meta.id, decision);
     }
 
     fn fail(&mut self, outcome: Outcome, text: String) -> ApiError {
@@ -502,8 +506,8 @@
         self.class_metrics.record_outcome(outcome);
         self.class_metrics.missed.increment(1);
         self.core
-            .teller
-            .ended(&self.completion.meta.id, outcome, text);
+            .request_log
+            .record_outcome(&self.completion.meta.id, outcome, text);
     }
 }
 
--- a/crates/daemon/src/entry/idempotency.rs
+++ b/crates/daemon/src/entry/idempotency.rs
@@ -38,7 +38,7 @@
         }
         Ok(replay) => {
             counter("replayed").increment(1);
-            core.teller.ended(
+            core.request_log.record_outcome(
                 &meta.id,
                 Outcome::Complete,
                 "The first sending's answer was given again.",
@@ -47,7 +47,8 @@
         }
         Err(error) => {
             counter("refused").increment(1);
-            core.teller.ended(&meta.id, Outcome::NotRun, &error.message);
+            core.request_log
+                .record_outcome(&meta.id, Outcome::NotRun, &error.message);
             Err(error)
         }
     }
--- a/crates/daemon/src/entry/request.rs
+++ b/crates/daemon/src/entry/request.rs
@@ -2,8 +2,8 @@
 
 use super::error::ApiError;
 use super::{CLASS_HEADER, IDEMPOTENCY_HEADER, UNREPEATABLE_HEADER};
-use crate::fleet::{Target, Want};
-use crate::force::InForce;
+use crate::active_bundle::Bundle;
+use crate::fleet::{self, Target};
 use bundle::intent::{Caller, Class};
 use hyper::{HeaderMap, StatusCode};
 use route::choose;
@@ -58,7 +58,7 @@
     pub idempotency_key: Option<Name>,
     pub arrived: Time,
     /// Bundle in force at arrival; it applies until the request ends.
-    pub bundle: Arc<InForce>,
+    pub bundle: Arc<Bundle>,
 }
 
 impl Metadata {
@@ -68,15 +68,15 @@
     }
 
     /// Criteria for the placement of this request.
-    pub fn want(&self, target: Target, request: choose::Request) -> Want {
-        Want {
+    pub fn want(&self, target: Target, request: choose::Request) -> fleet::Request {
+        fleet::Request {
             target,
             caller: self.caller.clone(),
             weight: self.weight,
             priority: self.class.priority,
             arrived: self.arrived,
             deadline: self.deadline(),
-            ask: request,
+            criteria: request,
         }
     }
 }
@@ -139,7 +139,7 @@
 /// Returns the caller of the API key in the `Authorization` header.
 pub fn authenticate<'a>(
     headers: &HeaderMap,
-    bundle: &'a InForce,
+    bundle: &'a Bundle,
 ) -> Result<(&'a Name, &'a Caller), ApiError> {
     let unauthorized = |message: &str| {
         ApiError::client_error(StatusCode::UNAUTHORIZED, "invalid_api_key", message)
@@ -181,7 +181,7 @@
 /// the model or service.
 pub fn class<'a>(
     headers: &HeaderMap,
-    bundle: &'a InForce,
+    bundle: &'a Bundle,
     caller: &Caller,
     default_class: &'a Name,
 ) -> Result<(&'a Name, &'a Class), ApiError> {
--- a/crates/daemon/src/entry/respond.rs
+++ b/crates/daemon/src/entry/respond.rs
@@ -3,7 +3,7 @@
 use super::error::ApiError;
 use super::request;
 use super::{OUTCOME_HEADER, REQUEST_HEADER};
-use crate::force::InForce;
+use crate::active_bundle::Bundle;
 use bytes::Bytes;
 use http_body_util::combinators::UnsyncBoxBody;
 use http_body_util::{BodyExt, Full};
@@ -21,7 +21,7 @@
 const SHOULD_RETRY: &str = "x-should-retry";
 
 /// Names of the models and adapters that the authenticated caller may use.
-pub(super) fn accessible_models(headers: &HeaderMap, bundle: &InForce) -> Vec<Name> {
+pub(super) fn accessible_models(headers: &HeaderMap, bundle: &Bundle) -> Vec<Name> {
     let Ok((_, caller)) = request::authenticate(headers, bundle) else {
         return Vec::new();
     };
@@ -34,7 +34,7 @@
     json!({"id": name, "object": "model", "created": 0, "owned_by": "coveford"})
 }
 
-pub(super) fn list_models(id: &Name, headers: &HeaderMap, bundle: &InForce) -> Response<Body> {
+pub(super) fn list_models(id: &Name, headers: &HeaderMap, bundle: &Bundle) -> Response<Body> {
     let data: Vec<_> = accessible_models(headers, bundle)
         .iter()
         .map(|n| model_object(n))
@@ -47,7 +47,7 @@
     id: &Name,
     name: &str,
     headers: &HeaderMap,
-    bundle: &InForce,
+    bundle: &Bundle,
 ) -> Result<Response<Body>, ApiError> {
     if accessible_models(headers, bundle)
         .iter()
--- a/crates/daemon/src/entry/serve.rs
+++ b/crates/daemon/src/entry/serve.rs
@@ -9,11 +9,11 @@
     Body, error_response, full_body, get_model, json_response, list_models, set_outcome_headers,
 };
 use super::service::{self, Call};
+use crate::active_bundle::Bundle;
 use crate::claim::{Acquisition, StoredResponse};
 use crate::clock::wall_ms;
 use crate::core::{BODY_UNIT, Core};
-use crate::force::InForce;
-use crate::teller::Record;
+use crate::request_log::Record;
 use bytes::{Bytes, BytesMut};
 use conn::Reply;
 use futures::stream;
@@ -91,7 +91,7 @@
     memory: OwnedSemaphorePermit,
 }
 
-async fn read_body(core: &Core, bundle: &InForce, body: Incoming) -> Result<ReadBody, ApiError> {
+async fn read_body(core: &Core, bundle: &Bundle, body: Incoming) -> Result<ReadBody, ApiError> {
     let max_bytes = bundle.intent.limits.body.0;
     let content_length = body.size_hint().exact();
     let too_long = || {
@@ -151,7 +151,7 @@
     id: &Name,
     request: Request<Incoming>,
     endpoint: Endpoint,
-    bundle: Arc<InForce>,
+    bundle: Arc<Bundle>,
 ) -> Result<Response<Body>, ApiError> {
     let arrived = core.now();
     let (head, body) = request.into_parts();
@@ -218,7 +218,7 @@
 
 /// Starts the record of a request, which explains its routing to operators.
 fn start_record(core: &Core, meta: &Metadata, target: &Name) {
-    core.teller.begin(Record {
+    core.request_log.begin(Record {
         request: meta.id.clone(),
         caller: meta.caller.clone(),
         class: meta.class_name.clone(),
@@ -412,7 +412,7 @@
     core: &Arc<Core>,
     id: &Name,
     request: Request<Incoming>,
-    bundle: Arc<InForce>,
+    bundle: Arc<Bundle>,
 ) -> Result<Response<Body>, ApiError> {
     let arrived = core.now();
     let (head, body) = request.into_parts();
--- a/crates/daemon/src/entry/service.rs
+++ b/crates/daemon/src/entry/service.rs
@@ -4,9 +4,9 @@
 use super::error::ApiError;
 use super::request::Metadata;
 use crate::core::Core;
-use crate::fleet::{Placeless, Target};
+use crate::fleet::{AcquireError, Target};
 use crate::metrics::record;
-use crate::teller::Decision;
+use crate::request_log::Decision;
 use conn::{HOP_BY_HOP, Reply, Reuse};
 use hyper::header::{self, HeaderMap, HeaderName};
 use hyper::{Method, Request};
@@ -56,12 +56,14 @@
             let percent = call.meta.bundle.intent.limits.retry_percent;
             core.earn_retry(&call.meta.caller, percent);
             let reason = format!("The service answered with status {}.", reply.status);
-            core.teller.ended(request, Outcome::Complete, &reason);
+            core.request_log
+                .record_outcome(request, Outcome::Complete, &reason);
         }
         Err(error) => {
             metrics.record_outcome(error.outcome);
             metrics.missed.increment(1);
-            core.teller.ended(request, error.outcome, &error.message);
+            core.request_log
+                .record_outcome(request, error.outcome, &error.message);
         }
     }
     result
@@ -75,13 +77,13 @@
         let placed = place(core, call, avoid, may_have_run).await?;
         attempts += 1;
         avoid = Some(rendezvous::hash(placed.upstream.as_bytes()));
-        core.teller.decided(
+        core.request_log.record_decision(
             &call.meta.id,
             Decision {
                 after: core.now().since(call.meta.arrived),
                 attempt: attempts,
                 upstream: placed.upstream.clone(),
-                weighed: placed.weighed.clone(),
+                weighed: placed.evaluations.clone(),
                 ended: String::new(),
             },
         );
@@ -100,30 +102,30 @@
         let (failure, text) = match service::call(&core.pool, placed.addr, id, request, rules).await
         {
             Ok(reply) => {
-                let elapsed = core.now().since(placed.at);
-                placed.answered(elapsed, call.meta.class.first_token);
-                placed.ended(Span::ZERO, elapsed, None);
-                core.teller.attempt_ended(id, "whole.");
+                let elapsed = core.now().since(placed.reserved_at);
+                placed.record_first_response(elapsed, call.meta.class.first_token);
+                placed.record_completion(Span::ZERO, elapsed, None);
+                core.request_log.record_attempt_end(id, "whole.");
                 return Ok(reply);
             }
             Err(Failure::Unsent(e)) => {
-                placed.failed();
+                placed.record_failure();
                 (retry::Failure::NotRun, format!("not run: {e}"))
             }
             Err(Failure::Refused(reply)) => {
-                placed.refused(upstream::engine::RefusalReason::Full);
+                placed.record_refusal(upstream::engine::RefusalReason::Full);
                 (
                     retry::Failure::NotRun,
                     format!("not run: the service refused with status {}", reply.status),
                 )
             }
             Err(Failure::Lost(reason)) => {
-                placed.failed();
+                placed.record_failure();
                 (retry::Failure::Lost, format!("lost: {reason}"))
             }
         };
         drop(placed);
-        core.teller.attempt_ended(id, &text);
+        core.request_log.record_attempt_end(id, &text);
         may_have_run |= failure == retry::Failure::Lost;
         let context = Context {
             repeatable: call.meta.repeatable,
@@ -157,7 +159,7 @@
     call: &Call,
     avoid: Option<u64>,
     may_have_run: bool,
-) -> Result<crate::fleet::Placed, ApiError> {
+) -> Result<crate::fleet::Reservation, ApiError> {
     let meta = &call.meta;
     let target = Target::Service(call.service.clone());
     let want = meta.want(
@@ -172,13 +174,13 @@
     let placed = core.fleet.acquire(want, max_queued).await;
     placed.map_err(|placeless| {
         let message = match placeless {
-            Placeless::Shed(Rejection::Full) => {
+            AcquireError::Rejected(Rejection::Full) => {
                 "The queue is full of requests that go before this one."
             }
-            Placeless::Shed(Rejection::Expired) => {
+            AcquireError::Rejected(Rejection::Expired) => {
                 "The request cannot be answered before its deadline."
             }
-            Placeless::Absent => "No upstream of this service is there at the moment.",
+            AcquireError::Unavailable => "No upstream of this service is there at the moment.",
         };
         match Outcome::without_answer(may_have_run) {
             Outcome::NotRun => ApiError::unavailable("overloaded", message, RETRY_AFTER),
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -7,7 +7,7 @@
     DrainTimeoutSnafu, Error, FrontSnafu, ListenSnafu, ReadSettingsSnafu, RuntimeSnafu,
 };
 use crate::settings::{self, Settings};
-use crate::{log, operator, planner, spread, watch};
+use crate::{distribution, log, operator, planner, polling};
 use conn::Server;
 use futures::FutureExt;
 use snafu::ResultExt;
@@ -78,8 +78,8 @@
 
 /// Starts a daemon; returns once it listens.
 pub async fn spawn(settings: Settings) -> Result<Daemon, Error> {
-    let callers = listen(settings.callers).await?;
-    let operators = listen(settings.operator).await?;
+    let callers = listen(settings.caller_addr).await?;
+    let operators = listen(settings.operator_addr).await?;
     let core = core::open(settings);
     let max_connections = core.settings.limits.connections;
     let callers = {
@@ -91,15 +91,15 @@
     let operators = {
         let core = core.clone();
         let handler = move |request| operator::handle(core.clone(), request).map(Ok);
-        conn::serve(operators, operator::MOST_CONNECTIONS, handler)
+        conn::serve(operators, operator::MAX_CONNECTIONS, handler)
     }
     .context(RuntimeSnafu)?;
     let mut tasks = JoinSet::new();
-    tasks.spawn(watch::hosts(core.clone()));
-    tasks.spawn(watch::reports(core.clone()));
-    tasks.spawn(watch::tidy(core.clone()));
-    tasks.spawn(spread::follow(core.clone()));
-    tasks.spawn(spread::compare(core.clone()));
+    tasks.spawn(polling::hosts(core.clone()));
+    tasks.spawn(polling::reports(core.clone()));
+    tasks.spawn(polling::metrics_upkeep(core.clone()));
+    tasks.spawn(distribution::follow(core.clone()));
+    tasks.spawn(distribution::run_anti_entropy(core.clone()));
     tasks.spawn(planner::run(core.clone()));
     info!(target: "daemon", "{} listens on {} for callers and on {} for operators", core.settings.name, callers.addr, operators.addr);
     Ok(Daemon {
@@ -138,13 +138,13 @@
     pub async fn drain(mut self) -> Result<(), Error> {
         let settings = &self.core.settings;
         self.core.set_draining();
-        info!(target: "daemon", "draining: readiness check fails from now, new connections are refused in {}", settings.grace);
-        tokio::time::sleep(settings.grace.std()).await;
-        let open = self.callers.drain(settings.drain.std()).await;
+        info!(target: "daemon", "draining: readiness check fails from now, new connections are refused in {}", settings.drain_delay);
+        tokio::time::sleep(settings.drain_delay.std()).await;
+        let open = self.callers.drain(settings.drain_timeout.std()).await;
         self.tasks.shutdown().await;
         self.operators.cut();
         if open > 0 {
-            let limit = settings.drain;
+            let limit = settings.drain_timeout;
             return DrainTimeoutSnafu { open, limit }.fail();
         }
         info!(target: "daemon", "drained: no request was interrupted");
