--- a/crates/daemon/src/entry/generation.rs
+++ b/crates/daemon/src/entry/generation.rs
@@ -33,7 +33,7 @@
 /// Attempt with an open stream.
 struct ActiveAttempt {
     stream: Stream,
-    placed: Reservation,
+    reservation: Reservation,
     attempt: Attempt,
 }
 
@@ -167,9 +167,9 @@
                 let delay = now.since(self.completion.meta.arrived);
                 record(&self.class_metrics.ttft, delay);
                 if let Some(active) = &self.active {
-                    let delay = now.since(active.placed.reserved_at);
+                    let delay = now.since(active.reservation.reserved_at);
                     active
-                        .placed
+                        .reservation
                         .record_first_response(delay, self.completion.meta.class.first_token);
                 }
             }
@@ -208,11 +208,13 @@
             .record_outcome(&meta.id, Outcome::Complete, &reason);
         if let Some(active) = self.active.take() {
             self.core.request_log.record_attempt_end(&meta.id, "whole.");
-            let elapsed = self.core.now().since(active.placed.reserved_at);
-            let ttft = self.first_token_at.unwrap_or(active.placed.reserved_at);
-            let ttft = ttft.since(active.placed.reserved_at);
+            let elapsed = self.core.now().since(active.reservation.reserved_at);
+            let ttft = self
+                .first_token_at
+                .unwrap_or(active.reservation.reserved_at);
+            let ttft = ttft.since(active.reservation.reserved_at);
             active
-                .placed
+                .reservation
                 .record_completion(ttft, elapsed, Some(end.load));
             count_dropped(&self.core, &active.stream);
             active.stream.finish().await;
@@ -261,7 +263,7 @@
     /// Cancels the active attempt, if any, upstream.
     fn cancel_active(&mut self) {
         if let Some(active) = self.active.take() {
-            cancel(&self.core, active.placed.addr, active.attempt);
+            cancel(&self.core, active.reservation.addr, active.attempt);
         }
     }
 
@@ -273,10 +275,10 @@
     /// Records the failure of an attempt at its replica and in the request's record, and classifies
     /// it for the retry decision.
     fn record_failure(&mut self, failure: Failure) -> (retry::Failure, String) {
-        let placed = self.active.as_ref().map(|active| &active.placed);
+        let reservation = self.active.as_ref().map(|active| &active.reservation);
         let (kind, text) = match failure {
             Failure::Unsent(e) => {
-                placed.inspect(|p| p.record_failure());
+                reservation.inspect(|p| p.record_failure());
                 (retry::Failure::NotRun, format!("not run: {e}"))
             }
             Failure::Refused(RefusalReason::Unknown) => (
@@ -284,14 +286,14 @@
                 "lost: the engine does not know the stream any more".into(),
             ),
             Failure::Refused(reason) => {
-                placed.inspect(|p| p.record_refusal(reason));
+                reservation.inspect(|p| p.record_refusal(reason));
                 (
                     retry::Failure::NotRun,
                     format!("not run: the engine refused ({reason:?})"),
                 )
             }
             Failure::Lost(reason) => {
-                placed.inspect(|p| p.record_failure());
+                reservation.inspect(|p| p.record_failure());
                 (retry::Failure::Lost, format!("lost: {reason}"))
             }
         };
@@ -314,7 +316,7 @@
         let mut run = engine_run(&self.completion, active.attempt.clone());
         run.resume_at = Some(offset);
         let limit = self.core.settings.limits.stall_timeout.std();
-        let addr = active.placed.addr;
+        let addr = active.reservation.addr;
         // The attempt runs already, so a failure to reach the engine means lost, not "not run".
         let resumed = engine::start(&self.core.pool, addr, Reuse::Fresh, &run, limit).await;
         active.stream = resumed.map_err(|failure| match failure {
@@ -328,7 +330,7 @@
     /// Starts an attempt, which continues the output passed on so far.
     async fn start_attempt(&mut self) -> Result<(), ApiError> {
         loop {
-            let placed = self.place().await?;
+            let reservation = self.place().await?;
             self.attempts += 1;
             self.resumes = 0;
             if self.attempts > 1 {
@@ -339,8 +341,8 @@
                 request: self.completion.meta.id.clone(),
                 number: self.attempts,
             };
-            self.record_decision(&placed);
-            self.avoid = Some(rendezvous::hash(placed.upstream.as_bytes()));
+            self.record_decision(&reservation);
+            self.avoid = Some(rendezvous::hash(reservation.upstream.as_bytes()));
             let mut run = engine_run(&self.completion, attempt.clone());
             run.given.clone_from(&self.output);
             run.given_tokens = self.tokens;
@@ -349,7 +351,7 @@
                 false => Reuse::Fresh,
             };
             let limit = self.token_timeout();
-            let addr = placed.addr;
+            let addr = reservation.addr;
             // Cancels the attempt if the caller disconnects before the response headers arrive.
             let guard = CancelGuard::new(&self.core, addr, attempt.clone());
             let started = engine::start(&self.core.pool, addr, reuse, &run, limit).await;
@@ -358,13 +360,15 @@
                 Ok(stream) => {
                     self.active = Some(ActiveAttempt {
                         stream,
-                        placed,
+                        reservation,
                         attempt,
                     });
                     return Ok(());
                 }
                 Err(failure) => {
-                    let retry = self.handle_failed_start(failure, placed, attempt).await?;
+                    let retry = self
+                        .handle_failed_start(failure, reservation, attempt)
+                        .await?;
                     if !retry {
                         return Ok(());
                     }
@@ -378,16 +382,16 @@
     async fn handle_failed_start(
         &mut self,
         failure: Failure,
-        placed: Reservation,
+        reservation: Reservation,
         attempt: Attempt,
     ) -> Result<bool, ApiError> {
         let is_lost = matches!(failure, Failure::Lost(_));
         match &failure {
-            Failure::Refused(reason) => placed.record_refusal(*reason),
-            _ => placed.record_failure(),
+            Failure::Refused(reason) => reservation.record_refusal(*reason),
+            _ => reservation.record_failure(),
         }
         let (kind, text) = self.record_failure(failure);
-        let resumed = is_lost && self.try_resume(placed, attempt).await;
+        let resumed = is_lost && self.try_resume(reservation, attempt).await;
         if resumed {
             return Ok(false);
         }
@@ -409,18 +413,19 @@
     }
 
     /// Tries to resume a stream whose response headers were lost, since the engine may be running it.
-    async fn try_resume(&mut self, placed: Reservation, attempt: Attempt) -> bool {
+    async fn try_resume(&mut self, reservation: Reservation, attempt: Attempt) -> bool {
         let mut run = engine_run(&self.completion, attempt.clone());
         run.resume_at = Some(self.tokens);
         let limit = self.core.settings.limits.stall_timeout.std();
-        let resumed = engine::start(&self.core.pool, placed.addr, Reuse::Fresh, &run, limit).await;
+        let resumed =
+            engine::start(&self.core.pool, reservation.addr, Reuse::Fresh, &run, limit).await;
         let Ok(stream) = resumed else {
             return false;
         };
         self.resumes += 1;
         self.active = Some(ActiveAttempt {
             stream,
-            placed,
+            reservation,
             attempt,
         });
         true
@@ -432,7 +437,7 @@
             model: self.completion.model.clone(),
             adapter: self.completion.adapter.clone(),
         };
-        let want = meta.want(
+        let request = meta.fleet_request(
             target,
             choose::Request {
                 prefix: Some(prefix_hash(&self.completion.model, &self.completion.prompt)),
@@ -442,18 +447,18 @@
         );
         let max_queued = meta.bundle.intent.limits.queue as usize;
         let queued_at = self.core.now();
-        let placed = self.core.fleet.acquire(want, max_queued).await;
+        let reservation = self.core.fleet.acquire(request, max_queued).await;
         let waited = self.core.now().since(queued_at);
         record(&self.class_metrics.queue_time, waited);
         self.core
             .request_log
             .update(&meta.id, |record| record.waited += waited);
-        placed.map_err(|placeless| self.placement_error(placeless))
+        reservation.map_err(|error| self.placement_error(error))
     }
 
-    fn placement_error(&mut self, placeless: AcquireError) -> ApiError {
+    fn placement_error(&mut self, error: AcquireError) -> ApiError {
         let outcome = self.outcome_without_answer();
-        let (code, message, retry_after) = match placeless {
+        let (code, message, retry_after) = match error {
             AcquireError::Rejected(Rejection::Full) => (
                 "overloaded",
                 "The queue is full of requests that go before this one.",
@@ -482,13 +487,13 @@
         }
     }
 
-    fn record_decision(&self, placed: &Reservation) {
+    fn record_decision(&self, reservation: &Reservation) {
         let meta = &self.completion.meta;
         let decision = Decision {
             after: self.core.now().since(meta.arrived),
             attempt: self.attempts,
-            upstream: placed.upstream.clone(),
-            weighed: placed.evaluations.clone(),
+            upstream: reservation.upstream.clone(),
+            weighed: reservation.evaluations.clone(),
             ended: String::new(),
         };
         self.core.request_log.record_decision(&meta.id, decision);
--- a/crates/daemon/src/entry/request.rs
+++ b/crates/daemon/src/entry/request.rs
@@ -67,8 +67,8 @@
         self.arrived + self.class.deadline
     }
 
-    /// Criteria for the placement of this request.
-    pub fn want(&self, target: Target, request: choose::Request) -> fleet::Request {
+    /// Builds the request for a reservation in the fleet.
+    pub fn fleet_request(&self, target: Target, criteria: choose::Request) -> fleet::Request {
         fleet::Request {
             target,
             caller: self.caller.clone(),
@@ -76,7 +76,7 @@
             priority: self.class.priority,
             arrived: self.arrived,
             deadline: self.deadline(),
-            criteria: request,
+            criteria,
         }
     }
 }
--- a/crates/daemon/src/entry/service.rs
+++ b/crates/daemon/src/entry/service.rs
@@ -44,7 +44,7 @@
     let metrics = core.metrics.class(&call.meta.caller, &call.meta.class_name);
     let result = run_attempts(core, call).await;
     let elapsed = core.now().since(call.meta.arrived);
-    let request = &call.meta.id;
+    let id = &call.meta.id;
     match &result {
         Ok(reply) => {
             record(&metrics.ttft, elapsed);
@@ -57,13 +57,13 @@
             core.earn_retry(&call.meta.caller, percent);
             let reason = format!("The service answered with status {}.", reply.status);
             core.request_log
-                .record_outcome(request, Outcome::Complete, &reason);
+                .record_outcome(id, Outcome::Complete, &reason);
         }
         Err(error) => {
             metrics.record_outcome(error.outcome);
             metrics.missed.increment(1);
             core.request_log
-                .record_outcome(request, error.outcome, &error.message);
+                .record_outcome(id, error.outcome, &error.message);
         }
     }
     result
@@ -74,16 +74,16 @@
     let mut may_have_run = false;
     let mut avoid = None;
     loop {
-        let placed = place(core, call, avoid, may_have_run).await?;
+        let reservation = place(core, call, avoid, may_have_run).await?;
         attempts += 1;
-        avoid = Some(rendezvous::hash(placed.upstream.as_bytes()));
+        avoid = Some(rendezvous::hash(reservation.upstream.as_bytes()));
         core.request_log.record_decision(
             &call.meta.id,
             Decision {
                 after: core.now().since(call.meta.arrived),
                 attempt: attempts,
-                upstream: placed.upstream.clone(),
-                weighed: placed.evaluations.clone(),
+                upstream: reservation.upstream.clone(),
+                weighed: reservation.evaluations.clone(),
                 ended: String::new(),
             },
         );
@@ -97,34 +97,34 @@
             limit: remaining.std(),
             most: MAX_RESPONSE_BYTES,
         };
-        let request = upstream_request(call, placed.addr);
+        let request = upstream_request(call, reservation.addr);
         let id = &call.meta.id;
-        let (failure, text) = match service::call(&core.pool, placed.addr, id, request, rules).await
-        {
-            Ok(reply) => {
-                let elapsed = core.now().since(placed.reserved_at);
-                placed.record_first_response(elapsed, call.meta.class.first_token);
-                placed.record_completion(Span::ZERO, elapsed, None);
-                core.request_log.record_attempt_end(id, "whole.");
-                return Ok(reply);
-            }
-            Err(Failure::Unsent(e)) => {
-                placed.record_failure();
-                (retry::Failure::NotRun, format!("not run: {e}"))
-            }
-            Err(Failure::Refused(reply)) => {
-                placed.record_refusal(upstream::engine::RefusalReason::Full);
-                (
-                    retry::Failure::NotRun,
-                    format!("not run: the service refused with status {}", reply.status),
-                )
-            }
-            Err(Failure::Lost(reason)) => {
-                placed.record_failure();
-                (retry::Failure::Lost, format!("lost: {reason}"))
-            }
-        };
-        drop(placed);
+        let (failure, text) =
+            match service::call(&core.pool, reservation.addr, id, request, rules).await {
+                Ok(reply) => {
+                    let elapsed = core.now().since(reservation.reserved_at);
+                    reservation.record_first_response(elapsed, call.meta.class.first_token);
+                    reservation.record_completion(Span::ZERO, elapsed, None);
+                    core.request_log.record_attempt_end(id, "whole.");
+                    return Ok(reply);
+                }
+                Err(Failure::Unsent(e)) => {
+                    reservation.record_failure();
+                    (retry::Failure::NotRun, format!("not run: {e}"))
+                }
+                Err(Failure::Refused(reply)) => {
+                    reservation.record_refusal(upstream::engine::RefusalReason::Full);
+                    (
+                        retry::Failure::NotRun,
+                        format!("not run: the service refused with status {}", reply.status),
+                    )
+                }
+                Err(Failure::Lost(reason)) => {
+                    reservation.record_failure();
+                    (retry::Failure::Lost, format!("lost: {reason}"))
+                }
+            };
+        drop(reservation);
         core.request_log.record_attempt_end(id, &text);
         may_have_run |= failure == retry::Failure::Lost;
         let context = Context {
@@ -162,7 +162,7 @@
 ) -> Result<crate::fleet::Reservation, ApiError> {
     let meta = &call.meta;
     let target = Target::Service(call.service.clone());
-    let want = meta.want(
+    let fleet_request = meta.fleet_request(
         target,
         choose::Request {
             prefix: None,
@@ -171,9 +171,9 @@
         },
     );
     let max_queued = meta.bundle.intent.limits.queue as usize;
-    let placed = core.fleet.acquire(want, max_queued).await;
-    placed.map_err(|placeless| {
-        let message = match placeless {
+    let reservation = core.fleet.acquire(fleet_request, max_queued).await;
+    reservation.map_err(|error| {
+        let message = match error {
             AcquireError::Rejected(Rejection::Full) => {
                 "The queue is full of requests that go before this one."
             }
