--- a/crates/front/src/accounts.rs
+++ b/crates/front/src/accounts.rs
@@ -191,7 +191,7 @@
 
 /// Age of this host's data from the store.
 pub fn data_age(state: &State) -> Span {
-    state.readers.recent.lock().age(state.now())
+    state.readers.changelog.lock().age(state.now())
 }
 
 /// Refusal of an unknown key. It is final only from a host that knows the newest configuration.
--- a/crates/front/src/clock.rs
+++ b/crates/front/src/clock.rs
@@ -46,9 +46,9 @@
     pub fn now(&self) -> Time {
         let passed = clock::since_boot().saturating_sub(self.start);
         let now = FIRST + passed.0 + self.suspended.load(Ordering::Relaxed);
-        let seen = self.last_seen.fetch_max(now, Ordering::Relaxed);
-        if now.saturating_sub(seen) > SUSPENSION_THRESHOLD.0 {
-            self.resumes.send_modify(|returns| *returns += 1);
+        let last_seen = self.last_seen.fetch_max(now, Ordering::Relaxed);
+        if now.saturating_sub(last_seen) > SUSPENSION_THRESHOLD.0 {
+            self.resumes.send_modify(|resumes| *resumes += 1);
         }
         Time(now)
     }
@@ -59,7 +59,7 @@
     }
 
     pub async fn sleep_until(&self, time: Time) {
-        let mut returns = self.resumes.subscribe();
+        let mut resumes = self.resumes.subscribe();
         loop {
             let now = self.now();
             if now >= time {
@@ -69,7 +69,7 @@
             tokio::select! {
                 () = sleep_until(instant) => {}
                 // The sender lives as long as this clock.
-                _ = returns.changed() => {}
+                _ = resumes.changed() => {}
             }
         }
     }
--- a/crates/front/src/log.rs
+++ b/crates/front/src/log.rs
@@ -54,10 +54,10 @@
         .buffered_lines_limit(BUFFERED_LINES)
         .lossy(true)
         .finish(std::io::stdout());
-    let start = format!("{{\"host\":{},", serde_json::Value::from(host));
-    let start: Arc<[u8]> = start.into_bytes().into();
+    let prefix = format!("{{\"host\":{},", serde_json::Value::from(host));
+    let prefix: Arc<[u8]> = prefix.into_bytes().into();
     let writer = move || HostWriter {
-        start: start.clone(),
+        prefix: prefix.clone(),
         lines: lines.clone(),
     };
     let _ = tracing_subscriber::fmt()
@@ -73,7 +73,7 @@
 
 /// Writer that adds the host's name to each line.
 struct HostWriter {
-    start: Arc<[u8]>,
+    prefix: Arc<[u8]>,
     lines: NonBlocking,
 }
 
@@ -81,10 +81,10 @@
     /// Expects one whole line, a JSON object.
     fn write(&mut self, line: &[u8]) -> std::io::Result<usize> {
         let fields = line.strip_prefix(b"{").unwrap_or(line);
-        let mut named = Vec::with_capacity(self.start.len() + fields.len());
-        named.extend_from_slice(&self.start);
-        named.extend_from_slice(fields);
-        self.lines.write_all(&named)?;
+        let mut whole = Vec::with_capacity(self.prefix.len() + fields.len());
+        whole.extend_from_slice(&self.prefix);
+        whole.extend_from_slice(fields);
+        self.lines.write_all(&whole)?;
         Ok(line.len())
     }
 
@@ -115,9 +115,9 @@
 
     fn take_token(&self) -> bool {
         let mut bucket = self.bucket.lock();
-        let passed = bucket.refilled.elapsed().as_secs_f64();
+        let elapsed = bucket.refilled.elapsed().as_secs_f64();
         bucket.refilled = Instant::now();
-        bucket.tokens = (bucket.tokens + passed * LINES_PER_SECOND).min(BURST);
+        bucket.tokens = (bucket.tokens + elapsed * LINES_PER_SECOND).min(BURST);
         if bucket.tokens < 1.0 {
             return false;
         }
--- a/crates/front/src/message.rs
+++ b/crates/front/src/message.rs
@@ -270,21 +270,21 @@
         let mut min = *self;
         min.requests = min.requests.min(other.requests);
         min.reserved_tokens = min.reserved_tokens.min(other.reserved_tokens);
-        for (mine, its) in min.prefill_ms.iter_mut().zip(other.prefill_ms) {
-            *mine = mine.min(its);
+        for (value, other) in min.prefill_ms.iter_mut().zip(other.prefill_ms) {
+            *value = value.min(other);
         }
         min
     }
 
     /// Component-wise difference, at least zero.
     pub fn saturating_sub(&self, other: &Load) -> Load {
-        let mut rest = *self;
-        rest.requests = (rest.requests - other.requests).max(0.0);
-        rest.reserved_tokens = (rest.reserved_tokens - other.reserved_tokens).max(0.0);
-        for (left, less) in rest.prefill_ms.iter_mut().zip(other.prefill_ms) {
-            *left = (*left - less).max(0.0);
+        let mut difference = *self;
+        difference.requests = (difference.requests - other.requests).max(0.0);
+        difference.reserved_tokens = (difference.reserved_tokens - other.reserved_tokens).max(0.0);
+        for (value, other) in difference.prefill_ms.iter_mut().zip(other.prefill_ms) {
+            *value = (*value - other).max(0.0);
         }
-        rest
+        difference
     }
 }
 
--- a/crates/front/src/metrics.rs
+++ b/crates/front/src/metrics.rs
@@ -66,14 +66,15 @@
     }
 
     /// Counts a finished request by route and outcome.
-    pub fn record_outcome(&self, route: &Name, how: &'static str) {
-        let mut ends = self.outcomes.lock();
-        let route = match ends.len() < MAX_ROUTES || ends.contains_key(&(route.clone(), how)) {
-            true => route.clone(),
-            false => "other".into(),
-        };
-        let counter = ends.entry((route.clone(), how)).or_insert_with(|| {
-            let labels = [("route", &*route), ("outcome", how)];
+    pub fn record_outcome(&self, route: &Name, outcome: &'static str) {
+        let mut outcomes = self.outcomes.lock();
+        let route =
+            match outcomes.len() < MAX_ROUTES || outcomes.contains_key(&(route.clone(), outcome)) {
+                true => route.clone(),
+                false => "other".into(),
+            };
+        let counter = outcomes.entry((route.clone(), outcome)).or_insert_with(|| {
+            let labels = [("route", &*route), ("outcome", outcome)];
             self.counter("coveford_requests_total", &labels)
         });
         counter.increment(1);
@@ -82,8 +83,8 @@
     /// Counts the quota decision on a request.
     pub fn record_account_decision(&self, account: &Name, decision: &'static str) {
         let mut accounts = self.accounts.lock();
-        let is_known = accounts.contains_key(&(account.clone(), decision));
-        let account = match is_known || accounts.len() < MAX_ACCOUNTS {
+        let exists = accounts.contains_key(&(account.clone(), decision));
+        let account = match exists || accounts.len() < MAX_ACCOUNTS {
             true => account.clone(),
             false => "other".into(),
         };
@@ -98,12 +99,12 @@
 
     /// Records the time to the first byte of a response.
     pub fn record_first_byte(&self, route: &Name, took: Span) {
-        let mut waits = self.first_bytes.lock();
-        let route = match waits.len() < MAX_ROUTES || waits.contains_key(route) {
+        let mut histograms = self.first_bytes.lock();
+        let route = match histograms.len() < MAX_ROUTES || histograms.contains_key(route) {
             true => route.clone(),
             false => "other".into(),
         };
-        let histogram = waits.entry(route.clone()).or_insert_with(|| {
+        let histogram = histograms.entry(route.clone()).or_insert_with(|| {
             let key = key("coveford_first_byte_seconds", &[("route", &*route)]);
             self.recorder.register_histogram(&key, &METADATA)
         });
--- a/crates/front/src/peers/inbox.rs
+++ b/crates/front/src/peers/inbox.rs
@@ -96,15 +96,15 @@
     pub fn record_report(&self, mut report: LoadReport, from: SocketAddr, now: Time) -> bool {
         self.adapter_uses.lock().append(&mut report.adapter_uses);
         let mut hosts = self.hosts.lock();
-        let known = hosts.get_mut(&report.host);
-        let is_new = known.is_none();
-        let store_failed_at = known.as_ref().and_then(|state| state.store_failed_at);
+        let state = hosts.get_mut(&report.host);
+        let is_new = state.is_none();
+        let store_failed_at = state.as_ref().and_then(|state| state.store_failed_at);
         let store_failed_at = if report.store_failed {
             Some(now)
         } else {
             store_failed_at
         };
-        match known {
+        match state {
             Some(state) if state.report.round == report.round => {
                 state.report.demand.extend(report.demand);
                 state.report.loads.extend(report.loads);
@@ -179,10 +179,10 @@
         for replica in reports.iter().flat_map(|report| &report.backing_off) {
             *votes.entry(*replica).or_default() += 1;
         }
-        let most = votes
+        let majority = votes
             .into_iter()
             .filter(|(_, count)| *count * 2 > reports.len());
-        most.map(|(replica, _)| replica).collect()
+        majority.map(|(replica, _)| replica).collect()
     }
 
     /// Period for which the hosts have been in contact with the store, if replicas write to it each `heartbeat`.
@@ -201,8 +201,8 @@
         let mut loads: HashMap<u32, Load> = HashMap::new();
         let mut hosts = self.hosts.lock();
         hosts.retain(|_, host| now.since(host.reported_at) < REPORT_MAX_AGE);
-        for row in hosts.values().flat_map(|host| &host.report.loads) {
-            loads.entry(row.replica()).or_default().add(&row.load());
+        for load in hosts.values().flat_map(|host| &host.report.loads) {
+            loads.entry(load.replica()).or_default().add(&load.load());
         }
         loads
     }
--- a/crates/front/src/peers/limits.rs
+++ b/crates/front/src/peers/limits.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use unit::Name;
 
-/// Delay in which changes are batched, since many overloaded replicas change their limits all the time. The limits of
+/// Delay in which changes are batched, since limits of many overloaded replicas change all the time. The limits of
 /// this host may be outdated by as much, but the leader, which is asked before each request, knows the current ones.
 const BATCH_DELAY: Duration = Duration::from_millis(50);
 
--- a/crates/front/src/peers/quota.rs
+++ b/crates/front/src/peers/quota.rs
@@ -219,10 +219,10 @@
         host: &Name,
         now: Time,
     ) -> Option<Option<Advertisement>> {
-        let asked = limited.advertisement(now)?;
+        let reported = limited.advertisement(now)?;
         self.merge_limits(std::slice::from_ref(limited), host);
         let known = self.state.table.lock().advertisement(limited.replica);
-        let advertisement = known.unwrap_or(asked);
+        let advertisement = known.unwrap_or(reported);
         Some(Some(advertisement).filter(|advertisement| !advertisement.is_expired(now)))
     }
 }
--- a/crates/front/src/readers.rs
+++ b/crates/front/src/readers.rs
@@ -41,7 +41,7 @@
 #[derive(Default)]
 pub struct Readers {
     /// Changes that this host can serve.
-    pub recent: Mutex<Changelog>,
+    pub changelog: Mutex<Changelog>,
     /// Notified when there are new changes to serve.
     pub updated: Notify,
     /// Notified when this host becomes a root.
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Avoids a reader, or the store, for [`FAILURE_RETRY`].
+    /// Avoids a reader, or the store, for `FAILURE_RETRY`.
     pub fn mark_failed(&self, addr: SocketAddr, now: Time) {
         self.failed_until.lock().insert(addr, now + FAILURE_RETRY);
     }
@@ -144,7 +144,7 @@
     state.table.lock().host_count <= MAX_SMALL_FLEET
 }
 
-/// Whether the store failed this host within [`FAILURE_RETRY`].
+/// Whether the store failed this host within `FAILURE_RETRY`.
 pub fn store_failed_recently(state: &State) -> bool {
     state
         .readers
@@ -184,10 +184,10 @@
 
 /// Records changes up to a revision, read from the store at `confirmed`, to serve them.
 pub fn record_changes(state: &State, changes: &[Change], revision: u64, confirmed: Time) {
-    let mut recent = state.readers.recent.lock();
-    let is_new = revision > recent.revision();
-    recent.extend(changes.iter().cloned(), revision, confirmed);
-    drop(recent);
+    let mut changelog = state.readers.changelog.lock();
+    let is_new = revision > changelog.revision();
+    changelog.extend(changes.iter().cloned(), revision, confirmed);
+    drop(changelog);
     if is_new {
         state.readers.updated.notify_waiters();
     }
@@ -195,8 +195,8 @@
 
 /// Records a snapshot of the store, read at `confirmed`, to serve it.
 pub fn record_snapshot(state: &State, items: &[Item], revision: u64, confirmed: Time) {
-    let mut recent = state.readers.recent.lock();
-    recent.reset(items, revision, confirmed);
-    drop(recent);
+    let mut changelog = state.readers.changelog.lock();
+    changelog.reset(items, revision, confirmed);
+    drop(changelog);
     state.readers.updated.notify_waiters();
 }
--- a/crates/front/src/readers/client.rs
+++ b/crates/front/src/readers/client.rs
@@ -129,14 +129,14 @@
 ) -> Result<StoreUpdate, Error> {
     let revision = response.revision;
     match response.payload {
-        Payload::Changes(rows) => {
-            let found: Vec<Change> = rows.into_iter().map(Change::from).collect();
+        Payload::Changes(changes) => {
+            let found: Vec<Change> = changes.into_iter().map(Change::from).collect();
             record_changes(state, &found, revision, confirmed);
             Ok(StoreUpdate::Changes(Listing { found, revision }))
         }
         Payload::Snapshot(_) if revision <= after => Err(Error::Behind { revision, after }),
-        Payload::Snapshot(rows) => {
-            let changes = rows.into_iter().map(Change::from);
+        Payload::Snapshot(changes) => {
+            let changes = changes.into_iter().map(Change::from);
             let found: Vec<Item> = changes.filter_map(written_item).collect();
             record_snapshot(state, &found, revision, confirmed);
             Ok(StoreUpdate::Snapshot(Listing { found, revision }))
@@ -173,6 +173,6 @@
         let why = format!("unexpected status {}", reply.status);
         return Err(Error::Malformed { why });
     }
-    let read = rmp_serde::from_slice(&reply.body);
-    read.map_err(|e: rmp_serde::decode::Error| Error::Malformed { why: e.to_string() })
+    let response = rmp_serde::from_slice(&reply.body);
+    response.map_err(|e: rmp_serde::decode::Error| Error::Malformed { why: e.to_string() })
 }
--- a/crates/front/src/readers/message.rs
+++ b/crates/front/src/readers/message.rs
@@ -75,9 +75,9 @@
 }
 
 impl From<WireChange> for Change {
-    fn from(row: WireChange) -> Change {
-        let (key, revision) = (row.key, row.revision);
-        match row.written {
+    fn from(change: WireChange) -> Change {
+        let (key, revision) = (change.key, change.revision);
+        match change.written {
             Some((value, created, lease)) => Change::Written(Item {
                 key,
                 value: value.into(),
--- a/crates/front/src/readers/server.rs
+++ b/crates/front/src/readers/server.rs
@@ -23,15 +23,15 @@
         *response.status_mut() = StatusCode::NOT_FOUND;
         return response;
     }
-    let Some(question) = read_request(request).await else {
+    let Some(request) = read_request(request).await else {
         *response.status_mut() = StatusCode::BAD_REQUEST;
         return response;
     };
-    let begin = state.now();
-    wait_for_changes(&state, &question).await;
-    let answer = rmp_serde::to_vec(&current_changes(&state, question.after, begin));
-    let answer = answer.expect("a response is serializable");
-    *response.body_mut() = full_body(answer.into());
+    let arrived = state.now();
+    wait_for_changes(&state, &request).await;
+    let body = rmp_serde::to_vec(&current_changes(&state, request.after, arrived));
+    let body = body.expect("a response is serializable");
+    *response.body_mut() = full_body(body.into());
     response
 }
 
@@ -47,30 +47,30 @@
     let end = Instant::now() + Duration::from_millis(u64::from(request.wait_ms));
     loop {
         let updated = state.readers.updated.notified();
-        let left = end.saturating_duration_since(Instant::now());
-        if left.is_zero() || is_ready(state, request) {
+        let remaining = end.saturating_duration_since(Instant::now());
+        if remaining.is_zero() || is_ready(state, request) {
             return;
         }
-        let _ = timeout(left, updated).await;
+        let _ = timeout(remaining, updated).await;
     }
 }
 
 /// Whether to respond now: there are changes, or this host's data is outdated, which the sender should learn at once.
 fn is_ready(state: &State, request: &ChangesRequest) -> bool {
-    let recent = state.readers.recent.lock();
-    let age = recent.age(state.now());
-    recent.revision() > request.after || is_stale(age, state.settings.bounds.propagation())
+    let changelog = state.readers.changelog.lock();
+    let age = changelog.age(state.now());
+    changelog.revision() > request.after || is_stale(age, state.settings.bounds.propagation())
 }
 
-/// Response with the changes after a revision, to a request that arrived at `begin`.
-fn current_changes(state: &State, after: u64, begin: Time) -> ChangesResponse {
+/// Response with the changes after a revision, to a request that arrived at `arrived`.
+fn current_changes(state: &State, after: u64, arrived: Time) -> ChangesResponse {
     let now = state.now();
     let store_uptime = state.table.lock().view.contact.ages(now);
-    let recent = state.readers.recent.lock();
-    let payload = match recent.since(after) {
+    let changelog = state.readers.changelog.lock();
+    let payload = match changelog.since(after) {
         Some(changes) => Payload::Changes(changes.into_iter().map(WireChange::from).collect()),
         None => Payload::Snapshot(
-            recent
+            changelog
                 .snapshot()
                 .into_iter()
                 .map(WireChange::from)
@@ -78,9 +78,9 @@
         ),
     };
     ChangesResponse {
-        revision: recent.revision(),
-        age_ms: recent.age(now).ms().ceil() as u32,
-        held_ms: now.since(begin).ms() as u32,
+        revision: changelog.revision(),
+        age_ms: changelog.age(now).ms().ceil() as u32,
+        held_ms: now.since(arrived).ms() as u32,
         store_uptime,
         payload,
     }
--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -146,19 +146,19 @@
     let addr = settings.peers;
     let socket = UdpSocket::bind(addr).await.context(ListenSnafu { addr })?;
     let log = log::open(settings.log.sample);
-    let (state, wanted, reports) = state::open(settings, log, STORE_CALL_TIMEOUT);
+    let (state, placement_requests, reports) = state::open(settings, log, STORE_CALL_TIMEOUT);
     let peers = peers::open(state.clone(), socket);
-    let entry = serve::Context {
+    let context = serve::Context {
         state: state.clone(),
         peers: peers.clone(),
         queues: Arc::default(),
     };
     let daemon = Daemon {
-        callers: serve_callers(&entry, callers)?,
+        callers: serve_callers(&context, callers)?,
         _readiness: serve_readiness(&state, readiness)?,
         _metrics: serve_metrics(&state, &peers, metrics)?,
         _polls: serve_polls(&state, polls)?,
-        _tasks: spawn_tasks(&entry, &peers, wanted, reports),
+        _tasks: spawn_tasks(&context, &peers, placement_requests, reports),
         state,
     };
     let settings = &daemon.state.settings;
@@ -167,19 +167,19 @@
 }
 
 fn spawn_tasks(
-    entry: &serve::Context,
+    context: &serve::Context,
     peers: &Arc<Peers>,
-    wanted: PlacementRequests,
+    placement_requests: PlacementRequests,
     reports: Reports,
 ) -> JoinSet<()> {
     let mut tasks = JoinSet::new();
-    let state = &entry.state;
-    tasks.spawn(queue::run(state.clone(), entry.queues.clone()));
+    let state = &context.state;
+    tasks.spawn(queue::run(state.clone(), context.queues.clone()));
     tasks.spawn(peers.clone().send_loads());
     tasks.spawn(follow::run(state.clone()));
     tasks.spawn(peers.clone().receive());
     tasks.spawn(peers.clone().send_reports());
-    tasks.spawn(peers.clone().forward_placement_requests(wanted));
+    tasks.spawn(peers.clone().forward_placement_requests(placement_requests));
     tasks.spawn(peers.clone().forward_quarantine_reports(reports));
     tasks.spawn(peers.clone().send_limit_changes());
     tasks.spawn(peers.clone().send_departures());
@@ -197,18 +197,18 @@
     TcpListener::bind(addr).await.context(ListenSnafu { addr })
 }
 
-fn serve_callers(entry: &serve::Context, listener: TcpListener) -> Result<Server, Error> {
-    let limits = entry.state.settings.limits;
+fn serve_callers(context: &serve::Context, listener: TcpListener) -> Result<Server, Error> {
+    let limits = context.state.settings.limits;
     let bounds = Bounds {
         // Half of the descriptors, since each request also needs a connection to a replica.
         connections: limits.descriptors.saturating_sub(RESERVED_DESCRIPTORS) / 2,
         head_time: IDLE_TIMEOUT,
         head_bytes: MAX_HEAD_BYTES,
     };
-    let entry = entry.clone();
+    let context = context.clone();
     let respond = move |request| {
-        let entry = entry.clone();
-        async move { Ok(serve::handle(entry, request).await) }
+        let context = context.clone();
+        async move { Ok(serve::handle(context, request).await) }
     };
     conn::serve_within(listener, bounds, respond).context(RuntimeSnafu)
 }
--- a/crates/front/tests/readers.rs
+++ b/crates/front/tests/readers.rs
@@ -46,8 +46,8 @@
 fn ignore_leader(state: &State) {
     if !state.leads() {
         let mut leader = state.leader.lock();
-        if let Some(known) = leader.as_mut() {
-            known.term = u64::MAX;
+        if let Some(leader) = leader.as_mut() {
+            leader.term = u64::MAX;
         }
     }
 }
@@ -296,17 +296,17 @@
         hosts.push(daemon(&store, &format!("d{i}")).await);
     }
     until(|| first.state().table.lock().host_count == 18).await;
-    let begin = Instant::now();
+    let start = Instant::now();
     let last = daemon(&store, "d18").await;
     assert!(
-        begin.elapsed() < Duration::from_millis(1_500),
+        start.elapsed() < Duration::from_millis(1_500),
         "{:?}",
-        begin.elapsed()
+        start.elapsed()
     );
     let reads = last.state().store.calls().reads.load(Ordering::Relaxed);
     assert_eq!(reads, 1, "the rest came from a reader");
-    let known = last.state().table.lock().view.all().count();
-    assert_eq!(known, 30);
+    let replica_count = last.state().table.lock().view.all().count();
+    assert_eq!(replica_count, 30);
     assert_eq!(ask(&last, "/again/x", None).await.1.status(), 200);
 }
 
@@ -324,12 +324,12 @@
     let host = front::spawn(site::settings(&store, "d1")).await.unwrap();
     until(|| host.state().table.lock().routes.is_some()).await;
     assert!(!host.state().is_ready());
-    let (_, answer) = ask(&host, "/nowhere/x", None).await;
-    assert_eq!(answer.status(), 503);
+    let (_, response) = ask(&host, "/nowhere/x", None).await;
+    assert_eq!(response.status(), 503);
     until(|| host.state().is_ready()).await;
     // The first data is as old as its request; wait for newer data.
-    let most = Span::from_ms(1_000);
-    until(|| front::accounts::data_age(host.state()) < most).await;
+    let max_age = Span::from_ms(1_000);
+    until(|| front::accounts::data_age(host.state()) < max_age).await;
     assert_eq!(ask(&host, "/nowhere/x", None).await.1.status(), 404);
 }
 
@@ -341,12 +341,12 @@
     for i in 0..30 {
         replicas.push(web(&store, &format!("i-{i}")).await);
     }
-    let begin = Instant::now();
+    let start = Instant::now();
     let (a, b) = tokio::join!(daemon(&store, "d1"), daemon(&store, "d2"));
     assert!(
-        begin.elapsed() < Duration::from_millis(2_500),
+        start.elapsed() < Duration::from_millis(2_500),
         "{:?}",
-        begin.elapsed()
+        start.elapsed()
     );
     for host in [&a, &b] {
         assert_eq!(host.state().table.lock().view.all().count(), 30);
--- a/crates/front/tests/site/mod.rs
+++ b/crates/front/tests/site/mod.rs
@@ -89,7 +89,7 @@
     replica::spawn(store, options).await.unwrap()
 }
 
-/// Request body that crashes [`crashing_replica`].
+/// Request body that crashes [`crashing_replica`] and [`crashing_engine`].
 pub const FATAL_BODY: &str = "fatal";
 
 /// Restart time of a crashed replica.
