--- a/crates/front/src/follow.rs
+++ b/crates/front/src/follow.rs
@@ -124,7 +124,7 @@
 async fn fetch_from_reader(state: &State, after: u64) -> Option<Next> {
     for _ in 0..MAX_READERS_TRIED {
         let reader = readers::source(state)?;
-        match readers::ask(state, reader, after, state.settings.bounds.propagation()).await {
+        match readers::poll(state, reader, after, state.settings.bounds.propagation()).await {
             Ok(update) => {
                 return Some(match update {
                     StoreUpdate::Changes(changes) => Next::Relayed(changes),
--- a/crates/front/src/message/limit.rs
+++ b/crates/front/src/message/limit.rs
@@ -53,13 +53,13 @@
 
 impl ReplicaLimit {
     /// Limit with its ages as of `now`.
-    pub fn new(entry: &Entry, notice: &Advertisement, now: Time) -> ReplicaLimit {
+    pub fn new(entry: &Entry, advertisement: &Advertisement, now: Time) -> ReplicaLimit {
         let age_ms = |at: Time| now.since(at).ms() as u32;
         ReplicaLimit {
             replica: ReplicaLimit::incarnation_hash(entry),
-            rate: notice.rate as f32,
-            advertised_ms: age_ms(notice.advertised_at),
-            withdrawn_ms: notice.withdrawn_at.map(age_ms),
+            rate: advertisement.rate as f32,
+            advertised_ms: age_ms(advertisement.advertised_at),
+            withdrawn_ms: advertisement.withdrawn_at.map(age_ms),
         }
     }
 
--- a/crates/front/src/message/quarantine.rs
+++ b/crates/front/src/message/quarantine.rs
@@ -36,7 +36,9 @@
             Decided::Free => TrialResponse::Free,
             Decided::Trial => TrialResponse::Trial,
             Decided::Wait => TrialResponse::Wait,
-            Decided::Quarantined(left) => TrialResponse::Quarantined(left.secs().ceil() as u32),
+            Decided::Quarantined(remaining) => {
+                TrialResponse::Quarantined(remaining.secs().ceil() as u32)
+            }
         }
     }
 }
--- a/crates/front/src/peers/pending.rs
+++ b/crates/front/src/peers/pending.rs
@@ -24,10 +24,10 @@
 }
 
 impl<T> PendingRequests<T> {
-    /// Calls `send` with a new request number and waits for the response, at most for `limit`.
+    /// Calls `send` with a new request number and waits for the response, at most for `time_limit`.
     pub async fn send<F: Future<Output = ()>>(
         &self,
-        limit: Duration,
+        time_limit: Duration,
         send: impl FnOnce(u32) -> F,
     ) -> Option<T> {
         let number = self.next_number.fetch_add(1, Ordering::Relaxed);
@@ -39,7 +39,7 @@
             waiting.insert(number, sender);
         }
         send(number).await;
-        let response = timeout(limit, receiver).await;
+        let response = timeout(time_limit, receiver).await;
         self.waiting.lock().remove(&number);
         response.ok()?.ok()
     }
--- a/crates/front/src/peers/quarantine.rs
+++ b/crates/front/src/peers/quarantine.rs
@@ -94,7 +94,7 @@
         if leader == self.state.settings.peers {
             return self.decide(fingerprint, request_id).decision();
         }
-        for limit in TIMEOUTS {
+        for time_limit in TIMEOUTS {
             let send = |number| async move {
                 self.send(
                     &Message::TrialRequest(number, fingerprint, request_id.0),
@@ -102,7 +102,7 @@
                 )
                 .await;
             };
-            if let Some(permit) = self.trials.send(limit, send).await {
+            if let Some(permit) = self.trials.send(time_limit, send).await {
                 return permit.decision();
             }
         }
--- a/crates/front/src/peers/quota.rs
+++ b/crates/front/src/peers/quota.rs
@@ -12,8 +12,7 @@
 use std::time::Duration;
 use unit::{Name, Span, Time};
 
-/// Timeout of each attempt. Hosts are milliseconds apart, and a host at its CPU limit is throttled for at most 100
-/// ms.
+/// Timeout of each attempt. Hosts are milliseconds apart, and a host at its CPU limit is throttled for at most 0.1 s.
 pub const TIMEOUTS: &[Duration] = &[Duration::from_millis(40), Duration::from_millis(90)];
 
 /// Timeout of the final attempt for a request that would otherwise be refused. With thousands of replicas the leader
@@ -54,14 +53,14 @@
     pub async fn request_quota(
         &self,
         request: QuotaRequest,
-        tries: &[Duration],
+        timeouts: &[Duration],
     ) -> Option<QuotaResponse> {
         let leader = self.state.leader.lock().clone()?.peers;
         if leader == self.state.settings.peers {
             return self.decide_quota(&request);
         }
-        for limit in tries.iter().copied() {
-            let response = self.request_once(&request, leader, limit).await;
+        for time_limit in timeouts.iter().copied() {
+            let response = self.request_once(&request, leader, time_limit).await;
             if response.is_some() {
                 return response;
             }
@@ -74,7 +73,7 @@
         &self,
         request: &QuotaRequest,
         leader: SocketAddr,
-        limit: Duration,
+        time_limit: Duration,
     ) -> Option<QuotaResponse> {
         let send = |number| async move {
             let request = QuotaRequest {
@@ -83,7 +82,7 @@
             };
             self.send(&Message::QuotaRequest(request), leader).await;
         };
-        self.quota.pending.send(limit, send).await
+        self.quota.pending.send(time_limit, send).await
     }
 
     /// Passes a response to the request that waits for it.
--- a/crates/front/src/readers.rs
+++ b/crates/front/src/readers.rs
@@ -13,7 +13,7 @@
 mod selection;
 mod server;
 
-pub use client::{Error, StoreUpdate, ask};
+pub use client::{Error, StoreUpdate, poll};
 pub use selection::{Candidate, choose};
 pub use server::respond;
 
--- a/crates/front/src/readers/client.rs
+++ b/crates/front/src/readers/client.rs
@@ -77,7 +77,7 @@
 /// Polls a reader for the changes after a revision, and records them to serve them to others.
 ///
 /// `bound` is the propagation bound. After an error the changes must be read from another source.
-pub async fn ask(
+pub async fn poll(
     state: &State,
     reader: SocketAddr,
     after: u64,
--- a/crates/front/src/readers/selection.rs
+++ b/crates/front/src/readers/selection.rs
@@ -41,13 +41,13 @@
     hosts.retain(|host| !host.silent);
     let halls = hosts.chunk_by(|a, b| a.hall == b.hall);
     let readers: Vec<&Candidate> = halls.flat_map(hall_readers).collect();
-    let heads = select_roots(&readers, leader);
+    let roots = select_roots(&readers, leader);
     readers
         .iter()
         .map(|host| Reader {
             hall: host.hall.clone(),
             addr: host.addr,
-            root: heads.contains(&host.addr),
+            root: roots.contains(&host.addr),
         })
         .collect()
 }
@@ -62,10 +62,10 @@
     let hall = readers.iter().find(|r| r.addr == leader).map(|r| &r.hall);
     let mut ranked: Vec<&&Candidate> = readers.iter().collect();
     ranked.sort_by(|a, b| {
-        let beside = |r: &Candidate| r.addr != leader && hall == Some(&r.hall);
-        let least = |r: &Candidate| (r.store_failed, r.addr != leader, beside(r));
-        least(a)
-            .cmp(&least(b))
+        let is_beside_leader = |r: &Candidate| r.addr != leader && hall == Some(&r.hall);
+        let preference = |r: &Candidate| (r.store_failed, r.addr != leader, is_beside_leader(r));
+        preference(a)
+            .cmp(&preference(b))
             .then(b.cores.total_cmp(&a.cores))
             .then(a.addr.cmp(&b.addr))
     });
--- a/crates/front/src/state.rs
+++ b/crates/front/src/state.rs
@@ -89,11 +89,11 @@
 pub fn open(
     settings: Settings,
     log: Log,
-    store_limit: std::time::Duration,
+    store_timeout: std::time::Duration,
 ) -> (Arc<State>, PlacementRequests, Reports) {
     let seed = unit::rendezvous::hash(settings.name.as_bytes());
     let bodies = settings.limits.memory_mb * 1_024 / BODY_MEMORY_DIVISOR;
-    let (wanted, receiver) = tokio::sync::mpsc::unbounded_channel();
+    let (placement_requests, receiver) = tokio::sync::mpsc::unbounded_channel();
     let (quarantine, reports) = quarantine::open();
     let heartbeat = settings.bounds.heartbeat.into();
     let state = State {
@@ -104,7 +104,7 @@
         limits_changed: Notify::new(),
         departure_heard: Notify::new(),
         load_reduced: Notify::new(),
-        store: platform::store::open(settings.store, store_limit),
+        store: platform::store::open(settings.store, store_timeout),
         readers: Readers::default(),
         shares: shares::open(&settings.bounds),
         pool: Pool::default(),
@@ -114,7 +114,7 @@
         leader_seen: AtomicBool::new(false),
         quarantine,
         leader: Mutex::default(),
-        placement_requests: wanted,
+        placement_requests,
         draining: watch::Sender::new(false),
         in_flight: AtomicUsize::new(0),
         clock: Arc::new(clock::start()),
