--- a/crates/cli/src/bundles.rs
+++ b/crates/cli/src/bundles.rs
@@ -1,7 +1,7 @@
 //! Life of a bundle: check, diff, propose, approve, roll.
 
+use crate::client::Client;
 use crate::error::Error;
-use crate::platform_tool::Tool;
 use backing::hosts::Kind;
 use backing::keys;
 use backing::kv::{Error as KvError, SwapOutcome};
@@ -40,8 +40,8 @@
 }
 
 /// Whether a bundle's floors fit the accelerators in the host list.
-pub async fn fit(tool: &Tool, intent: &Intent) -> Result<Fit, Error> {
-    let bins: Vec<Bin> = tool
+pub async fn fit(client: &Client, intent: &Intent) -> Result<Fit, Error> {
+    let bins: Vec<Bin> = client
         .hosts()
         .await?
         .into_iter()
@@ -72,8 +72,8 @@
 }
 
 /// Refuses a bundle that does not fit.
-async fn must_fit(tool: &Tool, intent: &Intent) -> Result<(), Error> {
-    let fit = fit(tool, intent).await?;
+async fn must_fit(client: &Client, intent: &Intent) -> Result<(), Error> {
+    let fit = fit(client, intent).await?;
     match fit.fits() {
         true => Ok(()),
         false => Err(Error::Unfit { fit }),
@@ -81,9 +81,9 @@
 }
 
 /// Checks a bundle, and with `fleet` that it fits.
-pub async fn check_fleet(tool: &Tool, file: &str, text: &str) -> Result<Fit, Error> {
+pub async fn check_fleet(client: &Client, file: &str, text: &str) -> Result<Fit, Error> {
     let intent = check(file, text)?;
-    let fit = fit(tool, &intent).await?;
+    let fit = fit(client, &intent).await?;
     match fit.fits() {
         true => Ok(fit),
         false => Err(Error::Unfit { fit }),
@@ -91,43 +91,43 @@
 }
 
 /// What rolling a bundle would mean.
-pub async fn compare(tool: &Tool, file: &str, text: &str) -> Result<Diff, Error> {
+pub async fn compare(client: &Client, file: &str, text: &str) -> Result<Diff, Error> {
     let new = check(file, text)?;
-    let head = documents::head(&tool.kv).await?;
+    let head = documents::head(&client.kv).await?;
     let old = match head.value {
-        Some(head) => content(tool, &head).await?,
+        Some(head) => content(client, &head).await?,
         None => Intent::default(),
     };
     Ok(diff(&old, &new))
 }
 
 /// Content of a head.
-async fn content(tool: &Tool, head: &Head) -> Result<Intent, Error> {
-    let text = text(tool, head).await?;
+async fn content(client: &Client, head: &Head) -> Result<Intent, Error> {
+    let text = text(client, head).await?;
     check(&format!("bundle {}", head.sequence), &text)
 }
 
 /// Text of a head.
-pub async fn text(tool: &Tool, head: &Head) -> Result<String, Error> {
+pub async fn text(client: &Client, head: &Head) -> Result<String, Error> {
     let parts = &head.draft.parts;
-    let texts = documents::parts(&tool.kv, parts, &HashMap::new()).await?;
+    let texts = documents::parts(&client.kv, parts, &HashMap::new()).await?;
     let ordered = parts.iter().map(|at| &*texts[&at.hash]);
     Ok(part::concat(ordered))
 }
 
 /// Makes a signed draft; gives it as it stands in the service.
 pub async fn propose(
-    tool: &Tool,
+    client: &Client,
     file: &str,
     text: &str,
     signing: &Signing<'_>,
 ) -> Result<Draft, Error> {
     let intent = check(file, text)?;
-    must_fit(tool, &intent).await?;
-    check_key(tool, signing)?;
+    must_fit(client, &intent).await?;
+    check_key(client, signing)?;
     let parts: Vec<Part> =
         part::split(file, text).map_err(|problems| Error::Bundle { problems })?;
-    let head = documents::head(&tool.kv).await?;
+    let head = documents::head(&client.kv).await?;
     let replaces = head.value.map_or(0, |h| h.sequence);
     let refs: Vec<_> = parts.iter().map(|p| p.reference.clone()).collect();
     let root = part::content_hash(&refs);
@@ -145,11 +145,11 @@
         ),
         approvals: Vec::new(),
     };
-    documents::put_parts(&tool.kv, &parts).await?;
+    documents::put_parts(&client.kv, &parts).await?;
     let text = to_text(&draft);
     let key = keys::draft(&draft.id);
     // The id is fresh, so a repeat after a lost answer can only meet this very draft.
-    settle(tool, &key, 0, &text, "the proposal").await?;
+    settle(client, &key, 0, &text, "the proposal").await?;
     Ok(draft)
 }
 
@@ -159,8 +159,8 @@
     format!("{:x}-{}-{chance:04x}", wall_ms() / 1_000, &root[..8]).into()
 }
 
-fn check_key(tool: &Tool, signing: &Signing) -> Result<(), Error> {
-    let known = tool.settings.trust.operators.get(signing.operator);
+fn check_key(client: &Client, signing: &Signing) -> Result<(), Error> {
+    let known = client.settings.trust.operators.get(signing.operator);
     match known == Some(&public_key(signing.key)) {
         true => Ok(()),
         false => Err(Error::KeyForeign {
@@ -174,8 +174,8 @@
 }
 
 /// Reads a draft.
-pub async fn draft(tool: &Tool, id: &Name) -> Result<Versioned<Draft>, Error> {
-    let at: Versioned<Draft> = documents::read(&tool.kv, &keys::draft(id)).await?;
+pub async fn draft(client: &Client, id: &Name) -> Result<Versioned<Draft>, Error> {
+    let at: Versioned<Draft> = documents::read(&client.kv, &keys::draft(id)).await?;
     match at.value {
         Some(_) => Ok(at),
         None => Err(Error::NoDraft { id: id.clone() }),
@@ -183,17 +183,17 @@
 }
 
 /// Adds an operator's approval to a draft.
-pub async fn approve(tool: &Tool, id: &Name, signing: &Signing<'_>) -> Result<Draft, Error> {
-    check_key(tool, signing)?;
+pub async fn approve(client: &Client, id: &Name, signing: &Signing<'_>) -> Result<Draft, Error> {
+    check_key(client, signing)?;
     loop {
-        let at = draft(tool, id).await?;
+        let at = draft(client, id).await?;
         let mut draft = at.value.expect("a draft that was found is there");
         if draft.proposal.operator == *signing.operator {
             return Err(Error::OwnProposal {
                 operator: signing.operator.clone(),
             });
         }
-        let head = documents::head(&tool.kv).await?;
+        let head = documents::head(&client.kv).await?;
         check_overtaken(&draft, head.value.as_ref())?;
         let root = draft.content_hash();
         draft.approvals.retain(|a| a.operator != *signing.operator);
@@ -206,7 +206,7 @@
         );
         draft.approvals.push(approval);
         let text = to_text(&draft);
-        let written = settle(tool, &keys::draft(id), at.revision, &text, "the approval").await?;
+        let written = settle(client, &keys::draft(id), at.revision, &text, "the approval").await?;
         if written {
             return Ok(draft);
         }
@@ -229,24 +229,24 @@
 }
 
 /// Puts an approved draft in force; gives its head.
-pub async fn roll(tool: &Tool, id: &Name) -> Result<Head, Error> {
-    let draft = draft(tool, id)
+pub async fn roll(client: &Client, id: &Name) -> Result<Head, Error> {
+    let draft = draft(client, id)
         .await?
         .value
         .expect("a draft that was found is there");
-    let at = documents::head(&tool.kv).await?;
+    let at = documents::head(&client.kv).await?;
     check_overtaken(&draft, at.value.as_ref())?;
     let revoked = match &at.value {
-        Some(head) => content(tool, head).await?.revoked,
+        Some(head) => content(client, head).await?.revoked,
         None => Default::default(),
     };
-    draft.verify(&tool.settings.trust, &revoked)?;
-    let texts = documents::parts(&tool.kv, &draft.parts, &HashMap::new()).await?;
+    draft.verify(&client.settings.trust, &revoked)?;
+    let texts = documents::parts(&client.kv, &draft.parts, &HashMap::new()).await?;
     let intent = part::parse(draft.parts.iter().map(|p| &*texts[&p.hash]))
         .map_err(|problems| Error::Bundle { problems })?;
-    must_fit(tool, &intent).await?;
+    must_fit(client, &intent).await?;
     if let Some(head) = &at.value {
-        keep(tool, head).await?;
+        keep(client, head).await?;
     }
     let head = Head {
         sequence: draft.replaces + 1,
@@ -254,21 +254,21 @@
         draft,
     };
     let what = format!("the roll of bundle {}", head.sequence);
-    let written = settle(tool, keys::HEAD, at.revision, &to_text(&head), &what).await?;
-    if !written && !was_in_force(tool, &head).await? {
-        let now = documents::head(&tool.kv).await?;
+    let written = settle(client, keys::HEAD, at.revision, &to_text(&head), &what).await?;
+    if !written && !was_in_force(client, &head).await? {
+        let now = documents::head(&client.kv).await?;
         check_overtaken(&head.draft, now.value.as_ref())?;
     }
-    let _ = keep(tool, &head).await;
+    let _ = keep(client, &head).await;
     Ok(head)
 }
 
 /// Whether a head took effect by a write whose answer was lost, and was overtaken since.
 ///
 /// Whoever rolls the next bundle keeps the one before it in the history first.
-async fn was_in_force(tool: &Tool, head: &Head) -> Result<bool, Error> {
+async fn was_in_force(client: &Client, head: &Head) -> Result<bool, Error> {
     let kept: Result<Versioned<Head>, _> =
-        documents::read(&tool.kv, &keys::history(head.sequence)).await;
+        documents::read(&client.kv, &keys::history(head.sequence)).await;
     let kept = kept.map_err(|_| Error::NotYetKnown {
         what: format!("the roll of bundle {}", head.sequence),
     })?;
@@ -278,9 +278,9 @@
 }
 
 /// Keeps a head in the history; its key is its sequence, so a repeat is harmless.
-async fn keep(tool: &Tool, head: &Head) -> Result<(), Error> {
+async fn keep(client: &Client, head: &Head) -> Result<(), Error> {
     let key = keys::history(head.sequence);
-    match tool
+    match client
         .kv
         .compare_and_swap(&key, 0, Some(&to_text(head)), None)
         .await
@@ -293,7 +293,7 @@
 /// Writes a value and settles a lost answer: true when it took effect, false when another's
 /// write stands there, an error when it is not known.
 async fn settle(
-    tool: &Tool,
+    client: &Client,
     key: &str,
     expected: u64,
     text: &str,
@@ -301,7 +301,7 @@
 ) -> Result<bool, Error> {
     let mut in_doubt = false;
     for _ in 0..TRIES {
-        match tool
+        match client
             .kv
             .compare_and_swap(key, expected, Some(text), None)
             .await
@@ -320,8 +320,8 @@
 }
 
 /// Past bundles, oldest first.
-pub async fn history(tool: &Tool) -> Result<Vec<Head>, Error> {
-    let found = tool.kv.list(keys::HISTORY).await;
+pub async fn history(client: &Client) -> Result<Vec<Head>, Error> {
+    let found = client.kv.list(keys::HISTORY).await;
     let found = found.map_err(|source| documents::Error::Kv { source })?;
     let mut heads = Vec::new();
     for value in &found {
@@ -331,14 +331,14 @@
 }
 
 /// A bundle by sequence, or the one in force.
-pub async fn find(tool: &Tool, sequence: Option<u64>) -> Result<Head, Error> {
-    let head = documents::head(&tool.kv).await?.value;
+pub async fn find(client: &Client, sequence: Option<u64>) -> Result<Head, Error> {
+    let head = documents::head(&client.kv).await?.value;
     match (sequence, head) {
         (None, Some(head)) => Ok(head),
         (None, None) => Err(Error::NothingInForce),
         (Some(n), Some(head)) if head.sequence == n => Ok(head),
         (Some(n), _) => {
-            let at: Versioned<Head> = documents::read(&tool.kv, &keys::history(n)).await?;
+            let at: Versioned<Head> = documents::read(&client.kv, &keys::history(n)).await?;
             at.value.ok_or_else(|| Error::NotFound {
                 text: format!(
                     "There is no bundle {n}; 'coveford bundle history' lists those there were."
--- a/crates/cli/src/platform_tool.rs
+++ b/crates/cli/src/client.rs
@@ -1,4 +1,4 @@
-//! The platform's services and the daemons, as the tool reaches them.
+//! Client of the services and the daemons that the commands call.
 
 use crate::error::Error;
 use backing::hosts::{Host, Hosts, Kind};
@@ -13,8 +13,8 @@
 /// Longest answer of a daemon, in bytes.
 const MOST_ANSWER: usize = 32_000_000;
 
-/// Open tool.
-pub struct Tool {
+/// Client of the key-value service, the host list and the daemons.
+pub struct Client {
     /// Its settings.
     pub settings: Settings,
     /// Key-value service.
@@ -24,15 +24,15 @@
     hosts: Hosts,
 }
 
-/// Opens the tool with the settings of a file.
-pub fn load(path: &Path) -> Result<Tool, Error> {
+/// Creates a client with the settings of a file.
+pub fn load(path: &Path) -> Result<Client, Error> {
     Ok(open(settings::load_tool(path)?))
 }
 
-/// Opens the tool.
-pub fn open(settings: Settings) -> Tool {
+/// Creates a client.
+pub fn open(settings: Settings) -> Client {
     let limit = settings.call_limit.std();
-    Tool {
+    Client {
         kv: backing::kv::open(&settings.kv, limit),
         hosts: backing::hosts::open(settings.hosts, limit),
         pool: Pool::default(),
@@ -40,7 +40,7 @@
     }
 }
 
-impl Tool {
+impl Client {
     /// Reads the host list.
     pub async fn hosts(&self) -> Result<Vec<Host>, Error> {
         self.hosts.list().await.map_err(|e| Error::Unreachable {
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -1,9 +1,9 @@
 //! Doing what the command line asks for.
 
 use crate::bundles::{self, Signing};
+use crate::client::{self, Client};
 use crate::error::{Error, ReadSnafu};
 use crate::options::{Command, Options, Signer};
-use crate::platform_tool::{self, Tool};
 use crate::render::{json, out, table};
 use crate::state::{self, Seen};
 use crate::{gauges, keys, losses, story, why};
@@ -69,7 +69,7 @@
             Ok(())
         }
         Command::Status { metrics } if !metrics.is_empty() => daemons(options, metrics).await,
-        _ => with_platform(options, &platform_tool::load(&options.settings)?).await,
+        _ => with_platform(options, &client::load(&options.settings)?).await,
     }
 }
 
@@ -93,23 +93,23 @@
     path.display().to_string()
 }
 
-async fn with_platform(options: &Options, tool: &Tool) -> Result<(), Error> {
+async fn with_platform(options: &Options, client: &Client) -> Result<(), Error> {
     match &options.command {
         Command::Check { file, .. } => {
-            let fit = bundles::check_fleet(tool, &name(file), &read(file)?).await?;
+            let fit = bundles::check_fleet(client, &name(file), &read(file)?).await?;
             out(format!("{} is in order and fits: {fit}", file.display()));
         }
         Command::Diff { file } => {
-            let diff = bundles::compare(tool, &name(file), &read(file)?).await?;
+            let diff = bundles::compare(client, &name(file), &read(file)?).await?;
             show_diff(options, &diff);
         }
         Command::Propose { file, signer } => {
             let text = read(file)?;
             let draft = signed(signer, async |s| {
-                bundles::propose(tool, &name(file), &text, &s).await
+                bundles::propose(client, &name(file), &text, &s).await
             })
             .await?;
-            let needed = tool.settings.trust.required_approvals;
+            let needed = client.settings.trust.required_approvals;
             match options.json {
                 true => json(&draft),
                 false => out(format!(
@@ -119,7 +119,7 @@
             }
         }
         Command::Approve { draft, signer } => {
-            let draft = signed(signer, async |s| bundles::approve(tool, draft, &s).await).await?;
+            let draft = signed(signer, async |s| bundles::approve(client, draft, &s).await).await?;
             match options.json {
                 true => json(&draft),
                 false => out(format!(
@@ -129,32 +129,32 @@
                 )),
             }
         }
-        Command::Roll { draft } => roll(options, tool, draft).await?,
-        Command::BundleStatus => bundle_status(options, tool).await?,
-        Command::History => history(options, tool).await?,
+        Command::Roll { draft } => roll(options, client, draft).await?,
+        Command::BundleStatus => bundle_status(options, client).await?,
+        Command::History => history(options, client).await?,
         Command::Show { sequence } => {
-            let head = bundles::find(tool, *sequence).await?;
-            out(bundles::text(tool, &head).await?);
+            let head = bundles::find(client, *sequence).await?;
+            out(bundles::text(client, &head).await?);
         }
-        Command::Status { .. } => status(options, tool).await?,
+        Command::Status { .. } => status(options, client).await?,
         Command::WhyRequest { request, .. } => {
-            let record = why::request(tool, request).await?;
+            let record = why::request(client, request).await?;
             match options.json {
                 true => json(&record),
                 false => print(&record.explain()),
             }
         }
-        Command::WhyModel { model } => print(&why::model(tool, model).await?),
+        Command::WhyModel { model } => print(&why::model(client, model).await?),
         Command::WhyMove { fence } => {
-            let moved = why::find_move(tool, fence).await?;
+            let moved = why::find_move(client, fence).await?;
             match options.json {
                 true => json(&moved),
                 false => print(&why::explain_move(&moved)),
             }
         }
-        Command::Moves => moves(options, tool).await?,
-        Command::Drain { host } => drain(tool, host).await?,
-        Command::KeyList => key_list(options, tool).await?,
+        Command::Moves => moves(options, client).await?,
+        Command::Drain { host } => drain(client, host).await?,
+        Command::KeyList => key_list(options, client).await?,
         Command::KeyMake { .. }
         | Command::KeyShow { .. }
         | Command::KeyHash { .. }
@@ -201,10 +201,10 @@
     ));
 }
 
-async fn roll(options: &Options, tool: &Tool, draft: &Name) -> Result<(), Error> {
-    let head = bundles::roll(tool, draft).await?;
+async fn roll(options: &Options, client: &Client, draft: &Name) -> Result<(), Error> {
+    let head = bundles::roll(client, draft).await?;
     // The roll is done; that not every host answers at once does not undo it.
-    let seen = state::wait_for(tool, head.sequence)
+    let seen = state::wait_for(client, head.sequence)
         .await
         .unwrap_or_default();
     let there = in_force(&seen, head.sequence);
@@ -224,10 +224,10 @@
     seen.iter().filter(there).count()
 }
 
-async fn bundle_status(options: &Options, tool: &Tool) -> Result<(), Error> {
-    let head = documents::head(&tool.kv).await?.value;
-    let drafts = documents::drafts(&tool.kv).await?;
-    let seen = state::all(tool).await?;
+async fn bundle_status(options: &Options, client: &Client) -> Result<(), Error> {
+    let head = documents::head(&client.kv).await?.value;
+    let drafts = documents::drafts(&client.kv).await?;
+    let seen = state::all(client).await?;
     if options.json {
         json(&json!({
             "head": head,
@@ -275,8 +275,8 @@
     Ok(())
 }
 
-async fn history(options: &Options, tool: &Tool) -> Result<(), Error> {
-    let heads = bundles::history(tool).await?;
+async fn history(options: &Options, client: &Client) -> Result<(), Error> {
+    let heads = bundles::history(client).await?;
     if options.json {
         json(&heads);
         return Ok(());
@@ -302,8 +302,8 @@
     Ok(())
 }
 
-async fn status(options: &Options, tool: &Tool) -> Result<(), Error> {
-    let seen = state::all(tool).await?;
+async fn status(options: &Options, client: &Client) -> Result<(), Error> {
+    let seen = state::all(client).await?;
     if options.json {
         let statuses: Vec<_> = seen
             .iter()
@@ -408,8 +408,8 @@
     ]
 }
 
-async fn moves(options: &Options, tool: &Tool) -> Result<(), Error> {
-    let moves = why::moves(tool).await?;
+async fn moves(options: &Options, client: &Client) -> Result<(), Error> {
+    let moves = why::moves(client).await?;
     if options.json {
         json(&moves);
         return Ok(());
@@ -431,17 +431,18 @@
     Ok(())
 }
 
-async fn drain(tool: &Tool, host: &Name) -> Result<(), Error> {
-    let daemons = tool.daemons().await?;
+async fn drain(client: &Client, host: &Name) -> Result<(), Error> {
+    let daemons = client.daemons().await?;
     let found = daemons.iter().find(|d| d.name == *host);
     let found = found.ok_or_else(|| Error::NotFound {
         text: format!(
             "The host list has no host '{host}' of coveford's; 'coveford status' lists them."
         ),
     })?;
-    let key = &tool.settings.wire_key;
+    let key = &client.settings.wire_key;
     let asked =
-        daemon::spread::exchange(&tool.pool, key, found.addr, &Frame::Drain, Duration::ZERO).await;
+        daemon::spread::exchange(&client.pool, key, found.addr, &Frame::Drain, Duration::ZERO)
+            .await;
     match asked {
         Ok((Frame::Draining { in_flight }, _)) => {
             out(format!(
@@ -460,16 +461,16 @@
     }
 }
 
-async fn key_list(options: &Options, tool: &Tool) -> Result<(), Error> {
-    let head = documents::head(&tool.kv).await?.value;
+async fn key_list(options: &Options, client: &Client) -> Result<(), Error> {
+    let head = documents::head(&client.kv).await?.value;
     let revoked = match &head {
         Some(head) => {
-            let text = bundles::text(tool, head).await?;
+            let text = bundles::text(client, head).await?;
             bundles::check("bundle in force", &text)?.revoked
         }
         None => Default::default(),
     };
-    let keys = &tool.settings.trust.operators;
+    let keys = &client.settings.trust.operators;
     if options.json {
         let list: Vec<_> = keys
             .iter()
--- a/crates/cli/src/state.rs
+++ b/crates/cli/src/state.rs
@@ -1,7 +1,7 @@
 //! State of the system, asked of every daemon.
 
+use crate::client::Client;
 use crate::error::Error;
-use crate::platform_tool::Tool;
 use backing::hosts::Host;
 use daemon::operator::Status;
 use futures::future::join_all;
@@ -23,10 +23,10 @@
 }
 
 /// Asks every daemon in the host list.
-pub async fn all(tool: &Tool) -> Result<Vec<Seen>, Error> {
-    let daemons = tool.daemons().await?;
+pub async fn all(client: &Client) -> Result<Vec<Seen>, Error> {
+    let daemons = client.daemons().await?;
     let asked = daemons.into_iter().map(|host| async move {
-        let status = tool.json(host.addr, "/status").await;
+        let status = client.json(host.addr, "/status").await;
         Seen {
             status: status.ok().flatten(),
             host,
@@ -36,10 +36,10 @@
 }
 
 /// Waits until a bundle is in force at every daemon that answers, for some seconds at most.
-pub async fn wait_for(tool: &Tool, sequence: u64) -> Result<Vec<Seen>, Error> {
+pub async fn wait_for(client: &Client, sequence: u64) -> Result<Vec<Seen>, Error> {
     let until = Instant::now() + EVERYWHERE;
     loop {
-        let seen = all(tool).await?;
+        let seen = all(client).await?;
         let there = |s: &Seen| s.status.as_ref().is_some_and(|s| s.bundle >= sequence);
         if seen.iter().all(there) || Instant::now() >= until {
             return Ok(seen);
--- a/crates/cli/src/why.rs
+++ b/crates/cli/src/why.rs
@@ -1,7 +1,7 @@
 //! Explanations in sentences.
 
+use crate::client::Client;
 use crate::error::Error;
-use crate::platform_tool::Tool;
 use crate::state;
 use backing::keys;
 use daemon::documents;
@@ -14,14 +14,14 @@
 use unit::engine::{Action, State, Weights};
 
 /// Finds the record of a request at the daemon that served it.
-pub async fn request(tool: &Tool, id: &Name) -> Result<Record, Error> {
-    let daemons = tool.daemons().await?;
+pub async fn request(client: &Client, id: &Name) -> Result<Record, Error> {
+    let daemons = client.daemons().await?;
     // The id begins with the host's name; the others are asked in case it was renamed.
     let mut ordered: Vec<_> = daemons.iter().collect();
     ordered.sort_by_key(|host| !id.starts_with(&*host.name));
     let mut silent = Vec::new();
     for host in ordered {
-        match tool.json(host.addr, &format!("/why/request/{id}")).await {
+        match client.json(host.addr, &format!("/why/request/{id}")).await {
             Ok(Some(record)) => return Ok(record),
             Ok(None) => {}
             Err(_) => silent.push(host.name.to_string()),
@@ -39,13 +39,13 @@
 }
 
 /// Ledgers of all halls that the hosts stand in.
-pub async fn ledgers(tool: &Tool) -> Result<Vec<(Name, Ledger)>, Error> {
-    let mut halls: Vec<Name> = tool.hosts().await?.into_iter().map(|h| h.hall).collect();
+pub async fn ledgers(client: &Client) -> Result<Vec<(Name, Ledger)>, Error> {
+    let mut halls: Vec<Name> = client.hosts().await?.into_iter().map(|h| h.hall).collect();
     halls.sort();
     halls.dedup();
     let mut ledgers = Vec::new();
     for hall in halls {
-        let at = documents::read::<Ledger>(&tool.kv, &keys::ledger(&hall)).await?;
+        let at = documents::read::<Ledger>(&client.kv, &keys::ledger(&hall)).await?;
         if let Some(ledger) = at.value {
             ledgers.push((hall, ledger));
         }
@@ -66,9 +66,9 @@
 }
 
 /// Newest moves of all halls, newest first.
-pub async fn moves(tool: &Tool) -> Result<Vec<Moved>, Error> {
+pub async fn moves(client: &Client) -> Result<Vec<Moved>, Error> {
     let mut all = Vec::new();
-    for (hall, ledger) in ledgers(tool).await? {
+    for (hall, ledger) in ledgers(client).await? {
         for moved in &ledger.moves {
             all.push(Moved {
                 hall: hall.clone(),
@@ -82,8 +82,8 @@
 }
 
 /// Finds a move by `HALL/TERM.NUMBER`.
-pub async fn find_move(tool: &Tool, id: &Name) -> Result<Moved, Error> {
-    let all = moves(tool).await?;
+pub async fn find_move(client: &Client, id: &Name) -> Result<Moved, Error> {
+    let all = moves(client).await?;
     let found = all.into_iter().find(|m| move_id(m) == **id);
     found.ok_or_else(|| Error::NotFound {
         text: format!("No ledger keeps a move '{id}'; 'coveford moves' lists the newest."),
@@ -131,8 +131,8 @@
 }
 
 /// A model in sentences.
-pub async fn model(tool: &Tool, name: &Name) -> Result<Vec<String>, Error> {
-    let seen = state::all(tool).await?;
+pub async fn model(client: &Client, name: &Name) -> Result<Vec<String>, Error> {
+    let seen = state::all(client).await?;
     let statuses: Vec<&Status> = seen.iter().filter_map(|s| s.status.as_ref()).collect();
     let newest = statuses.iter().max_by_key(|s| s.bundle);
     let newest = newest.ok_or_else(|| Error::Unreachable {
@@ -173,7 +173,7 @@
     if found.replicas.is_empty() {
         lines.push("  No upstream holds it.".into());
     }
-    for moved in moves(tool)
+    for moved in moves(client)
         .await?
         .iter()
         .filter(|m| concerns(&m.moved, name))
@@ -185,7 +185,7 @@
         .iter()
         .filter(|s| s.status.as_ref().is_some_and(|s| s.planner))
     {
-        let planner = tool.json::<Planner>(host.host.addr, "/planner").await;
+        let planner = client.json::<Planner>(host.host.addr, "/planner").await;
         if let Ok(Some(planner)) = planner
             && let Some(note) = planner.notes.get(name)
         {
--- a/crates/standin/src/fleet.rs
+++ b/crates/standin/src/fleet.rs
@@ -8,7 +8,7 @@
 use bundle::Head;
 use bundle::key::public_key;
 use cli::bundles::{self, Signing};
-use cli::{Error, Tool};
+use cli::{Client, Error};
 use daemon::settings::{self, Settings};
 use daemon::{Daemon, spawn};
 use ed25519_dalek::SigningKey;
@@ -90,7 +90,7 @@
     /// Daemons.
     pub daemons: Vec<Daemon>,
     /// Operators' tool.
-    pub tool: Tool,
+    pub tool: Client,
     /// Operators.
     pub operators: Vec<Operator>,
     plan: Plan,
