--- a/crates/cli/src/bundles.rs
+++ b/crates/cli/src/bundles.rs
@@ -76,7 +76,7 @@
     let fit = fit(client, intent).await?;
     match fit.fits() {
         true => Ok(()),
-        false => Err(Error::Unfit { fit }),
+        false => Err(Error::InsufficientMemory { fit }),
     }
 }
 
@@ -86,7 +86,7 @@
     let fit = fit(client, &intent).await?;
     match fit.fits() {
         true => Ok(fit),
-        false => Err(Error::Unfit { fit }),
+        false => Err(Error::InsufficientMemory { fit }),
     }
 }
 
@@ -163,7 +163,7 @@
     let known = client.settings.trust.operators.get(signing.operator);
     match known == Some(&public_key(signing.key)) {
         true => Ok(()),
-        false => Err(Error::KeyForeign {
+        false => Err(Error::KeyMismatch {
             operator: signing.operator.clone(),
         }),
     }
@@ -178,7 +178,7 @@
     let at: Versioned<Draft> = documents::read(&client.kv, &keys::draft(id)).await?;
     match at.value {
         Some(_) => Ok(at),
-        None => Err(Error::NoDraft { id: id.clone() }),
+        None => Err(Error::DraftNotFound { id: id.clone() }),
     }
 }
 
@@ -194,7 +194,7 @@
             });
         }
         let head = documents::head(&client.kv).await?;
-        check_overtaken(&draft, head.value.as_ref())?;
+        ensure_current(&draft, head.value.as_ref())?;
         let root = draft.content_hash();
         draft.approvals.retain(|a| a.operator != *signing.operator);
         let approval = sign(
@@ -214,12 +214,12 @@
     }
 }
 
-fn check_overtaken(draft: &Draft, head: Option<&Head>) -> Result<(), Error> {
+fn ensure_current(draft: &Draft, head: Option<&Head>) -> Result<(), Error> {
     let current = head.map_or(0, |h| h.sequence);
     if draft.replaces == current {
         return Ok(());
     }
-    Err(Error::Overtaken {
+    Err(Error::Superseded {
         id: draft.id.clone(),
         replaces: draft.replaces,
         current,
@@ -235,7 +235,7 @@
         .value
         .expect("a draft that was found is there");
     let at = documents::head(&client.kv).await?;
-    check_overtaken(&draft, at.value.as_ref())?;
+    ensure_current(&draft, at.value.as_ref())?;
     let revoked = match &at.value {
         Some(head) => content(client, head).await?.revoked,
         None => Default::default(),
@@ -257,7 +257,7 @@
     let written = settle(client, keys::HEAD, at.revision, &to_text(&head), &what).await?;
     if !written && !was_in_force(client, &head).await? {
         let now = documents::head(&client.kv).await?;
-        check_overtaken(&head.draft, now.value.as_ref())?;
+        ensure_current(&head.draft, now.value.as_ref())?;
     }
     let _ = keep(client, &head).await;
     Ok(head)
@@ -269,7 +269,7 @@
 async fn was_in_force(client: &Client, head: &Head) -> Result<bool, Error> {
     let kept: Result<Versioned<Head>, _> =
         documents::read(&client.kv, &keys::history(head.sequence)).await;
-    let kept = kept.map_err(|_| Error::NotYetKnown {
+    let kept = kept.map_err(|_| Error::Indeterminate {
         what: format!("the roll of bundle {}", head.sequence),
     })?;
     Ok(kept
@@ -316,7 +316,7 @@
         }
         sleep(PAUSE).await;
     }
-    Err(Error::NotYetKnown { what: what.into() })
+    Err(Error::Indeterminate { what: what.into() })
 }
 
 /// Past bundles, oldest first.
@@ -335,7 +335,7 @@
     let head = documents::head(&client.kv).await?.value;
     match (sequence, head) {
         (None, Some(head)) => Ok(head),
-        (None, None) => Err(Error::NothingInForce),
+        (None, None) => Err(Error::NoBundle),
         (Some(n), Some(head)) if head.sequence == n => Ok(head),
         (Some(n), _) => {
             let at: Versioned<Head> = documents::read(&client.kv, &keys::history(n)).await?;
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -44,7 +44,7 @@
     },
     /// A key file can be read by others.
     #[snafu(display("{} can be read by others (mode {mode:o}); run 'chmod 600' on it, and make a new key if others may have read it.", path.display()))]
-    KeyExposed {
+    ExposedKey {
         /// Which.
         path: PathBuf,
         /// Its mode.
@@ -52,7 +52,7 @@
     },
     /// A key file holds no key.
     #[snafu(display("{} holds no ed25519 key in hex; make one with 'coveford key make'.", path.display()))]
-    KeyUnreadable {
+    InvalidKey {
         /// Which.
         path: PathBuf,
     },
@@ -60,7 +60,7 @@
     #[snafu(display(
         "The key is not that of operator '{operator}' in the settings; check --operator and --key."
     ))]
-    KeyForeign {
+    KeyMismatch {
         /// Who.
         operator: Name,
     },
@@ -74,13 +74,13 @@
     #[snafu(display(
         "The bundle does not fit: {fit} Take models out, lower 'least', or add upstreams."
     ))]
-    Unfit {
+    InsufficientMemory {
         /// The arithmetic.
         fit: Fit,
     },
     /// A draft is unknown.
     #[snafu(display("There is no draft '{id}'; 'coveford bundle status' lists those there are."))]
-    NoDraft {
+    DraftNotFound {
         /// Its id.
         id: Name,
     },
@@ -88,7 +88,7 @@
     #[snafu(display(
         "Draft {id} replaces bundle {replaces}, but bundle {current} ({title}, proposed by {proposer}) is in force now. See what it changed with 'coveford bundle diff FILE', then propose again."
     ))]
-    Overtaken {
+    Superseded {
         /// The draft.
         id: Name,
         /// What it replaces.
@@ -117,10 +117,10 @@
     },
     /// Nothing is in force.
     #[snafu(display("No bundle is in force yet; propose, approve and roll one."))]
-    NothingInForce,
+    NoBundle,
     /// The key-value service could not be used; nothing was changed by this call.
     #[snafu(display("{source}"), context(false))]
-    Shelf {
+    Documents {
         /// Its error.
         source: daemon::documents::Error,
     },
@@ -128,7 +128,7 @@
     #[snafu(display(
         "It is not known yet whether {what} took effect: the key-value service stopped answering. It is not undone by waiting; run 'coveford bundle status' when the service answers."
     ))]
-    NotYetKnown {
+    Indeterminate {
         /// Which write.
         what: String,
     },
@@ -155,19 +155,19 @@
             Error::Settings { .. }
             | Error::Read { .. }
             | Error::Write { .. }
-            | Error::KeyExposed { .. }
-            | Error::KeyUnreadable { .. } => WRONG_USE,
-            Error::KeyForeign { .. }
+            | Error::ExposedKey { .. }
+            | Error::InvalidKey { .. } => WRONG_USE,
+            Error::KeyMismatch { .. }
             | Error::Bundle { .. }
-            | Error::Unfit { .. }
-            | Error::NoDraft { .. }
-            | Error::Overtaken { .. }
+            | Error::InsufficientMemory { .. }
+            | Error::DraftNotFound { .. }
+            | Error::Superseded { .. }
             | Error::Unapproved { .. }
             | Error::OwnProposal { .. }
-            | Error::NothingInForce
+            | Error::NoBundle
             | Error::NotFound { .. } => REFUSED,
-            Error::Shelf { .. } | Error::Unreachable { .. } => UNREACHABLE,
-            Error::NotYetKnown { .. } => UNKNOWN,
+            Error::Documents { .. } | Error::Unreachable { .. } => UNREACHABLE,
+            Error::Indeterminate { .. } => UNKNOWN,
         })
     }
 }
--- a/crates/cli/src/keys.rs
+++ b/crates/cli/src/keys.rs
@@ -37,13 +37,13 @@
     let meta = fs::metadata(path).context(ReadSnafu { path })?;
     let mode = meta.permissions().mode() & 0o777;
     if mode & OTHERS != 0 {
-        return Err(Error::KeyExposed {
+        return Err(Error::ExposedKey {
             path: path.to_owned(),
             mode,
         });
     }
     let text = fs::read_to_string(path).context(ReadSnafu { path })?;
-    parse_signing_key(&text).ok_or_else(|| Error::KeyUnreadable {
+    parse_signing_key(&text).ok_or_else(|| Error::InvalidKey {
         path: path.to_owned(),
     })
 }
--- a/crates/standin/tests/bundles.rs
+++ b/crates/standin/tests/bundles.rs
@@ -84,7 +84,7 @@
         (Ok(won), Err(lost)) | (Err(lost), Ok(won)) => (won, lost),
         other => panic!("one must win and one lose: {other:?}"),
     };
-    let Error::Overtaken { current, title, .. } = lost else {
+    let Error::Superseded { current, title, .. } = lost else {
         panic!("the loser is told that it was overtaken: {lost}");
     };
     assert_eq!((current, title), (won.sequence, won.draft.title));
@@ -247,7 +247,7 @@
             .unwrap();
         match rolled {
             Ok(head) => assert_eq!(head.draft.id, now.draft.id, "in force means in force"),
-            Err(Error::NotYetKnown { .. }) => {}
+            Err(Error::Indeterminate { .. }) => {}
             Err(other) => assert_ne!(draft.id, now.draft.id, "not in force means not: {other}"),
         }
     }
--- a/crates/standin/tests/linearizable.rs
+++ b/crates/standin/tests/linearizable.rs
@@ -165,7 +165,7 @@
 fn roll_op(replaces: u64, rolled: &Result<Head, Error>) -> Option<Op> {
     match rolled {
         Ok(head) => Some(Op::Swap(replaces, head.sequence, Some(true))),
-        Err(Error::NotYetKnown { .. }) => None,
+        Err(Error::Indeterminate { .. }) => None,
         Err(_) => Some(Op::Swap(u64::MAX, 0, Some(false))),
     }
 }
