--- a/crates/cli/src/render.rs
+++ b/crates/cli/src/render.rs
@@ -21,12 +21,12 @@
 }
 
 /// Prints a value as JSON.
-pub fn json<T: Serialize>(value: &T) {
+pub fn print_json<T: Serialize>(value: &T) {
     let text = serde_json::to_string_pretty(value).expect("it can always be written");
-    out(text);
+    print_line(text);
 }
 
 /// Prints a line; a reader that has gone away, such as `head`, is no error.
-pub fn out(line: impl Display) {
+pub fn print_line(line: impl Display) {
     let _ = writeln!(io::stdout(), "{line}");
 }
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -4,7 +4,7 @@
 use crate::client::{self, Client};
 use crate::error::{Error, ReadSnafu};
 use crate::options::{Command, Options, Signer};
-use crate::render::{json, out, table};
+use crate::render::{print_json, print_line, table};
 use crate::state::{self, Seen};
 use crate::{gauges, keys, losses, story, why};
 use bundle::part;
@@ -29,24 +29,24 @@
 async fn command(options: &Options) -> Result<(), Error> {
     match &options.command {
         Command::KeyMake { file } => {
-            out(keys::make(file)?);
+            print_line(keys::make(file)?);
             Ok(())
         }
         Command::KeyShow { file } => {
-            out(bundle::key::public_key(&keys::read(file)?));
+            print_line(bundle::key::public_key(&keys::read(file)?));
             Ok(())
         }
         Command::KeyHash { key } => {
-            out(part::hash(key.as_bytes()));
+            print_line(part::hash(key.as_bytes()));
             Ok(())
         }
         Command::KeyWire => {
-            out(keys::wire());
+            print_line(keys::wire());
             Ok(())
         }
         Command::Check { file, fleet: false } => {
             let intent = bundles::check(&name(file), &read(file)?)?;
-            out(format!(
+            print_line(format!(
                 "{} is in order: {} models, {} adapters, {} callers, {} services.",
                 file.display(),
                 intent.models.len(),
@@ -57,14 +57,14 @@
             Ok(())
         }
         Command::WhyRequest { logs, request } if !logs.is_empty() => {
-            print(&story::request(request, logs)?);
+            print_lines(&story::request(request, logs)?);
             Ok(())
         }
         Command::Losses { logs, step } => {
             let losses = losses::read(logs, *step)?;
             match options.json {
-                true => json(&losses),
-                false => out(losses::tables(&losses)),
+                true => print_json(&losses),
+                false => print_line(losses::tables(&losses)),
             }
             Ok(())
         }
@@ -77,11 +77,11 @@
 async fn daemons(options: &Options, metrics: &[SocketAddr]) -> Result<(), Error> {
     let daemons = gauges::ask(metrics).await;
     if options.json {
-        json(&daemons);
+        print_json(&daemons);
         return gauges::check(&daemons);
     }
-    out(gauges::table(&daemons));
-    print(&gauges::findings(&daemons));
+    print_line(gauges::table(&daemons));
+    print_lines(&gauges::findings(&daemons));
     gauges::check(&daemons)
 }
 
@@ -97,7 +97,7 @@
     match &options.command {
         Command::Check { file, .. } => {
             let fit = bundles::check_fleet(client, &name(file), &read(file)?).await?;
-            out(format!("{} is in order and fits: {fit}", file.display()));
+            print_line(format!("{} is in order and fits: {fit}", file.display()));
         }
         Command::Diff { file } => {
             let diff = bundles::compare(client, &name(file), &read(file)?).await?;
@@ -111,8 +111,8 @@
             .await?;
             let needed = client.settings.trust.required_approvals;
             match options.json {
-                true => json(&draft),
-                false => out(format!(
+                true => print_json(&draft),
+                false => print_line(format!(
                     "Draft {} would replace bundle {}; it needs {needed} approvals.",
                     draft.id, draft.replaces
                 )),
@@ -121,8 +121,8 @@
         Command::Approve { draft, signer } => {
             let draft = signed(signer, async |s| bundles::approve(client, draft, &s).await).await?;
             match options.json {
-                true => json(&draft),
-                false => out(format!(
+                true => print_json(&draft),
+                false => print_line(format!(
                     "Draft {} has {} approvals.",
                     draft.id,
                     draft.approvals.len()
@@ -134,22 +134,22 @@
         Command::History => history(options, client).await?,
         Command::Show { sequence } => {
             let head = bundles::find(client, *sequence).await?;
-            out(bundles::text(client, &head).await?);
+            print_line(bundles::text(client, &head).await?);
         }
         Command::Status { .. } => status(options, client).await?,
         Command::WhyRequest { request, .. } => {
             let record = why::request(client, request).await?;
             match options.json {
-                true => json(&record),
-                false => print(&record.explain()),
+                true => print_json(&record),
+                false => print_lines(&record.explain()),
             }
         }
-        Command::WhyModel { model } => print(&why::model(client, model).await?),
+        Command::WhyModel { model } => print_lines(&why::model(client, model).await?),
         Command::WhyMove { fence } => {
             let moved = why::find_move(client, fence).await?;
             match options.json {
-                true => json(&moved),
-                false => print(&why::explain_move(&moved)),
+                true => print_json(&moved),
+                false => print_lines(&why::explain_move(&moved)),
             }
         }
         Command::Moves => moves(options, client).await?,
@@ -177,25 +177,25 @@
     .await
 }
 
-fn print(lines: &[String]) {
+fn print_lines(lines: &[String]) {
     for line in lines {
-        out(line);
+        print_line(line);
     }
 }
 
 fn show_diff(options: &Options, diff: &bundle::diff::Diff) {
     if options.json {
-        return json(diff);
+        return print_json(diff);
     }
     if diff.changes.is_empty() {
-        return out("Nothing would change.");
+        return print_line("Nothing would change.");
     }
     let rows = diff
         .changes
         .iter()
         .map(|c| [c.kind.to_string(), c.name.to_string(), c.text.clone()]);
-    out(table(["KIND", "NAME", "CHANGE"], rows.collect()));
-    out(format!(
+    print_line(table(["KIND", "NAME", "CHANGE"], rows.collect()));
+    print_line(format!(
         "At least {} loads and {} unloads; floors need {} more while it settles and {} less afterwards.",
         diff.loads, diff.unloads, diff.memory_added, diff.memory_freed
     ));
@@ -209,8 +209,10 @@
         .unwrap_or_default();
     let there = in_force(&seen, head.sequence);
     match options.json {
-        true => json(&json!({"sequence": head.sequence, "hosts": seen.len(), "in_force": there})),
-        false => out(format!(
+        true => {
+            print_json(&json!({"sequence": head.sequence, "hosts": seen.len(), "in_force": there}))
+        }
+        false => print_line(format!(
             "Bundle {} is accepted, and in force on {there} of {} hosts.",
             head.sequence,
             seen.len()
@@ -229,7 +231,7 @@
     let drafts = documents::drafts(&client.kv).await?;
     let seen = state::all(client).await?;
     if options.json {
-        json(&json!({
+        print_json(&json!({
             "head": head,
             "drafts": drafts,
             "hosts": seen.iter().map(|s| json!({
@@ -241,7 +243,7 @@
     }
     let current = head.as_ref().map_or(0, |h| h.sequence);
     match &head {
-        Some(head) => out(format!(
+        Some(head) => print_line(format!(
             "Bundle {} ({}), proposed by {}, is in force on {} of {} hosts.",
             head.sequence,
             head.draft.title,
@@ -249,7 +251,7 @@
             in_force(&seen, current),
             seen.len()
         )),
-        None => out("No bundle is in force yet."),
+        None => print_line("No bundle is in force yet."),
     }
     let rows: Vec<[String; 5]> = drafts
         .iter()
@@ -267,7 +269,7 @@
         })
         .collect();
     if !rows.is_empty() {
-        out(table(
+        print_line(table(
             ["DRAFT", "TITLE", "PROPOSED BY", "APPROVED BY", "REPLACES"],
             rows,
         ));
@@ -278,7 +280,7 @@
 async fn history(options: &Options, client: &Client) -> Result<(), Error> {
     let heads = bundles::history(client).await?;
     if options.json {
-        json(&heads);
+        print_json(&heads);
         return Ok(());
     }
     let rows = heads.iter().map(|h| {
@@ -295,7 +297,7 @@
             approvals.join(", "),
         ]
     });
-    out(table(
+    print_line(table(
         ["BUNDLE", "TITLE", "PROPOSED BY", "APPROVED BY"],
         rows.collect(),
     ));
@@ -309,11 +311,11 @@
             .iter()
             .map(|s| json!({"name": s.host.name, "status": s.status}))
             .collect();
-        json(&statuses);
+        print_json(&statuses);
         return Ok(());
     }
     let rows = seen.iter().map(host_row);
-    out(table(
+    print_line(table(
         ["HOST", "HALL", "STATE", "BUNDLE", "ROLES", "IN FLIGHT"],
         rows.collect(),
     ));
@@ -327,7 +329,7 @@
             reason: "none answered.".into(),
         });
     };
-    out(format!("\nAs {} sees it:", status.name));
+    print_line(format!("\nAs {} sees it:", status.name));
     let rows = status.upstreams.iter().map(|u| {
         let state = match (u.leaving, u.ejected) {
             (true, _) => "leaving",
@@ -344,13 +346,13 @@
             format!("{} of {}", u.in_flight, u.allowed),
         ]
     });
-    out(table(
+    print_line(table(
         [
             "UPSTREAM", "HALL", "STATE", "MEMORY", "RUNNING", "WAITING", "OURS",
         ],
         rows.collect(),
     ));
-    out("");
+    print_line("");
     let rows = status.models.iter().map(|(name, model)| {
         let ready = model
             .replicas
@@ -366,7 +368,7 @@
             format!("{:.1}", model.rate),
         ]
     });
-    out(table(
+    print_line(table(
         ["MODEL", "VERSION", "READY", "REPLICAS", "WAITING", "RATE/S"],
         rows.collect(),
     ));
@@ -411,7 +413,7 @@
 async fn moves(options: &Options, client: &Client) -> Result<(), Error> {
     let moves = why::moves(client).await?;
     if options.json {
-        json(&moves);
+        print_json(&moves);
         return Ok(());
     }
     let rows = moves.iter().map(|m| {
@@ -424,7 +426,7 @@
             m.moved.reason.clone(),
         ]
     });
-    out(table(
+    print_line(table(
         ["MOVE", "UPSTREAM", "ACTION", "STATE", "WHY"],
         rows.collect(),
     ));
@@ -445,7 +447,7 @@
             .await;
     match asked {
         Ok((Frame::Draining { in_flight }, _)) => {
-            out(format!(
+            print_line(format!(
                 "{host} drains; {in_flight} requests in flight will end first."
             ));
             Ok(())
@@ -476,7 +478,7 @@
             .iter()
             .map(|(n, k)| json!({"operator": n, "key": k, "revoked": revoked.contains(k)}))
             .collect();
-        json(&list);
+        print_json(&list);
         return Ok(());
     }
     let rows = keys.iter().map(|(n, k)| {
@@ -487,6 +489,6 @@
         };
         [n.to_string(), state.into(), k.to_string()]
     });
-    out(table(["OPERATOR", "STATE", "KEY"], rows.collect()));
+    print_line(table(["OPERATOR", "STATE", "KEY"], rows.collect()));
     Ok(())
 }
--- a/crates/standin/src/experiment/overhead.rs
+++ b/crates/standin/src/experiment/overhead.rs
@@ -6,7 +6,7 @@
 use crate::engine;
 use crate::fleet::{self, KEY_ONE, Plan, QUICK};
 use backing::hosts::{Host, Kind};
-use cli::render::{json, out, table};
+use cli::render::{print_json, print_line, table};
 use conn::{Pool, Reuse};
 use hyper::Request;
 use hyper::header::{AUTHORIZATION, HOST};
@@ -272,7 +272,7 @@
                 "cpu_us_per_token_event": f.per_event(),
             })
         };
-        return json(&json!({"direct": of(direct), "daemon": of(daemon)}));
+        return print_json(&json!({"direct": of(direct), "daemon": of(daemon)}));
     }
     let row = |name: &str, f: &Figures, pick: fn(&Figures) -> &Latency| {
         let latency = pick(f);
@@ -299,13 +299,13 @@
         row("between tokens, direct", direct, |f| &f.between),
         row("  through the daemon", daemon, |f| &f.between),
     ];
-    out(table(["LATENCY", "COUNT", "p50", "p99"], rows));
+    print_line(table(["LATENCY", "COUNT", "p50", "p99"], rows));
     let (request, event) = cpu(daemon);
-    out(format!(
+    print_line(format!(
         "\nProcessor time of the daemon: {request:.1} µs a request of {SHORT} tokens, {event:.2} µs a token event."
     ));
     let added = |q| daemon.whole.at(q).ms() - direct.whole.at(q).ms();
-    out(format!(
+    print_line(format!(
         "Added to a whole answer: {:.2} ms at the median, {:.2} ms at the 99th percentile.",
         added(0.5),
         added(0.99)
--- a/crates/standin/src/experiment/platform.rs
+++ b/crates/standin/src/experiment/platform.rs
@@ -2,7 +2,7 @@
 
 use super::Options;
 use super::measure::allocated;
-use cli::render::{json, out, table};
+use cli::render::{print_json, print_line, table};
 use front::message::{Digest, Load, Message, PackedLoad, encode};
 use front::table::{Criteria, Table};
 use place::copies::{self, Model, Replica};
@@ -41,8 +41,8 @@
         "PLAN µs",
     ];
     match options.json {
-        true => json(&rows),
-        false => out(table(head, rows)),
+        true => print_json(&rows),
+        false => print_line(table(head, rows)),
     }
     Ok(())
 }
--- a/crates/standin/src/experiment/quality.rs
+++ b/crates/standin/src/experiment/quality.rs
@@ -2,7 +2,7 @@
 
 use super::Options;
 use super::model::{Outcome, Placement, Policy, Routing, Size, Workload, run as simulate};
-use cli::render::{json, out, table};
+use cli::render::{print_json, print_line, table};
 use serde_json::json;
 use std::io;
 use std::thread;
@@ -96,8 +96,8 @@
         }
     }
     match options.json {
-        true => json(&list),
-        false => out(table(
+        true => print_json(&list),
+        false => print_line(table(
             [
                 "SIZE",
                 "WORKLOAD",
@@ -175,8 +175,8 @@
         }
     }
     match options.json {
-        true => json(&rows),
-        false => out(table(
+        true => print_json(&rows),
+        false => print_line(table(
             [
                 "SIZE",
                 "WEIGHT OF MOVES",
--- a/crates/standin/src/experiment/slopes/letter.rs
+++ b/crates/standin/src/experiment/slopes/letter.rs
@@ -2,7 +2,7 @@
 
 use super::{CHANGES, DAEMONS, HALLS, HOST_CHANGES, REPLICAS, Slope, UNCHANGED};
 use crate::experiment::Options;
-use cli::render::{json, out, table};
+use cli::render::{print_json, print_line, table};
 use serde_json::json;
 
 /// Prints the slopes, and what they come to.
@@ -17,7 +17,7 @@
                     "letter_size": s.at, "letter_value": s.there()})
             })
             .collect();
-        return json(&list);
+        return print_json(&list);
     }
     let rows = slopes.iter().map(|s| {
         let (start, slope, worst) = s.line();
@@ -34,7 +34,7 @@
             format!("{:.0} {} at {:.0}", s.there(), s.unit, s.at),
         ]
     });
-    out(table(
+    print_line(table(
         [
             "WHAT",
             "MEASURED",
@@ -44,8 +44,8 @@
         ],
         rows.collect(),
     ));
-    out("");
-    out(table(
+    print_line("");
+    print_line(table(
         ["CONTROL OF ONE DAEMON", "WORKED OUT", "RESULT", "LIMIT"],
         letter(slopes),
     ));
--- a/crates/standin/src/experiment/spread.rs
+++ b/crates/standin/src/experiment/spread.rs
@@ -6,7 +6,7 @@
 use crate::fleet::{self, Fleet, Plan};
 use crate::kv::Faults;
 use backing::hosts::{Host, Kind};
-use cli::render::{json, out, table};
+use cli::render::{print_json, print_line, table};
 use conn::Server;
 use daemon::core::{self, Core};
 use daemon::{operator, spread};
@@ -245,7 +245,7 @@
                 })
             })
             .collect();
-        return json(&list);
+        return print_json(&list);
     }
     let rows = figures.iter().map(|f| {
         [
@@ -258,7 +258,7 @@
             format!("{:.0}", f.bytes_per_roll),
         ]
     });
-    out(table(
+    print_line(table(
         [
             "DAEMONS",
             "WAY",
--- a/crates/standin/src/quickstart.rs
+++ b/crates/standin/src/quickstart.rs
@@ -9,7 +9,7 @@
 use crate::fleet::{self, Fleet, KEY_ONE, KEY_TWO, Plan};
 use bpaf::{Parser, construct, long};
 use check::Sent;
-use cli::render::out;
+use cli::render::print_line;
 use futures::StreamExt;
 use futures::stream;
 use hyper::{HeaderMap, Method};
@@ -180,8 +180,8 @@
 
 async fn keep(fleet: &Fleet) -> io::Result<()> {
     for daemon in &fleet.daemons {
-        out(format!("caller http://{} {KEY_ONE}", daemon.callers()));
-        out(format!("operator http://{}", daemon.operator()));
+        print_line(format!("caller http://{} {KEY_ONE}", daemon.callers()));
+        print_line(format!("operator http://{}", daemon.operator()));
     }
     tokio::signal::ctrl_c().await
 }
--- a/crates/standin/src/quickstart/report.rs
+++ b/crates/standin/src/quickstart/report.rs
@@ -2,7 +2,7 @@
 
 use super::check::Sent;
 use crate::fleet::Fleet;
-use cli::render::{out, table};
+use cli::render::{print_line, table};
 use cli::why;
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
@@ -14,22 +14,22 @@
 
 /// Prints the tables.
 pub async fn print(fleet: &Fleet, sent: &[Sent], broken: &[String], up: Duration) {
-    out(format!(
+    print_line(format!(
         "{} daemons, {} engines and {} services in 3 halls; every model ready after {}.\n",
         fleet.daemons.len(),
         fleet.engines.len(),
         fleet.services.len(),
         Span::from(up)
     ));
-    out(format!("{}\n", classes(sent)));
-    out(format!("{}\n", moves(fleet).await));
+    print_line(format!("{}\n", classes(sent)));
+    print_line(format!("{}\n", moves(fleet).await));
     explain(fleet, sent).await;
     match broken.is_empty() {
-        true => out(format!("\nEvery promise held for {} requests.", sent.len())),
+        true => print_line(format!("\nEvery promise held for {} requests.", sent.len())),
         false => {
-            out(format!("\n{} promises were broken:", broken.len()));
+            print_line(format!("\n{} promises were broken:", broken.len()));
             for sentence in broken.iter().take(MOST_LISTED) {
-                out(format!("  {sentence}"));
+                print_line(format!("  {sentence}"));
             }
         }
     }
@@ -98,12 +98,12 @@
         return;
     };
     let id = first.got.request.as_str().into();
-    out(format!("coveford why request {id}"));
+    print_line(format!("coveford why request {id}"));
     match why::request(&fleet.tool, &id).await {
         Ok(record) => record
             .explain()
             .iter()
-            .for_each(|line| out(format!("  {line}"))),
-        Err(e) => out(format!("  {e}")),
+            .for_each(|line| print_line(format!("  {line}"))),
+        Err(e) => print_line(format!("  {e}")),
     }
 }
