--- a/crates/cli/src/bundles.rs
+++ b/crates/cli/src/bundles.rs
@@ -27,7 +27,7 @@
 const PAUSE: Duration = Duration::from_millis(300);
 
 /// Operator with its key.
-pub struct Signing<'a> {
+pub struct Signer<'a> {
     /// Name in the settings.
     pub operator: &'a Name,
     /// Key.
@@ -120,11 +120,11 @@
     client: &Client,
     file: &str,
     text: &str,
-    signing: &Signing<'_>,
+    signer: &Signer<'_>,
 ) -> Result<Draft, Error> {
     let intent = check(file, text)?;
     must_fit(client, &intent).await?;
-    check_key(client, signing)?;
+    check_key(client, signer)?;
     let parts: Vec<Part> =
         part::split(file, text).map_err(|problems| Error::Bundle { problems })?;
     let head = documents::head(&client.kv).await?;
@@ -137,8 +137,8 @@
         title: intent.title.clone(),
         parts: refs,
         proposal: sign(
-            signing.key,
-            signing.operator,
+            signer.key,
+            signer.operator,
             Purpose::Propose,
             &root,
             replaces,
@@ -159,12 +159,12 @@
     format!("{:x}-{}-{chance:04x}", wall_ms() / 1_000, &root[..8]).into()
 }
 
-fn check_key(client: &Client, signing: &Signing) -> Result<(), Error> {
-    let known = client.settings.trust.operators.get(signing.operator);
-    match known == Some(&public_key(signing.key)) {
+fn check_key(client: &Client, signer: &Signer) -> Result<(), Error> {
+    let known = client.settings.trust.operators.get(signer.operator);
+    match known == Some(&public_key(signer.key)) {
         true => Ok(()),
         false => Err(Error::KeyMismatch {
-            operator: signing.operator.clone(),
+            operator: signer.operator.clone(),
         }),
     }
 }
@@ -183,23 +183,23 @@
 }
 
 /// Adds an operator's approval to a draft.
-pub async fn approve(client: &Client, id: &Name, signing: &Signing<'_>) -> Result<Draft, Error> {
-    check_key(client, signing)?;
+pub async fn approve(client: &Client, id: &Name, signer: &Signer<'_>) -> Result<Draft, Error> {
+    check_key(client, signer)?;
     loop {
         let at = draft(client, id).await?;
         let mut draft = at.value.expect("a draft that was found is there");
-        if draft.proposal.operator == *signing.operator {
+        if draft.proposal.operator == *signer.operator {
             return Err(Error::OwnProposal {
-                operator: signing.operator.clone(),
+                operator: signer.operator.clone(),
             });
         }
         let head = documents::head(&client.kv).await?;
         ensure_current(&draft, head.value.as_ref())?;
         let root = draft.content_hash();
-        draft.approvals.retain(|a| a.operator != *signing.operator);
+        draft.approvals.retain(|a| a.operator != *signer.operator);
         let approval = sign(
-            signing.key,
-            signing.operator,
+            signer.key,
+            signer.operator,
             Purpose::Approve,
             &root,
             draft.replaces,
--- a/crates/cli/src/options.rs
+++ b/crates/cli/src/options.rs
@@ -36,14 +36,14 @@
         /// Its file.
         file: PathBuf,
         /// Who proposes.
-        signer: Signer,
+        credentials: Credentials,
     },
     /// Approves a draft.
     Approve {
         /// The draft.
         draft: Name,
         /// Who approves.
-        signer: Signer,
+        credentials: Credentials,
     },
     /// Rolls a draft.
     Roll {
@@ -118,14 +118,14 @@
 
 /// Operator that signs.
 #[derive(Debug, Clone)]
-pub struct Signer {
+pub struct Credentials {
     /// Name in the settings.
     pub operator: Name,
     /// Key file.
     pub key: PathBuf,
 }
 
-fn signer() -> impl Parser<Signer> {
+fn credentials() -> impl Parser<Credentials> {
     let operator = long("operator")
         .help("Operator's name in the settings")
         .argument::<String>("NAME")
@@ -133,7 +133,7 @@
     let key = long("key")
         .help("Operator's key file")
         .argument::<PathBuf>("FILE");
-    construct!(Signer { operator, key })
+    construct!(Credentials { operator, key })
 }
 
 fn name(meta: &'static str) -> impl Parser<Name> {
@@ -163,16 +163,16 @@
             .command("diff")
     };
     let propose = {
-        let (signer, file) = (signer(), file("FILE"));
-        construct!(Command::Propose { signer, file })
+        let (credentials, file) = (credentials(), file("FILE"));
+        construct!(Command::Propose { credentials, file })
             .to_options()
             .descr("Makes a signed draft of a bundle")
             .footer("Example: coveford --settings ops.ini bundle propose b.ini --operator alice --key alice.key")
             .command("propose")
     };
     let approve = {
-        let (signer, draft) = (signer(), name("DRAFT"));
-        construct!(Command::Approve { signer, draft })
+        let (credentials, draft) = (credentials(), name("DRAFT"));
+        construct!(Command::Approve { credentials, draft })
             .to_options()
             .descr("Signs a draft of another operator")
             .command("approve")
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -1,9 +1,9 @@
 //! Doing what the command line asks for.
 
-use crate::bundles::{self, Signing};
+use crate::bundles::{self, Signer};
 use crate::client::{self, Client};
 use crate::error::{Error, ReadSnafu};
-use crate::options::{Command, Options, Signer};
+use crate::options::{Command, Credentials, Options};
 use crate::render::{print_json, print_line, table};
 use crate::state::{self, Seen};
 use crate::{gauges, keys, losses, story, why};
@@ -103,9 +103,9 @@
             let diff = bundles::compare(client, &name(file), &read(file)?).await?;
             show_diff(options, &diff);
         }
-        Command::Propose { file, signer } => {
+        Command::Propose { file, credentials } => {
             let text = read(file)?;
-            let draft = signed(signer, async |s| {
+            let draft = with_signer(credentials, async |s| {
                 bundles::propose(client, &name(file), &text, &s).await
             })
             .await?;
@@ -118,8 +118,11 @@
                 )),
             }
         }
-        Command::Approve { draft, signer } => {
-            let draft = signed(signer, async |s| bundles::approve(client, draft, &s).await).await?;
+        Command::Approve { draft, credentials } => {
+            let draft = with_signer(credentials, async |s| {
+                bundles::approve(client, draft, &s).await
+            })
+            .await?;
             match options.json {
                 true => print_json(&draft),
                 false => print_line(format!(
@@ -164,13 +167,13 @@
     Ok(())
 }
 
-async fn signed<T>(
-    signer: &Signer,
-    act: impl AsyncFnOnce(Signing<'_>) -> Result<T, Error>,
+async fn with_signer<T>(
+    credentials: &Credentials,
+    act: impl AsyncFnOnce(Signer<'_>) -> Result<T, Error>,
 ) -> Result<T, Error> {
-    let key = keys::read(&signer.key)?;
-    let operator = &signer.operator;
-    act(Signing {
+    let key = keys::read(&credentials.key)?;
+    let operator = &credentials.operator;
+    act(Signer {
         operator,
         key: &key,
     })
--- a/crates/standin/src/fleet.rs
+++ b/crates/standin/src/fleet.rs
@@ -7,7 +7,7 @@
 use backing::hosts::{Host, Kind};
 use bundle::Head;
 use bundle::key::public_key;
-use cli::bundles::{self, Signing};
+use cli::bundles::{self, Signer};
 use cli::{Client, Error};
 use daemon::settings::{self, Settings};
 use daemon::{Daemon, spawn};
@@ -253,14 +253,14 @@
 
     /// Proposes, approves and rolls a bundle, as two operators would.
     pub async fn roll(&self, text: &str) -> Result<Head, Error> {
-        let draft = bundles::propose(&self.tool, "sample.ini", text, &self.signing(0)).await?;
-        bundles::approve(&self.tool, &draft.id, &self.signing(1)).await?;
+        let draft = bundles::propose(&self.tool, "sample.ini", text, &self.signer(0)).await?;
+        bundles::approve(&self.tool, &draft.id, &self.signer(1)).await?;
         bundles::roll(&self.tool, &draft.id).await
     }
 
     /// An operator, ready to sign.
-    pub fn signing(&self, i: usize) -> Signing<'_> {
-        Signing {
+    pub fn signer(&self, i: usize) -> Signer<'_> {
+        Signer {
             operator: &self.operators[i].name,
             key: &self.operators[i].key,
         }
--- a/crates/standin/tests/bundles.rs
+++ b/crates/standin/tests/bundles.rs
@@ -64,16 +64,16 @@
 async fn of_two_operators_who_roll_at_once_one_is_told_what_it_lost_to() {
     let fleet = nine().await;
     let (one, two) = (titled("one"), titled("two"));
-    let a = bundles::propose(&fleet.tool, "one.ini", &one, &fleet.signing(0))
+    let a = bundles::propose(&fleet.tool, "one.ini", &one, &fleet.signer(0))
         .await
         .unwrap();
-    let b = bundles::propose(&fleet.tool, "two.ini", &two, &fleet.signing(2))
+    let b = bundles::propose(&fleet.tool, "two.ini", &two, &fleet.signer(2))
         .await
         .unwrap();
-    bundles::approve(&fleet.tool, &a.id, &fleet.signing(1))
+    bundles::approve(&fleet.tool, &a.id, &fleet.signer(1))
         .await
         .unwrap();
-    bundles::approve(&fleet.tool, &b.id, &fleet.signing(1))
+    bundles::approve(&fleet.tool, &b.id, &fleet.signer(1))
         .await
         .unwrap();
     let (a, b) = tokio::join!(
@@ -94,10 +94,10 @@
 async fn nobody_approves_what_it_proposed_and_unapproved_drafts_do_not_roll() {
     let fleet = nine().await;
     let text = titled("mine alone");
-    let draft = bundles::propose(&fleet.tool, "mine.ini", &text, &fleet.signing(0))
+    let draft = bundles::propose(&fleet.tool, "mine.ini", &text, &fleet.signer(0))
         .await
         .unwrap();
-    let own = bundles::approve(&fleet.tool, &draft.id, &fleet.signing(0)).await;
+    let own = bundles::approve(&fleet.tool, &draft.id, &fleet.signer(0)).await;
     assert!(matches!(own, Err(Error::OwnProposal { .. })), "{own:?}");
     let rolled = bundles::roll(&fleet.tool, &draft.id).await;
     assert!(
@@ -185,10 +185,10 @@
     let text = titled("without bob") + &format!("[revoked]\nkeys = {key}\n");
     fleet.roll(&text).await.unwrap();
     assert!(fleet.eventually(PATIENCE, || in_force(&fleet, 2)).await);
-    let draft = bundles::propose(&fleet.tool, "next.ini", &text, &fleet.signing(0))
+    let draft = bundles::propose(&fleet.tool, "next.ini", &text, &fleet.signer(0))
         .await
         .unwrap();
-    bundles::approve(&fleet.tool, &draft.id, &fleet.signing(1))
+    bundles::approve(&fleet.tool, &draft.id, &fleet.signer(1))
         .await
         .unwrap();
     let rolled = bundles::roll(&fleet.tool, &draft.id).await;
@@ -196,7 +196,7 @@
         matches!(rolled, Err(Error::Unapproved { .. })),
         "{rolled:?}"
     );
-    bundles::approve(&fleet.tool, &draft.id, &fleet.signing(2))
+    bundles::approve(&fleet.tool, &draft.id, &fleet.signer(2))
         .await
         .unwrap();
     assert_eq!(
@@ -212,7 +212,7 @@
 async fn a_bundle_that_cannot_fit_is_refused_with_the_arithmetic() {
     let fleet = nine().await;
     let text = titled("too much").replace("memory = 6GB", "memory = 81GB");
-    let refused = bundles::propose(&fleet.tool, "big.ini", &text, &fleet.signing(0)).await;
+    let refused = bundles::propose(&fleet.tool, "big.ini", &text, &fleet.signer(0)).await;
     let text = refused.unwrap_err().to_string();
     assert!(
         text.contains("3 replicas need 243.0 GB; 3 upstreams have 240.0 GB, the largest 80.0 GB"),
@@ -225,10 +225,10 @@
     let fleet = nine().await;
     for round in 0..8 {
         let text = titled(&format!("round {round}"));
-        let draft = bundles::propose(&fleet.tool, "r.ini", &text, &fleet.signing(0))
+        let draft = bundles::propose(&fleet.tool, "r.ini", &text, &fleet.signer(0))
             .await
             .unwrap();
-        bundles::approve(&fleet.tool, &draft.id, &fleet.signing(1))
+        bundles::approve(&fleet.tool, &draft.id, &fleet.signer(1))
             .await
             .unwrap();
         fleet.kv.set_faults(Faults {
--- a/crates/standin/tests/linearizable.rs
+++ b/crates/standin/tests/linearizable.rs
@@ -192,11 +192,11 @@
         let mut unknown = Vec::new();
         for round in 0..6 {
             let text = common::one_model(2).replace("sample", &format!("{process}.{round}"));
-            let signing = fleet.signing(process);
-            let Ok(draft) = bundles::propose(&fleet.tool, "x.ini", &text, &signing).await else {
+            let signer = fleet.signer(process);
+            let Ok(draft) = bundles::propose(&fleet.tool, "x.ini", &text, &signer).await else {
                 continue;
             };
-            let other = fleet.signing((process + 1) % 3);
+            let other = fleet.signer((process + 1) % 3);
             if bundles::approve(&fleet.tool, &draft.id, &other)
                 .await
                 .is_err()
