--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -3,14 +3,14 @@
 pub mod bundles;
 mod client;
 pub mod error;
-pub mod gauges;
 pub mod keys;
 pub mod losses;
+pub mod metrics;
 pub mod options;
 pub mod render;
 mod run;
-pub mod state;
-pub mod story;
+pub mod status;
+pub mod timeline;
 pub mod why;
 
 pub use client::{Client, open};
--- a/crates/cli/src/losses.rs
+++ b/crates/cli/src/losses.rs
@@ -5,7 +5,7 @@
 
 use crate::error::Error;
 use crate::render;
-use crate::story::{self, Line};
+use crate::timeline::{self, Line};
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
 use std::path::PathBuf;
@@ -33,7 +33,7 @@
 pub fn read(logs: &[PathBuf], step: u32) -> Result<Losses, Error> {
     let mut lines = Vec::new();
     for path in logs {
-        lines.extend(story::read_file(path)?);
+        lines.extend(timeline::read_file(path)?);
     }
     let losses = count(&lines, step);
     if losses.causes.is_empty() {
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -5,8 +5,8 @@
 use crate::error::{Error, ReadSnafu};
 use crate::options::{Command, Credentials, Options};
 use crate::render::{print_json, print_line, table};
-use crate::state::{self, Seen};
-use crate::{gauges, keys, losses, story, why};
+use crate::status::{self, Seen};
+use crate::{keys, losses, metrics, timeline, why};
 use bundle::part;
 use daemon::documents;
 use serde_json::json;
@@ -57,7 +57,7 @@
             Ok(())
         }
         Command::WhyRequest { logs, request } if !logs.is_empty() => {
-            print_lines(&story::request(request, logs)?);
+            print_lines(&timeline::request(request, logs)?);
             Ok(())
         }
         Command::Losses { logs, step } => {
@@ -75,14 +75,14 @@
 
 /// Shows the state of daemons on a platform, and what an operator should know of it.
 async fn daemons(options: &Options, metrics: &[SocketAddr]) -> Result<(), Error> {
-    let daemons = gauges::ask(metrics).await;
+    let daemons = metrics::ask(metrics).await;
     if options.json {
         print_json(&daemons);
-        return gauges::check(&daemons);
+        return metrics::check(&daemons);
     }
-    print_line(gauges::table(&daemons));
-    print_lines(&gauges::findings(&daemons));
-    gauges::check(&daemons)
+    print_line(metrics::table(&daemons));
+    print_lines(&metrics::findings(&daemons));
+    metrics::check(&daemons)
 }
 
 fn read(path: &Path) -> Result<String, Error> {
@@ -207,7 +207,7 @@
 async fn roll(options: &Options, client: &Client, draft: &Name) -> Result<(), Error> {
     let head = bundles::roll(client, draft).await?;
     // The roll is done; that not every host answers at once does not undo it.
-    let seen = state::wait_for(client, head.sequence)
+    let seen = status::wait_for(client, head.sequence)
         .await
         .unwrap_or_default();
     let there = in_force(&seen, head.sequence);
@@ -232,7 +232,7 @@
 async fn bundle_status(options: &Options, client: &Client) -> Result<(), Error> {
     let head = documents::head(&client.kv).await?.value;
     let drafts = documents::drafts(&client.kv).await?;
-    let seen = state::all(client).await?;
+    let seen = status::all(client).await?;
     if options.json {
         print_json(&json!({
             "head": head,
@@ -308,7 +308,7 @@
 }
 
 async fn status(options: &Options, client: &Client) -> Result<(), Error> {
-    let seen = state::all(client).await?;
+    let seen = status::all(client).await?;
     if options.json {
         let statuses: Vec<_> = seen
             .iter()
--- a/crates/cli/src/why.rs
+++ b/crates/cli/src/why.rs
@@ -2,7 +2,7 @@
 
 use crate::client::Client;
 use crate::error::Error;
-use crate::state;
+use crate::status;
 use backing::keys;
 use daemon::documents;
 use daemon::operator::Status;
@@ -132,7 +132,7 @@
 
 /// A model in sentences.
 pub async fn model(client: &Client, name: &Name) -> Result<Vec<String>, Error> {
-    let seen = state::all(client).await?;
+    let seen = status::all(client).await?;
     let statuses: Vec<&Status> = seen.iter().filter_map(|s| s.status.as_ref()).collect();
     let newest = statuses.iter().max_by_key(|s| s.bundle);
     let newest = newest.ok_or_else(|| Error::Unreachable {
--- a/crates/cli/tests/losses.rs
+++ b/crates/cli/tests/losses.rs
@@ -1,7 +1,7 @@
 //! What `coveford losses` counts from logs.
 
 use cli::losses::{count, tables};
-use cli::story::read;
+use cli::timeline::read;
 
 /// Two daemons: one tells every request, the other one in ten.
 const LOG: &str = r#"
--- a/crates/cli/tests/gauges.rs
+++ b/crates/cli/tests/metrics.rs
@@ -1,6 +1,6 @@
 //! The state of daemons on a platform, as `coveford status --metrics` tells it.
 
-use cli::gauges::{Daemon, ask, check, findings, read};
+use cli::metrics::{Daemon, ask, check, findings, read};
 use std::net::SocketAddr;
 
 const ADDR: &str = "127.0.0.1:9464";
--- a/crates/cli/tests/story.rs
+++ b/crates/cli/tests/timeline.rs
@@ -1,6 +1,6 @@
 //! The walks of docs/OPERATIONS.md rest on these lines of a real day.
 
-use cli::story::{read, tell};
+use cli::timeline::{read, tell};
 
 const DAY: &str = r#"
   10.5 front-hall-c-1 {"host":"c1","timestamp":"2026-08-12T10:31:52.877873Z","level":"INFO","message":"news of a replica","event":"leaving","replica":"i-9f7c29cb8a","revision":61,"target":"view"}
