--- a/crates/cli/src/bundles.rs
+++ b/crates/cli/src/bundles.rs
@@ -95,20 +95,20 @@
     let new = check(file, text)?;
     let head = documents::head(&client.kv).await?;
     let old = match head.value {
-        Some(head) => content(client, &head).await?,
+        Some(head) => load_intent(client, &head).await?,
         None => Intent::default(),
     };
     Ok(diff(&old, &new))
 }
 
 /// Content of a head.
-async fn content(client: &Client, head: &Head) -> Result<Intent, Error> {
-    let text = text(client, head).await?;
+async fn load_intent(client: &Client, head: &Head) -> Result<Intent, Error> {
+    let text = load_text(client, head).await?;
     check(&format!("bundle {}", head.sequence), &text)
 }
 
 /// Text of a head.
-pub async fn text(client: &Client, head: &Head) -> Result<String, Error> {
+pub async fn load_text(client: &Client, head: &Head) -> Result<String, Error> {
     let parts = &head.draft.parts;
     let texts = documents::parts(&client.kv, parts, &HashMap::new()).await?;
     let ordered = parts.iter().map(|at| &*texts[&at.hash]);
@@ -237,7 +237,7 @@
     let at = documents::head(&client.kv).await?;
     ensure_current(&draft, at.value.as_ref())?;
     let revoked = match &at.value {
-        Some(head) => content(client, head).await?.revoked,
+        Some(head) => load_intent(client, head).await?.revoked,
         None => Default::default(),
     };
     draft.verify(&client.settings.trust, &revoked)?;
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -137,7 +137,7 @@
         Command::History => history(options, client).await?,
         Command::Show { sequence } => {
             let head = bundles::find(client, *sequence).await?;
-            print_line(bundles::text(client, &head).await?);
+            print_line(bundles::load_text(client, &head).await?);
         }
         Command::Status { .. } => status(options, client).await?,
         Command::WhyRequest { request, .. } => {
@@ -423,10 +423,10 @@
         let state = if m.open { "open" } else { "settled" };
         [
             why::move_id(m),
-            m.moved.upstream.to_string(),
-            why::action(&m.moved.action),
+            m.inner.upstream.to_string(),
+            why::action(&m.inner.action),
             state.into(),
-            m.moved.reason.clone(),
+            m.inner.reason.clone(),
         ]
     });
     print_line(table(
@@ -470,7 +470,7 @@
     let head = documents::head(&client.kv).await?.value;
     let revoked = match &head {
         Some(head) => {
-            let text = bundles::text(client, head).await?;
+            let text = bundles::load_text(client, head).await?;
             bundles::check("bundle in force", &text)?.revoked
         }
         None => Default::default(),
--- a/crates/cli/src/why.rs
+++ b/crates/cli/src/why.rs
@@ -55,34 +55,34 @@
 
 /// Move with its hall.
 #[derive(Debug, Clone, serde::Serialize)]
-pub struct Moved {
+pub struct HallMove {
     /// The hall.
     pub hall: Name,
     /// The move.
     #[serde(flatten)]
-    pub moved: Move,
+    pub inner: Move,
     /// Whether it may still take effect.
     pub open: bool,
 }
 
 /// Newest moves of all halls, newest first.
-pub async fn moves(client: &Client) -> Result<Vec<Moved>, Error> {
+pub async fn moves(client: &Client) -> Result<Vec<HallMove>, Error> {
     let mut all = Vec::new();
     for (hall, ledger) in ledgers(client).await? {
         for moved in &ledger.moves {
-            all.push(Moved {
+            all.push(HallMove {
                 hall: hall.clone(),
                 open: ledger.open.iter().any(|o| o.order.fence == moved.fence),
-                moved: moved.clone(),
+                inner: moved.clone(),
             });
         }
     }
-    all.sort_by_key(|m| std::cmp::Reverse((m.moved.at_ms, m.moved.fence)));
+    all.sort_by_key(|m| std::cmp::Reverse((m.inner.at_ms, m.inner.fence)));
     Ok(all)
 }
 
 /// Finds a move by `HALL/TERM.NUMBER`.
-pub async fn find_move(client: &Client, id: &Name) -> Result<Moved, Error> {
+pub async fn find_move(client: &Client, id: &Name) -> Result<HallMove, Error> {
     let all = moves(client).await?;
     let found = all.into_iter().find(|m| move_id(m) == **id);
     found.ok_or_else(|| Error::NotFound {
@@ -91,8 +91,8 @@
 }
 
 /// Identity of a move.
-pub fn move_id(moved: &Moved) -> String {
-    let fence = moved.moved.fence;
+pub fn move_id(moved: &HallMove) -> String {
+    let fence = moved.inner.fence;
     format!("{}/{}.{}", moved.hall, fence.term, fence.number)
 }
 
@@ -113,7 +113,7 @@
 }
 
 /// A move in sentences.
-pub fn explain_move(moved: &Moved) -> Vec<String> {
+pub fn explain_move(moved: &HallMove) -> Vec<String> {
     let state = match moved.open {
         true => "It may still take effect: no report has shown it yet.",
         false => "A report has shown its effect, or that it never will have one.",
@@ -122,10 +122,10 @@
         format!(
             "Move {}: {} at {}.",
             move_id(moved),
-            action(&moved.moved.action),
-            moved.moved.upstream
+            action(&moved.inner.action),
+            moved.inner.upstream
         ),
-        format!("Why: {}", moved.moved.reason),
+        format!("Why: {}", moved.inner.reason),
         state.into(),
     ]
 }
@@ -176,7 +176,7 @@
     for moved in moves(client)
         .await?
         .iter()
-        .filter(|m| concerns(&m.moved, name))
+        .filter(|m| concerns(&m.inner, name))
         .take(5)
     {
         lines.extend(explain_move(moved));
--- a/crates/standin/src/quickstart/report.rs
+++ b/crates/standin/src/quickstart/report.rs
@@ -80,7 +80,7 @@
     };
     let mut counts: BTreeMap<(String, &str), usize> = BTreeMap::new();
     for moved in &moves {
-        let kind = match moved.moved.action {
+        let kind = match moved.inner.action {
             unit::engine::Action::Load { .. } => "load",
             unit::engine::Action::Unload { .. } => "unload",
             unit::engine::Action::SetRole { .. } => "turn",
--- a/crates/standin/tests/bundles.rs
+++ b/crates/standin/tests/bundles.rs
@@ -51,7 +51,7 @@
     );
     // Going back is rolling forward to the old content.
     let first = bundles::find(&fleet.tool, Some(1)).await.unwrap();
-    let text = bundles::text(&fleet.tool, &first).await.unwrap();
+    let text = bundles::load_text(&fleet.tool, &first).await.unwrap();
     assert_eq!(fleet.roll(&text).await.unwrap().sequence, 3);
     assert!(fleet.eventually(PATIENCE, || in_force(&fleet, 3)).await);
     assert_eq!(
