--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -445,9 +445,14 @@
         ),
     })?;
     let key = &client.settings.wire_key;
-    let asked =
-        daemon::spread::exchange(&client.pool, key, found.addr, &Frame::Drain, Duration::ZERO)
-            .await;
+    let asked = daemon::distribution::exchange(
+        &client.pool,
+        key,
+        found.addr,
+        &Frame::Drain,
+        Duration::ZERO,
+    )
+    .await;
     match asked {
         Ok((Frame::Draining { in_flight }, _)) => {
             print_line(format!(
--- a/crates/daemon/src/spread/peer.rs
+++ b/crates/daemon/src/distribution/peer.rs
@@ -48,7 +48,7 @@
 }
 
 /// Sends a frame to another daemon, reads its answer and counts the bytes.
-pub async fn ask(
+pub async fn call(
     core: &Core,
     addr: SocketAddr,
     question: &Frame,
@@ -103,7 +103,7 @@
 }
 
 /// Answers a frame of another daemon.
-pub async fn answer(core: &Arc<Core>, question: Frame) -> Frame {
+pub async fn handle(core: &Arc<Core>, question: Frame) -> Frame {
     match question {
         Frame::Follow { after, wait_ms } => {
             let wait = Duration::from_millis(wait_ms).min(MOST_WAIT);
@@ -133,12 +133,12 @@
 }
 
 async fn head_past(core: &Arc<Core>, after: u64, wait: Duration) -> Frame {
-    let mut sequence = core.force.subscribe();
+    let mut sequence = core.active_bundle.subscribe();
     // A lapsed wait is answered with what is in force.
     let _ = timeout(wait, sequence.wait_for(|s| *s > after)).await;
     let current = core.in_force();
     let sequence = current.as_ref().map_or(0, |c| c.head.sequence);
-    if let (Some(current), Some(past)) = (&current, core.force.past(after))
+    if let (Some(current), Some(past)) = (&current, core.active_bundle.past_head(after))
         && sequence > after
     {
         let delta = Delta::between(&past, &current.head);
@@ -172,7 +172,7 @@
     let seen = entries.iter().filter(|e| e.report.is_some());
     let load = |e: &crate::fleet::Entry| wire::Load {
         upstream: e.host.name.clone(),
-        age: now.since(e.loaded_at),
+        age: now.since(e.load_at),
         running: e.load.running,
         waiting: e.load.waiting,
     };
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,26 +1,26 @@
 //! The coveford daemon: every role of a host, in one process.
 //!
 //! Locks are taken in this order and never the other way round: `fleet`,
-//! then `teller`, then `metrics`. No lock is held across an await.
+//! then `request_log`, then `metrics`. No lock is held across an await.
 
+pub mod active_bundle;
 pub mod claim;
 pub mod cli;
 pub mod clock;
 pub mod core;
+pub mod distribution;
 pub mod documents;
 pub mod entry;
 pub mod error;
 pub mod fleet;
-pub mod force;
 pub mod log;
 pub mod metrics;
 pub mod operator;
 pub mod planner;
+pub mod polling;
+pub mod request_log;
 pub mod run;
 pub mod settings;
-pub mod spread;
-pub mod teller;
-pub mod watch;
 
 pub use error::Error;
 pub use run::{Daemon, spawn};
--- a/crates/daemon/src/planner.rs
+++ b/crates/daemon/src/planner.rs
@@ -7,13 +7,13 @@
 mod book;
 mod lease;
 mod lines;
-mod state;
+mod status;
 
-pub use state::{Planned, State};
+pub use status::{Status, StatusCell};
 
+use crate::active_bundle::Bundle;
 use crate::core::Core;
-use crate::force::InForce;
-use crate::spread;
+use crate::distribution;
 use backing::hosts::Kind;
 use book::Book;
 use lease::Lease;
@@ -78,7 +78,7 @@
         let held = self.lease.hold(&self.core).await;
         if !held {
             self.book.forget();
-            self.core.planned.step_down();
+            self.core.planner_status.record_step_down();
             return;
         }
         if let Err(e) = self.tick(&bundle).await {
@@ -87,7 +87,7 @@
         }
     }
 
-    async fn tick(&mut self, bundle: &InForce) -> Result<(), crate::documents::Error> {
+    async fn tick(&mut self, bundle: &Bundle) -> Result<(), crate::documents::Error> {
         self.book.open(&self.core).await?;
         let fleet = self.fleet(bundle).await;
         let elsewhere = elsewhere(&self.core, bundle);
@@ -120,13 +120,15 @@
         );
         self.book.write_homes(&self.core, &plan).await?;
         self.book.write(&self.core).await?;
-        self.core.planned.planned(self.book.ledger(), &plan);
+        self.core
+            .planner_status
+            .record_plan(self.book.ledger(), &plan);
         self.send(&fleet, plan).await;
         Ok(())
     }
 
     /// Upstreams of this hall with reports read over their order connections.
-    async fn fleet(&mut self, bundle: &InForce) -> Fleet {
+    async fn fleet(&mut self, bundle: &Bundle) -> Fleet {
         let hall = &self.core.settings.hall;
         let entries = self.core.fleet.entries();
         let here = entries.into_iter().filter(|e| e.host.hall == *hall);
@@ -215,7 +217,7 @@
 }
 
 /// Models of a bundle as the planner wants them.
-pub fn wants(bundle: &InForce) -> Vec<Spec> {
+fn wants(bundle: &Bundle) -> Vec<Spec> {
     let intent = &bundle.intent;
     let adapters = |model: &Name| {
         let of = intent.adapters.iter().filter(|(_, a)| a.model == *model);
@@ -255,7 +257,7 @@
     let peers = core.other_daemons();
     let asked = peers
         .iter()
-        .map(|peer| spread::ask(core, peer.addr, &Frame::GetDemand, DEMAND_LIMIT));
+        .map(|peer| distribution::call(core, peer.addr, &Frame::GetDemand, DEMAND_LIMIT));
     let answers = futures::future::join_all(asked).await;
     let mut sum: BTreeMap<Name, f64> = BTreeMap::new();
     let others = answers.into_iter().flat_map(|answer| match answer {
@@ -269,7 +271,7 @@
 }
 
 /// Upstreams of other halls, as last reported to this daemon.
-fn elsewhere(core: &Core, bundle: &InForce) -> Fleet {
+fn elsewhere(core: &Core, bundle: &Bundle) -> Fleet {
     let entries = core.fleet.entries();
     let others = entries.iter().filter(|e| e.host.hall != core.settings.hall);
     let upstreams = others.filter_map(|entry| {
@@ -297,7 +299,7 @@
         let Some(report) = &entry.report else {
             continue;
         };
-        let service = entry.service.estimate();
+        let service = entry.service_time.estimate();
         if service == Span::ZERO {
             continue;
         }
