--- a/crates/cli/src/gauges.rs
+++ b/crates/cli/src/gauges.rs
@@ -2,7 +2,7 @@
 
 use crate::error::Error;
 use crate::render;
-use conn::{Line, Reply};
+use conn::{Connection, Reply};
 use futures::future::join_all;
 use hyper::Request;
 use hyper::header::HOST;
@@ -77,7 +77,7 @@
     *request.uri_mut() = PATH.parse().expect("it is a path");
     let host = addr.to_string().parse().expect("an address is a host");
     request.headers_mut().insert(HOST, host);
-    let mut line = Line::open(addr, LIMIT).await?;
+    let mut line = Connection::open(addr, LIMIT).await?;
     line.exchange(request, LIMIT, MOST_BYTES).await
 }
 
--- a/crates/conn/src/error.rs
+++ b/crates/conn/src/error.rs
@@ -55,7 +55,7 @@
     },
     /// The answer could not be read as what it should be.
     #[snafu(display("The answer of {addr} cannot be read: {reason}."))]
-    Unreadable {
+    Malformed {
         /// Where to.
         addr: SocketAddr,
         /// What is wrong with it.
--- a/crates/conn/src/lib.rs
+++ b/crates/conn/src/lib.rs
@@ -13,9 +13,9 @@
 use hyper::header::{self, HeaderName};
 
 pub use error::Error;
-pub use line::{Line, Reply};
+pub use line::{Connection, Reply};
 pub use pool::{Pool, Reuse, json_request, read_json};
-pub use serve::{Bounds, Cut, Server, serve, serve_within};
+pub use serve::{Abort, Bounds, Server, serve, serve_with_bounds};
 
 /// Whole body that is sent with a request.
 pub type Body = http_body_util::Full<bytes::Bytes>;
--- a/crates/conn/src/line.rs
+++ b/crates/conn/src/line.rs
@@ -22,7 +22,7 @@
 const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_secs(3);
 
 /// Open HTTP/1.1 connection; requests go over it one at a time.
-pub struct Line {
+pub struct Connection {
     addr: SocketAddr,
     sender: SendRequest<Body>,
     written: Arc<AtomicU64>,
@@ -39,9 +39,9 @@
     pub body: Bytes,
 }
 
-impl Line {
+impl Connection {
     /// Opens a connection within `limit`.
-    pub async fn open(addr: SocketAddr, limit: Duration) -> Result<Line, Error> {
+    pub async fn open(addr: SocketAddr, limit: Duration) -> Result<Connection, Error> {
         let ms = limit.as_millis() as u64;
         let stream = timeout(limit, TcpStream::connect(addr))
             .await
@@ -55,7 +55,7 @@
             .await
             .map_err(|_| Error::Unsent { addr })?;
         tokio::spawn(task);
-        Ok(Line {
+        Ok(Connection {
             addr,
             sender,
             written,
@@ -63,7 +63,7 @@
     }
 
     /// Whether another request may be sent over this connection.
-    pub fn is_idle(&self) -> bool {
+    pub fn is_reusable(&self) -> bool {
         !self.sender.is_closed()
     }
 
--- a/crates/conn/src/pool.rs
+++ b/crates/conn/src/pool.rs
@@ -1,7 +1,7 @@
 //! Kept connections, by address.
 
 use crate::error::Error;
-use crate::{Body, Line, Reply};
+use crate::{Body, Connection, Reply};
 use bytes::Bytes;
 use hyper::header::{CONTENT_TYPE, HOST};
 use hyper::{Method, Request};
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reuse {
     /// A kept connection may serve; the request may be repeated if it dies.
-    Kept,
+    Pooled,
     /// Only a connection opened for this request.
     Fresh,
 }
@@ -33,7 +33,7 @@
 pub const CONNECT_LIMIT: Duration = Duration::from_millis(1_000);
 
 struct Idle {
-    line: Line,
+    line: Connection,
     /// When it was given back, as time since the machine was started.
     since: Span,
 }
@@ -46,20 +46,21 @@
 
 impl Pool {
     /// Takes a kept connection or opens one.
-    pub async fn line(&self, addr: SocketAddr, reuse: Reuse) -> Result<Line, Error> {
-        if reuse == Reuse::Kept
+    pub async fn acquire(&self, addr: SocketAddr, reuse: Reuse) -> Result<Connection, Error> {
+        if reuse == Reuse::Pooled
             && let Some(line) = self.take(addr)
         {
             return Ok(line);
         }
-        Line::open(addr, CONNECT_LIMIT).await
+        Connection::open(addr, CONNECT_LIMIT).await
     }
 
-    fn take(&self, addr: SocketAddr) -> Option<Line> {
+    fn take(&self, addr: SocketAddr) -> Option<Connection> {
         let mut idle = self.idle.lock();
         let lines = idle.get_mut(&addr)?;
         while let Some(kept) = lines.pop() {
-            if kept.line.is_idle() && clock::since_boot().saturating_sub(kept.since) < KEPT_FOR {
+            if kept.line.is_reusable() && clock::since_boot().saturating_sub(kept.since) < KEPT_FOR
+            {
                 return Some(kept.line);
             }
         }
@@ -68,7 +69,7 @@
     }
 
     /// Gives a connection back once its answer was read whole.
-    pub fn give(&self, addr: SocketAddr, line: Line) {
+    pub fn release(&self, addr: SocketAddr, line: Connection) {
         let mut idle = self.idle.lock();
         let lines = idle.entry(addr).or_default();
         if lines.len() < KEPT_PER_ADDR {
@@ -91,7 +92,9 @@
         most: usize,
     ) -> Result<Reply, Error> {
         let again = clone(&request);
-        let first = self.attempt(addr, Reuse::Kept, request, limit, most).await;
+        let first = self
+            .attempt(addr, Reuse::Pooled, request, limit, most)
+            .await;
         match first {
             Err(Error::Unsent { .. }) => self.attempt(addr, Reuse::Fresh, again, limit, most).await,
             other => other,
@@ -106,9 +109,9 @@
         limit: Duration,
         most: usize,
     ) -> Result<Reply, Error> {
-        let mut line = self.line(addr, reuse).await?;
+        let mut line = self.acquire(addr, reuse).await?;
         let reply = line.exchange(request, limit, most).await?;
-        self.give(addr, line);
+        self.release(addr, line);
         Ok(reply)
     }
 
@@ -133,7 +136,7 @@
     path: &str,
     question: Option<&Q>,
 ) -> Result<Request<Body>, Error> {
-    let unreadable = |reason: String| Error::Unreadable { addr, reason };
+    let unreadable = |reason: String| Error::Malformed { addr, reason };
     let body = match question {
         Some(question) => serde_json::to_vec(question).map_err(|e| unreadable(e.to_string()))?,
         None => Vec::new(),
@@ -153,7 +156,7 @@
 
 /// Reads a whole answer as JSON.
 pub fn read_json<A: DeserializeOwned>(addr: SocketAddr, reply: &Reply) -> Result<A, Error> {
-    serde_json::from_slice(&reply.body).map_err(|e| Error::Unreadable {
+    serde_json::from_slice(&reply.body).map_err(|e| Error::Malformed {
         addr,
         reason: format!("status {}, {e}", reply.status),
     })
--- a/crates/conn/src/serve.rs
+++ b/crates/conn/src/serve.rs
@@ -20,21 +20,21 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
     /// Connections open at once; more are closed unanswered.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Time a peer has to send the head of a request, counted from the end of the last answer:
     /// it bounds how long a connection may be idle as well.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// Longest head of a request in bytes.
-    pub head_bytes: usize,
+    pub max_head_bytes: usize,
 }
 
 impl Bounds {
     /// Bounds for at most that many connections of well-known peers.
-    pub const fn connections(connections: usize) -> Bounds {
+    pub const fn with_max_connections(connections: usize) -> Bounds {
         Bounds {
-            connections,
-            head_time: Duration::from_secs(10),
-            head_bytes: 32 * 1024,
+            max_connections: connections,
+            head_timeout: Duration::from_secs(10),
+            max_head_bytes: 32 * 1024,
         }
     }
 }
@@ -49,15 +49,15 @@
 
 /// Answer that cuts the connection instead of being sent; stand-ins use it.
 #[derive(Debug)]
-pub struct Cut;
+pub struct Abort;
 
-impl std::fmt::Display for Cut {
+impl std::fmt::Display for Abort {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("the connection is cut instead of an answer")
     }
 }
 
-impl std::error::Error for Cut {}
+impl std::error::Error for Abort {}
 
 /// Running listener and its connections.
 pub struct Server {
@@ -88,23 +88,23 @@
 pub fn serve<F, R, B>(listener: TcpListener, most: usize, answer: F) -> std::io::Result<Server>
 where
     F: Fn(Request<Incoming>) -> R + Clone + Send + Sync + 'static,
-    R: Future<Output = Result<Response<B>, Cut>> + Send + 'static,
+    R: Future<Output = Result<Response<B>, Abort>> + Send + 'static,
     B: Body + Send + 'static,
     B::Data: Send,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
-    serve_within(listener, Bounds::connections(most), answer)
+    serve_with_bounds(listener, Bounds::with_max_connections(most), answer)
 }
 
 /// Listens on `listener` within `bounds` and answers each request by `answer`.
-pub fn serve_within<F, R, B>(
+pub fn serve_with_bounds<F, R, B>(
     listener: TcpListener,
     bounds: Bounds,
     answer: F,
 ) -> std::io::Result<Server>
 where
     F: Fn(Request<Incoming>) -> R + Clone + Send + Sync + 'static,
-    R: Future<Output = Result<Response<B>, Cut>> + Send + 'static,
+    R: Future<Output = Result<Response<B>, Abort>> + Send + 'static,
     B: Body + Send + 'static,
     B::Data: Send,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
@@ -130,7 +130,7 @@
 async fn accept<F, R, B>(listener: TcpListener, bounds: Bounds, answer: F, state: Arc<State>)
 where
     F: Fn(Request<Incoming>) -> R + Clone + Send + Sync + 'static,
-    R: Future<Output = Result<Response<B>, Cut>> + Send + 'static,
+    R: Future<Output = Result<Response<B>, Abort>> + Send + 'static,
     B: Body + Send + 'static,
     B::Data: Send,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
@@ -162,12 +162,12 @@
 fn admit<F, R, B>(stream: TcpStream, bounds: Bounds, answer: &F, state: &Arc<State>)
 where
     F: Fn(Request<Incoming>) -> R + Clone + Send + Sync + 'static,
-    R: Future<Output = Result<Response<B>, Cut>> + Send + 'static,
+    R: Future<Output = Result<Response<B>, Abort>> + Send + 'static,
     B: Body + Send + 'static,
     B::Data: Send,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
-    let full = state.connections.load(Ordering::SeqCst) >= bounds.connections;
+    let full = state.connections.load(Ordering::SeqCst) >= bounds.max_connections;
     if full || state.shut.load(Ordering::SeqCst) {
         return;
     }
@@ -178,7 +178,7 @@
 async fn connection<F, R, B>(stream: TcpStream, bounds: Bounds, answer: F, state: Arc<State>)
 where
     F: Fn(Request<Incoming>) -> R + Clone + Send + Sync + 'static,
-    R: Future<Output = Result<Response<B>, Cut>> + Send + 'static,
+    R: Future<Output = Result<Response<B>, Abort>> + Send + 'static,
     B: Body + Send + 'static,
     B::Data: Send,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
@@ -199,8 +199,8 @@
     let mut conn = pin!(
         http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(bounds.head_time)
-            .max_buf_size(bounds.head_bytes)
+            .header_read_timeout(bounds.head_timeout)
+            .max_buf_size(bounds.max_head_bytes)
             .serve_connection(TokioIo::new(Stall::new(stream)), service)
     );
     tokio::select! {
@@ -236,7 +236,7 @@
 
 impl Server {
     /// Connections open now.
-    pub fn connections(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.state.connections.load(Ordering::SeqCst)
     }
 
@@ -246,14 +246,14 @@
     pub async fn drain(&self, limit: Duration) -> usize {
         let _ = self.state.phase.send_replace(Phase::Draining);
         let _ = timeout(limit, self.emptied()).await;
-        self.connections()
+        self.connection_count()
     }
 
     async fn emptied(&self) {
         loop {
             let ended = self.state.ended.notified();
             let accepting = self.state.accepting.load(Ordering::SeqCst);
-            if !accepting && self.connections() == 0 {
+            if !accepting && self.connection_count() == 0 {
                 return;
             }
             ended.await;
@@ -261,23 +261,23 @@
     }
 
     /// Cuts every connection but goes on listening.
-    pub fn cut_connections(&self) {
+    pub fn abort_connections(&self) {
         self.state.cuts.send_modify(|cuts| *cuts += 1);
     }
 
     /// Closes each new connection unanswered while `shut`.
-    pub fn set_shut(&self, shut: bool) {
+    pub fn set_refusing(&self, shut: bool) {
         self.state.shut.store(shut, Ordering::SeqCst);
     }
 
     /// Cuts every connection at once, as a killed process would.
-    pub fn cut(&self) {
+    pub fn abort(&self) {
         let _ = self.state.phase.send_replace(Phase::Cut);
     }
 }
 
 impl Drop for Server {
     fn drop(&mut self) {
-        self.cut();
+        self.abort();
     }
 }
--- a/crates/conn/tests/drain.rs
+++ b/crates/conn/tests/drain.rs
@@ -5,7 +5,7 @@
 //! that failure, was worked on once more, and wrote the end of the body.
 
 use bytes::Bytes;
-use conn::{Line, serve};
+use conn::{Connection, serve};
 use hyper::body::{Body, Frame};
 use hyper::{Request, Response};
 use std::io;
@@ -45,7 +45,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let answer = |_| async { Ok(Response::new(Breaks { begun: false })) };
     let server = Arc::new(serve(listener, 8, answer).unwrap());
-    let mut line = Line::open(server.addr, LIMIT).await.unwrap();
+    let mut line = Connection::open(server.addr, LIMIT).await.unwrap();
     sleep(Duration::from_millis(50)).await;
     let draining = server.clone();
     let drained = tokio::spawn(async move { draining.drain(LIMIT).await });
--- a/crates/daemon/src/entry/answer.rs
+++ b/crates/daemon/src/entry/answer.rs
@@ -333,7 +333,7 @@
             run.given.clone_from(&self.given);
             run.given_tokens = self.tokens;
             let reuse = match self.ask.asker.repeatable {
-                true => Reuse::Kept,
+                true => Reuse::Pooled,
                 false => Reuse::Fresh,
             };
             let limit = self.token_limit();
@@ -556,7 +556,7 @@
         }
     };
     count("foreign", stream.foreign);
-    count("doubled", stream.doubled);
+    count("doubled", stream.duplicates);
 }
 
 /// Hash of a model and the beginning of a prompt.
--- a/crates/daemon/src/entry/service.rs
+++ b/crates/daemon/src/entry/service.rs
@@ -15,7 +15,7 @@
 use route::retry::{self, Action, Context, Outcome};
 use std::sync::Arc;
 use unit::{Name, Span, rendezvous};
-use upstream::service::{self, Failure, Rules};
+use upstream::service::{self, Failure, Options};
 
 /// Header that tells a service which caller asks.
 const CALLER_HEADER: &str = "coveford-caller";
@@ -94,14 +94,14 @@
             },
         );
         let left = call.asker.deadline().since(core.now());
-        let rules = Rules {
+        let rules = Options {
             reuse: match call.asker.repeatable {
-                true => Reuse::Kept,
+                true => Reuse::Pooled,
                 false => Reuse::Fresh,
             },
             refusal_status: call.refusal_status,
-            limit: left.std(),
-            most: MOST_ANSWER,
+            timeout: left.std(),
+            max_bytes: MOST_ANSWER,
         };
         let request = request(call, placed.addr);
         let id = &call.asker.request;
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -23,7 +23,7 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout_at;
 use unit::{Name, Span, Time};
-use upstream::engine::{Cached, Load, Report};
+use upstream::engine::{CacheEvent, Load, Report};
 
 /// Time a request waits for a replica when there is none at all, such as while one restarts.
 pub const ABSENT_PATIENCE: Span = Span::from_secs(3);
@@ -115,7 +115,7 @@
     }
 
     /// Takes in cache events.
-    pub fn cached(&self, upstream: &str, events: &[Cached]) {
+    pub fn cached(&self, upstream: &str, events: &[CacheEvent]) {
         self.tables.lock().cached(upstream, events);
     }
 
--- a/crates/daemon/src/fleet/tables.rs
+++ b/crates/daemon/src/fleet/tables.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use tokio::sync::oneshot;
 use unit::{Name, Span, Time};
-use upstream::engine::{Cached, Load, Report};
+use upstream::engine::{CacheEvent, Load, Report};
 
 /// Delay assumed to a hall that the settings do not name.
 const FAR: Span = Span::from_ms(5);
@@ -81,7 +81,7 @@
         entry.loaded_at = now;
     }
 
-    pub(super) fn cached(&mut self, upstream: &str, events: &[Cached]) {
+    pub(super) fn cached(&mut self, upstream: &str, events: &[CacheEvent]) {
         if let Some(entry) = self.find_mut(upstream) {
             for event in events {
                 entry.cached(event.number, event.prefix, event.held);
--- a/crates/daemon/src/planner/lines.rs
+++ b/crates/daemon/src/planner/lines.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use unit::engine::{Fence, Order, OrderStatus, Report};
 use unit::{Name, Span, Time};
-use upstream::engine::Orders;
+use upstream::engine::Session;
 
 /// Time for which a silent upstream counts as still holding what it reported last.
 const SILENCE: Span = Span::from_secs(10);
@@ -22,7 +22,7 @@
 /// Connections by upstream.
 #[derive(Default)]
 pub(super) struct Lines {
-    open: HashMap<Name, Orders>,
+    open: HashMap<Name, Session>,
     last: HashMap<Name, Found>,
 }
 
@@ -91,13 +91,13 @@
 
 async fn report(
     entry: &Entry,
-    kept: Option<Orders>,
+    kept: Option<Session>,
     limit: Duration,
-) -> (Name, Option<(Orders, Report)>) {
+) -> (Name, Option<(Session, Report)>) {
     let name = entry.host.name.clone();
     let mut line = match kept {
         Some(line) => line,
-        None => match Orders::open(entry.host.addr, limit).await {
+        None => match Session::open(entry.host.addr, limit).await {
             Ok(line) => line,
             Err(_) => return (name, None),
         },
@@ -111,9 +111,9 @@
 /// Sends orders one after another; after one without an answer the connection is given up.
 async fn send_all(
     name: Name,
-    mut line: Option<Orders>,
+    mut line: Option<Session>,
     orders: Vec<Order>,
-) -> (Name, Option<Orders>, Vec<(Fence, Option<OrderStatus>)>) {
+) -> (Name, Option<Session>, Vec<(Fence, Option<OrderStatus>)>) {
     let mut answers = Vec::new();
     for order in orders {
         let Some(open) = &mut line else {
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -135,7 +135,7 @@
         tokio::time::sleep(settings.grace.std()).await;
         let left = self.callers.drain(settings.drain.std()).await;
         self.tasks.shutdown().await;
-        self.operators.cut();
+        self.operators.abort();
         if left > 0 {
             let bound = settings.drain;
             return CutSnafu { left, bound }.fail();
@@ -146,7 +146,7 @@
 
     /// Ends at once, as a killed process would; for tests.
     pub fn kill(self) {
-        self.callers.cut();
-        self.operators.cut();
+        self.callers.abort();
+        self.operators.abort();
     }
 }
--- a/crates/daemon/src/watch.rs
+++ b/crates/daemon/src/watch.rs
@@ -10,7 +10,7 @@
 use tokio::time::{MissedTickBehavior, interval, sleep};
 use tracing::warn;
 use unit::Name;
-use upstream::engine::Orders;
+use upstream::engine::Session;
 
 /// Time between two reads of the host list.
 const HOSTS_EVERY: Duration = Duration::from_millis(500);
@@ -51,7 +51,7 @@
 
 /// Connection to an engine and how far its cache events were read.
 struct Poll {
-    orders: Orders,
+    orders: Session,
     cache_after: u64,
 }
 
@@ -106,7 +106,7 @@
     let mut poll = match kept {
         Some(poll) => poll,
         None => Poll {
-            orders: Orders::open(addr, POLL_LIMIT).await?,
+            orders: Session::open(addr, POLL_LIMIT).await?,
             cache_after: 0,
         },
     };
--- a/crates/front/src/attempt.rs
+++ b/crates/front/src/attempt.rs
@@ -16,7 +16,7 @@
 use crate::respond::Rejection;
 use crate::state::State;
 use crate::table::{Choice, Permit, Unavailable};
-use conn::{Body, Error, Line};
+use conn::{Body, Connection, Error};
 use hyper::body::Incoming;
 use hyper::{Request, Response};
 use platform::ingress;
@@ -29,7 +29,7 @@
 pub struct Exchange {
     /// Reservation of the request at the replica.
     pub reservation: Reservation,
-    pub line: Line,
+    pub line: Connection,
     /// Head of the answer, with the body still to be read.
     pub response: Response<Incoming>,
     /// What the head says about the replica.
@@ -166,7 +166,7 @@
     call: &Call,
     choice: &Choice,
     reservation: &Reservation,
-) -> Result<Line, Failure> {
+) -> Result<Connection, Failure> {
     let opened = state
         .pool
         .open(choice.addr, call.remaining(state.now()))
@@ -188,7 +188,7 @@
     state: &Arc<State>,
     call: &Call,
     reservation: Reservation,
-    line: Line,
+    line: Connection,
     response: Response<Incoming>,
 ) -> Result<Exchange, Failure> {
     let feedback = response::parse(response.status(), response.headers());
@@ -231,7 +231,7 @@
 async fn drain_refusal(
     state: &State,
     replica: &Name,
-    line: Line,
+    line: Connection,
     feedback: &Feedback,
     response: Response<Incoming>,
 ) {
--- a/crates/front/src/pool.rs
+++ b/crates/front/src/pool.rs
@@ -4,7 +4,7 @@
 //! request uses only one that was used very recently: if the replica closes a connection while a
 //! request is sent, its outcome is unknown.
 
-use conn::{Error, Line};
+use conn::{Connection, Error};
 use parking_lot::Mutex;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -27,7 +27,7 @@
 const MAX_IDLE_PER_REPLICA: usize = 24;
 
 struct Idle {
-    line: Line,
+    line: Connection,
     since: Time,
     until: Time,
 }
@@ -40,10 +40,10 @@
 
 impl Pool {
     /// Takes an idle connection that may carry the request.
-    pub fn take(&self, replica: &str, is_repeatable: bool, now: Time) -> Option<Line> {
+    pub fn take(&self, replica: &str, is_repeatable: bool, now: Time) -> Option<Connection> {
         let mut idle = self.idle.lock();
         let lines = idle.get_mut(replica)?;
-        lines.retain(|idle_line| idle_line.until > now && idle_line.line.is_idle());
+        lines.retain(|idle_line| idle_line.until > now && idle_line.line.is_reusable());
         // The most recently used connection is last.
         let newest = lines.last()?;
         if !is_repeatable && now.since(newest.since) > MAX_IDLE_UNREPEATABLE {
@@ -52,12 +52,12 @@
         lines.pop().map(|idle_line| idle_line.line)
     }
 
-    pub async fn open(&self, addr: SocketAddr, remaining: Duration) -> Result<Line, Error> {
-        Line::open(addr, CONNECT_TIMEOUT.min(remaining)).await
+    pub async fn open(&self, addr: SocketAddr, remaining: Duration) -> Result<Connection, Error> {
+        Connection::open(addr, CONNECT_TIMEOUT.min(remaining)).await
     }
 
     /// Returns a connection after its answer was read completely.
-    pub fn give(&self, replica: &Name, line: Line, keeps_for: Option<Duration>, now: Time) {
+    pub fn give(&self, replica: &Name, line: Connection, keeps_for: Option<Duration>, now: Time) {
         let keeps_for = keeps_for.unwrap_or(DEFAULT_KEEP_ALIVE + KEEP_ALIVE_MARGIN);
         let Some(until) = keeps_for
             .checked_sub(KEEP_ALIVE_MARGIN)
@@ -85,7 +85,7 @@
     pub fn close_expired(&self, now: Time) {
         let mut idle = self.idle.lock();
         for lines in idle.values_mut() {
-            lines.retain(|idle_line| idle_line.until > now && idle_line.line.is_idle());
+            lines.retain(|idle_line| idle_line.until > now && idle_line.line.is_reusable());
         }
         idle.retain(|_, lines| !lines.is_empty());
     }
--- a/crates/front/src/relay.rs
+++ b/crates/front/src/relay.rs
@@ -13,7 +13,7 @@
 use crate::respond::{Body, full_body};
 use crate::state::{InFlight, State};
 use bytes::Bytes;
-use conn::Line;
+use conn::Connection;
 use futures::stream;
 use http_body_util::{BodyExt, Limited, StreamBody};
 use hyper::Response;
@@ -84,7 +84,12 @@
 }
 
 /// Returns a connection to the pool after a complete answer, if the replica keeps it open.
-fn return_connection(state: &State, reservation: &Reservation, line: Line, feedback: &Feedback) {
+fn return_connection(
+    state: &State,
+    reservation: &Reservation,
+    line: Connection,
+    feedback: &Feedback,
+) {
     if feedback.keep_alive {
         state.pool.give(
             &reservation.replica,
@@ -125,7 +130,7 @@
 /// Replica answer that events are read from.
 struct Source {
     reservation: Reservation,
-    line: Line,
+    line: Connection,
     feedback: Feedback,
     body: Incoming,
 }
--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -201,16 +201,16 @@
     let limits = entry.state.settings.limits;
     let bounds = Bounds {
         // Half of the descriptors, since each request also needs a connection to a replica.
-        connections: limits.descriptors.saturating_sub(RESERVED_DESCRIPTORS) / 2,
-        head_time: IDLE_TIMEOUT,
-        head_bytes: MAX_HEAD_BYTES,
+        max_connections: limits.descriptors.saturating_sub(RESERVED_DESCRIPTORS) / 2,
+        head_timeout: IDLE_TIMEOUT,
+        max_head_bytes: MAX_HEAD_BYTES,
     };
     let entry = entry.clone();
     let respond = move |request| {
         let entry = entry.clone();
         async move { Ok(serve::handle(entry, request).await) }
     };
-    conn::serve_within(listener, bounds, respond).context(RuntimeSnafu)
+    conn::serve_with_bounds(listener, bounds, respond).context(RuntimeSnafu)
 }
 
 fn serve_readiness(state: &Arc<State>, listener: TcpListener) -> Result<Server, Error> {
@@ -328,7 +328,7 @@
             .clock
             .timeout_at(exit_at, self.callers.drain(remaining))
             .await;
-        let cut = drained.unwrap_or_else(|_| self.callers.connections());
+        let cut = drained.unwrap_or_else(|_| self.callers.connection_count());
         info!(target: "daemon", event = "stopped", cut, "daemon stopped");
     }
 }
--- a/crates/front/tests/adapters.rs
+++ b/crates/front/tests/adapters.rs
@@ -2,7 +2,7 @@
 
 mod site;
 
-use conn::Line;
+use conn::Connection;
 use front::Daemon;
 use platform_standin::replica::{self, Options, Replica};
 use site::{ask, daemon, engine, request, store, until};
@@ -66,7 +66,7 @@
     let mut lines = Vec::new();
     for _ in 0..12 {
         let (_, request) = request("/resume/x", Some("m1/a1"));
-        let mut line = Line::open(daemon.callers(), site::WAIT_LIMIT)
+        let mut line = Connection::open(daemon.callers(), site::WAIT_LIMIT)
             .await
             .unwrap();
         lines.push(tokio::spawn(async move {
--- a/crates/front/tests/changes.rs
+++ b/crates/front/tests/changes.rs
@@ -147,7 +147,9 @@
     let start = Instant::now();
     while start.elapsed() < Duration::from_millis(1_200) {
         let (_, request) = site::request("/again/x", None);
-        let mut line = conn::Line::open(addr, site::WAIT_LIMIT).await.unwrap();
+        let mut line = conn::Connection::open(addr, site::WAIT_LIMIT)
+            .await
+            .unwrap();
         let reply = line
             .exchange(request, site::WAIT_LIMIT, 1 << 20)
             .await
@@ -174,7 +176,9 @@
     let addr = daemon.callers();
     let exchange = tokio::spawn(async move {
         let (_, request) = site::request("/stream/x", Some("m9"));
-        let mut line = conn::Line::open(addr, site::WAIT_LIMIT).await.unwrap();
+        let mut line = conn::Connection::open(addr, site::WAIT_LIMIT)
+            .await
+            .unwrap();
         line.exchange(request, site::WAIT_LIMIT, 1 << 20)
             .await
             .unwrap()
@@ -217,7 +221,9 @@
     let addr = daemon.callers();
     let exchange = tokio::spawn(async move {
         let (_, request) = site::request("/stream/x", Some("m1"));
-        let mut line = conn::Line::open(addr, site::WAIT_LIMIT).await.unwrap();
+        let mut line = conn::Connection::open(addr, site::WAIT_LIMIT)
+            .await
+            .unwrap();
         line.exchange(request, site::WAIT_LIMIT, 1 << 20)
             .await
             .unwrap()
--- a/crates/front/tests/responses.rs
+++ b/crates/front/tests/responses.rs
@@ -2,7 +2,7 @@
 
 mod site;
 
-use conn::Line;
+use conn::Connection;
 use platform_standin::replica::Fault;
 use rstest::rstest;
 use site::{WAIT_LIMIT, ask, daemon, engine, request, store, until, web};
@@ -124,7 +124,9 @@
     let replica = engine(&store, "i-1", &["m1"]).await;
     let daemon = daemon(&store, "d1").await;
     replica.set_fault(Fault::Hangs);
-    let mut line = Line::open(daemon.callers(), WAIT_LIMIT).await.unwrap();
+    let mut line = Connection::open(daemon.callers(), WAIT_LIMIT)
+        .await
+        .unwrap();
     let (id, mut long) = request("/stream/x", Some("m1"));
     let usage = "7500,20".parse().unwrap();
     long.headers_mut().insert("token-usage", usage);
@@ -189,7 +191,7 @@
     let daemon = daemon(&store, "d1").await;
     replica.set_fault(Fault::Hangs);
     let (_, request) = site::request("/again/x", None);
-    let mut line = conn::Line::open(daemon.callers(), site::WAIT_LIMIT)
+    let mut line = conn::Connection::open(daemon.callers(), site::WAIT_LIMIT)
         .await
         .unwrap();
     let sent = line
@@ -210,7 +212,7 @@
     let (head, _) = request.into_parts();
     let body = conn::Body::new(vec![0; 200_000].into());
     let request = hyper::Request::from_parts(head, body);
-    let mut line = conn::Line::open(daemon.callers(), site::WAIT_LIMIT)
+    let mut line = conn::Connection::open(daemon.callers(), site::WAIT_LIMIT)
         .await
         .unwrap();
     let reply = line
--- a/crates/front/tests/site/mod.rs
+++ b/crates/front/tests/site/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code)] // Each test file uses a part of it.
 
-use conn::{Line, Reply};
+use conn::{Connection, Reply};
 use front::readers::Reader;
 use front::settings::{Bounds, Limits};
 use front::state::Leader;
@@ -322,7 +322,7 @@
 ) -> (String, Answer) {
     let host = callers.to_string().parse().unwrap();
     request.headers_mut().insert(replica::FROM, host);
-    let mut line = Line::open(callers, WAIT_LIMIT).await.unwrap();
+    let mut line = Connection::open(callers, WAIT_LIMIT).await.unwrap();
     let reply = line.exchange(request, WAIT_LIMIT, 1 << 20).await;
     (id, Answer(reply))
 }
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -2,7 +2,7 @@
 
 use crate::accounts::Caller;
 use crate::words;
-use conn::{Line, Reply};
+use conn::{Connection, Reply};
 use hyper::Request;
 use parking_lot::Mutex;
 use platform::{names, response};
@@ -115,7 +115,7 @@
 /// Asks one request after the other until the book says no more.
 pub async fn run(book: Arc<Book>, seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut line: Option<(usize, Line)> = None;
+    let mut line: Option<(usize, Connection)> = None;
     while book.goes_on.load(Ordering::Relaxed) {
         let kind = [Kind::Stream, Kind::Resume, Kind::Once, Kind::Again][rng.random_range(0..4)];
         let caller = CALLERS[rng.random_range(0..CALLERS.len())];
@@ -124,7 +124,7 @@
             Some((host, _)) if rng.random_bool(0.8) => *host,
             _ => rng.random_range(0..book.hosts.len()),
         };
-        let kept = line.take().filter(|(at, l)| *at == host && l.is_idle());
+        let kept = line.take().filter(|(at, l)| *at == host && l.is_reusable());
         line = ask(&book, (kind, caller), model, host, kept.map(|(_, l)| l)).await;
         let pause = rng.random_range(5..40);
         tokio::time::sleep(Duration::from_millis(pause)).await;
@@ -145,7 +145,7 @@
         let id = format!("s-{}", book.next.fetch_add(1, Ordering::Relaxed));
         let mut request = request(Kind::Once, Caller::Steady, "", &id);
         *request.body_mut() = conn::Body::new(FATAL.into());
-        if let Ok(mut line) = Line::open(host, PATIENCE).await {
+        if let Ok(mut line) = Connection::open(host, PATIENCE).await {
             // Whatever it is told: what counts is whether replicas fall.
             let _ = line.exchange(request, PATIENCE, 1 << 20).await;
         }
@@ -159,8 +159,8 @@
     (kind, caller): (Kind, Caller),
     model: &str,
     host: usize,
-    kept: Option<Line>,
-) -> Option<(usize, Line)> {
+    kept: Option<Connection>,
+) -> Option<(usize, Connection)> {
     let id = format!("s-{}", book.next.fetch_add(1, Ordering::Relaxed));
     let sent = Instant::now();
     let mut request = request(kind, caller, model, &id);
@@ -168,7 +168,7 @@
     request.headers_mut().insert(replica::FROM, from);
     let opened = match kept {
         Some(line) => Ok(line),
-        None => Line::open(book.hosts[host], Duration::from_secs(1)).await,
+        None => Connection::open(book.hosts[host], Duration::from_secs(1)).await,
     };
     let (connected, reply, line) = match opened {
         Ok(mut line) => {
@@ -196,7 +196,7 @@
 
 /// Status of one request to a path; none when there is no answer.
 pub async fn probe(host: SocketAddr, path: &str) -> Option<u16> {
-    let mut line = Line::open(host, PATIENCE).await.ok()?;
+    let mut line = Connection::open(host, PATIENCE).await.ok()?;
     let mut request = request(Kind::Again, Caller::Steady, "", "probe");
     *request.uri_mut() = path.parse().ok()?;
     let reply = line.exchange(request, PATIENCE, 1 << 20).await.ok()?;
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -217,7 +217,7 @@
 
 /// Whether a replica's process runs.
 async fn answers(replica: &Replica) -> bool {
-    let Ok(mut line) = conn::Line::open(replica.addr, ASKED_FOR).await else {
+    let Ok(mut line) = conn::Connection::open(replica.addr, ASKED_FOR).await else {
         return false;
     };
     let mut request = hyper::Request::new(conn::Body::default());
--- a/crates/standin/src/caller.rs
+++ b/crates/standin/src/caller.rs
@@ -1,7 +1,7 @@
 //! A caller, as simple as callers are: it sends requests and keeps what it was told.
 
 use bytes::Bytes;
-use conn::{Body, Line};
+use conn::{Body, Connection};
 use http_body_util::BodyExt;
 use hyper::{HeaderMap, Method, Request};
 use serde_json::{Value, json};
@@ -154,7 +154,7 @@
 
     async fn exchange(&self, request: Request<Body>, got: &mut Got) {
         let start = Instant::now();
-        let mut line = match Line::open(self.addr, CONNECT).await {
+        let mut line = match Connection::open(self.addr, CONNECT).await {
             Ok(line) => line,
             Err(e) => return got.message = e.to_string(),
         };
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -11,7 +11,7 @@
 pub use state::{Fault, Settings, Started, text};
 
 use crate::web::{self, Body, MOST_CONNECTIONS};
-use conn::{Cut, Server};
+use conn::{Abort, Server};
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
 use parking_lot::Mutex;
@@ -107,7 +107,7 @@
 
     /// Ends it, as a killed process would: streams break, memory is gone.
     pub fn kill(&self) {
-        self.server.lock().cut();
+        self.server.lock().abort();
         self.state.inner.lock().die();
     }
 
@@ -130,22 +130,22 @@
 
     /// Cuts its connections, kept ones and streams too, and goes on listening.
     pub fn cut_connections(&self) {
-        self.server.lock().cut_connections();
+        self.server.lock().abort_connections();
     }
 
     /// Closes each new connection at once while `shut`.
     pub fn set_shut(&self, shut: bool) {
-        self.server.lock().set_shut(shut);
+        self.server.lock().set_refusing(shut);
     }
 }
 
-async fn handle(state: Arc<State>, request: Request<Incoming>) -> Result<Response<Body>, Cut> {
+async fn handle(state: Arc<State>, request: Request<Incoming>) -> Result<Response<Body>, Abort> {
     state.thawed().await;
     let path = request.uri().path().to_owned();
     match (request.method(), path.as_str()) {
         (&Method::POST, RUN_PATH) => runs::run(state, request).await,
         (&Method::POST, CANCEL_PATH) => {
-            let attempt: Attempt = web::read(request).await.ok_or(Cut)?;
+            let attempt: Attempt = web::read(request).await.ok_or(Abort)?;
             runs::cancel(&state, &attempt);
             Ok(web::json(StatusCode::OK, &true))
         }
@@ -154,7 +154,7 @@
             Ok(web::json(StatusCode::OK, &report))
         }
         (&Method::POST, ORDER_PATH) => {
-            let order = web::read(request).await.ok_or(Cut)?;
+            let order = web::read(request).await.ok_or(Abort)?;
             let obeyed: OrderStatus = orders::take(&state, order).await?;
             Ok(web::json(StatusCode::OK, &obeyed))
         }
--- a/crates/standin/src/engine/orders.rs
+++ b/crates/standin/src/engine/orders.rs
@@ -1,7 +1,7 @@
 //! Orders to a stand-in engine.
 
 use super::state::{Inner, State};
-use conn::Cut;
+use conn::Abort;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::sleep;
@@ -12,17 +12,17 @@
 const LOOK_EVERY: Duration = Duration::from_millis(2);
 
 /// Takes an order, perhaps late; a lost one cuts the connection.
-pub(super) async fn take(state: &Arc<State>, order: Order) -> Result<OrderStatus, Cut> {
+pub(super) async fn take(state: &Arc<State>, order: Order) -> Result<OrderStatus, Abort> {
     let delay = state.inner.lock().order_delay;
     match delay {
-        None => return Err(Cut),
+        None => return Err(Abort),
         Some(delay) if delay > Duration::ZERO => {
             let state = state.clone();
             tokio::spawn(async move {
                 sleep(delay).await;
                 obey(&state, &order);
             });
-            return Err(Cut);
+            return Err(Abort);
         }
         Some(_) => {}
     }
--- a/crates/standin/src/engine/runs.rs
+++ b/crates/standin/src/engine/runs.rs
@@ -3,7 +3,7 @@
 use super::state::{Fault, Running, Started, State, token};
 use crate::web::{self, Body};
 use bytes::Bytes;
-use conn::Cut;
+use conn::Abort;
 use futures::stream;
 use http_body_util::{BodyExt, StreamBody};
 use hyper::body::{Frame, Incoming};
@@ -20,8 +20,8 @@
 pub(super) async fn run(
     state: Arc<State>,
     request: Request<Incoming>,
-) -> Result<Response<Body>, Cut> {
-    let run: Run = web::read(request).await.ok_or(Cut)?;
+) -> Result<Response<Body>, Abort> {
+    let run: Run = web::read(request).await.ok_or(Abort)?;
     if let Some(offset) = run.resume_at {
         return Ok(match follow(&state, &run.attempt, offset, None) {
             Some(body) => Response::new(body),
@@ -31,7 +31,7 @@
     let faults = state.inner.lock().faults.clone();
     let fault = faults.lock().pop_front();
     match fault {
-        Some(Fault::CloseBefore) => return Err(Cut),
+        Some(Fault::CloseBefore) => return Err(Abort),
         Some(Fault::Refuse) => return Ok(refuse(&run.attempt, RefusalReason::Full)),
         _ => {}
     }
@@ -39,7 +39,7 @@
         return Ok(refuse(&run.attempt, cause));
     }
     match fault {
-        Some(Fault::CloseAfter) => return Err(Cut),
+        Some(Fault::CloseAfter) => return Err(Abort),
         Some(Fault::Garbage) => {
             let mut response = Response::new(web::full("oops"));
             *response.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
@@ -48,7 +48,7 @@
         Some(Fault::Late(by)) => sleep(by).await,
         _ => {}
     }
-    let body = follow(&state, &run.attempt, run.given_tokens, fault).ok_or(Cut)?;
+    let body = follow(&state, &run.attempt, run.given_tokens, fault).ok_or(Abort)?;
     Ok(Response::new(body))
 }
 
--- a/crates/standin/src/engine/state.rs
+++ b/crates/standin/src/engine/state.rs
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 use unit::engine::{Fence, Load, Report, Resident, Role, State as WeightState, Weights};
 use unit::{Bytes, Name, rendezvous};
-use upstream::engine::{Attempt, Cached};
+use upstream::engine::{Attempt, CacheEvent};
 
 /// Reports kept for the lag.
 const KEPT_REPORTS: usize = 4_096;
@@ -153,7 +153,7 @@
     pub(super) order_delay: Option<Duration>,
     reports: VecDeque<(Instant, Report)>,
     cache: VecDeque<u64>,
-    cache_events: VecDeque<Cached>,
+    cache_events: VecDeque<CacheEvent>,
     cache_number: u64,
 }
 
@@ -328,7 +328,7 @@
         if self.cache_events.len() >= KEPT_CACHE {
             self.cache_events.pop_front();
         }
-        self.cache_events.push_back(Cached {
+        self.cache_events.push_back(CacheEvent {
             number: self.cache_number,
             model: model.clone(),
             prefix,
@@ -336,7 +336,7 @@
         });
     }
 
-    pub(super) fn cache_after(&self, after: u64) -> Vec<Cached> {
+    pub(super) fn cache_after(&self, after: u64) -> Vec<CacheEvent> {
         let newer = self.cache_events.iter().filter(|e| e.number > after);
         newer.cloned().collect()
     }
--- a/crates/standin/src/experiment/overhead.rs
+++ b/crates/standin/src/experiment/overhead.rs
@@ -219,7 +219,7 @@
         priority: 5,
         sampling: Default::default(),
     };
-    let started = upstream::engine::start(&to.pool, to.addr, Reuse::Kept, &run, LIMIT).await;
+    let started = upstream::engine::start(&to.pool, to.addr, Reuse::Pooled, &run, LIMIT).await;
     let mut stream = started.ok()?;
     let mut times = Vec::new();
     while let Item::Tokens { .. } = stream.next(LIMIT).await.ok()? {
@@ -243,7 +243,7 @@
         .header(AUTHORIZATION, format!("Bearer {KEY_ONE}"))
         .body(conn::Body::from(body.to_string()))
         .ok()?;
-    let mut line = to.pool.line(to.addr, Reuse::Kept).await.ok()?;
+    let mut line = to.pool.acquire(to.addr, Reuse::Pooled).await.ok()?;
     let response = line.send(request, LIMIT).await.ok()?;
     if !response.status().is_success() {
         return None;
@@ -254,7 +254,7 @@
         frame.ok()?;
         times.push(start.elapsed());
     }
-    to.pool.give(to.addr, line);
+    to.pool.release(to.addr, line);
     Some(times)
 }
 
--- a/crates/standin/src/hosts.rs
+++ b/crates/standin/src/hosts.rs
@@ -2,7 +2,7 @@
 
 use crate::web::{self, Body, MOST_CONNECTIONS};
 use backing::hosts::{Changes, Host};
-use conn::{Cut, Server};
+use conn::{Abort, Server};
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
 use parking_lot::Mutex;
@@ -110,10 +110,10 @@
 async fn handle(
     state: Arc<Mutex<State>>,
     request: Request<Incoming>,
-) -> Result<Response<Body>, Cut> {
+) -> Result<Response<Body>, Abort> {
     let state = state.lock();
     if state.down {
-        return Err(Cut);
+        return Err(Abort);
     }
     if request.uri().path() != backing::hosts::PATH {
         return Ok(web::not_found());
--- a/crates/standin/src/kv.rs
+++ b/crates/standin/src/kv.rs
@@ -2,7 +2,7 @@
 
 use crate::web::{self, Body, MOST_CONNECTIONS};
 use backing::kv::{Answer, Call, MAX_VALUE_BYTES, MAX_WATCH, Versioned};
-use conn::{Cut, Server};
+use conn::{Abort, Server};
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
 use parking_lot::Mutex;
@@ -126,7 +126,7 @@
         self.state.lock().faults = faults;
         self.changed.notify_waiters();
         if down {
-            self.server.cut_connections();
+            self.server.abort_connections();
         }
     }
 
@@ -150,10 +150,10 @@
     state: Arc<Mutex<State>>,
     changed: Arc<Notify>,
     request: Request<Incoming>,
-) -> Result<Response<Body>, Cut> {
+) -> Result<Response<Body>, Abort> {
     let faults = state.lock().faults.clone();
     if faults.down {
-        return Err(Cut);
+        return Err(Abort);
     }
     if request.uri().path() != backing::kv::PATH {
         return Ok(web::not_found());
@@ -187,7 +187,7 @@
         call => state.lock().answer(&call),
     };
     if state.lock().faults.down {
-        return Err(Cut);
+        return Err(Abort);
     }
     Ok(web::json(StatusCode::OK, &answer))
 }
@@ -203,7 +203,7 @@
     changed: &Arc<Notify>,
     call: Call,
     faults: &Faults,
-) -> Result<Response<Body>, Cut> {
+) -> Result<Response<Body>, Abort> {
     let dice = state.lock().rng.random_range(0..100);
     if dice < faults.late_writes {
         let (state, changed, by) = (state.clone(), changed.clone(), faults.late_by);
@@ -212,12 +212,12 @@
             state.lock().answer(&call);
             changed.notify_waiters();
         });
-        return Err(Cut);
+        return Err(Abort);
     }
     let answer = state.lock().answer(&call);
     changed.notify_waiters();
     match dice < faults.late_writes + faults.lose_answers {
-        true => Err(Cut),
+        true => Err(Abort),
         false => Ok(web::json(StatusCode::OK, &answer)),
     }
 }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,7 +1,7 @@
 //! Stand-in of a plain service: it counts what it ran.
 
 use crate::web::{self, Body, MOST_CONNECTIONS};
-use conn::{Cut, Server};
+use conn::{Abort, Server};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
@@ -83,22 +83,22 @@
 
     /// Ends it, as a killed process would.
     pub fn kill(&self) {
-        self.server.cut();
+        self.server.abort();
     }
 
     /// Cuts its connections, kept ones too, and goes on listening.
     pub fn cut_connections(&self) {
-        self.server.cut_connections();
+        self.server.abort_connections();
     }
 }
 
 async fn handle(
     state: Arc<Mutex<State>>,
     request: Request<Incoming>,
-) -> Result<Response<Body>, Cut> {
+) -> Result<Response<Body>, Abort> {
     let fault = state.lock().faults.pop_front();
     if fault == Some(Fault::CloseBefore) {
-        return Err(Cut);
+        return Err(Abort);
     }
     let header = request.headers().get(REQUEST_HEADER).cloned();
     let id = header
@@ -111,7 +111,7 @@
         .into_body()
         .collect()
         .await
-        .map_err(|_| Cut)?
+        .map_err(|_| Abort)?
         .to_bytes();
     let body = String::from_utf8_lossy(&body).into_owned();
     if fault == Some(Fault::Refuse) {
@@ -125,7 +125,7 @@
         body: body.clone(),
     });
     match fault {
-        Some(Fault::CloseAfter) => return Err(Cut),
+        Some(Fault::CloseAfter) => return Err(Abort),
         Some(Fault::Late(by)) => sleep(by).await,
         _ => {}
     }
--- a/crates/standin/tests/leaving.rs
+++ b/crates/standin/tests/leaving.rs
@@ -134,7 +134,9 @@
     .await;
     let daemon = fleet.daemons.remove(0);
     let addr = daemon.callers();
-    let mut line = conn::Line::open(addr, common::PATIENCE).await.unwrap();
+    let mut line = conn::Connection::open(addr, common::PATIENCE)
+        .await
+        .unwrap();
     let drained = tokio::spawn(daemon.drain());
     // Past the grace of 100 ms, when the daemon has begun to close what is idle.
     sleep(Duration::from_millis(250)).await;
--- a/crates/upstream/src/engine.rs
+++ b/crates/upstream/src/engine.rs
@@ -8,5 +8,5 @@
 mod stream;
 
 pub use format::*;
-pub use orders::Orders;
+pub use orders::Session;
 pub use stream::{Failure, Item, Stream, cancel, start};
--- a/crates/upstream/src/engine/format.rs
+++ b/crates/upstream/src/engine/format.rs
@@ -110,7 +110,7 @@
 
 /// Cache event: a hint with gaps.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Cached {
+pub struct CacheEvent {
     /// Number of the event, growing; a gap means that some were lost.
     pub number: u64,
     /// The model.
--- a/crates/upstream/src/engine/orders.rs
+++ b/crates/upstream/src/engine/orders.rs
@@ -1,7 +1,7 @@
 //! Reports and orders over one connection.
 
 use super::format::*;
-use conn::{Error, Line};
+use conn::{Connection, Error};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -14,18 +14,18 @@
 /// which dies with the engine's process: an order can never reach a later
 /// incarnation than the one whose report it rests on, even at an engine that
 /// checks nothing.
-pub struct Orders {
+pub struct Session {
     addr: SocketAddr,
-    line: Line,
+    line: Connection,
     limit: Duration,
 }
 
-impl Orders {
+impl Session {
     /// Opens a connection; each exchange over it may take `limit`.
-    pub async fn open(addr: SocketAddr, limit: Duration) -> Result<Orders, Error> {
-        Ok(Orders {
+    pub async fn open(addr: SocketAddr, limit: Duration) -> Result<Session, Error> {
+        Ok(Session {
             addr,
-            line: Line::open(addr, limit).await?,
+            line: Connection::open(addr, limit).await?,
             limit,
         })
     }
@@ -45,7 +45,7 @@
     }
 
     /// Reads cache events past a number.
-    pub async fn cache(&mut self, after: u64) -> Result<Vec<Cached>, Error> {
+    pub async fn cache(&mut self, after: u64) -> Result<Vec<CacheEvent>, Error> {
         let path = format!("{CACHE_PATH}?after={after}");
         let request = conn::json_request::<()>(self.addr, &path, None)?;
         let reply = self.line.exchange(request, self.limit, MOST_REPORT).await?;
--- a/crates/upstream/src/engine/stream.rs
+++ b/crates/upstream/src/engine/stream.rs
@@ -2,7 +2,7 @@
 
 use super::format::*;
 use bytes::{Buf, Bytes, BytesMut};
-use conn::{Body, Error, Line, Pool, Reuse};
+use conn::{Body, Connection, Error, Pool, Reuse};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use hyper::{Response, StatusCode};
@@ -38,12 +38,12 @@
     buffer: BytesMut,
     scanned: usize,
     next: u32,
-    line: Option<Line>,
+    line: Option<Connection>,
     pool: Option<Pool>,
     /// Events of other attempts that were dropped.
     pub foreign: u64,
     /// Events that repeated tokens already received and were dropped.
-    pub doubled: u64,
+    pub duplicates: u64,
 }
 
 /// What a stream gives next.
@@ -70,7 +70,7 @@
 ) -> Result<Stream, Failure> {
     let request =
         conn::json_request(addr, RUN_PATH, Some(run)).map_err(|e| Failure::Lost(e.to_string()))?;
-    let mut line = pool.line(addr, reuse).await.map_err(Failure::Unsent)?;
+    let mut line = pool.acquire(addr, reuse).await.map_err(Failure::Unsent)?;
     let response = match line.send(request, limit).await {
         Ok(response) => response,
         Err(e) if e.proves_unsent() => return Err(Failure::Unsent(e)),
@@ -89,7 +89,7 @@
         line: Some(line),
         pool: Some(pool.clone()),
         foreign: 0,
-        doubled: 0,
+        duplicates: 0,
     })
 }
 
@@ -193,7 +193,7 @@
             )));
         }
         if event.offset < self.next {
-            self.doubled += 1;
+            self.duplicates += 1;
             return Ok(None);
         }
         if let Some(end) = event.end {
@@ -210,7 +210,7 @@
     pub async fn finish(mut self) {
         let rest = timeout(SHORT_LIMIT, self.body.frame()).await;
         if let (Ok(None), Some(line), Some(pool)) = (rest, self.line.take(), self.pool.take()) {
-            pool.give(self.addr, line);
+            pool.release(self.addr, line);
         }
     }
 }
--- a/crates/upstream/src/service.rs
+++ b/crates/upstream/src/service.rs
@@ -24,15 +24,15 @@
 
 /// What a call needs besides its request.
 #[derive(Debug, Clone, Copy)]
-pub struct Rules {
+pub struct Options {
     /// Which connections may serve.
     pub reuse: Reuse,
     /// Status by which the service states that it ran nothing.
     pub refusal_status: Option<u16>,
     /// Time for the whole answer.
-    pub limit: Duration,
+    pub timeout: Duration,
     /// Longest answer in bytes.
-    pub most: usize,
+    pub max_bytes: usize,
 }
 
 /// Passes a request to a service and reads its whole answer.
@@ -41,13 +41,13 @@
     addr: SocketAddr,
     id: &str,
     request: Request<Body>,
-    rules: Rules,
+    rules: Options,
 ) -> Result<Reply, Failure> {
     let mut line = pool
-        .line(addr, rules.reuse)
+        .acquire(addr, rules.reuse)
         .await
         .map_err(Failure::Unsent)?;
-    let reply = match line.exchange(request, rules.limit, rules.most).await {
+    let reply = match line.exchange(request, rules.timeout, rules.max_bytes).await {
         Ok(reply) => reply,
         Err(e) if e.proves_unsent() => return Err(Failure::Unsent(e)),
         Err(e) => return Err(Failure::Lost(e.to_string())),
@@ -59,7 +59,7 @@
             "the answer echoes another request's id".into(),
         ));
     }
-    pool.give(addr, line);
+    pool.release(addr, line);
     if rules.refusal_status == Some(reply.status.as_u16()) {
         return Err(Failure::Refused(reply));
     }
