--- a/crates/conn/src/line.rs
+++ b/crates/conn/src/connection.rs
@@ -1,7 +1,7 @@
 //! One connection to another process.
 
 use crate::Body;
-use crate::counted::Counted;
+use crate::counting_stream::Counted;
 use crate::error::Error;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
--- a/crates/conn/src/lib.rs
+++ b/crates/conn/src/lib.rs
@@ -3,19 +3,19 @@
 //! Whether a request may be called "not run" hangs on this: a failure before
 //! the first byte of a request is proof, a failure after it is not.
 
-mod counted;
+mod connection;
+mod counting_stream;
 mod error;
-mod line;
 mod pool;
-mod serve;
-mod stall;
+mod server;
+mod write_timeout;
 
 use hyper::header::{self, HeaderName};
 
+pub use connection::{Connection, Reply};
 pub use error::Error;
-pub use line::{Connection, Reply};
 pub use pool::{Pool, Reuse, json_request, read_json};
-pub use serve::{Abort, Bounds, Server, serve, serve_with_bounds};
+pub use server::{Abort, Bounds, Server, serve, serve_with_bounds};
 
 /// Whole body that is sent with a request.
 pub type Body = http_body_util::Full<bytes::Bytes>;
--- a/crates/conn/src/serve.rs
+++ b/crates/conn/src/server.rs
@@ -1,6 +1,6 @@
 //! A listener whose connections end gracefully.
 
-use crate::stall::Stall;
+use crate::write_timeout::Stall;
 use hyper::body::{Body, Incoming};
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
--- a/crates/upstream/src/engine.rs
+++ b/crates/upstream/src/engine.rs
@@ -3,10 +3,10 @@
 //! Every event of a stream echoes the request and the attempt it belongs to,
 //! and a stream has an explicit end: what breaks off before it is not whole.
 
-mod format;
-mod orders;
+mod message;
+mod session;
 mod stream;
 
-pub use format::*;
-pub use orders::Session;
+pub use message::*;
+pub use session::Session;
 pub use stream::{Failure, Item, Stream, cancel, start};
--- a/crates/upstream/src/engine/orders.rs
+++ b/crates/upstream/src/engine/session.rs
@@ -1,6 +1,6 @@
 //! Reports and orders over one connection.
 
-use super::format::*;
+use super::message::*;
 use conn::{Connection, Error};
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/upstream/src/engine/stream.rs
+++ b/crates/upstream/src/engine/stream.rs
@@ -1,6 +1,6 @@
 //! Requests to an engine and their streams.
 
-use super::format::*;
+use super::message::*;
 use bytes::{Buf, Bytes, BytesMut};
 use conn::{Body, Connection, Error, Pool, Reuse};
 use http_body_util::{BodyExt, Limited};
