--- a/crates/front/tests/accounts.rs
+++ b/crates/front/tests/accounts.rs
@@ -46,7 +46,7 @@
     headers.append("tenant", "mine".parse().unwrap());
     let (id, answer) = send(&daemon, (id, request)).await;
     assert_eq!(answer.status(), 200);
-    let seen = replica.seen(&id);
+    let seen = replica.request_log(&id);
     assert_eq!(seen.account.as_deref(), Some("other"));
     assert!(!seen.had_key);
 }
@@ -73,7 +73,7 @@
         !answer.text().contains("k-9"),
         "the answer must not contain the key"
     );
-    assert_eq!(replica.seen(&id).arrived, 0);
+    assert_eq!(replica.request_log(&id).arrivals, 0);
 }
 
 #[tokio::test]
@@ -83,13 +83,13 @@
     let daemon = daemon(&store, "d1").await;
     let (id, answer) = ask(&daemon, "/open/x", None).await;
     assert_eq!(answer.status(), 200);
-    assert_eq!(replica.seen(&id).account, None);
+    assert_eq!(replica.request_log(&id).account, None);
     let (id, answer) = ask_with(&daemon, "k-9", "/open/x", None).await;
     assert_eq!(answer.status(), 200);
-    assert!(!replica.seen(&id).had_key);
+    assert!(!replica.request_log(&id).had_key);
     let (id, answer) = ask_with(&daemon, "k-1", "/open/x", None).await;
     assert_eq!(answer.status(), 200);
-    assert_eq!(replica.seen(&id).account.as_deref(), Some("mine"));
+    assert_eq!(replica.request_log(&id).account.as_deref(), Some("mine"));
 }
 
 /// Requests with a key of two accounts could be attributed to the wrong one.
@@ -132,7 +132,7 @@
     ] {
         let (id, answer) = ask_with(&daemon, key, path, Some("m1")).await;
         assert_eq!(answer.status(), 200);
-        ranks.push(replica.seen(&id).rank.unwrap());
+        ranks.push(replica.request_log(&id).priority.unwrap());
     }
     assert!(ranks.is_sorted_by(|a, b| a < b), "{ranks:?}");
 }
@@ -151,7 +151,7 @@
     until_in_force(&daemon, 2).await;
     for (path, rank) in [("/stream/x", 1), ("/later/x", 2)] {
         let (id, _) = ask_with(&daemon, "k-1", path, Some("m1")).await;
-        assert_eq!(replica.seen(&id).rank, Some(rank));
+        assert_eq!(replica.request_log(&id).priority, Some(rank));
     }
 }
 
@@ -162,7 +162,7 @@
     let daemon = daemon(&store, "d1").await;
     let (id, answer) = ask(&daemon, "/again/x", None).await;
     assert_eq!(answer.status(), 200);
-    assert_eq!(replica.seen(&id).account, None);
+    assert_eq!(replica.request_log(&id).account, None);
 }
 
 #[tokio::test]
@@ -178,7 +178,10 @@
     store.put("op/config", &with_accounts(2, &remaining));
     until_in_force(&daemon, 2).await;
     let (id, answer) = ask_with(&daemon, "k-3", "/again/x", None).await;
-    assert_eq!((answer.status(), replica.seen(&id).arrived), (401, 0));
+    assert_eq!(
+        (answer.status(), replica.request_log(&id).arrivals),
+        (401, 0)
+    );
     assert_eq!(
         ask_with(&daemon, "k-1", "/again/x", None).await.1.status(),
         200
@@ -193,7 +196,7 @@
     let options = Options {
         models: vec!["m2".into()],
         on_disk: vec!["m1".into()],
-        load: Duration::from_millis(700),
+        load_time: Duration::from_millis(700),
         ..Options::default()
     };
     let replica = replica::spawn(&store, options).await.unwrap();
@@ -213,7 +216,7 @@
         store.put("op/config", &with_accounts(2, &[account("mine", &["k-1"])]));
     };
     let ((id, answer), ()) = tokio::join!(waiting, revocation);
-    assert_eq!((answer.status(), replica.seen(&id).ran), (401, 0));
+    assert_eq!((answer.status(), replica.request_log(&id).runs), (401, 0));
 }
 
 /// A replica rejects the request, and the key is revoked before the next attempt.
@@ -223,7 +226,7 @@
     let replicas = [web(&store, "i-1").await, web(&store, "i-2").await];
     let daemon = daemon(&store, "d1").await;
     for replica in &replicas {
-        replica.set_fault(Fault::Sheds);
+        replica.set_fault(Fault::Shed);
     }
     store.put("op/config", &with_accounts(2, &[account("mine", &["k-1"])]));
     // Requests continue while the change takes effect: each fails without running, for one reason
@@ -310,5 +313,5 @@
     until_in_force(&daemon, 3).await;
     let (id, answer) = ask(&daemon, "/again/x", None).await;
     assert_eq!(answer.status(), 200);
-    assert_eq!(replica.seen(&id).ran, 1);
+    assert_eq!(replica.request_log(&id).runs, 1);
 }
--- a/crates/front/tests/adapters.rs
+++ b/crates/front/tests/adapters.rs
@@ -48,7 +48,7 @@
     let slow = |id: &str| Options {
         id: id.into(),
         models: vec!["m1".into()],
-        pace: Duration::from_millis(400),
+        delay: Duration::from_millis(400),
         ..Options::default()
     };
     let replicas = [
--- a/crates/front/tests/backoff.rs
+++ b/crates/front/tests/backoff.rs
@@ -4,7 +4,7 @@
 mod site;
 
 use front::Daemon;
-use platform_standin::replica::{Replica, Word, Words};
+use platform_standin::replica::{Replica, Signal, Signals};
 use platform_standin::store::Mode;
 use rstest::rstest;
 use site::{ask, daemon, engine, hosts, send_load, store, until, web};
@@ -19,19 +19,19 @@
 const ALLOWED: usize = 2;
 
 fn request_backoff(replica: &Replica, seconds: Option<&str>) {
-    replica.set_words(Words {
-        leaves: false,
-        rest: seconds.map(str::to_owned),
+    replica.set_signals(Signals {
+        leaving: false,
+        backoff: seconds.map(str::to_owned),
     });
 }
 
 /// Most requests that a replica received from a host during any backoff that it asked of that host.
 fn max_during_backoff(replica: &Replica, host: &str) -> usize {
-    let arrivals = replica.arrived_from(host);
-    let announcements = replica.said();
+    let arrivals = replica.arrivals_from(host);
+    let announcements = replica.sent_signals();
     let of_host = announcements.iter().filter(|request| request.host == host);
     let within = of_host.map(|request| {
-        let Word::Rests(seconds) = request.word else {
+        let Signal::Backoff(seconds) = request.signal else {
             return 0;
         };
         let end = request.at + Duration::from_secs_f64(seconds.max(0.0));
@@ -98,13 +98,13 @@
 
 /// Lets a replica ask a host for a backoff once, with its next request; returns when it did.
 async fn request_backoff_once(replica: &Replica, host: &Daemon, seconds: &str) -> Instant {
-    let before = replica.said().len();
+    let before = replica.sent_signals().len();
     request_backoff(replica, Some(seconds));
-    while replica.said().len() == before {
+    while replica.sent_signals().len() == before {
         ask(host, "/again/x", None).await;
     }
     request_backoff(replica, None);
-    replica.said()[before].at
+    replica.sent_signals()[before].at
 }
 
 /// Guards against callers that are refused while one of five replicas still accepts requests.
@@ -147,8 +147,11 @@
     for _ in 0..40 {
         let (id, answer) = ask(&host, "/once/x", None).await;
         assert_eq!(answer.status(), 200);
-        assert_eq!((refusing.seen(&id).ran, other.seen(&id).ran), (0, 1));
-        refused += refusing.seen(&id).arrived;
+        assert_eq!(
+            (refusing.request_log(&id).runs, other.request_log(&id).runs),
+            (0, 1)
+        );
+        refused += refusing.request_log(&id).arrivals;
         sleep(Duration::from_millis(50)).await;
     }
     assert!(refused > 0);
@@ -211,7 +214,7 @@
     while at.elapsed() < Duration::from_millis(1_900) {
         ask(&host, "/again/x", None).await;
     }
-    let arrived = refusing.arrived_after(at);
+    let arrived = refusing.arrivals_after(at);
     assert_eq!(arrived.len(), 0, "{arrived:?} during the backoff");
 }
 
@@ -256,7 +259,7 @@
     while at.elapsed() < Duration::from_millis(2_900) {
         ask(&host, "/again/x", None).await;
     }
-    assert_eq!(refusing.arrived_after(at).len(), 0);
+    assert_eq!(refusing.arrivals_after(at).len(), 0);
 }
 
 /// Guards against full load directly after a backoff, and against a replica that stays unused after
@@ -270,14 +273,14 @@
     request_backoff(&refusing, Some("1"));
     let first = loop {
         ask(&hosts[0], "/stream/x", Some("m1")).await;
-        if let Some(request) = refusing.said().first() {
+        if let Some(request) = refusing.sent_signals().first() {
             break request.at;
         }
     };
     request_backoff(&refusing, None);
     let end = first + Duration::from_secs(1);
     send_load(&hosts, &["/stream/x"], Duration::from_millis(3_200)).await;
-    let arrived = refusing.arrived_after(first);
+    let arrived = refusing.arrivals_after(first);
     let arrivals_by = |ms| {
         arrived
             .iter()
@@ -306,7 +309,7 @@
     let hosts = hosts(&store, 1).await;
     request_backoff(&refusing, Some("1"));
     send_load(&hosts, &["/stream/x"], Duration::from_millis(5_500)).await;
-    let refusals = refusing.said().len();
+    let refusals = refusing.sent_signals().len();
     assert!(
         (3..=6).contains(&refusals),
         "{refusals} requests in 5.5 s at a replica that asks for a backoff of 1 s each time"
@@ -323,7 +326,7 @@
     for (replica, seconds) in all.iter().zip(["9", "4"]) {
         request_backoff(replica, Some(seconds));
     }
-    let all_refused = || all.iter().all(|r| !r.said().is_empty());
+    let all_refused = || all.iter().all(|r| !r.sent_signals().is_empty());
     while !all_refused() {
         ask(&host, "/again/x", None).await;
     }
--- a/crates/front/tests/changes.rs
+++ b/crates/front/tests/changes.rs
@@ -52,7 +52,7 @@
     let _staying = web(&store, "i-2").await;
     let daemon = daemon(&store, "d1").await;
     match announced {
-        true => leaving.leave(),
+        true => leaving.announce_departure(),
         false => leaving.vanish(),
     }
     sleep(Duration::from_millis(900)).await;
@@ -229,7 +229,7 @@
             .unwrap()
     });
     until(|| daemon.state().in_flight() == 1).await;
-    replica.leave();
+    replica.announce_departure();
     let reply = exchange.await.unwrap();
     busy.abort();
     assert_eq!(replica.arrivals(), 0);
@@ -421,7 +421,7 @@
     let bad = web(&store, "i-1").await;
     let good = web(&store, "i-2").await;
     let daemon = daemon(&store, "d1").await;
-    bad.set_fault(Fault::Fails);
+    bad.set_fault(Fault::InternalError);
     for _ in 0..60 {
         ask(&daemon, "/once/x", None).await;
     }
--- a/crates/front/tests/departures.rs
+++ b/crates/front/tests/departures.rs
@@ -6,7 +6,7 @@
 use front::Daemon;
 use front::message::{Departures, MAX_DATAGRAM, Message, departures, encode};
 use platform_standin::proxy;
-use platform_standin::replica::{self, Options, Replica, Word, Words};
+use platform_standin::replica::{self, Options, Replica, Signal, Signals};
 use platform_standin::store::{Mode, Store};
 use rstest::rstest;
 use site::{
@@ -26,23 +26,23 @@
 const ALL: &[&str] = &["/stream/x", "/resume/x", "/once/x", "/again/x"];
 
 fn announce_departure(replica: &Replica) {
-    replica.set_words(Words {
-        leaves: true,
-        rest: None,
+    replica.set_signals(Signals {
+        leaving: true,
+        backoff: None,
     });
 }
 
 /// Requests from a host that arrived after the bound, counted from the first answer that announced
 /// the departure to it.
 fn late_requests(replica: &Replica, host: &str) -> usize {
-    let announcements = replica.said();
+    let announcements = replica.sent_signals();
     let mut to_host = announcements
         .iter()
-        .filter(|a| a.host == host && a.word == Word::Leaves);
+        .filter(|a| a.host == host && a.signal == Signal::Departure);
     let Some(first) = to_host.next() else {
         return 0;
     };
-    let arrivals = replica.arrived_from(host);
+    let arrivals = replica.arrivals_from(host);
     arrivals.iter().filter(|at| **at > first.at + BOUND).count()
 }
 
@@ -157,7 +157,7 @@
     announce_departure(&engine);
     announce_departure(&web);
     send_load(&hosts, ALL, Duration::from_millis(300)).await;
-    proxy_handle.set(proxy::Mode::MuteTarget);
+    proxy_handle.set(proxy::Mode::DropFromTarget);
     isolate(&hosts[0]);
     hosts[0].state().clock.simulate_suspend(Span::from_secs(6));
     send_load(&hosts, ALL, BOUND + AFTER).await;
@@ -170,7 +170,7 @@
 async fn running_requests_at_a_leaving_replica_complete() {
     let store = store().await;
     let options = Options {
-        pace: Duration::from_millis(200),
+        delay: Duration::from_millis(200),
         ..Options::default()
     };
     let slow = replica::spawn(&store, options).await.unwrap();
@@ -178,7 +178,7 @@
     announce_departure(&slow);
     let (id, answer) = ask(&host, "/stream/x", Some("m1")).await;
     assert_eq!(answer.events(), [1, 2, 3, 4, 5]);
-    assert_eq!(slow.seen(&id).ran, 1);
+    assert_eq!(slow.request_log(&id).runs, 1);
 }
 
 /// Guards against further orders to a replica that announced its departure in the answer to an
@@ -258,7 +258,7 @@
 async fn a_report_announces_a_departure() {
     let store = store().await;
     let leaving = engine(&store, "i-1", &["m1"]).await;
-    leaving.leave_untold();
+    leaving.depart_unannounced();
     let host = daemon(&store, "d1").await;
     let leaves = || {
         let table = host.state().table.lock();
--- a/crates/front/tests/invalid_entries.rs
+++ b/crates/front/tests/invalid_entries.rs
@@ -80,7 +80,7 @@
 async fn an_invalid_entry_does_not_affect_others(#[case] value: Vec<u8>) {
     let (store, first, second, daemon) = site().await;
     store.put_bytes("servers/strange", &value);
-    store.forget_history();
+    store.compact();
     sleep(Duration::from_millis(900)).await;
     let (to_first, to_second) = (
         requests_reaching(&daemon, &first).await,
@@ -111,7 +111,7 @@
 #[tokio::test]
 async fn a_malformed_item_hides_no_other(#[case] item: Value) {
     let store = store().await;
-    store.list_odd(item);
+    store.add_malformed_item(item);
     let _replica = engine(&store, "i-1", &["m1"]).await;
     let daemon = front::spawn(site::settings(&store, "d1")).await.unwrap();
     until(|| daemon.state().is_ready()).await;
--- a/crates/front/tests/partitioned_host.rs
+++ b/crates/front/tests/partitioned_host.rs
@@ -42,7 +42,7 @@
     let (host, proxy) = daemon_behind_proxy(&store, "d2").await;
     until(|| host.state().table.lock().view.all().count() == 2).await;
     let leader = isolate(&host);
-    proxy.set(Mode::DeafTarget);
+    proxy.set(Mode::DropToTarget);
     until(|| host.state().table.lock().view.contact.is_unreachable()).await;
     Partition {
         store,
@@ -79,7 +79,7 @@
 async fn replica_that_left_during_the_partition_gets_no_requests() {
     let partition = partition().await;
     partition.leaving.vanish();
-    partition.store.forget_history();
+    partition.store.compact();
     sleep(PARTITION_DURATION).await;
     partition.heal().await;
     assert_eq!(partition.requests_to_leaving().await, 0);
@@ -106,7 +106,7 @@
     until(|| leader.state().leads()).await;
     let successor = daemon(&store, "d2").await;
     sleep(Duration::from_secs(1)).await;
-    proxy.set(Mode::DeafTarget);
+    proxy.set(Mode::DropToTarget);
     until(|| successor.state().leads()).await;
     sleep(Duration::from_secs(3)).await;
     leaving.vanish();
--- a/crates/front/tests/quarantine.rs
+++ b/crates/front/tests/quarantine.rs
@@ -46,7 +46,7 @@
 }
 
 fn crashes(fleet: &[Replica]) -> usize {
-    fleet.iter().map(|replica| replica.falls().len()).sum()
+    fleet.iter().map(|replica| replica.crashes().len()).sum()
 }
 
 /// Each repetition arrives at another host.
@@ -215,7 +215,7 @@
     until(|| others[0].state().leads()).await;
     let (host, proxy) = daemon_behind_proxy(&store, "cut").await;
     let leader = isolate(&host);
-    proxy.set(Mode::DeafTarget);
+    proxy.set(Mode::DropToTarget);
     until(|| host.state().table.lock().view.contact.is_unreachable()).await;
     until_quarantined(&others).await;
     proxy.set(Mode::Pass);
@@ -281,7 +281,7 @@
     let fleet = fleet(&store, 2).await;
     let hosts = hosts(&store, 1).await;
     for replica in &fleet {
-        replica.set_fault(Fault::LosesAnswers);
+        replica.set_fault(Fault::DropResponse);
     }
     for _ in 0..6 {
         assert_eq!(ask_body(&hosts[0], "/once/x", "body").await.status(), 502);
--- a/crates/front/tests/quota.rs
+++ b/crates/front/tests/quota.rs
@@ -116,7 +116,7 @@
     let replica = engine(&store, "i-1", &["m1"]).await;
     let daemon = daemon(&store, "d1").await;
     sleep(Duration::from_millis(1_500)).await;
-    replica.set_fault(Fault::Sheds);
+    replica.set_fault(Fault::Shed);
     let (ran, refusal) = send_for(&daemon, "k-1", Duration::from_secs(1)).await;
     assert_eq!((ran, refusal.unwrap().0), (0, 503));
     replica.set_fault(Fault::None);
--- a/crates/front/tests/rate_limit.rs
+++ b/crates/front/tests/rate_limit.rs
@@ -63,11 +63,11 @@
     limit: &str,
 ) -> (Vec<u16>, usize) {
     send_load(hosts, paths, Duration::from_millis(500)).await;
-    replica.name_limit(Some(limit));
+    replica.set_rate_limit(Some(limit));
     send_load(hosts, paths, BOUND).await;
     let from = Instant::now();
     let statuses = send_load(hosts, paths, Duration::from_secs(6)).await;
-    (statuses, max_in_window(&replica.arrived_after(from)))
+    (statuses, max_in_window(&replica.arrivals_after(from)))
 }
 
 #[tokio::test]
@@ -161,7 +161,7 @@
 async fn measure_load(hosts: &[Daemon], replica: &Replica, time: Duration) -> (Vec<u16>, usize) {
     let from = Instant::now();
     let statuses = send_load(hosts, &["/stream/x"], time).await;
-    (statuses, max_in_window(&replica.arrived_after(from)))
+    (statuses, max_in_window(&replica.arrivals_after(from)))
 }
 
 fn assert_all_served(statuses: &[u16]) {
@@ -178,7 +178,7 @@
 #[tokio::test]
 async fn a_limit_is_kept_when_the_leader_dies_and_a_host_joins() {
     let (store, [limited, _other], mut hosts) = two_replicas().await;
-    limited.name_limit(Some("3"));
+    limited.set_rate_limit(Some("3"));
     send_load(&hosts, &["/stream/x"], BOUND).await;
     let leader = hosts.iter().position(|h| h.state().leads()).unwrap();
     drop(hosts.remove(leader));
@@ -197,7 +197,7 @@
 #[tokio::test]
 async fn a_limit_is_kept_while_hosts_are_suspended() {
     let (_store, [limited, _other], hosts) = two_replicas().await;
-    limited.name_limit(Some("2"));
+    limited.set_rate_limit(Some("2"));
     send_load(&hosts, &["/stream/x"], BOUND).await;
     let from = Instant::now();
     for host in &hosts {
@@ -205,7 +205,7 @@
         send_load(&hosts, &["/stream/x"], Duration::from_millis(1_500)).await;
     }
     send_load(&hosts, &["/stream/x"], WINDOW).await;
-    let max = max_in_window(&limited.arrived_after(from));
+    let max = max_in_window(&limited.arrivals_after(from));
     assert!(max <= allowed(2.0), "{max} in 4 s");
     let knows = |h: &Daemon| h.state().table.lock().limit_of("i-1", h.state().now());
     assert!(hosts.iter().all(|h| knows(h) == Some(2.0)));
@@ -216,7 +216,7 @@
 #[tokio::test]
 async fn a_limit_is_kept_and_used_during_a_store_outage() {
     let (store, [limited, _other], hosts) = two_replicas().await;
-    limited.name_limit(Some("3"));
+    limited.set_rate_limit(Some("3"));
     send_load(&hosts, &["/stream/x"], BOUND).await;
     store.set_mode(Mode::Silent);
     let (statuses, max) = measure_load(&hosts, &limited, Duration::from_secs(5)).await;
@@ -243,13 +243,13 @@
     let hosts = hosts(&store, 3).await;
     let limits = [("1", 1.0), ("2.5", 2.5), ("4", 4.0)];
     for (replica, (named, _)) in limited.iter().zip(limits) {
-        replica.name_limit(Some(named));
+        replica.set_rate_limit(Some(named));
     }
     send_load(&hosts, &["/once/x", "/again/x"], BOUND).await;
     let from = Instant::now();
     let statuses = send_load(&hosts, &["/once/x", "/again/x"], Duration::from_secs(6)).await;
     for (replica, (_, rate)) in limited.iter().zip(limits) {
-        let max = max_in_window(&replica.arrived_after(from));
+        let max = max_in_window(&replica.arrivals_after(from));
         assert!(max <= allowed(rate), "{max} in 4 s of {rate} a second");
         let half = (rate * WINDOW.as_secs_f64() / 2.0) as usize;
         assert!(max >= half, "{max} in 4 s of {rate} a second");
@@ -261,15 +261,15 @@
 #[tokio::test]
 async fn a_withdrawn_limit_ends_within_seconds() {
     let (_store, [limited, _other], hosts) = two_replicas().await;
-    limited.name_limit(Some("0"));
+    limited.set_rate_limit(Some("0"));
     send_load(&hosts, &["/stream/x"], BOUND).await;
     let (_, max) = measure_load(&hosts, &limited, Duration::from_secs(5)).await;
     assert!((1..=5).contains(&max), "a limit of zero: {max} in 4 s");
-    limited.name_limit(None);
+    limited.set_rate_limit(None);
     send_load(&hosts, &["/stream/x"], Duration::from_secs(6)).await;
     let from = Instant::now();
     send_load(&hosts, &["/stream/x"], Duration::from_secs(2)).await;
-    let arrived = limited.arrived_after(from).len();
+    let arrived = limited.arrivals_after(from).len();
     assert!(arrived > 15, "{arrived} of 80 requests in 2 s");
 }
 
@@ -280,7 +280,7 @@
     let replica = engine(&store, "i-1", &["m1"]).await;
     let host = daemon(&store, "d1").await;
     for value in ["-1", "inf", "NaN", "two", "", "1e999"] {
-        replica.name_limit(Some(value));
+        replica.set_rate_limit(Some(value));
         let (_, answer) = site::ask(&host, "/stream/x", Some("m1")).await;
         assert_eq!(answer.status(), 200, "{value}");
         assert!(
@@ -291,9 +291,9 @@
                 .is_empty()
         );
     }
-    replica.name_limit(Some("2.5"));
+    replica.set_rate_limit(Some("2.5"));
     site::ask(&host, "/stream/x", Some("m1")).await;
-    replica.name_limit(Some("nothing"));
+    replica.set_rate_limit(Some("nothing"));
     for _ in 0..3 {
         site::ask(&host, "/stream/x", Some("m1")).await;
     }
@@ -318,11 +318,11 @@
             .lock()
             .limit_of("w-1", host.state().now())
     };
-    limited.set_fault(Fault::Sheds);
-    limited.name_limit(Some("50"));
+    limited.set_fault(Fault::Shed);
+    limited.set_rate_limit(Some("50"));
     site::ask(&host, "/again/x", None).await;
     assert_eq!(limit(), Some(50.0));
-    limited.name_limit(None);
+    limited.set_rate_limit(None);
     for _ in 0..5 {
         site::ask(&host, "/again/x", None).await;
         sleep(Duration::from_millis(300)).await;
@@ -336,7 +336,7 @@
     let store = store().await;
     let limited = site::web(&store, "w-1").await;
     let hosts = hosts(&store, 3).await;
-    limited.name_limit(Some("1"));
+    limited.set_rate_limit(Some("1"));
     site::ask(&hosts[0], "/again/x", None).await;
     let knows = |h: &Daemon| {
         h.state()
@@ -356,12 +356,12 @@
 #[tokio::test]
 async fn resumed_streams_keep_to_limits() {
     let (_store, [limited, breaking], hosts) = two_replicas().await;
-    limited.name_limit(Some("2"));
+    limited.set_rate_limit(Some("2"));
     send_load(&hosts, &["/resume/x"], BOUND).await;
-    breaking.set_fault(Fault::CutsEvents);
+    breaking.set_fault(Fault::TruncateEvent);
     let from = Instant::now();
     send_load(&hosts, &["/resume/x"], Duration::from_secs(5)).await;
-    let max = max_in_window(&limited.arrived_after(from));
+    let max = max_in_window(&limited.arrivals_after(from));
     assert!(max <= allowed(2.0), "{max} in 4 s");
 }
 
@@ -371,7 +371,7 @@
     let store = store().await;
     let limited = engine(&store, "i-1", &["m1"]).await;
     let hosts = hosts(&store, 3).await;
-    limited.name_limit(Some("4"));
+    limited.set_rate_limit(Some("4"));
     send_load(&hosts, &["/stream/x", "/later/x"], BOUND).await;
     let statuses = send_load(&hosts, &["/stream/x", "/later/x"], Duration::from_secs(5)).await;
     let served = |offset: usize| {
--- a/crates/front/tests/readers.rs
+++ b/crates/front/tests/readers.rs
@@ -134,7 +134,7 @@
         staying.beat();
     }
     until(|| follower.state().table.lock().view.get("i-1").is_some()).await;
-    leaving.leave();
+    leaving.announce_departure();
     let leaves = || {
         let table = follower.state().table.lock();
         table.view.get("i-1").is_some_and(|s| s.entry.leaving)
@@ -271,11 +271,11 @@
     };
     let before = (calls(&reader), calls(&host));
     for new in 2..5 {
-        store.forget_history();
+        store.compact();
         changed_within(&store, &host, new, Duration::from_millis(1_800)).await;
     }
     gone.vanish();
-    store.forget_history();
+    store.compact();
     until(|| host.state().table.lock().view.get("i-1").is_none()).await;
     assert_eq!((calls(&reader), calls(&host)), before);
 }
--- a/crates/front/tests/responses.rs
+++ b/crates/front/tests/responses.rs
@@ -18,8 +18,8 @@
     assert_eq!(answer.status(), 200);
     assert_eq!(answer.events(), [1, 2, 3, 4, 5]);
     assert!(answer.header("server-stamp").is_some());
-    let seen = replica.seen(&id);
-    assert_eq!((seen.arrived, seen.ran), (1, 1));
+    let seen = replica.request_log(&id);
+    assert_eq!((seen.arrivals, seen.runs), (1, 1));
     assert!(seen.deadline_ms <= 3_000, "the remaining time is forwarded");
 }
 
@@ -33,12 +33,12 @@
 /// Guards against a request that runs twice although it is not repeatable, and against a status
 /// that hides that it ran.
 #[rstest]
-#[case::sheds(Fault::Sheds, 503, 0)]
-#[case::loses_answers(Fault::LosesAnswers, 502, 1)]
-#[case::crosses(Fault::Crosses, 502, 1)]
+#[case::sheds(Fault::Shed, 503, 0)]
+#[case::loses_answers(Fault::DropResponse, 502, 1)]
+#[case::crosses(Fault::WrongRequestId, 502, 1)]
 #[case::unsigned(Fault::Unsigned, 502, 1)]
-#[case::fails(Fault::Fails, 500, 1)]
-#[case::hangs(Fault::Hangs, 504, 1)]
+#[case::fails(Fault::InternalError, 500, 1)]
+#[case::hangs(Fault::Hang, 504, 1)]
 #[tokio::test]
 async fn an_unrepeatable_request_runs_at_most_once(
     #[case] fault: Fault,
@@ -53,7 +53,7 @@
     }
     let (id, answer) = ask(&daemon, "/once/x", None).await;
     assert_eq!(answer.status(), status);
-    let runs: u32 = replicas.iter().map(|r| r.seen(&id).ran).sum();
+    let runs: u32 = replicas.iter().map(|r| r.request_log(&id).runs).sum();
     assert_eq!(runs, ran);
     if status == 503 {
         assert!(
@@ -72,11 +72,11 @@
 
 /// Guards against a repeatable request that is not retried at a healthy replica.
 #[rstest]
-#[case::sheds(Fault::Sheds)]
-#[case::loses_answers(Fault::LosesAnswers)]
-#[case::crosses(Fault::Crosses)]
+#[case::sheds(Fault::Shed)]
+#[case::loses_answers(Fault::DropResponse)]
+#[case::crosses(Fault::WrongRequestId)]
 #[case::unsigned(Fault::Unsigned)]
-#[case::fails(Fault::Fails)]
+#[case::fails(Fault::InternalError)]
 #[tokio::test]
 async fn a_repeatable_request_is_retried_at_another_replica(#[case] fault: Fault) {
     let store = store().await;
@@ -101,12 +101,12 @@
     let replicas = [web(&store, "i-1").await, web(&store, "i-2").await];
     let daemon = daemon(&store, "d1").await;
     for replica in &replicas {
-        replica.set_fault(Fault::Fails);
+        replica.set_fault(Fault::InternalError);
     }
     let (id, answer) = ask(&daemon, "/again/x", None).await;
     assert_eq!(answer.status(), 500);
     assert!(answer.header("server-stamp").is_some());
-    let runs: u32 = replicas.iter().map(|r| r.seen(&id).ran).sum();
+    let runs: u32 = replicas.iter().map(|r| r.request_log(&id).runs).sum();
     assert_eq!(runs, 2, "each replica ran it once");
 }
 
@@ -123,7 +123,7 @@
     let store = store().await;
     let replica = engine(&store, "i-1", &["m1"]).await;
     let daemon = daemon(&store, "d1").await;
-    replica.set_fault(Fault::Hangs);
+    replica.set_fault(Fault::Hang);
     let mut line = Connection::open(daemon.callers(), WAIT_LIMIT)
         .await
         .unwrap();
@@ -132,7 +132,7 @@
     long.headers_mut().insert("token-usage", usage);
     let reading =
         tokio::spawn(async move { line.exchange(long, WAIT_LIMIT, 1 << 20).await.is_ok() });
-    until(|| replica.seen(&id).arrived == 1).await;
+    until(|| replica.request_log(&id).arrivals == 1).await;
     replica.set_fault(Fault::None);
     let (_, answer) = ask(&daemon, path, Some("m1")).await;
     assert_eq!(answer.status(), status, "{}", answer.text());
@@ -153,7 +153,7 @@
     until(|| daemon.state().in_flight() == 1).await;
     drop(client);
     until(|| daemon.state().in_flight() == 0).await;
-    assert_eq!(replica.seen("half").arrived, 0);
+    assert_eq!(replica.request_log("half").arrivals, 0);
 }
 
 #[tokio::test]
@@ -161,10 +161,10 @@
     let store = store().await;
     let replica = engine(&store, "i-1", &["m1"]).await;
     let daemon = daemon(&store, "d1").await;
-    replica.set_fault(Fault::CutsEvents);
+    replica.set_fault(Fault::TruncateEvent);
     let (id, answer) = ask(&daemon, "/stream/x", Some("m1")).await;
     assert_eq!(answer.status(), 0, "the connection is aborted");
-    assert_eq!(replica.seen(&id).ran, 1);
+    assert_eq!(replica.request_log(&id).runs, 1);
 }
 
 #[tokio::test]
@@ -173,13 +173,13 @@
     let faulty = engine(&store, "i-1", &["m1"]).await;
     let healthy = engine(&store, "i-2", &["m1"]).await;
     let daemon = daemon(&store, "d1").await;
-    faulty.set_fault(Fault::CutsEvents);
+    faulty.set_fault(Fault::TruncateEvent);
     let mut resumed = 0;
     for _ in 0..8 {
         let (id, answer) = ask(&daemon, "/resume/x", Some("m1")).await;
         assert_eq!(answer.status(), 200);
         assert_eq!(answer.events(), [1, 2, 3, 4, 5]);
-        resumed += faulty.seen(&id).ran * healthy.seen(&id).ran;
+        resumed += faulty.request_log(&id).runs * healthy.request_log(&id).runs;
     }
     assert!(resumed > 0, "none was sent to the faulty replica first");
 }
@@ -189,7 +189,7 @@
     let store = store().await;
     let replica = web(&store, "i-1").await;
     let daemon = daemon(&store, "d1").await;
-    replica.set_fault(Fault::Hangs);
+    replica.set_fault(Fault::Hang);
     let (_, request) = site::request("/again/x", None);
     let mut line = conn::Connection::open(daemon.callers(), site::WAIT_LIMIT)
         .await
@@ -220,5 +220,5 @@
         .await
         .unwrap();
     assert_eq!(reply.status.as_u16(), 413);
-    assert_eq!(replica.seen(&id).arrived, 0);
+    assert_eq!(replica.request_log(&id).arrivals, 0);
 }
--- a/crates/front/tests/restarts.rs
+++ b/crates/front/tests/restarts.rs
@@ -28,7 +28,7 @@
     let daemon = daemon(&store, "d1").await;
     leaving.restart();
     sleep(Duration::from_millis(300)).await;
-    leaving.leave();
+    leaving.announce_departure();
     sleep(Duration::from_millis(900)).await;
     let before = leaving.arrivals();
     for _ in 0..20 {
@@ -42,7 +42,7 @@
     let store = store().await;
     let replica = web(&store, "i-1").await;
     let daemon = daemon(&store, "d1").await;
-    replica.leave();
+    replica.announce_departure();
     let leaves = || {
         let table = daemon.state().table.lock();
         table.view.get("i-1").is_some_and(|s| s.entry.leaving)
--- a/crates/front/tests/site/mod.rs
+++ b/crates/front/tests/site/mod.rs
@@ -101,8 +101,8 @@
         id: id.into(),
         service: "web".into(),
         models: Vec::new(),
-        fatal: Some((FATAL_BODY, RESTART_TIME)),
-        pace: Duration::from_millis(30),
+        fatal_request: Some((FATAL_BODY, RESTART_TIME)),
+        delay: Duration::from_millis(30),
         ..Options::default()
     };
     replica::spawn(store, options).await.unwrap()
@@ -112,7 +112,7 @@
 pub async fn crashing_engine(store: &Store, id: &str) -> Replica {
     let options = Options {
         id: id.into(),
-        fatal: Some((FATAL_BODY, RESTART_TIME)),
+        fatal_request: Some((FATAL_BODY, RESTART_TIME)),
         ..Options::default()
     };
     replica::spawn(store, options).await.unwrap()
@@ -321,7 +321,7 @@
     (id, mut request): (String, Request<conn::Body>),
 ) -> (String, Answer) {
     let host = callers.to_string().parse().unwrap();
-    request.headers_mut().insert(replica::FROM, host);
+    request.headers_mut().insert(replica::HOST_HEADER, host);
     let mut line = Connection::open(callers, WAIT_LIMIT).await.unwrap();
     let reply = line.exchange(request, WAIT_LIMIT, 1 << 20).await;
     (id, Answer(reply))
--- a/crates/front/tests/suspended.rs
+++ b/crates/front/tests/suspended.rs
@@ -60,7 +60,7 @@
             .status(),
         200
     );
-    proxy.set(Mode::DeafTarget);
+    proxy.set(Mode::DropToTarget);
     isolate(&host);
     suspend(&host);
     assert_eq!(
@@ -91,7 +91,7 @@
     let _web = web(&store, "i-1").await;
     let (host, proxy) = daemon_behind_proxy(&store, "d1").await;
     assert_eq!(ask(&host, "/nowhere/x", None).await.1.status(), 404);
-    proxy.set(Mode::DeafTarget);
+    proxy.set(Mode::DropToTarget);
     isolate(&host);
     let bound = host.state().settings.bounds.configuration;
     host.state().clock.simulate_suspend(bound.into());
@@ -157,7 +157,7 @@
     let store = store().await;
     let replica = web(&store, "i-1").await;
     let host = daemon(&store, "d1").await;
-    replica.set_fault(Fault::Hangs);
+    replica.set_fault(Fault::Hang);
     let request = ask(&host, "/once/x", None);
     let suspending = async {
         until(|| replica.arrivals() == 1).await;
@@ -187,7 +187,7 @@
     let mut answer = [0; 12];
     let read = timeout(Duration::from_secs(1), client.read_exact(&mut answer)).await;
     assert!(read.is_ok(), "not answered");
-    assert_eq!(replica.seen("r-late").arrived, 0);
+    assert_eq!(replica.request_log("r-late").arrivals, 0);
 }
 
 /// The replica has closed its idle connections: an unrepeatable request must go over a new one.
--- a/crates/front/tests/unreachable.rs
+++ b/crates/front/tests/unreachable.rs
@@ -77,7 +77,7 @@
     }
     // Up to eight refusals may be about adapters; then the replica counts as unreachable.
     let max = 9 + start.elapsed().as_millis() / 150;
-    let arrived = replaced.arrived_after(start).len() as u128;
+    let arrived = replaced.arrivals_after(start).len() as u128;
     assert!(arrived <= max, "{arrived} requests, at most {max}");
 }
 
--- a/crates/soak/src/accounts.rs
+++ b/crates/soak/src/accounts.rs
@@ -77,8 +77,8 @@
 pub fn check(told: &[Told], replicas: &[Replica], versions: &[Instant]) -> Vec<String> {
     let mut violations = Vec::new();
     for one in told {
-        let seen = replicas.iter().map(|r| r.seen(&one.id));
-        for seen in seen.filter(|seen| seen.arrived > 0) {
+        let seen = replicas.iter().map(|r| r.request_log(&one.id));
+        for seen in seen.filter(|seen| seen.arrivals > 0) {
             let (id, account) = (&one.id, one.caller.account());
             if seen.had_key {
                 violations.push(format!("the key of request {id} reached a replica"));
@@ -108,7 +108,10 @@
 /// Whether the account with a limit had more run in some window than it may.
 fn limit(told: &[Told], replicas: &[Replica]) -> Option<String> {
     let ran = |one: &&Told| {
-        let runs = replicas.iter().map(|r| r.seen(&one.id).ran).sum::<u32>();
+        let runs = replicas
+            .iter()
+            .map(|r| r.request_log(&one.id).runs)
+            .sum::<u32>();
         one.caller == Caller::Limited && runs > 0
     };
     let tokens = |one: &Told| {
--- a/crates/soak/src/check.rs
+++ b/crates/soak/src/check.rs
@@ -26,7 +26,7 @@
     let replicas = &site.replicas;
     let mut violations = Vec::new();
     for one in told {
-        let ran: u32 = replicas.iter().map(|r| r.seen(&one.id).ran).sum();
+        let ran: u32 = replicas.iter().map(|r| r.request_log(&one.id).runs).sum();
         let ended = one.sent + one.took;
         let paused = site.pauses.iter().filter(|p| p.host == one.host);
         let paused: Duration = paused.map(|p| p.within(one.sent, ended)).sum();
@@ -70,13 +70,13 @@
 
 /// Whether a replica got new work long after it announced its leaving, with nothing in the way.
 fn leaving(replica: &Replica, disturbed: &[Instant]) -> Option<String> {
-    let left = replica.left()?;
+    let left = replica.announced_departure_at()?;
     let in_the_way = |at: Instant| {
         let from = left.checked_sub(UNDISTURBED).unwrap_or(left);
         disturbed.iter().any(|d| (from..=at).contains(d))
     };
     let late = replica
-        .arrived_after(left + LEAVING)
+        .arrivals_after(left + LEAVING)
         .into_iter()
         .filter(|at| !in_the_way(*at))
         .count();
@@ -94,8 +94,8 @@
 
 /// Whether a replica got more than it takes in some window, with nothing in the way and the limit known.
 fn limit(site: &Site, replica: &Replica) -> Option<String> {
-    let arrivals = replica.arrived_after(site.written[0]);
-    let limits = replica.limits();
+    let arrivals = replica.arrivals_after(site.written[0]);
+    let limits = replica.rate_limits();
     let in_the_way = |from: Instant, to: Instant| {
         let from = from.checked_sub(UNDISTURBED).unwrap_or(from);
         site.disturbed.iter().any(|d| (from..=to).contains(d))
@@ -130,7 +130,7 @@
     let mut holders: HashMap<u64, String> = HashMap::new();
     let mut violations = Vec::new();
     for order in replicas.iter().flat_map(Replica::orders) {
-        let (token, holder) = platform_standin::replica::giver(&order);
+        let (token, holder) = platform_standin::replica::issuer(&order);
         let first = holders.entry(token).or_insert_with(|| holder.clone());
         if *first != holder {
             violations.push(format!(
@@ -143,7 +143,7 @@
 
 /// A request that has ended replicas ends none any more.
 fn stopped(replicas: &[Replica], peace: Instant) -> Option<String> {
-    let falls: Vec<Instant> = replicas.iter().flat_map(Replica::falls).collect();
+    let falls: Vec<Instant> = replicas.iter().flat_map(Replica::crashes).collect();
     let late = falls.iter().filter(|at| **at > peace).count();
     let all = falls.len();
     (late > 0).then(|| {
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -165,7 +165,7 @@
     let sent = Instant::now();
     let mut request = request(kind, caller, model, &id);
     let from = words::field(book.hosts[host]);
-    request.headers_mut().insert(replica::FROM, from);
+    request.headers_mut().insert(replica::HOST_HEADER, from);
     let opened = match kept {
         Some(line) => Ok(line),
         None => Connection::open(book.hosts[host], Duration::from_secs(1)).await,
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -94,13 +94,13 @@
 
 /// Ways in which a replica treats requests wrongly.
 const FAULTS: [Fault; 8] = [
-    Fault::Sheds,
-    Fault::LosesAnswers,
-    Fault::Crosses,
+    Fault::Shed,
+    Fault::DropResponse,
+    Fault::WrongRequestId,
     Fault::Unsigned,
-    Fault::CutsEvents,
-    Fault::Fails,
-    Fault::Hangs,
+    Fault::TruncateEvent,
+    Fault::InternalError,
+    Fault::Hang,
     Fault::Replaced,
 ];
 
@@ -160,7 +160,7 @@
 fn restart(site: &Site, rng: &mut SmallRng) {
     let replica = rng.random_range(0..site.replicas.len());
     let is_due = rng.random_ratio(1, STEPS_PER_RESTART);
-    if is_due && site.replicas[replica].left().is_none() {
+    if is_due && site.replicas[replica].announced_departure_at().is_none() {
         site.replicas[replica].restart();
     }
 }
@@ -184,10 +184,10 @@
     let rate = rng.random_range(NEEDS).to_string();
     if rng.random_ratio(1, STEPS_PER_NEED) {
         let is_named = replica
-            .limits()
+            .rate_limits()
             .last()
             .is_some_and(|(_, named)| named.is_some());
-        replica.name_limit((!is_named).then_some(&rate));
+        replica.set_rate_limit((!is_named).then_some(&rate));
     }
 }
 
@@ -196,8 +196,8 @@
 async fn last_needs(site: &Site) {
     let mut staying = Vec::new();
     for replica in &site.replicas {
-        replica.name_limit(None);
-        if replica.left().is_none() && answers(replica).await {
+        replica.set_rate_limit(None);
+        if replica.announced_departure_at().is_none() && answers(replica).await {
             staying.push(replica);
         }
     }
@@ -210,7 +210,7 @@
             staying.len() > 1 && one.models().keys().all(|model| held.contains(model))
         };
         if let Some(replica) = staying.iter().rev().find(|r| stands_in(r)) {
-            replica.name_limit(Some(LAST_NEED));
+            replica.set_rate_limit(Some(LAST_NEED));
         }
     }
 }
@@ -228,7 +228,7 @@
 /// Harms a host's way to the store.
 fn harm_way(site: &mut Site, host: usize, rng: &mut SmallRng) -> What {
     let delay = Way::Delay(Duration::from_millis(rng.random_range(20..400)));
-    let ways = [delay, Way::Reset, Way::DeafTarget, Way::MuteTarget];
+    let ways = [delay, Way::Reset, Way::DropToTarget, Way::DropFromTarget];
     site.disturb();
     let way = ways[rng.random_range(0..ways.len())];
     site.hosts[host].store.set(way);
@@ -244,8 +244,8 @@
 
 /// A replica announces that it leaves; another takes its place.
 async fn leave(site: &mut Site, replica: usize) -> Result<(), Error> {
-    if site.replicas[replica].left().is_none() {
-        site.replicas[replica].leave();
+    if site.replicas[replica].announced_departure_at().is_none() {
+        site.replicas[replica].announce_departure();
         replace(site, replica).await?;
     }
     Ok(())
--- a/crates/soak/src/site.rs
+++ b/crates/soak/src/site.rs
@@ -206,8 +206,8 @@
             service: service.into(),
             models: models.iter().map(|m| (*m).to_owned()).collect(),
             events: client::EVENTS,
-            pace: Duration::from_millis(15),
-            fatal: (service == "web").then_some((client::FATAL, BACK)),
+            delay: Duration::from_millis(15),
+            fatal_request: (service == "web").then_some((client::FATAL, BACK)),
             ..Replica::default()
         };
         let what = "a replica's stand-in";
--- a/crates/soak/src/words.rs
+++ b/crates/soak/src/words.rs
@@ -4,7 +4,7 @@
 use crate::host::Host;
 use crate::site::Site;
 use hyper::header::HeaderValue;
-use platform_standin::replica::{Asked, Replica, Word, Words};
+use platform_standin::replica::{Replica, SentSignal, Signal, Signals};
 use rand::RngExt;
 use rand::rngs::SmallRng;
 use std::net::SocketAddr;
@@ -43,22 +43,22 @@
         return None;
     }
     let replica = &site.replicas[at];
-    let before = replica.words();
-    let leaves = before.leaves || departs;
-    let rests = before.rest.is_none() && !departs;
-    replica.set_words(Words {
-        leaves,
-        rest: rests.then(|| rest.to_owned()),
+    let before = replica.signals();
+    let leaves = before.leaving || departs;
+    let rests = before.backoff.is_none() && !departs;
+    replica.set_signals(Signals {
+        leaving: leaves,
+        backoff: rests.then(|| rest.to_owned()),
     });
-    (leaves && !before.leaves && replica.left().is_none()).then_some(at)
+    (leaves && !before.leaving && replica.announced_departure_at().is_none()).then_some(at)
 }
 
 /// Lets all replicas take requests again.
 pub fn end_rests(site: &Site) {
     for replica in &site.replicas {
-        let words = replica.words();
-        replica.set_words(Words {
-            rest: None,
+        let words = replica.signals();
+        replica.set_signals(Signals {
+            backoff: None,
             ..words
         });
     }
@@ -68,10 +68,10 @@
 pub fn check(site: &Site) -> Vec<String> {
     let mut violations = Vec::new();
     for replica in &site.replicas {
-        let said = replica.said();
+        let said = replica.sent_signals();
         for host in &site.hosts {
             let name = host.callers.to_string();
-            let said: Vec<&Asked> = said.iter().filter(|asked| asked.host == name).collect();
+            let said: Vec<&SentSignal> = said.iter().filter(|asked| asked.host == name).collect();
             violations.extend(leaving(replica, host, &said));
             violations.extend(said.iter().filter_map(|asked| rest(replica, host, asked)));
         }
@@ -92,13 +92,15 @@
         .into_iter()
         .chain(host.disturbed.iter().copied());
     let end = starts.filter(|at| *at > told).chain(to).min();
-    let arrivals = replica.arrived_from(&host.callers.to_string()).into_iter();
+    let arrivals = replica.arrivals_from(&host.callers.to_string()).into_iter();
     let within = |at: &Instant| *at > from && end.is_none_or(|end| *at < end);
     arrivals.filter(within).count()
 }
 
-fn leaving(replica: &Replica, host: &Host, said: &[&Asked]) -> Option<String> {
-    let words = said.iter().filter(|asked| asked.word == Word::Leaves);
+fn leaving(replica: &Replica, host: &Host, said: &[&SentSignal]) -> Option<String> {
+    let words = said
+        .iter()
+        .filter(|asked| asked.signal == Signal::Departure);
     let late = words.map(|told| arrived(replica, host, told.at, told.at + LEAVING, None));
     let late = late.max().filter(|late| *late > 0)?;
     let (id, name) = (&replica.options.id, &host.name);
@@ -107,8 +109,8 @@
     ))
 }
 
-fn rest(replica: &Replica, host: &Host, asked: &Asked) -> Option<String> {
-    let Word::Rests(seconds) = asked.word else {
+fn rest(replica: &Replica, host: &Host, asked: &SentSignal) -> Option<String> {
+    let Signal::Backoff(seconds) = asked.signal else {
         return None;
     };
     let time = Duration::try_from_secs_f64(seconds).ok()?;
