--- a/crates/daemon/src/spread.rs
+++ b/crates/daemon/src/distribution.rs
@@ -6,11 +6,11 @@
 //! bundle by seconds at most. Sequence numbers, the fan-out and the lag
 //! measured at each end follow the paper on Quicksilver.
 
-mod confirm;
+mod freshness;
 mod peer;
 
-pub use confirm::Confirmed;
-pub use peer::{answer, ask, exchange};
+pub use freshness::Freshness;
+pub use peer::{call, exchange, handle};
 
 use crate::clock::wall_ms;
 use crate::core::Core;
@@ -81,7 +81,7 @@
         Ok(found) => found,
         Err(_) => return false,
     };
-    core.confirmed.by_service(core.now());
+    core.freshness.record_service(core.now());
     let Some(found) = found else {
         return true;
     };
@@ -95,7 +95,7 @@
             return true;
         }
     };
-    if head.sequence <= core.force.sequence() {
+    if head.sequence <= core.active_bundle.sequence() {
         return true;
     }
     let texts = match documents::parts(&core.kv, &head.draft.parts, &held(core)).await {
@@ -150,7 +150,7 @@
             let base = match current.head.sequence == delta.base {
                 true => current.head.clone(),
                 // A bundle came by another way meanwhile.
-                false => core.force.past(delta.base)?,
+                false => core.active_bundle.past_head(delta.base)?,
             };
             let head = Some(delta.apply(&base));
             Some(Told { sequence, head })
@@ -164,12 +164,12 @@
     let Some(addr) = core.peer_addr(peer) else {
         return false;
     };
-    let after = core.force.sequence();
+    let after = core.active_bundle.sequence();
     let question = Frame::Follow {
         after,
         wait_ms: wait.as_millis() as u64,
     };
-    let Ok(answer) = ask(core, addr, &question, wait).await else {
+    let Ok(answer) = call(core, addr, &question, wait).await else {
         return false;
     };
     let Some(Told { sequence, head }) = told(core, answer) else {
@@ -177,12 +177,12 @@
         return false;
     };
     if sequence > 0 && sequence >= after {
-        core.confirmed.by_peer(core.now());
+        core.freshness.record_peer(core.now());
     }
     let Some(head) = head else {
         return true;
     };
-    if head.sequence <= core.force.sequence() {
+    if head.sequence <= core.active_bundle.sequence() {
         return true;
     }
     let mut texts = held(core);
@@ -195,7 +195,7 @@
         .collect();
     if !missing.is_empty() {
         let question = Frame::Fetch { hashes: missing };
-        let Ok(Frame::Parts { texts: got }) = ask(core, addr, &question, WAIT).await else {
+        let Ok(Frame::Parts { texts: got }) = call(core, addr, &question, WAIT).await else {
             return false;
         };
         let hashed = got
@@ -216,7 +216,7 @@
 ) -> bool {
     let sequence = head.sequence;
     let lag = Span::from_ms(wall_ms().saturating_sub(head.rolled_ms));
-    match core.force.switch(text, head, texts) {
+    match core.active_bundle.activate(text, head, texts) {
         Ok(()) => {
             let histogram = core
                 .metrics
@@ -225,7 +225,7 @@
             info!(target: "spread", "bundle {sequence} is in force, {lag} after its roll, from a {from}");
             true
         }
-        Err(crate::force::Error::NotHigher { .. }) => true,
+        Err(crate::active_bundle::Error::NotNewer { .. }) => true,
         Err(e) => {
             let counter = core
                 .metrics
@@ -238,7 +238,7 @@
 }
 
 /// Compares sequences with a random peer now and then, until the process ends.
-pub async fn compare(core: Arc<Core>) {
+pub async fn run_anti_entropy(core: Arc<Core>) {
     loop {
         sleep(COMPARE_EVERY).await;
         let others = core.other_daemons();
