--- a/crates/cli/src/why.rs
+++ b/crates/cli/src/why.rs
@@ -1,27 +1,27 @@
 //! Explanations in sentences.
 
+use crate::client::Client;
 use crate::error::Error;
-use crate::platform_tool::Tool;
-use crate::state;
+use crate::status;
 use backing::keys;
+use daemon::documents;
 use daemon::operator::Status;
-use daemon::planner::State as Planner;
-use daemon::shelf;
-use daemon::teller::Record;
+use daemon::planner::Status as Planner;
+use daemon::request_log::Record;
 use place::Ledger;
 use place::ledger::Move;
 use unit::Name;
 use unit::engine::{Action, State, Weights};
 
 /// Finds the record of a request at the daemon that served it.
-pub async fn request(tool: &Tool, id: &Name) -> Result<Record, Error> {
-    let daemons = tool.daemons().await?;
+pub async fn request(client: &Client, id: &Name) -> Result<Record, Error> {
+    let daemons = client.daemons().await?;
     // The id begins with the host's name; the others are asked in case it was renamed.
     let mut ordered: Vec<_> = daemons.iter().collect();
     ordered.sort_by_key(|host| !id.starts_with(&*host.name));
     let mut silent = Vec::new();
     for host in ordered {
-        match tool.json(host.addr, &format!("/why/request/{id}")).await {
+        match client.json(host.addr, &format!("/why/request/{id}")).await {
             Ok(Some(record)) => return Ok(record),
             Ok(None) => {}
             Err(_) => silent.push(host.name.to_string()),
@@ -39,13 +39,13 @@
 }
 
 /// Ledgers of all halls that the hosts stand in.
-pub async fn ledgers(tool: &Tool) -> Result<Vec<(Name, Ledger)>, Error> {
-    let mut halls: Vec<Name> = tool.hosts().await?.into_iter().map(|h| h.hall).collect();
+pub async fn ledgers(client: &Client) -> Result<Vec<(Name, Ledger)>, Error> {
+    let mut halls: Vec<Name> = client.hosts().await?.into_iter().map(|h| h.hall).collect();
     halls.sort();
     halls.dedup();
     let mut ledgers = Vec::new();
     for hall in halls {
-        let at = shelf::read::<Ledger>(&tool.kv, &keys::ledger(&hall)).await?;
+        let at = documents::read::<Ledger>(&client.kv, &keys::ledger(&hall)).await?;
         if let Some(ledger) = at.value {
             ledgers.push((hall, ledger));
         }
@@ -55,35 +55,35 @@
 
 /// Move with its hall.
 #[derive(Debug, Clone, serde::Serialize)]
-pub struct Moved {
+pub struct HallMove {
     /// The hall.
     pub hall: Name,
     /// The move.
     #[serde(flatten)]
-    pub moved: Move,
+    pub inner: Move,
     /// Whether it may still take effect.
     pub open: bool,
 }
 
 /// Newest moves of all halls, newest first.
-pub async fn moves(tool: &Tool) -> Result<Vec<Moved>, Error> {
+pub async fn moves(client: &Client) -> Result<Vec<HallMove>, Error> {
     let mut all = Vec::new();
-    for (hall, ledger) in ledgers(tool).await? {
+    for (hall, ledger) in ledgers(client).await? {
         for moved in &ledger.moves {
-            all.push(Moved {
+            all.push(HallMove {
                 hall: hall.clone(),
                 open: ledger.open.iter().any(|o| o.order.fence == moved.fence),
-                moved: moved.clone(),
+                inner: moved.clone(),
             });
         }
     }
-    all.sort_by_key(|m| std::cmp::Reverse((m.moved.at_ms, m.moved.fence)));
+    all.sort_by_key(|m| std::cmp::Reverse((m.inner.at_ms, m.inner.fence)));
     Ok(all)
 }
 
 /// Finds a move by `HALL/TERM.NUMBER`.
-pub async fn find_move(tool: &Tool, id: &Name) -> Result<Moved, Error> {
-    let all = moves(tool).await?;
+pub async fn find_move(client: &Client, id: &Name) -> Result<HallMove, Error> {
+    let all = moves(client).await?;
     let found = all.into_iter().find(|m| move_id(m) == **id);
     found.ok_or_else(|| Error::NotFound {
         text: format!("No ledger keeps a move '{id}'; 'coveford moves' lists the newest."),
@@ -91,8 +91,8 @@
 }
 
 /// Identity of a move.
-pub fn move_id(moved: &Moved) -> String {
-    let fence = moved.moved.fence;
+pub fn move_id(moved: &HallMove) -> String {
+    let fence = moved.inner.fence;
     format!("{}/{}.{}", moved.hall, fence.term, fence.number)
 }
 
@@ -113,7 +113,7 @@
 }
 
 /// A move in sentences.
-pub fn explain_move(moved: &Moved) -> Vec<String> {
+pub fn explain_move(moved: &HallMove) -> Vec<String> {
     let state = match moved.open {
         true => "It may still take effect: no report has shown it yet.",
         false => "A report has shown its effect, or that it never will have one.",
@@ -122,17 +122,17 @@
         format!(
             "Move {}: {} at {}.",
             move_id(moved),
-            action(&moved.moved.action),
-            moved.moved.upstream
+            action(&moved.inner.action),
+            moved.inner.upstream
         ),
-        format!("Why: {}", moved.moved.reason),
+        format!("Why: {}", moved.inner.reason),
         state.into(),
     ]
 }
 
 /// A model in sentences.
-pub async fn model(tool: &Tool, name: &Name) -> Result<Vec<String>, Error> {
-    let seen = state::all(tool).await?;
+pub async fn model(client: &Client, name: &Name) -> Result<Vec<String>, Error> {
+    let seen = status::all(client).await?;
     let statuses: Vec<&Status> = seen.iter().filter_map(|s| s.status.as_ref()).collect();
     let newest = statuses.iter().max_by_key(|s| s.bundle);
     let newest = newest.ok_or_else(|| Error::Unreachable {
@@ -173,10 +173,10 @@
     if found.replicas.is_empty() {
         lines.push("  No upstream holds it.".into());
     }
-    for moved in moves(tool)
+    for moved in moves(client)
         .await?
         .iter()
-        .filter(|m| concerns(&m.moved, name))
+        .filter(|m| concerns(&m.inner, name))
         .take(5)
     {
         lines.extend(explain_move(moved));
@@ -185,7 +185,7 @@
         .iter()
         .filter(|s| s.status.as_ref().is_some_and(|s| s.planner))
     {
-        let planner = tool.json::<Planner>(host.host.addr, "/planner").await;
+        let planner = client.json::<Planner>(host.host.addr, "/planner").await;
         if let Ok(Some(planner)) = planner
             && let Some(note) = planner.notes.get(name)
         {
--- a/crates/daemon/src/core.rs
+++ b/crates/daemon/src/core.rs
@@ -1,14 +1,14 @@
 //! What all parts of a daemon share.
 
+use crate::active_bundle::{self, ActiveBundle, Bundle};
 use crate::claim;
 use crate::clock::Clock;
+use crate::distribution::Freshness;
 use crate::fleet::{self, Fleet};
-use crate::force::{self, Force, InForce};
 use crate::metrics::{self, Metrics};
-use crate::planner::Planned;
+use crate::planner::StatusCell;
+use crate::request_log::RequestLog;
 use crate::settings::Settings;
-use crate::spread::Confirmed;
-use crate::teller::Teller;
 use backing::hosts::{Host, Hosts, Kind};
 use backing::kv::Kv;
 use conn::Pool;
@@ -32,7 +32,7 @@
     /// Its clock.
     pub clock: Clock,
     /// The bundle in force.
-    pub force: Force,
+    pub active_bundle: ActiveBundle,
     /// Upstreams and queues.
     pub fleet: Arc<Fleet>,
     /// Key-value service.
@@ -44,17 +44,17 @@
     /// Metrics.
     pub metrics: Metrics,
     /// Reasons.
-    pub teller: Teller,
+    pub request_log: RequestLog,
     /// Other daemons in the host list, this one included.
     pub peers: RwLock<Vec<Host>>,
     /// Memory for bodies, in units of [`BODY_UNIT`].
     pub bodies: Arc<Semaphore>,
     /// How the spread of bundles stands.
-    pub confirmed: Confirmed,
+    pub freshness: Freshness,
     /// What the planner did last, when this host holds its hall's lease.
-    pub planned: Planned,
+    pub planner_status: StatusCell,
     /// Notified when another process asks this daemon to drain and end.
-    pub stop: Notify,
+    pub shutdown: Notify,
     /// Lease that claims share.
     pub claims: claim::Lease,
     demand: Mutex<HashMap<Name, Demand>>,
@@ -72,21 +72,21 @@
     let start = crate::clock::wall_ms();
     let seed = rendezvous::hash(format!("{} {start}", settings.name).as_bytes());
     let distance = settings.distance.clone();
-    let units = settings.limits.bodies.0 / BODY_UNIT;
+    let units = settings.limits.body_memory.0 / BODY_UNIT;
     Arc::new(Core {
         clock,
-        force: force::open(settings.trust.clone()),
+        active_bundle: active_bundle::open(settings.trust.clone()),
         fleet: fleet::open(clock, seed, settings.hall.clone(), distance),
         kv: backing::kv::open(&settings.kv, call_limit),
         hosts: backing::hosts::open(settings.hosts, call_limit),
         pool: Pool::default(),
         metrics: metrics::open(),
-        teller: Teller::default(),
+        request_log: RequestLog::default(),
         peers: RwLock::default(),
         bodies: Arc::new(Semaphore::new(units as usize)),
-        confirmed: Confirmed::default(),
-        planned: Planned::default(),
-        stop: Notify::new(),
+        freshness: Freshness::default(),
+        planner_status: StatusCell::default(),
+        shutdown: Notify::new(),
         claims: claim::Lease::default(),
         demand: Mutex::default(),
         budgets: Mutex::default(),
@@ -112,8 +112,8 @@
     }
 
     /// The bundle in force.
-    pub fn in_force(&self) -> Option<Arc<InForce>> {
-        self.force.current()
+    pub fn in_force(&self) -> Option<Arc<Bundle>> {
+        self.active_bundle.current()
     }
 
     /// Whether this daemon has been told to stop.
@@ -158,7 +158,7 @@
     pub fn demands(&self) -> Vec<wire::Demand> {
         let waiting: HashMap<Name, usize> = self
             .fleet
-            .waiting()
+            .queue_lengths()
             .into_iter()
             .map(|(target, n)| (target.to_string().into(), n))
             .collect();
@@ -186,14 +186,14 @@
     }
 
     /// Other daemons, with the address of their inner protocol.
-    pub fn others(&self) -> Vec<Host> {
+    pub fn other_daemons(&self) -> Vec<Host> {
         let peers = self.peers.read();
         let others = peers.iter().filter(|p| p.name != self.settings.name);
         others.cloned().collect()
     }
 
     /// Address of another daemon's inner protocol.
-    pub fn peer(&self, name: &str) -> Option<SocketAddr> {
+    pub fn peer_addr(&self, name: &str) -> Option<SocketAddr> {
         let peers = self.peers.read();
         peers.iter().find(|p| &*p.name == name).map(|p| p.addr)
     }
--- a/crates/daemon/src/spread.rs
+++ b/crates/daemon/src/distribution.rs
@@ -6,15 +6,15 @@
 //! bundle by seconds at most. Sequence numbers, the fan-out and the lag
 //! measured at each end follow the paper on Quicksilver.
 
-mod confirm;
+mod freshness;
 mod peer;
 
-pub use confirm::Confirmed;
-pub use peer::{answer, ask, exchange};
+pub use freshness::Freshness;
+pub use peer::{call, exchange, handle};
 
 use crate::clock::wall_ms;
 use crate::core::Core;
-use crate::shelf;
+use crate::documents;
 use backing::keys;
 use bundle::{Delta, Head};
 use rand::RngExt;
@@ -81,13 +81,13 @@
         Ok(found) => found,
         Err(_) => return false,
     };
-    core.confirmed.by_service(core.now());
+    core.freshness.record_service(core.now());
     let Some(found) = found else {
         return true;
     };
     // A stale read carries an older revision; it is not followed down.
     *revision = found.revision.max(*revision);
-    let head: Head = match shelf::parse(keys::HEAD, &found.value) {
+    let head: Head = match documents::parse(keys::HEAD, &found.value) {
         Ok(head) => head,
         Err(e) => {
             warn!(target: "spread", "the head cannot be read: {e}");
@@ -95,10 +95,10 @@
             return true;
         }
     };
-    if head.sequence <= core.force.sequence() {
+    if head.sequence <= core.active_bundle.sequence() {
         return true;
     }
-    let texts = match shelf::parts(&core.kv, &head.draft.parts, &held(core)).await {
+    let texts = match documents::parts(&core.kv, &head.draft.parts, &held(core)).await {
         Ok(texts) => texts,
         Err(e) => {
             warn!(target: "spread", "bundle {} is not whole yet: {e}", head.sequence);
@@ -139,18 +139,18 @@
     match answer {
         Frame::Head { sequence, head } => {
             let head = match head {
-                Some(text) => Some(shelf::parse::<Head>(keys::HEAD, &text).ok()?),
+                Some(text) => Some(documents::parse::<Head>(keys::HEAD, &text).ok()?),
                 None => None,
             };
             Some(Told { sequence, head })
         }
         Frame::Delta { sequence, delta } => {
-            let delta: Delta = shelf::parse(keys::HEAD, &delta).ok()?;
+            let delta: Delta = documents::parse(keys::HEAD, &delta).ok()?;
             let current = core.in_force()?;
             let base = match current.head.sequence == delta.base {
                 true => current.head.clone(),
                 // A bundle came by another way meanwhile.
-                false => core.force.past(delta.base)?,
+                false => core.active_bundle.past_head(delta.base)?,
             };
             let head = Some(delta.apply(&base));
             Some(Told { sequence, head })
@@ -161,15 +161,15 @@
 
 /// Takes over a peer's head if it is higher; tells whether the peer answered.
 async fn follow_peer(core: &Arc<Core>, peer: &Name, wait: Duration) -> bool {
-    let Some(addr) = core.peer(peer) else {
+    let Some(addr) = core.peer_addr(peer) else {
         return false;
     };
-    let after = core.force.sequence();
+    let after = core.active_bundle.sequence();
     let question = Frame::Follow {
         after,
         wait_ms: wait.as_millis() as u64,
     };
-    let Ok(answer) = ask(core, addr, &question, wait).await else {
+    let Ok(answer) = call(core, addr, &question, wait).await else {
         return false;
     };
     let Some(Told { sequence, head }) = told(core, answer) else {
@@ -177,12 +177,12 @@
         return false;
     };
     if sequence > 0 && sequence >= after {
-        core.confirmed.by_peer(core.now());
+        core.freshness.record_peer(core.now());
     }
     let Some(head) = head else {
         return true;
     };
-    if head.sequence <= core.force.sequence() {
+    if head.sequence <= core.active_bundle.sequence() {
         return true;
     }
     let mut texts = held(core);
@@ -195,7 +195,7 @@
         .collect();
     if !missing.is_empty() {
         let question = Frame::Fetch { hashes: missing };
-        let Ok(Frame::Parts { texts: got }) = ask(core, addr, &question, WAIT).await else {
+        let Ok(Frame::Parts { texts: got }) = call(core, addr, &question, WAIT).await else {
             return false;
         };
         let hashed = got
@@ -216,7 +216,7 @@
 ) -> bool {
     let sequence = head.sequence;
     let lag = Span::from_ms(wall_ms().saturating_sub(head.rolled_ms));
-    match core.force.switch(text, head, texts) {
+    match core.active_bundle.activate(text, head, texts) {
         Ok(()) => {
             let histogram = core
                 .metrics
@@ -225,7 +225,7 @@
             info!(target: "spread", "bundle {sequence} is in force, {lag} after its roll, from a {from}");
             true
         }
-        Err(crate::force::Error::NotHigher { .. }) => true,
+        Err(crate::active_bundle::Error::NotNewer { .. }) => true,
         Err(e) => {
             let counter = core
                 .metrics
@@ -238,10 +238,10 @@
 }
 
 /// Compares sequences with a random peer now and then, until the process ends.
-pub async fn compare(core: Arc<Core>) {
+pub async fn run_anti_entropy(core: Arc<Core>) {
     loop {
         sleep(COMPARE_EVERY).await;
-        let others = core.others();
+        let others = core.other_daemons();
         if others.is_empty() {
             continue;
         }
--- a/crates/daemon/src/entry/answer.rs
+++ b/crates/daemon/src/entry/answer.rs
@@ -3,9 +3,9 @@
 use super::ask::Ask;
 use super::fault::Fault;
 use crate::core::{Core, InFlight};
-use crate::fleet::{Placed, Placeless, Target};
+use crate::fleet::{AcquireError, Reservation, Target};
 use crate::metrics::{Class as ClassMetrics, record};
-use crate::teller::Decision;
+use crate::request_log::Decision;
 use conn::Reuse;
 use route::choose;
 use route::queue::Rejection;
@@ -33,7 +33,7 @@
 /// Stream of an attempt, at its place.
 struct Running {
     stream: Stream,
-    placed: Placed,
+    placed: Reservation,
     attempt: Attempt,
 }
 
@@ -138,7 +138,7 @@
 
     /// Time that the next token may take.
     fn token_limit(&self) -> Duration {
-        let stall = self.core.settings.limits.stall;
+        let stall = self.core.settings.limits.stall_timeout;
         if self.first_at.is_some() {
             return stall.std();
         }
@@ -159,10 +159,10 @@
                 let delay = now.since(self.ask.asker.arrived);
                 record(&self.metrics.first_token, delay);
                 if let Some(running) = &self.running {
-                    let delay = now.since(running.placed.at);
+                    let delay = now.since(running.placed.reserved_at);
                     running
                         .placed
-                        .answered(delay, self.ask.asker.class.first_token);
+                        .record_first_response(delay, self.ask.asker.class.first_token);
                 }
             }
             Some(_) => {
@@ -195,14 +195,18 @@
         }
         let reason = format!("{} tokens were handed on.", self.tokens);
         self.core
-            .teller
-            .ended(&asker.request, Outcome::Complete, &reason);
+            .request_log
+            .record_outcome(&asker.request, Outcome::Complete, &reason);
         if let Some(running) = self.running.take() {
-            self.core.teller.attempt_ended(&asker.request, "whole.");
-            let took = self.core.now().since(running.placed.at);
-            let first = self.first_at.unwrap_or(running.placed.at);
-            let first = first.since(running.placed.at);
-            running.placed.ended(first, took, Some(end.load));
+            self.core
+                .request_log
+                .record_attempt_end(&asker.request, "whole.");
+            let took = self.core.now().since(running.placed.reserved_at);
+            let first = self.first_at.unwrap_or(running.placed.reserved_at);
+            let first = first.since(running.placed.reserved_at);
+            running
+                .placed
+                .record_completion(first, took, Some(end.load));
             count_dropped(&self.core, &running.stream);
             running.stream.finish().await;
         }
@@ -264,29 +268,29 @@
         let placed = self.running.as_ref().map(|r| &r.placed);
         let (end, text) = match failure {
             Failure::Unsent(e) => {
-                placed.inspect(|p| p.failed());
+                placed.inspect(|p| p.record_failure());
                 (retry::Failure::NotRun, format!("not run: {e}"))
             }
-            Failure::Refused(RefusalReason::UnknownStream) => (
+            Failure::Refused(RefusalReason::Unknown) => (
                 retry::Failure::UnknownStream,
                 "lost: the engine does not know the stream any more".into(),
             ),
             Failure::Refused(cause) => {
-                placed.inspect(|p| p.refused(cause));
+                placed.inspect(|p| p.record_refusal(cause));
                 (
                     retry::Failure::NotRun,
                     format!("not run: the engine refused ({cause:?})"),
                 )
             }
             Failure::Lost(why) => {
-                placed.inspect(|p| p.failed());
+                placed.inspect(|p| p.record_failure());
                 (retry::Failure::Lost, format!("lost: {why}"))
             }
         };
         self.may_have_run |= end != retry::Failure::NotRun;
         self.core
-            .teller
-            .attempt_ended(&self.ask.asker.request, &text);
+            .request_log
+            .record_attempt_end(&self.ask.asker.request, &text);
         (end, text)
     }
 
@@ -301,13 +305,13 @@
         let offset = running.stream.offset();
         let mut run = run(&self.ask, running.attempt.clone());
         run.resume_at = Some(offset);
-        let limit = self.core.settings.limits.stall.std();
+        let limit = self.core.settings.limits.stall_timeout.std();
         let addr = running.placed.addr;
         // A resumption starts nothing, so what failed to reach the engine is still lost, not "not run".
         let resumed = engine::start(&self.core.pool, addr, Reuse::Fresh, &run, limit).await;
         running.stream = resumed.map_err(|failure| match failure {
             Failure::Unsent(e) => Failure::Lost(e.to_string()),
-            Failure::Refused(_) => Failure::Refused(RefusalReason::UnknownStream),
+            Failure::Refused(_) => Failure::Refused(RefusalReason::Unknown),
             lost => lost,
         })?;
         Ok(())
@@ -333,7 +337,7 @@
             run.given.clone_from(&self.given);
             run.given_tokens = self.tokens;
             let reuse = match self.ask.asker.repeatable {
-                true => Reuse::Kept,
+                true => Reuse::Pooled,
                 false => Reuse::Fresh,
             };
             let limit = self.token_limit();
@@ -365,13 +369,13 @@
     async fn unstarted(
         &mut self,
         failure: Failure,
-        placed: Placed,
+        placed: Reservation,
         attempt: Attempt,
     ) -> Result<bool, Fault> {
         let lost = matches!(failure, Failure::Lost(_));
         match &failure {
-            Failure::Refused(cause) => placed.refused(*cause),
-            _ => placed.failed(),
+            Failure::Refused(cause) => placed.record_refusal(*cause),
+            _ => placed.record_failure(),
         }
         let (end, text) = self.ended(failure);
         let resumable = lost && self.take_up(placed, attempt).await;
@@ -396,10 +400,10 @@
     }
 
     /// Tries to take up a stream whose head was lost; the engine may be running it.
-    async fn take_up(&mut self, placed: Placed, attempt: Attempt) -> bool {
+    async fn take_up(&mut self, placed: Reservation, attempt: Attempt) -> bool {
         let mut run = run(&self.ask, attempt.clone());
         run.resume_at = Some(self.tokens);
-        let limit = self.core.settings.limits.stall.std();
+        let limit = self.core.settings.limits.stall_timeout.std();
         let taken = engine::start(&self.core.pool, placed.addr, Reuse::Fresh, &run, limit).await;
         let Ok(stream) = taken else {
             return false;
@@ -413,7 +417,7 @@
         true
     }
 
-    async fn place(&mut self) -> Result<Placed, Fault> {
+    async fn place(&mut self) -> Result<Reservation, Fault> {
         let asker = &self.ask.asker;
         let target = Target::Model {
             model: self.ask.model.clone(),
@@ -433,25 +437,25 @@
         let waited = self.core.now().since(from);
         record(&self.metrics.wait, waited);
         self.core
-            .teller
-            .change(&asker.request, |record| record.waited += waited);
+            .request_log
+            .update(&asker.request, |record| record.waited += waited);
         placed.map_err(|placeless| self.placeless(placeless))
     }
 
-    fn placeless(&mut self, placeless: Placeless) -> Fault {
+    fn placeless(&mut self, placeless: AcquireError) -> Fault {
         let outcome = self.true_outcome();
         let (code, message, retry) = match placeless {
-            Placeless::Shed(Rejection::Full) => (
+            AcquireError::Rejected(Rejection::Full) => (
                 "overloaded",
                 "The queue is full of requests that go before this one.",
                 SHED_RETRY,
             ),
-            Placeless::Shed(Rejection::Expired) => (
+            AcquireError::Rejected(Rejection::Expired) => (
                 "too_late",
                 "The request cannot be answered before its deadline.",
                 SHED_RETRY,
             ),
-            Placeless::Absent => (
+            AcquireError::Unavailable => (
                 "model_not_ready",
                 "No upstream holds this model ready at the moment.",
                 ABSENT_RETRY,
@@ -469,16 +473,18 @@
         }
     }
 
-    fn decided(&self, placed: &Placed) {
+    fn decided(&self, placed: &Reservation) {
         let asker = &self.ask.asker;
         let decision = Decision {
             after: self.core.now().since(asker.arrived),
             attempt: self.attempts,
             upstream: placed.upstream.clone(),
-            weighed: placed.weighed.clone(),
+            weighed: placed.evaluations.clone(),
             ended: String::new(),
         };
-        self.core.teller.decided(&asker.request, decision);
+        self.core
+            .request_log
+            .record_decision(&asker.request, decision);
     }
 
     fn fail(&mut self, outcome: Outcome, text: String) -> Fault {
@@ -493,8 +499,8 @@
         self.metrics.outcome(outcome);
         self.metrics.missed.increment(1);
         self.core
-            .teller
-            .ended(&self.ask.asker.request, outcome, text);
+            .request_log
+            .record_outcome(&self.ask.asker.request, outcome, text);
     }
 }
 
@@ -556,7 +562,7 @@
         }
     };
     count("foreign", stream.foreign);
-    count("doubled", stream.doubled);
+    count("doubled", stream.duplicates);
 }
 
 /// Hash of a model and the beginning of a prompt.
--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -5,7 +5,7 @@
 pub use status::{Model, Replica, Status, Upstream};
 
 use crate::core::Core;
-use crate::spread;
+use crate::distribution;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -18,7 +18,7 @@
 use tracing::warn;
 
 /// Connections of operators, collectors and daemons at once.
-pub const MOST_CONNECTIONS: usize = 4_096;
+pub const MAX_CONNECTIONS: usize = 4_096;
 
 /// Time for a whole frame to arrive.
 const FRAME_LIMIT: Duration = Duration::from_secs(10);
@@ -43,10 +43,10 @@
         "/readyz" => readiness(&core),
         "/metrics" => text(StatusCode::OK, metrics(&core)),
         "/status" => json(&status::status(&core)),
-        "/requests" => json(&core.teller.newest(NEWEST)),
-        "/planner" => json(&core.planned.state()),
+        "/requests" => json(&core.request_log.newest(NEWEST)),
+        "/planner" => json(&core.planner_status.get()),
         path => match path.strip_prefix("/why/request/") {
-            Some(id) => match core.teller.find(id) {
+            Some(id) => match core.request_log.find(id) {
                 Some(record) => json(&record),
                 None => text(
                     StatusCode::NOT_FOUND,
@@ -63,10 +63,10 @@
     if core.is_draining() {
         return refuse("draining\n");
     }
-    if core.force.sequence() == 0 {
+    if core.active_bundle.sequence() == 0 {
         return refuse("no bundle in force yet\n");
     }
-    match core.confirmed.is_confirmed(core.now()) {
+    match core.freshness.is_confirmed(core.now()) {
         true => text(StatusCode::OK, "ready\n"),
         // Still serving: an old bundle is better than none.
         false => text(
@@ -89,8 +89,11 @@
     kv("write", calls.writes.load(Relaxed));
     kv("lease", calls.leases.load(Relaxed));
     gauge("coveford_in_flight", core.in_flight() as f64);
-    gauge("coveford_bundle_sequence", core.force.sequence() as f64);
-    let waiting: usize = core.fleet.waiting().iter().map(|(_, n)| n).sum();
+    gauge(
+        "coveford_bundle_sequence",
+        core.active_bundle.sequence() as f64,
+    );
+    let waiting: usize = core.fleet.queue_lengths().iter().map(|(_, n)| n).sum();
     gauge("coveford_waiting", waiting as f64);
     core.metrics.render()
 }
@@ -123,7 +126,7 @@
             return text(StatusCode::FORBIDDEN, format!("{e}\n"));
         }
     };
-    let answer = spread::answer(core, question).await;
+    let answer = distribution::handle(core, question).await;
     match wire::encode(key, &message, &answer) {
         Ok(sealed) => Response::new(Full::new(sealed.into())),
         Err(e) => text(StatusCode::INTERNAL_SERVER_ERROR, format!("{e}\n")),
--- a/crates/daemon/src/operator/status.rs
+++ b/crates/daemon/src/operator/status.rs
@@ -1,8 +1,8 @@
 //! State of a daemon, for `coveford status` and `coveford why`.
 
 use crate::core::Core;
+use crate::distribution::is_relay;
 use crate::fleet::{Entry, Target};
-use crate::spread::is_relay;
 use route::breaker;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -100,14 +100,14 @@
         name: core.settings.name.clone(),
         hall: core.settings.hall.clone(),
         draining: core.is_draining(),
-        bundle: core.force.sequence(),
+        bundle: core.active_bundle.sequence(),
         title: current
             .as_ref()
             .map_or("".into(), |c| c.head.draft.title.clone()),
-        confirmed: core.confirmed.is_confirmed(now),
-        service_answers: core.confirmed.service_answers(now),
+        confirmed: core.freshness.is_confirmed(now),
+        service_answers: core.freshness.is_service_reachable(now),
         relay: is_relay(core),
-        planner: core.planned.state().holds,
+        planner: core.planner_status.get().holds,
         in_flight: core.in_flight() as u64,
         upstreams: entries.iter().map(|e| upstream(core, e)).collect(),
         models: models(core, &entries),
@@ -121,7 +121,7 @@
         name: entry.host.name.clone(),
         hall: entry.host.hall.clone(),
         leaving: entry.is_leaving(),
-        ejected: matches!(entry.health.state(now), breaker::State::Open(_)),
+        ejected: matches!(entry.breaker.state(now), breaker::State::Open(_)),
         report_age: now.since(entry.reported_at),
         memory: report.map(|r| r.memory).unwrap_or_default(),
         taken: report
@@ -162,7 +162,7 @@
             }
         }
     }
-    for (target, n) in core.fleet.waiting() {
+    for (target, n) in core.fleet.queue_lengths() {
         if let Target::Model { model, .. } = target
             && let Some(found) = models.get_mut(&model)
         {
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -5,7 +5,7 @@
 use crate::entry;
 use crate::error::{CutSnafu, Error, FrontSnafu, ListenSnafu, ReadSettingsSnafu, RuntimeSnafu};
 use crate::settings::{self, Settings};
-use crate::{log, operator, planner, spread, watch};
+use crate::{distribution, log, operator, planner, polling};
 use conn::Server;
 use futures::FutureExt;
 use snafu::ResultExt;
@@ -68,15 +68,15 @@
     tokio::select! {
         _ = term.recv() => {}
         _ = interrupt.recv() => {}
-        _ = daemon.core.stop.notified() => {}
+        _ = daemon.core.shutdown.notified() => {}
     }
     daemon.drain().await
 }
 
 /// Starts a daemon and returns once it listens.
 pub async fn spawn(settings: Settings) -> Result<Daemon, Error> {
-    let callers = listen(settings.callers).await?;
-    let operators = listen(settings.operator).await?;
+    let callers = listen(settings.caller_addr).await?;
+    let operators = listen(settings.operator_addr).await?;
     let core = core::open(settings);
     let most = core.settings.limits.connections;
     let callers = {
@@ -88,15 +88,15 @@
     let operators = {
         let core = core.clone();
         let answer = move |request| operator::handle(core.clone(), request).map(Ok);
-        conn::serve(operators, operator::MOST_CONNECTIONS, answer)
+        conn::serve(operators, operator::MAX_CONNECTIONS, answer)
     }
     .context(RuntimeSnafu)?;
     let mut tasks = JoinSet::new();
-    tasks.spawn(watch::hosts(core.clone()));
-    tasks.spawn(watch::reports(core.clone()));
-    tasks.spawn(watch::tidy(core.clone()));
-    tasks.spawn(spread::follow(core.clone()));
-    tasks.spawn(spread::compare(core.clone()));
+    tasks.spawn(polling::hosts(core.clone()));
+    tasks.spawn(polling::reports(core.clone()));
+    tasks.spawn(polling::metrics_upkeep(core.clone()));
+    tasks.spawn(distribution::follow(core.clone()));
+    tasks.spawn(distribution::run_anti_entropy(core.clone()));
     tasks.spawn(planner::run(core.clone()));
     info!(target: "daemon", "{} answers callers at {} and operators at {}", core.settings.name, callers.addr, operators.addr);
     Ok(Daemon {
@@ -131,13 +131,13 @@
     pub async fn drain(mut self) -> Result<(), Error> {
         let settings = &self.core.settings;
         self.core.set_draining();
-        info!(target: "daemon", "draining: readiness fails now, connections are refused in {}", settings.grace);
-        tokio::time::sleep(settings.grace.std()).await;
-        let left = self.callers.drain(settings.drain.std()).await;
+        info!(target: "daemon", "draining: readiness fails now, connections are refused in {}", settings.drain_delay);
+        tokio::time::sleep(settings.drain_delay.std()).await;
+        let left = self.callers.drain(settings.drain_timeout.std()).await;
         self.tasks.shutdown().await;
-        self.operators.cut();
+        self.operators.abort();
         if left > 0 {
-            let bound = settings.drain;
+            let bound = settings.drain_timeout;
             return CutSnafu { left, bound }.fail();
         }
         info!(target: "daemon", "drained: no request was cut");
@@ -146,7 +146,7 @@
 
     /// Ends at once, as a killed process would; for tests.
     pub fn kill(self) {
-        self.callers.cut();
-        self.operators.cut();
+        self.callers.abort();
+        self.operators.abort();
     }
 }
--- a/crates/front/src/attempt.rs
+++ b/crates/front/src/attempt.rs
@@ -16,11 +16,11 @@
 use crate::respond::Rejection;
 use crate::state::State;
 use crate::table::{Choice, Permit, Unavailable};
-use conn::{Body, Error, Line};
+use conn::{Body, Connection, Error};
 use hyper::body::Incoming;
 use hyper::{Request, Response};
-use platform::answer::{self, Said};
 use platform::ingress;
+use platform::response::{self, Feedback};
 use std::sync::Arc;
 use std::time::Duration;
 use unit::{Name, Span};
@@ -29,11 +29,11 @@
 pub struct Exchange {
     /// Reservation of the request at the replica.
     pub reservation: Reservation,
-    pub line: Line,
+    pub line: Connection,
     /// Head of the answer, with the body still to be read.
     pub response: Response<Incoming>,
     /// What the head says about the replica.
-    pub feedback: Said,
+    pub feedback: Feedback,
 }
 
 /// Why a send failed.
@@ -117,7 +117,7 @@
     reservation: Reservation,
     last_event: Option<u64>,
 ) -> Result<Exchange, Failure> {
-    let is_repeatable = call.route.kind.is_repeatable();
+    let is_repeatable = call.route.kind.is_idempotent();
     let pooled = state.pool.take(&choice.replica, is_repeatable, state.now());
     let is_pooled = pooled.is_some();
     let mut line = match pooled {
@@ -166,7 +166,7 @@
     call: &Call,
     choice: &Choice,
     reservation: &Reservation,
-) -> Result<Line, Failure> {
+) -> Result<Connection, Failure> {
     let opened = state
         .pool
         .open(choice.addr, call.remaining(state.now()))
@@ -188,16 +188,16 @@
     state: &Arc<State>,
     call: &Call,
     reservation: Reservation,
-    line: Line,
+    line: Connection,
     response: Response<Incoming>,
 ) -> Result<Exchange, Failure> {
-    let feedback = answer::read(response.status(), response.headers());
+    let feedback = response::parse(response.status(), response.headers());
     feedback::apply(state, &reservation.source(call), &feedback);
-    if !feedback.answers(&call.id) {
+    if !feedback.matches_request(&call.id) {
         reservation.record_bad_answer();
         return Err(Failure::Lost("an answer to another request came".into()));
     }
-    if feedback.not_run {
+    if feedback.not_executed {
         reservation.record_bad_answer();
         drain_refusal(state, &reservation.replica, line, &feedback, response).await;
         return Err(Failure::NotRun {
@@ -231,19 +231,19 @@
 async fn drain_refusal(
     state: &State,
     replica: &Name,
-    line: Line,
-    feedback: &Said,
+    line: Connection,
+    feedback: &Feedback,
     response: Response<Incoming>,
 ) {
     use http_body_util::{BodyExt, Limited};
-    if !feedback.keeps_connection {
+    if !feedback.keep_alive {
         return;
     }
     let read = Limited::new(response.into_body(), MAX_REFUSAL).collect();
     if matches!(tokio::time::timeout(REFUSAL_TIMEOUT, read).await, Ok(Ok(_))) {
         state
             .pool
-            .give(replica, line, feedback.keeps_for, state.now());
+            .give(replica, line, feedback.keep_alive_timeout, state.now());
     }
 }
 
@@ -263,13 +263,13 @@
     let mut request = Request::new(Body::new(call.body.clone()));
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.uri.clone();
-    let direction = ingress::Direction {
+    let direction = ingress::Overrides {
         replica: &choice.replica,
-        left: remaining.std(),
+        remaining: remaining.std(),
         priority: call.priority,
         last_event,
         account,
     };
-    *request.headers_mut() = ingress::forwarded(&call.headers, &direction);
+    *request.headers_mut() = ingress::request_headers(&call.headers, &direction);
     request
 }
--- a/crates/front/src/readers/client.rs
+++ b/crates/front/src/readers/client.rs
@@ -132,14 +132,20 @@
         Payload::Changes(changes) => {
             let found: Vec<Change> = changes.into_iter().map(Change::from).collect();
             record_changes(state, &found, revision, confirmed);
-            Ok(StoreUpdate::Changes(Listing { found, revision }))
+            Ok(StoreUpdate::Changes(Listing {
+                items: found,
+                revision,
+            }))
         }
         Payload::Snapshot(_) if revision <= after => Err(Error::Behind { revision, after }),
         Payload::Snapshot(changes) => {
             let changes = changes.into_iter().map(Change::from);
             let found: Vec<Item> = changes.filter_map(written_item).collect();
             record_snapshot(state, &found, revision, confirmed);
-            Ok(StoreUpdate::Snapshot(Listing { found, revision }))
+            Ok(StoreUpdate::Snapshot(Listing {
+                items: found,
+                revision,
+            }))
         }
     }
 }
--- a/crates/front/src/relay.rs
+++ b/crates/front/src/relay.rs
@@ -13,14 +13,14 @@
 use crate::respond::{Body, full_body};
 use crate::state::{InFlight, State};
 use bytes::Bytes;
-use conn::Line;
+use conn::Connection;
 use futures::stream;
 use http_body_util::{BodyExt, Limited, StreamBody};
 use hyper::Response;
 use hyper::body::{Frame, Incoming};
 use hyper::header::{self, HeaderMap};
-use platform::answer::Said;
 use platform::ingress;
+use platform::response::Feedback;
 use std::io;
 use std::sync::Arc;
 use tracing::info;
@@ -84,11 +84,19 @@
 }
 
 /// Returns a connection to the pool after a complete answer, if the replica keeps it open.
-fn return_connection(state: &State, reservation: &Reservation, line: Line, feedback: &Said) {
-    if feedback.keeps_connection {
-        state
-            .pool
-            .give(&reservation.replica, line, feedback.keeps_for, state.now());
+fn return_connection(
+    state: &State,
+    reservation: &Reservation,
+    line: Connection,
+    feedback: &Feedback,
+) {
+    if feedback.keep_alive {
+        state.pool.give(
+            &reservation.replica,
+            line,
+            feedback.keep_alive_timeout,
+            state.now(),
+        );
     }
 }
 
@@ -122,8 +130,8 @@
 /// Replica answer that events are read from.
 struct Source {
     reservation: Reservation,
-    line: Line,
-    feedback: Said,
+    line: Connection,
+    feedback: Feedback,
     body: Incoming,
 }
 
@@ -163,7 +171,7 @@
 
 /// Header fields that are forwarded, without the length.
 fn returned(headers: &HeaderMap) -> HeaderMap {
-    let mut headers = ingress::returned(headers);
+    let mut headers = ingress::response_headers(headers);
     headers.remove(header::CONTENT_LENGTH);
     headers
 }
@@ -227,7 +235,7 @@
         let now = self.state.now();
         let pause = now.since(self.last_event_at);
         self.last_event_at = now;
-        let gap = self.call.route.gap.map(Span::from);
+        let gap = self.call.route.max_gap.map(Span::from);
         let is_long = gap.is_some_and(|gap| pause > gap * LONG_PAUSE_FRACTION);
         if let Some(source) = self.source.as_ref().filter(|_| is_long) {
             let mut table = self.state.table.lock();
@@ -253,8 +261,8 @@
         let ms = self.state.now().since(self.call.arrived).ms();
         let route = &self.call.route;
         let model = self.call.ask.model.as_deref();
-        let target_ms = Span::from(route.target).ms();
-        let gap_ms = route.gap.map(|gap| Span::from(gap).ms());
+        let target_ms = Span::from(route.target_latency).ms();
+        let gap_ms = route.max_gap.map(|gap| Span::from(gap).ms());
         let (first_ms, pause_ms) = (self.ttft.ms(), self.longest_pause.duration.ms());
         let (in_flight, unread_ms) = (
             self.longest_pause.in_flight,
@@ -288,7 +296,7 @@
     async fn next_frame(&mut self) -> Result<Option<Frame<Bytes>>, Failure> {
         let deadline = self.call.deadline;
         let clock = &self.state.clock;
-        let is_resumable = self.call.route.kind.is_repeatable();
+        let is_resumable = self.call.route.kind.is_idempotent();
         let Some(source) = &mut self.source else {
             return Ok(None);
         };
--- a/crates/front/src/table/choose.rs
+++ b/crates/front/src/table/choose.rs
@@ -7,7 +7,7 @@
 use crate::message::PRIORITY_LEVELS;
 use crate::view::Replica;
 use platform::config::Engine;
-use platform::ingress::Ask;
+use platform::ingress::Metadata;
 use platform::replica::Entry;
 use route::batch::{self, Candidate};
 use std::net::SocketAddr;
@@ -189,7 +189,7 @@
             criteria,
             model,
             pace: self.paces.get(criteria.service, model),
-            token_capacity: engine.map_or(0.0, |e| e.tokens as f64),
+            token_capacity: engine.map_or(0.0, |e| e.token_capacity as f64),
             uses_direct_loads: self.has_direct_loads(now),
             now,
         }
@@ -293,7 +293,7 @@
 
 /// What a request needs of a batch.
 fn batch_request(criteria: &Criteria, engine: Option<&Engine>, jitter: Span) -> batch::Request {
-    let stride = engine.map_or(1, |e| e.stride);
+    let stride = engine.map_or(1, |e| e.tokens_per_event);
     batch::Request {
         tokens: max_tokens(criteria.ask) as f64,
         prefill_limit: criteria.max_gap.map(|gap| prefill_limit(gap, stride)),
@@ -302,8 +302,8 @@
 }
 
 /// Most tokens of the KV cache that a request needs.
-pub(super) fn max_tokens(ask: &Ask) -> u64 {
-    ask.prompt + ask.hinted_output.unwrap_or(ask.most_output)
+pub(super) fn max_tokens(ask: &Metadata) -> u64 {
+    ask.prompt_tokens + ask.output_hint.unwrap_or(ask.max_output_tokens)
 }
 
 /// Time that a replica may spend on prefill in one step without delaying events by more than `gap`.
--- a/crates/front/tests/site/mod.rs
+++ b/crates/front/tests/site/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code)] // Each test file uses a part of it.
 
-use conn::{Line, Reply};
+use conn::{Connection, Reply};
 use front::readers::Reader;
 use front::settings::{Bounds, Limits};
 use front::state::Leader;
@@ -43,8 +43,8 @@
             Route::new("stream", stream(false), "llm", 1),
             Route::new("later", stream(false), "llm", 1).with_priority(2),
             Route::new("resume", stream(true), "llm", 2),
-            Route::new("once", Kind::Unrepeatable, "web", 2),
-            Route::new("again", Kind::Repeatable, "web", 2),
+            Route::new("once", Kind::NonIdempotent, "web", 2),
+            Route::new("again", Kind::Idempotent, "web", 2),
         ],
     )
 }
@@ -52,7 +52,7 @@
 /// [`configuration`] with client accounts and a route `/open/` that needs no key.
 pub fn with_accounts(version: u64, accounts: &[Account]) -> Value {
     let mut configuration = configuration(version);
-    let open = Route::new("open", Kind::Repeatable, "web", 2).open_to_all();
+    let open = Route::new("open", Kind::Idempotent, "web", 2).open_to_all();
     let open = platform_standin::configuration(version, &[open]);
     let routes = configuration["routes"].as_array_mut().unwrap();
     routes.push(open["routes"][0].clone());
@@ -101,8 +101,8 @@
         id: id.into(),
         service: "web".into(),
         models: Vec::new(),
-        fatal: Some((FATAL_BODY, RESTART_TIME)),
-        pace: Duration::from_millis(30),
+        fatal_request: Some((FATAL_BODY, RESTART_TIME)),
+        delay: Duration::from_millis(30),
         ..Options::default()
     };
     replica::spawn(store, options).await.unwrap()
@@ -112,7 +112,7 @@
 pub async fn crashing_engine(store: &Store, id: &str) -> Replica {
     let options = Options {
         id: id.into(),
-        fatal: Some((FATAL_BODY, RESTART_TIME)),
+        fatal_request: Some((FATAL_BODY, RESTART_TIME)),
         ..Options::default()
     };
     replica::spawn(store, options).await.unwrap()
@@ -169,11 +169,11 @@
         hall: "a".into(),
         slots: 8,
         leaving: false,
-        leaves_in: None,
-        held: Vec::new(),
+        departs_in: None,
+        resident: Vec::new(),
         in_memory: Vec::new(),
         on_disk: Vec::new(),
-        beat: 1,
+        sequence: 1,
         incarnation: None,
     }
 }
@@ -321,8 +321,8 @@
     (id, mut request): (String, Request<conn::Body>),
 ) -> (String, Answer) {
     let host = callers.to_string().parse().unwrap();
-    request.headers_mut().insert(replica::FROM, host);
-    let mut line = Line::open(callers, WAIT_LIMIT).await.unwrap();
+    request.headers_mut().insert(replica::HOST_HEADER, host);
+    let mut line = Connection::open(callers, WAIT_LIMIT).await.unwrap();
     let reply = line.exchange(request, WAIT_LIMIT, 1 << 20).await;
     (id, Answer(reply))
 }
--- a/crates/soak/src/site.rs
+++ b/crates/soak/src/site.rs
@@ -206,8 +206,8 @@
             service: service.into(),
             models: models.iter().map(|m| (*m).to_owned()).collect(),
             events: client::EVENTS,
-            pace: Duration::from_millis(15),
-            fatal: (service == "web").then_some((client::FATAL, BACK)),
+            delay: Duration::from_millis(15),
+            fatal_request: (service == "web").then_some((client::FATAL, BACK)),
             ..Replica::default()
         };
         let what = "a replica's stand-in";
@@ -225,9 +225,9 @@
     let routes = [
         Route::new("stream", stream(false), "llm", 1),
         Route::new("resume", stream(true), "llm", 2),
-        Route::new("once", Kind::Unrepeatable, "web", 2),
-        Route::new("again", Kind::Repeatable, "web", 2),
-        Route::new(&format!("v{version}"), Kind::Repeatable, "web", 2),
+        Route::new("once", Kind::NonIdempotent, "web", 2),
+        Route::new("again", Kind::Idempotent, "web", 2),
+        Route::new(&format!("v{version}"), Kind::Idempotent, "web", 2),
     ];
     let configuration = platform_standin::configuration(version, &routes);
     platform_standin::with_accounts(configuration, &accounts::of(version))
--- a/crates/standin/src/experiment/spread.rs
+++ b/crates/standin/src/experiment/spread.rs
@@ -6,10 +6,10 @@
 use crate::fleet::{self, Fleet, Plan};
 use crate::kv::Faults;
 use backing::hosts::{Host, Kind};
-use cli::render::{json, out, table};
+use cli::render::{print_json, print_line, table};
 use conn::Server;
 use daemon::core::{self, Core};
-use daemon::{operator, spread};
+use daemon::{distribution, operator};
 use futures::FutureExt;
 use serde_json::json;
 use std::io;
@@ -113,7 +113,7 @@
             if way == Way::TreeServiceDies {
                 while parts
                     .iter()
-                    .all(|p| p.core.force.sequence() < head.sequence)
+                    .all(|p| p.core.active_bundle.sequence() < head.sequence)
                 {
                     sleep(Duration::from_millis(1)).await;
                 }
@@ -151,7 +151,7 @@
         let core = core::open(settings);
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
         let shared = core.clone();
-        let server = conn::serve(listener, operator::MOST_CONNECTIONS, move |request| {
+        let server = conn::serve(listener, operator::MAX_CONNECTIONS, move |request| {
             operator::handle(shared.clone(), request).map(Ok)
         })?;
         hosts.push(Host {
@@ -180,8 +180,9 @@
         kill_relays(&mut parts);
     }
     for part in &mut parts {
-        part._tasks.spawn(spread::follow(part.core.clone()));
-        part._tasks.spawn(spread::compare(part.core.clone()));
+        part._tasks.spawn(distribution::follow(part.core.clone()));
+        part._tasks
+            .spawn(distribution::run_anti_entropy(part.core.clone()));
     }
     Ok(parts)
 }
@@ -190,7 +191,7 @@
 fn kill_relays(parts: &mut Vec<Part>) {
     for hall in 0..HALLS {
         let hall = fleet::hall(hall);
-        let relay = |p: &Part| p.core.settings.hall == hall && spread::is_relay(&p.core);
+        let relay = |p: &Part| p.core.settings.hall == hall && distribution::is_relay(&p.core);
         if let Some(at) = parts.iter().position(relay) {
             parts.remove(at);
         }
@@ -202,7 +203,7 @@
     let from = Instant::now();
     let mut waiting = JoinSet::new();
     for part in parts {
-        let mut current = part.core.force.subscribe();
+        let mut current = part.core.active_bundle.subscribe();
         waiting.spawn(async move {
             let reached = timeout(LIMIT, current.wait_for(|s| *s >= sequence)).await;
             reached.is_ok().then(|| from.elapsed())
@@ -245,7 +246,7 @@
                 })
             })
             .collect();
-        return json(&list);
+        return print_json(&list);
     }
     let rows = figures.iter().map(|f| {
         [
@@ -258,7 +259,7 @@
             format!("{:.0}", f.bytes_per_roll),
         ]
     });
-    out(table(
+    print_line(table(
         [
             "DAEMONS",
             "WAY",
--- a/crates/standin/src/fleet.rs
+++ b/crates/standin/src/fleet.rs
@@ -7,8 +7,8 @@
 use backing::hosts::{Host, Kind};
 use bundle::Head;
 use bundle::key::public_key;
-use cli::bundles::{self, Signing};
-use cli::{Error, Tool};
+use cli::bundles::{self, Signer};
+use cli::{Client, Error};
 use daemon::settings::{self, Settings};
 use daemon::{Daemon, spawn};
 use ed25519_dalek::SigningKey;
@@ -90,7 +90,7 @@
     /// Daemons.
     pub daemons: Vec<Daemon>,
     /// Operators' tool.
-    pub tool: Tool,
+    pub tool: Client,
     /// Operators.
     pub operators: Vec<Operator>,
     plan: Plan,
@@ -246,21 +246,21 @@
         let read = settings::read(&format!("{name}.ini"), &text);
         let mut settings = read.map_err(|problems| io::Error::other(format!("{problems:?}")))?;
         // In one process the system may choose ports itself: none is taken in between.
-        settings.callers.set_port(0);
-        settings.operator.set_port(0);
+        settings.caller_addr.set_port(0);
+        settings.operator_addr.set_port(0);
         Ok(settings)
     }
 
     /// Proposes, approves and rolls a bundle, as two operators would.
     pub async fn roll(&self, text: &str) -> Result<Head, Error> {
-        let draft = bundles::propose(&self.tool, "sample.ini", text, &self.signing(0)).await?;
-        bundles::approve(&self.tool, &draft.id, &self.signing(1)).await?;
+        let draft = bundles::propose(&self.tool, "sample.ini", text, &self.signer(0)).await?;
+        bundles::approve(&self.tool, &draft.id, &self.signer(1)).await?;
         bundles::roll(&self.tool, &draft.id).await
     }
 
     /// An operator, ready to sign.
-    pub fn signing(&self, i: usize) -> Signing<'_> {
-        Signing {
+    pub fn signer(&self, i: usize) -> Signer<'_> {
+        Signer {
             operator: &self.operators[i].name,
             key: &self.operators[i].key,
         }
@@ -282,7 +282,7 @@
             let adapters = adapters.map(|(a, e)| (e.model.clone(), Some(a.clone())));
             let reachable = |(model, adapter)| {
                 let target = daemon::fleet::Target::Model { model, adapter };
-                core.fleet.is_reachable(&target)
+                core.fleet.is_available(&target)
             };
             current.head.sequence >= sequence && models.chain(adapters).all(reachable)
         })
--- a/crates/standin/tests/bundles.rs
+++ b/crates/standin/tests/bundles.rs
@@ -32,7 +32,7 @@
     fleet
         .daemons
         .iter()
-        .all(|d| d.core().force.sequence() == sequence)
+        .all(|d| d.core().active_bundle.sequence() == sequence)
 }
 
 #[tokio::test]
@@ -51,7 +51,7 @@
     );
     // Going back is rolling forward to the old content.
     let first = bundles::find(&fleet.tool, Some(1)).await.unwrap();
-    let text = bundles::text(&fleet.tool, &first).await.unwrap();
+    let text = bundles::load_text(&fleet.tool, &first).await.unwrap();
     assert_eq!(fleet.roll(&text).await.unwrap().sequence, 3);
     assert!(fleet.eventually(PATIENCE, || in_force(&fleet, 3)).await);
     assert_eq!(
@@ -64,16 +64,16 @@
 async fn of_two_operators_who_roll_at_once_one_is_told_what_it_lost_to() {
     let fleet = nine().await;
     let (one, two) = (titled("one"), titled("two"));
-    let a = bundles::propose(&fleet.tool, "one.ini", &one, &fleet.signing(0))
+    let a = bundles::propose(&fleet.tool, "one.ini", &one, &fleet.signer(0))
         .await
         .unwrap();
-    let b = bundles::propose(&fleet.tool, "two.ini", &two, &fleet.signing(2))
+    let b = bundles::propose(&fleet.tool, "two.ini", &two, &fleet.signer(2))
         .await
         .unwrap();
-    bundles::approve(&fleet.tool, &a.id, &fleet.signing(1))
+    bundles::approve(&fleet.tool, &a.id, &fleet.signer(1))
         .await
         .unwrap();
-    bundles::approve(&fleet.tool, &b.id, &fleet.signing(1))
+    bundles::approve(&fleet.tool, &b.id, &fleet.signer(1))
         .await
         .unwrap();
     let (a, b) = tokio::join!(
@@ -84,7 +84,7 @@
         (Ok(won), Err(lost)) | (Err(lost), Ok(won)) => (won, lost),
         other => panic!("one must win and one lose: {other:?}"),
     };
-    let Error::Overtaken { current, title, .. } = lost else {
+    let Error::Superseded { current, title, .. } = lost else {
         panic!("the loser is told that it was overtaken: {lost}");
     };
     assert_eq!((current, title), (won.sequence, won.draft.title));
@@ -94,10 +94,10 @@
 async fn nobody_approves_what_it_proposed_and_unapproved_drafts_do_not_roll() {
     let fleet = nine().await;
     let text = titled("mine alone");
-    let draft = bundles::propose(&fleet.tool, "mine.ini", &text, &fleet.signing(0))
+    let draft = bundles::propose(&fleet.tool, "mine.ini", &text, &fleet.signer(0))
         .await
         .unwrap();
-    let own = bundles::approve(&fleet.tool, &draft.id, &fleet.signing(0)).await;
+    let own = bundles::approve(&fleet.tool, &draft.id, &fleet.signer(0)).await;
     assert!(matches!(own, Err(Error::OwnProposal { .. })), "{own:?}");
     let rolled = bundles::roll(&fleet.tool, &draft.id).await;
     assert!(
@@ -110,10 +110,10 @@
 async fn forge(fleet: &Fleet, change: impl Fn(&Fleet, &mut Draft)) -> u64 {
     let text = titled("forged");
     let parts = part::split("forged.ini", &text).unwrap();
-    daemon::shelf::put_parts(&fleet.tool.kv, &parts)
+    daemon::documents::put_parts(&fleet.tool.kv, &parts)
         .await
         .unwrap();
-    let at = daemon::shelf::head(&fleet.tool.kv).await.unwrap();
+    let at = daemon::documents::head(&fleet.tool.kv).await.unwrap();
     let replaces = at.value.unwrap().sequence;
     let refs: Vec<_> = parts.iter().map(|p| p.reference.clone()).collect();
     let root = part::content_hash(&refs);
@@ -185,10 +185,10 @@
     let text = titled("without bob") + &format!("[revoked]\nkeys = {key}\n");
     fleet.roll(&text).await.unwrap();
     assert!(fleet.eventually(PATIENCE, || in_force(&fleet, 2)).await);
-    let draft = bundles::propose(&fleet.tool, "next.ini", &text, &fleet.signing(0))
+    let draft = bundles::propose(&fleet.tool, "next.ini", &text, &fleet.signer(0))
         .await
         .unwrap();
-    bundles::approve(&fleet.tool, &draft.id, &fleet.signing(1))
+    bundles::approve(&fleet.tool, &draft.id, &fleet.signer(1))
         .await
         .unwrap();
     let rolled = bundles::roll(&fleet.tool, &draft.id).await;
@@ -196,7 +196,7 @@
         matches!(rolled, Err(Error::Unapproved { .. })),
         "{rolled:?}"
     );
-    bundles::approve(&fleet.tool, &draft.id, &fleet.signing(2))
+    bundles::approve(&fleet.tool, &draft.id, &fleet.signer(2))
         .await
         .unwrap();
     assert_eq!(
@@ -212,7 +212,7 @@
 async fn a_bundle_that_cannot_fit_is_refused_with_the_arithmetic() {
     let fleet = nine().await;
     let text = titled("too much").replace("memory = 6GB", "memory = 81GB");
-    let refused = bundles::propose(&fleet.tool, "big.ini", &text, &fleet.signing(0)).await;
+    let refused = bundles::propose(&fleet.tool, "big.ini", &text, &fleet.signer(0)).await;
     let text = refused.unwrap_err().to_string();
     assert!(
         text.contains("3 replicas need 243.0 GB; 3 upstreams have 240.0 GB, the largest 80.0 GB"),
@@ -225,10 +225,10 @@
     let fleet = nine().await;
     for round in 0..8 {
         let text = titled(&format!("round {round}"));
-        let draft = bundles::propose(&fleet.tool, "r.ini", &text, &fleet.signing(0))
+        let draft = bundles::propose(&fleet.tool, "r.ini", &text, &fleet.signer(0))
             .await
             .unwrap();
-        bundles::approve(&fleet.tool, &draft.id, &fleet.signing(1))
+        bundles::approve(&fleet.tool, &draft.id, &fleet.signer(1))
             .await
             .unwrap();
         fleet.kv.set_faults(Faults {
@@ -240,14 +240,14 @@
         let rolled = bundles::roll(&fleet.tool, &draft.id).await;
         fleet.kv.set_faults(Faults::default());
         sleep(Duration::from_millis(100)).await;
-        let now = daemon::shelf::head(&fleet.tool.kv)
+        let now = daemon::documents::head(&fleet.tool.kv)
             .await
             .unwrap()
             .value
             .unwrap();
         match rolled {
             Ok(head) => assert_eq!(head.draft.id, now.draft.id, "in force means in force"),
-            Err(Error::NotYetKnown { .. }) => {}
+            Err(Error::Indeterminate { .. }) => {}
             Err(other) => assert_ne!(draft.id, now.draft.id, "not in force means not: {other}"),
         }
     }
@@ -287,7 +287,7 @@
         fleet
             .daemons
             .iter()
-            .any(|d| d.core().force.sequence() == head.sequence)
+            .any(|d| d.core().active_bundle.sequence() == head.sequence)
     };
     assert!(fleet.eventually(PATIENCE, one).await);
     fleet.kv.set_faults(Faults {
@@ -300,7 +300,7 @@
 #[tokio::test]
 async fn a_killed_relay_is_replaced() {
     let mut fleet = nine().await;
-    let is_relay = |d: &daemon::Daemon| daemon::spread::is_relay(d.core());
+    let is_relay = |d: &daemon::Daemon| daemon::distribution::is_relay(d.core());
     let relays: Vec<usize> = (0..fleet.daemons.len())
         .filter(|i| is_relay(&fleet.daemons[*i]))
         .collect();
@@ -326,7 +326,7 @@
         // Rolls may fail on stale reads; what is accepted must hold.
         let _ = fleet.roll(&titled(&format!("round {round}"))).await;
         for (i, daemon) in fleet.daemons.iter().enumerate() {
-            let now = daemon.core().force.sequence();
+            let now = daemon.core().active_bundle.sequence();
             let before = highest.insert(i, now).unwrap_or(0);
             assert!(now >= before, "daemon {i} fell from {before} to {now}");
         }
@@ -399,7 +399,7 @@
         fleet
             .daemons
             .iter()
-            .position(|d| d.core().planned.state().holds)
+            .position(|d| d.core().planner_status.get().holds)
     };
     assert!(
         fleet
