--- a/crates/daemon/src/entry/generation.rs
+++ b/crates/daemon/src/entry/generation.rs
@@ -347,7 +347,7 @@
             run.given.clone_from(&self.output);
             run.given_tokens = self.tokens;
             let reuse = match self.completion.meta.repeatable {
-                true => Reuse::Kept,
+                true => Reuse::Pooled,
                 false => Reuse::Fresh,
             };
             let limit = self.token_timeout();
@@ -574,7 +574,7 @@
         }
     };
     count("foreign", stream.foreign);
-    count("doubled", stream.doubled);
+    count("doubled", stream.duplicates);
 }
 
 /// Hash of a model and a prompt's prefix, for prefix affinity.
--- a/crates/daemon/src/entry/service.rs
+++ b/crates/daemon/src/entry/service.rs
@@ -15,7 +15,7 @@
 use route::retry::{self, Action, Context, Outcome};
 use std::sync::Arc;
 use unit::{Name, Span, rendezvous};
-use upstream::service::{self, Failure, Rules};
+use upstream::service::{self, Failure, Options};
 
 /// Request header with the caller's name, sent to the service.
 const CALLER_HEADER: &str = "coveford-caller";
@@ -88,19 +88,19 @@
             },
         );
         let remaining = call.meta.deadline().since(core.now());
-        let rules = Rules {
+        let options = Options {
             reuse: match call.meta.repeatable {
-                true => Reuse::Kept,
+                true => Reuse::Pooled,
                 false => Reuse::Fresh,
             },
             refusal_status: call.refusal_status,
-            limit: remaining.std(),
-            most: MAX_RESPONSE_BYTES,
+            timeout: remaining.std(),
+            max_bytes: MAX_RESPONSE_BYTES,
         };
         let request = upstream_request(call, reservation.addr);
         let id = &call.meta.id;
         let (failure, text) =
-            match service::call(&core.pool, reservation.addr, id, request, rules).await {
+            match service::call(&core.pool, reservation.addr, id, request, options).await {
                 Ok(reply) => {
                     let elapsed = core.now().since(reservation.reserved_at);
                     reservation.record_first_response(elapsed, call.meta.class.first_token);
--- a/crates/daemon/src/polling.rs
+++ b/crates/daemon/src/polling.rs
@@ -10,7 +10,7 @@
 use tokio::time::{MissedTickBehavior, interval, sleep};
 use tracing::warn;
 use unit::Name;
-use upstream::engine::Orders;
+use upstream::engine::Session;
 
 /// Time between two reads of the host list.
 const HOSTS_INTERVAL: Duration = Duration::from_millis(500);
@@ -51,7 +51,7 @@
 
 /// Connection to an engine and how far its cache events were read.
 struct Connection {
-    orders: Orders,
+    orders: Session,
     cache_after: u64,
 }
 
@@ -107,7 +107,7 @@
     let mut poll = match kept {
         Some(poll) => poll,
         None => Connection {
-            orders: Orders::open(addr, POLL_TIMEOUT).await?,
+            orders: Session::open(addr, POLL_TIMEOUT).await?,
             cache_after: 0,
         },
     };
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -142,7 +142,7 @@
         tokio::time::sleep(settings.drain_delay.std()).await;
         let open = self.callers.drain(settings.drain_timeout.std()).await;
         self.tasks.shutdown().await;
-        self.operators.cut();
+        self.operators.abort();
         if open > 0 {
             let limit = settings.drain_timeout;
             return DrainTimeoutSnafu { open, limit }.fail();
@@ -153,7 +153,7 @@
 
     /// Closes all connections at once, as a killed process would; for tests.
     pub fn kill(self) {
-        self.callers.cut();
-        self.operators.cut();
+        self.callers.abort();
+        self.operators.abort();
     }
 }
--- a/crates/front/tests/changes.rs
+++ b/crates/front/tests/changes.rs
@@ -52,7 +52,7 @@
     let _staying = web(&store, "i-2").await;
     let daemon = daemon(&store, "d1").await;
     match announced {
-        true => leaving.leave(),
+        true => leaving.announce_departure(),
         false => leaving.vanish(),
     }
     sleep(Duration::from_millis(900)).await;
@@ -147,7 +147,9 @@
     let start = Instant::now();
     while start.elapsed() < Duration::from_millis(1_200) {
         let (_, request) = site::request("/again/x", None);
-        let mut line = conn::Line::open(addr, site::WAIT_LIMIT).await.unwrap();
+        let mut line = conn::Connection::open(addr, site::WAIT_LIMIT)
+            .await
+            .unwrap();
         let reply = line
             .exchange(request, site::WAIT_LIMIT, 1 << 20)
             .await
@@ -174,7 +176,9 @@
     let addr = daemon.callers();
     let exchange = tokio::spawn(async move {
         let (_, request) = site::request("/stream/x", Some("m9"));
-        let mut line = conn::Line::open(addr, site::WAIT_LIMIT).await.unwrap();
+        let mut line = conn::Connection::open(addr, site::WAIT_LIMIT)
+            .await
+            .unwrap();
         line.exchange(request, site::WAIT_LIMIT, 1 << 20)
             .await
             .unwrap()
@@ -217,13 +221,15 @@
     let addr = daemon.callers();
     let exchange = tokio::spawn(async move {
         let (_, request) = site::request("/stream/x", Some("m1"));
-        let mut line = conn::Line::open(addr, site::WAIT_LIMIT).await.unwrap();
+        let mut line = conn::Connection::open(addr, site::WAIT_LIMIT)
+            .await
+            .unwrap();
         line.exchange(request, site::WAIT_LIMIT, 1 << 20)
             .await
             .unwrap()
     });
     until(|| daemon.state().in_flight() == 1).await;
-    replica.leave();
+    replica.announce_departure();
     let reply = exchange.await.unwrap();
     busy.abort();
     assert_eq!(replica.arrivals(), 0);
@@ -415,7 +421,7 @@
     let bad = web(&store, "i-1").await;
     let good = web(&store, "i-2").await;
     let daemon = daemon(&store, "d1").await;
-    bad.set_fault(Fault::Fails);
+    bad.set_fault(Fault::InternalError);
     for _ in 0..60 {
         ask(&daemon, "/once/x", None).await;
     }
--- a/crates/standin/src/experiment/overhead.rs
+++ b/crates/standin/src/experiment/overhead.rs
@@ -6,7 +6,7 @@
 use crate::engine;
 use crate::fleet::{self, KEY_ONE, Plan, QUICK};
 use backing::hosts::{Host, Kind};
-use cli::render::{json, out, table};
+use cli::render::{print_json, print_line, table};
 use conn::{Pool, Reuse};
 use hyper::Request;
 use hyper::header::{AUTHORIZATION, HOST};
@@ -219,7 +219,7 @@
         priority: 5,
         sampling: Default::default(),
     };
-    let started = upstream::engine::start(&to.pool, to.addr, Reuse::Kept, &run, LIMIT).await;
+    let started = upstream::engine::start(&to.pool, to.addr, Reuse::Pooled, &run, LIMIT).await;
     let mut stream = started.ok()?;
     let mut times = Vec::new();
     while let Item::Tokens { .. } = stream.next(LIMIT).await.ok()? {
@@ -243,7 +243,7 @@
         .header(AUTHORIZATION, format!("Bearer {KEY_ONE}"))
         .body(conn::Body::from(body.to_string()))
         .ok()?;
-    let mut line = to.pool.line(to.addr, Reuse::Kept).await.ok()?;
+    let mut line = to.pool.acquire(to.addr, Reuse::Pooled).await.ok()?;
     let response = line.send(request, LIMIT).await.ok()?;
     if !response.status().is_success() {
         return None;
@@ -254,7 +254,7 @@
         frame.ok()?;
         times.push(start.elapsed());
     }
-    to.pool.give(to.addr, line);
+    to.pool.release(to.addr, line);
     Some(times)
 }
 
@@ -272,7 +272,7 @@
                 "cpu_us_per_token_event": f.per_event(),
             })
         };
-        return json(&json!({"direct": of(direct), "daemon": of(daemon)}));
+        return print_json(&json!({"direct": of(direct), "daemon": of(daemon)}));
     }
     let row = |name: &str, f: &Figures, pick: fn(&Figures) -> &Latency| {
         let latency = pick(f);
@@ -299,13 +299,13 @@
         row("between tokens, direct", direct, |f| &f.between),
         row("  through the daemon", daemon, |f| &f.between),
     ];
-    out(table(["LATENCY", "COUNT", "p50", "p99"], rows));
+    print_line(table(["LATENCY", "COUNT", "p50", "p99"], rows));
     let (request, event) = cpu(daemon);
-    out(format!(
+    print_line(format!(
         "\nProcessor time of the daemon: {request:.1} µs a request of {SHORT} tokens, {event:.2} µs a token event."
     ));
     let added = |q| daemon.whole.at(q).ms() - direct.whole.at(q).ms();
-    out(format!(
+    print_line(format!(
         "Added to a whole answer: {:.2} ms at the median, {:.2} ms at the 99th percentile.",
         added(0.5),
         added(0.99)
--- a/crates/standin/tests/linearizable.rs
+++ b/crates/standin/tests/linearizable.rs
@@ -165,7 +165,7 @@
 fn roll_op(replaces: u64, rolled: &Result<Head, Error>) -> Option<Op> {
     match rolled {
         Ok(head) => Some(Op::Swap(replaces, head.sequence, Some(true))),
-        Err(Error::NotYetKnown { .. }) => None,
+        Err(Error::Indeterminate { .. }) => None,
         Err(_) => Some(Op::Swap(u64::MAX, 0, Some(false))),
     }
 }
@@ -192,11 +192,11 @@
         let mut unknown = Vec::new();
         for round in 0..6 {
             let text = common::one_model(2).replace("sample", &format!("{process}.{round}"));
-            let signing = fleet.signing(process);
-            let Ok(draft) = bundles::propose(&fleet.tool, "x.ini", &text, &signing).await else {
+            let signer = fleet.signer(process);
+            let Ok(draft) = bundles::propose(&fleet.tool, "x.ini", &text, &signer).await else {
                 continue;
             };
-            let other = fleet.signing((process + 1) % 3);
+            let other = fleet.signer((process + 1) % 3);
             if bundles::approve(&fleet.tool, &draft.id, &other)
                 .await
                 .is_err()
