--- a/crates/front/tests/backoff.rs
+++ b/crates/front/tests/backoff.rs
@@ -251,9 +251,9 @@
     let _other = web(&store, "w-2").await;
     let host = daemon(&store, "d1").await;
     let at = request_backoff_once(&refusing, &host, "3").await;
-    refusing.vanish();
+    refusing.remove_entry();
     sleep(Duration::from_millis(400)).await;
-    refusing.beat();
+    refusing.write_entry();
     sleep(Duration::from_millis(400)).await;
     store.set_mode(Mode::Silent);
     while at.elapsed() < Duration::from_millis(2_900) {
--- a/crates/front/tests/changes.rs
+++ b/crates/front/tests/changes.rs
@@ -53,7 +53,7 @@
     let daemon = daemon(&store, "d1").await;
     match announced {
         true => leaving.announce_departure(),
-        false => leaving.vanish(),
+        false => leaving.remove_entry(),
     }
     sleep(Duration::from_millis(900)).await;
     let before = leaving.arrivals();
@@ -76,7 +76,7 @@
     until(|| daemon.state().table.lock().view.contact.is_unreachable()).await;
     // No entry lapses before three heartbeats are missed.
     sleep((HEARTBEAT * 2.0).std()).await;
-    replica.vanish();
+    replica.remove_entry();
     assert_eq!(ask(&daemon, "/again/x", None).await.1.status(), 200);
     store.set_mode(Mode::Up);
     sleep(Duration::from_millis(500)).await;
@@ -85,7 +85,7 @@
         200,
         "an entry that lapsed meanwhile is no departure"
     );
-    replica.beat();
+    replica.write_entry();
     sleep(Duration::from_millis(2_600)).await;
     assert_eq!(ask(&daemon, "/again/x", None).await.1.status(), 200);
 }
--- a/crates/front/tests/departures.rs
+++ b/crates/front/tests/departures.rs
@@ -132,14 +132,14 @@
     send_load(&hosts, ALL, Duration::from_millis(800)).await;
     for replica in [&engine, &web] {
         store.put_bytes(&replica.key(), b"not an entry");
-        replica.beat();
+        replica.write_entry();
     }
     send_load(&hosts, ALL, Duration::from_millis(500)).await;
-    engine.vanish();
-    web.vanish();
+    engine.remove_entry();
+    web.remove_entry();
     sleep(Duration::from_millis(500)).await;
-    engine.beat();
-    web.beat();
+    engine.write_entry();
+    web.write_entry();
     send_load(&hosts, ALL, BOUND + AFTER).await;
     assert_eq!(late_requests_from_all(&engine, &hosts), 0, "streams");
     assert_eq!(late_requests_from_all(&web, &hosts), 0, "plain requests");
--- a/crates/front/tests/invalid_entries.rs
+++ b/crates/front/tests/invalid_entries.rs
@@ -62,7 +62,7 @@
     sleep(Duration::from_millis(900)).await;
     assert_eq!(requests_reaching(&daemon, &first).await, 0);
     assert_eq!(requests_reaching(&daemon, &second).await, 20);
-    first.beat();
+    first.write_entry();
     sleep(Duration::from_millis(900)).await;
     assert!(
         requests_reaching(&daemon, &first).await > 0,
--- a/crates/front/tests/partitioned_host.rs
+++ b/crates/front/tests/partitioned_host.rs
@@ -78,7 +78,7 @@
 #[tokio::test]
 async fn replica_that_left_during_the_partition_gets_no_requests() {
     let partition = partition().await;
-    partition.leaving.vanish();
+    partition.leaving.remove_entry();
     partition.store.compact();
     sleep(PARTITION_DURATION).await;
     partition.heal().await;
@@ -90,7 +90,7 @@
     let partition = partition().await;
     sleep(PARTITION_DURATION).await;
     partition.heal().await;
-    partition.leaving.vanish();
+    partition.leaving.remove_entry();
     sleep(Duration::from_millis(500)).await;
     assert_eq!(partition.requests_to_leaving().await, 0);
 }
@@ -109,7 +109,7 @@
     proxy.set(Mode::DropToTarget);
     until(|| successor.state().leads()).await;
     sleep(Duration::from_secs(3)).await;
-    leaving.vanish();
+    leaving.remove_entry();
     let start = Instant::now();
     until(|| leader.state().table.lock().view.get("i-1").is_none()).await;
     let took = start.elapsed();
--- a/crates/front/tests/readers.rs
+++ b/crates/front/tests/readers.rs
@@ -130,8 +130,8 @@
     // As a root it retries the store again and again.
     let _assigning = keep_assigning(&follower, &[&reader, &follower]);
     for _ in 0..8 {
-        leaving.beat();
-        staying.beat();
+        leaving.write_entry();
+        staying.write_entry();
     }
     until(|| follower.state().table.lock().view.get("i-1").is_some()).await;
     leaving.announce_departure();
@@ -153,7 +153,7 @@
         assert!(!is_away, "the store is reachable through the reader");
         sleep(Duration::from_millis(10)).await;
     }
-    staying.vanish();
+    staying.remove_entry();
     let start = Instant::now();
     until(|| follower.state().table.lock().view.get("i-2").is_none()).await;
     let took = start.elapsed();
@@ -274,7 +274,7 @@
         store.compact();
         changed_within(&store, &host, new, Duration::from_millis(1_800)).await;
     }
-    gone.vanish();
+    gone.remove_entry();
     store.compact();
     until(|| host.state().table.lock().view.get("i-1").is_none()).await;
     assert_eq!((calls(&reader), calls(&host)), before);
--- a/crates/front/tests/restarts.rs
+++ b/crates/front/tests/restarts.rs
@@ -13,7 +13,7 @@
 
 fn send_heartbeats(replica: &Replica) {
     for _ in 0..HEARTBEATS {
-        replica.beat();
+        replica.write_entry();
     }
 }
 
--- a/crates/front/tests/suspended.rs
+++ b/crates/front/tests/suspended.rs
@@ -143,7 +143,7 @@
     until(|| host.state().table.lock().view.all().count() == 2).await;
     store.set_mode(platform_standin::store::Mode::Silent);
     sleep(Duration::from_millis(3_000)).await;
-    departed.vanish();
+    departed.remove_entry();
     store.set_mode(platform_standin::store::Mode::Up);
     until(|| host.state().table.lock().view.has_missing()).await;
     suspend(&host);
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -279,7 +279,7 @@
             }
             What::Start(host) => site.hosts[host].start()?,
             What::Heal(replica) => site.replicas[replica].set_fault(Fault::None),
-            What::Vanish(replica) => site.replicas[replica].vanish(),
+            What::Vanish(replica) => site.replicas[replica].remove_entry(),
         }
     }
     Ok(())
