--- a/crates/conn/src/connection.rs
+++ b/crates/conn/src/connection.rs
@@ -1,7 +1,7 @@
-//! One connection to another process.
+//! Client connection.
 
 use crate::Body;
-use crate::counting_stream::Counted;
+use crate::counting_stream::CountingStream;
 use crate::error::Error;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
@@ -17,30 +17,30 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Time after which a connection fails whose peer acknowledges nothing: a host that lost its power
-/// resets nothing.
-const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_secs(3);
+/// Time without acknowledgements after which a connection fails (`TCP_USER_TIMEOUT`): a host that lost power sends no
+/// reset.
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Open HTTP/1.1 connection; requests go over it one at a time.
+/// Open HTTP/1.1 connection, which carries one request at a time.
 pub struct Connection {
     addr: SocketAddr,
     sender: SendRequest<Body>,
     written: Arc<AtomicU64>,
 }
 
-/// Whole answer of another process.
+/// Complete response.
 #[derive(Debug, Clone)]
 pub struct Reply {
-    /// HTTP status.
+    /// Status.
     pub status: StatusCode,
-    /// Header fields.
+    /// Header.
     pub headers: HeaderMap,
-    /// Whole body.
+    /// Body.
     pub body: Bytes,
 }
 
 impl Connection {
-    /// Opens a connection within `limit`.
+    /// Opens a connection; fails if it is not open within `limit`.
     pub async fn open(addr: SocketAddr, limit: Duration) -> Result<Connection, Error> {
         let ms = limit.as_millis() as u64;
         let stream = timeout(limit, TcpStream::connect(addr))
@@ -48,9 +48,9 @@
             .map_err(|_| Error::ConnectTimeout { addr, ms })?
             .map_err(|source| Error::Connect { addr, source })?;
         let _ = stream.set_nodelay(true);
-        let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_LIMIT));
+        let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
         let written = Arc::new(AtomicU64::new(0));
-        let io = TokioIo::new(Counted::new(stream, written.clone()));
+        let io = TokioIo::new(CountingStream::new(stream, written.clone()));
         let (sender, task) = http1::handshake(io)
             .await
             .map_err(|_| Error::Unsent { addr })?;
@@ -67,7 +67,9 @@
         !self.sender.is_closed()
     }
 
-    /// Sends a request and waits at most `limit` for the head of its answer.
+    /// Sends a request and waits up to `limit` for the head of the response.
+    ///
+    /// Fails with [`Error::Unsent`] if nothing of the request was written to the socket.
     pub async fn send(
         &mut self,
         request: Request<Body>,
@@ -75,14 +77,14 @@
     ) -> Result<Response<Incoming>, Error> {
         let addr = self.addr;
         let before = self.written.load(Ordering::SeqCst);
-        let sent = || self.written.load(Ordering::SeqCst) > before;
+        let is_sent = || self.written.load(Ordering::SeqCst) > before;
         let ready = timeout(limit, self.sender.ready()).await;
         if !matches!(ready, Ok(Ok(()))) {
             return Err(Error::Unsent { addr });
         }
         match timeout(limit, self.sender.send_request(request)).await {
             Ok(Ok(response)) => Ok(response),
-            Ok(Err(_)) if !sent() => Err(Error::Unsent { addr }),
+            Ok(Err(_)) if !is_sent() => Err(Error::Unsent { addr }),
             Ok(Err(source)) => Err(Error::Broken { addr, source }),
             Err(_) => Err(Error::Timeout {
                 addr,
@@ -91,23 +93,24 @@
         }
     }
 
-    /// Sends a request and reads its whole answer of at most `most` bytes.
+    /// Sends a request and reads the complete response, with `limit` for its head and again for its body, which may have
+    /// up to `max_bytes`.
     pub async fn exchange(
         &mut self,
         request: Request<Body>,
         limit: Duration,
-        most: usize,
+        max_bytes: usize,
     ) -> Result<Reply, Error> {
         let addr = self.addr;
         let response = self.send(request, limit).await?;
         let (head, body) = response.into_parts();
-        let body = timeout(limit, Limited::new(body, most).collect())
+        let body = timeout(limit, Limited::new(body, max_bytes).collect())
             .await
             .map_err(|_| Error::Timeout {
                 addr,
                 ms: limit.as_millis() as u64,
             })?
-            .map_err(|fault| body_fault(addr, most, fault))?;
+            .map_err(|error| body_error(addr, max_bytes, error))?;
         Ok(Reply {
             status: head.status,
             headers: head.headers,
@@ -116,13 +119,13 @@
     }
 }
 
-/// Tells a body that broke off from one that is too long.
-fn body_fault(
+/// Distinguishes a body that broke off from one that is too long.
+fn body_error(
     addr: SocketAddr,
     limit: usize,
-    fault: Box<dyn std::error::Error + Send + Sync>,
+    error: Box<dyn std::error::Error + Send + Sync>,
 ) -> Error {
-    match fault.downcast::<hyper::Error>() {
+    match error.downcast::<hyper::Error>() {
         Ok(source) => Error::Broken {
             addr,
             source: *source,
--- a/crates/conn/src/counting_stream.rs
+++ b/crates/conn/src/counting_stream.rs
@@ -1,4 +1,4 @@
-//! A socket that counts the bytes handed to it.
+//! TCP stream that counts written bytes.
 
 use std::io;
 use std::pin::Pin;
@@ -8,24 +8,24 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// TCP stream with a shared count of the bytes written to it.
-pub(crate) struct Counted {
+/// TCP stream with a shared counter of written bytes.
+pub(crate) struct CountingStream {
     stream: TcpStream,
     written: Arc<AtomicU64>,
 }
 
-impl Counted {
+impl CountingStream {
     pub(crate) fn new(stream: TcpStream, written: Arc<AtomicU64>) -> Self {
-        Counted { stream, written }
+        CountingStream { stream, written }
     }
 
-    /// Counts before the write: a byte the system may have taken is never missed.
+    /// Counts bytes before they are written, so that the counter is never lower than what the kernel has accepted.
     fn count(&self, bytes: usize) {
         self.written.fetch_add(bytes as u64, Ordering::SeqCst);
     }
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountingStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -35,7 +35,7 @@
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountingStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/conn/src/error.rs
+++ b/crates/conn/src/error.rs
@@ -1,70 +1,70 @@
-//! Failures of one exchange over a connection.
+//! Errors of client connections.
 
 use snafu::Snafu;
 use std::net::SocketAddr;
 
-/// Why an exchange with another process failed.
+/// Why a request failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// The connection was never open.
+    /// The connection could not be opened.
     #[snafu(display("No connection to {addr} could be opened: {source}."))]
     Connect {
-        /// Where to.
+        /// Remote address.
         addr: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The connection was not open in time.
+    /// The connection could not be opened in time.
     #[snafu(display("No connection to {addr} was open after {ms} ms."))]
     ConnectTimeout {
-        /// Where to.
+        /// Remote address.
         addr: SocketAddr,
-        /// The bound that ran out.
+        /// Timeout, in milliseconds.
         ms: u64,
     },
-    /// The exchange broke before a byte of the request was handed to the socket.
+    /// The connection failed before any byte of the request was written to the socket.
     #[snafu(display("The connection to {addr} closed before the request was written."))]
     Unsent {
-        /// Where to.
+        /// Remote address.
         addr: SocketAddr,
     },
-    /// The exchange broke after some of the request was handed to the socket.
+    /// The connection failed after some of the request was written to the socket.
     #[snafu(display("The connection to {addr} broke after the request was written: {source}."))]
     Broken {
-        /// Where to.
+        /// Remote address.
         addr: SocketAddr,
-        /// What the connection said.
+        /// Error of the connection.
         source: hyper::Error,
     },
-    /// No answer came in time; the request had been written.
+    /// No response arrived in time; the request may have been sent.
     #[snafu(display("{addr} gave no answer within {ms} ms."))]
     Timeout {
-        /// Where to.
+        /// Remote address.
         addr: SocketAddr,
-        /// The bound that ran out.
+        /// Timeout, in milliseconds.
         ms: u64,
     },
-    /// The answer was longer than allowed.
+    /// The response body was longer than allowed.
     #[snafu(display("The answer of {addr} is longer than {limit} bytes."))]
     Oversized {
-        /// Where to.
+        /// Remote address.
         addr: SocketAddr,
-        /// The bound.
+        /// Maximum length, in bytes.
         limit: usize,
     },
-    /// The answer could not be read as what it should be.
+    /// The response could not be parsed.
     #[snafu(display("The answer of {addr} cannot be read: {reason}."))]
     Malformed {
-        /// Where to.
+        /// Remote address.
         addr: SocketAddr,
-        /// What is wrong with it.
+        /// Why it could not be parsed.
         reason: String,
     },
 }
 
 impl Error {
-    /// Whether it is proven that the other side received nothing of the request.
+    /// Whether the peer certainly received nothing of the request.
     pub fn proves_unsent(&self) -> bool {
         matches!(
             self,
--- a/crates/conn/src/lib.rs
+++ b/crates/conn/src/lib.rs
@@ -1,7 +1,7 @@
-//! HTTP connections over TCP that know whether a byte was handed to the socket.
+//! HTTP/1.1 client connections and servers over TCP.
 //!
-//! Whether a request may be called "not run" hangs on this: a failure before
-//! the first byte of a request is proof, a failure after it is not.
+//! Client connections track whether any byte of a request was written to the socket. A request that failed before its
+//! first byte was written cannot have run; one that failed later may have.
 
 mod connection;
 mod counting_stream;
@@ -17,10 +17,10 @@
 pub use pool::{Pool, Reuse, json_request, read_json};
 pub use server::{Abort, Bounds, Server, serve, serve_with_bounds};
 
-/// Whole body that is sent with a request.
+/// Body of a request.
 pub type Body = http_body_util::Full<bytes::Bytes>;
 
-/// Header fields that belong to one connection, not to the request or answer that it carries.
+/// Header fields that apply to a single connection and are not forwarded (RFC 9110, section 7.6.1).
 pub const HOP_BY_HOP: [HeaderName; 7] = [
     header::CONNECTION,
     header::TRANSFER_ENCODING,
--- a/crates/conn/src/pool.rs
+++ b/crates/conn/src/pool.rs
@@ -1,4 +1,4 @@
-//! Kept connections, by address.
+//! Pool of idle connections by address.
 
 use crate::error::Error;
 use crate::{Body, Connection, Reply};
@@ -14,27 +14,28 @@
 use std::time::Duration;
 use unit::{Span, clock};
 
-/// Whether a request may go over a connection that was used before.
+/// Whether a request may use a pooled connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reuse {
-    /// A kept connection may serve; the request may be repeated if it dies.
+    /// Use a pooled connection if there is one; the request must be safe to retry if the connection fails.
     Pooled,
-    /// Only a connection opened for this request.
+    /// Always open a new connection.
     Fresh,
 }
 
-/// Idle connections kept for one address; more are closed.
-const KEPT_PER_ADDR: usize = 64;
+/// Maximum number of idle connections per address; more are closed.
+const MAX_IDLE_PER_ADDR: usize = 64;
 
-/// Idle time after which a kept connection is not trusted any more.
-const KEPT_FOR: Span = Span::from_secs(15);
+/// Idle time after which a connection is not reused.
+const IDLE_TIMEOUT: Span = Span::from_secs(15);
 
-/// Time allowed to open a connection.
-pub const CONNECT_LIMIT: Duration = Duration::from_millis(1_000);
+/// Maximum time to open a connection.
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
+/// Idle connection.
 struct Idle {
-    line: Connection,
-    /// When it was given back, as time since the machine was started.
+    connection: Connection,
+    /// Time since boot at which it was released.
     since: Span,
 }
 
@@ -45,58 +46,61 @@
 }
 
 impl Pool {
-    /// Takes a kept connection or opens one.
+    /// Takes a pooled connection, if allowed, or opens a new one.
     pub async fn acquire(&self, addr: SocketAddr, reuse: Reuse) -> Result<Connection, Error> {
         if reuse == Reuse::Pooled
-            && let Some(line) = self.take(addr)
+            && let Some(connection) = self.take(addr)
         {
-            return Ok(line);
+            return Ok(connection);
         }
-        Connection::open(addr, CONNECT_LIMIT).await
+        Connection::open(addr, CONNECT_TIMEOUT).await
     }
 
     fn take(&self, addr: SocketAddr) -> Option<Connection> {
         let mut idle = self.idle.lock();
-        let lines = idle.get_mut(&addr)?;
-        while let Some(kept) = lines.pop() {
-            if kept.line.is_reusable() && clock::since_boot().saturating_sub(kept.since) < KEPT_FOR
+        let connections = idle.get_mut(&addr)?;
+        while let Some(candidate) = connections.pop() {
+            if candidate.connection.is_reusable()
+                && clock::since_boot().saturating_sub(candidate.since) < IDLE_TIMEOUT
             {
-                return Some(kept.line);
+                return Some(candidate.connection);
             }
         }
         idle.remove(&addr);
         None
     }
 
-    /// Gives a connection back once its answer was read whole.
-    pub fn release(&self, addr: SocketAddr, line: Connection) {
+    /// Returns a connection to the pool; its last response must have been read completely.
+    pub fn release(&self, addr: SocketAddr, connection: Connection) {
         let mut idle = self.idle.lock();
-        let lines = idle.entry(addr).or_default();
-        if lines.len() < KEPT_PER_ADDR {
-            lines.push(Idle {
-                line,
+        let connections = idle.entry(addr).or_default();
+        if connections.len() < MAX_IDLE_PER_ADDR {
+            connections.push(Idle {
+                connection,
                 since: clock::since_boot(),
             });
         }
     }
 
-    /// Sends a request and reads its whole answer.
+    /// Sends a request and reads the complete response.
     ///
-    /// A kept connection that proves dead before a byte left is replaced by a
-    /// fresh one.
+    /// If a pooled connection fails before any byte was written, the request is sent once more over a new connection.
     pub async fn exchange(
         &self,
         addr: SocketAddr,
         request: Request<Body>,
         limit: Duration,
-        most: usize,
+        max_bytes: usize,
     ) -> Result<Reply, Error> {
-        let again = clone(&request);
+        let copy = clone(&request);
         let first = self
-            .attempt(addr, Reuse::Pooled, request, limit, most)
+            .attempt(addr, Reuse::Pooled, request, limit, max_bytes)
             .await;
         match first {
-            Err(Error::Unsent { .. }) => self.attempt(addr, Reuse::Fresh, again, limit, most).await,
+            Err(Error::Unsent { .. }) => {
+                self.attempt(addr, Reuse::Fresh, copy, limit, max_bytes)
+                    .await
+            }
             other => other,
         }
     }
@@ -107,41 +111,41 @@
         reuse: Reuse,
         request: Request<Body>,
         limit: Duration,
-        most: usize,
+        max_bytes: usize,
     ) -> Result<Reply, Error> {
-        let mut line = self.acquire(addr, reuse).await?;
-        let reply = line.exchange(request, limit, most).await?;
-        self.release(addr, line);
+        let mut connection = self.acquire(addr, reuse).await?;
+        let reply = connection.exchange(request, limit, max_bytes).await?;
+        self.release(addr, connection);
         Ok(reply)
     }
 
-    /// Sends JSON (or nothing) and reads JSON back, whatever the status.
+    /// Sends a POST with a JSON body, or a GET if there is none, and parses the response as JSON, whatever its status.
     pub async fn json<Q: Serialize, A: DeserializeOwned>(
         &self,
         addr: SocketAddr,
         path: &str,
-        question: Option<&Q>,
+        payload: Option<&Q>,
         limit: Duration,
-        most: usize,
+        max_bytes: usize,
     ) -> Result<A, Error> {
-        let request = json_request(addr, path, question)?;
-        let reply = self.exchange(addr, request, limit, most).await?;
+        let request = json_request(addr, path, payload)?;
+        let reply = self.exchange(addr, request, limit, max_bytes).await?;
         read_json(addr, &reply)
     }
 }
 
-/// Builds a POST of JSON, or a GET when there is nothing to send.
+/// Builds a POST with a JSON body, or a GET if there is none.
 pub fn json_request<Q: Serialize>(
     addr: SocketAddr,
     path: &str,
-    question: Option<&Q>,
+    payload: Option<&Q>,
 ) -> Result<Request<Body>, Error> {
-    let unreadable = |reason: String| Error::Malformed { addr, reason };
-    let body = match question {
-        Some(question) => serde_json::to_vec(question).map_err(|e| unreadable(e.to_string()))?,
+    let malformed = |reason: String| Error::Malformed { addr, reason };
+    let body = match payload {
+        Some(payload) => serde_json::to_vec(payload).map_err(|e| malformed(e.to_string()))?,
         None => Vec::new(),
     };
-    let method = match question {
+    let method = match payload {
         Some(_) => Method::POST,
         None => Method::GET,
     };
@@ -151,10 +155,10 @@
         .header(HOST, addr.to_string())
         .header(CONTENT_TYPE, "application/json")
         .body(Body::new(Bytes::from(body)))
-        .map_err(|e| unreadable(e.to_string()))
+        .map_err(|e| malformed(e.to_string()))
 }
 
-/// Reads a whole answer as JSON.
+/// Parses a response as JSON, whatever its status.
 pub fn read_json<A: DeserializeOwned>(addr: SocketAddr, reply: &Reply) -> Result<A, Error> {
     serde_json::from_slice(&reply.body).map_err(|e| Error::Malformed {
         addr,
--- a/crates/conn/src/server.rs
+++ b/crates/conn/src/server.rs
@@ -1,6 +1,6 @@
-//! A listener whose connections end gracefully.
+//! HTTP/1.1 server with graceful shutdown.
 
-use crate::write_timeout::Stall;
+use crate::write_timeout::WriteTimeout;
 use hyper::body::{Body, Incoming};
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
@@ -16,52 +16,52 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::{Instant, timeout};
 
-/// Bounds of a listener.
+/// Limits of a server.
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
-    /// Connections open at once; more are closed unanswered.
+    /// Maximum number of open connections; more are closed without a response.
     pub max_connections: usize,
-    /// Time a peer has to send the head of a request, counted from the end of the last answer:
-    /// it bounds how long a connection may be idle as well.
+    /// Maximum time to receive the head of a request, counted from the end of the previous response: it limits the idle
+    /// time of a connection as well.
     pub head_timeout: Duration,
-    /// Longest head of a request in bytes.
+    /// Maximum size of the head of a request, in bytes.
     pub max_head_bytes: usize,
 }
 
 impl Bounds {
-    /// Bounds for at most that many connections of well-known peers.
-    pub const fn with_max_connections(connections: usize) -> Bounds {
+    /// Limits for trusted peers with up to `max_connections` connections.
+    pub const fn with_max_connections(max_connections: usize) -> Bounds {
         Bounds {
-            max_connections: connections,
+            max_connections,
             head_timeout: Duration::from_secs(10),
             max_head_bytes: 32 * 1024,
         }
     }
 }
 
-/// Time that a connection on which no request came yet has for its first, once the server drains.
-const FIRST_REQUEST: Duration = Duration::from_millis(500);
+/// Time to receive the first request of a connection that has not received one when the server starts to drain.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Quiet after which no connection is left that was opened before the server drained, and the
-/// bound on waiting for such quiet.
-const QUIET: Duration = Duration::from_millis(10);
-const QUIET_LIMIT: Duration = Duration::from_millis(200);
+/// Time without a new connection after which the accept queue counts as empty when the server drains.
+const ACCEPT_IDLE: Duration = Duration::from_millis(10);
+/// Maximum time to empty the accept queue.
+const ACCEPT_LIMIT: Duration = Duration::from_millis(200);
 
-/// Answer that cuts the connection instead of being sent; stand-ins use it.
+/// Error of a handler that aborts the connection without a response; test doubles return it.
 #[derive(Debug)]
 pub struct Abort;
 
 impl std::fmt::Display for Abort {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the connection is cut instead of an answer")
+        f.write_str("connection aborted without a response")
     }
 }
 
 impl std::error::Error for Abort {}
 
-/// Running listener and its connections.
+/// Running server; dropping it aborts all connections.
 pub struct Server {
-    /// Where it listens.
+    /// Address that it listens on.
     pub addr: SocketAddr,
     state: Arc<State>,
 }
@@ -70,22 +70,27 @@
 enum Phase {
     Open,
     Draining,
-    Cut,
+    Aborted,
 }
 
 struct State {
     phase: watch::Sender<Phase>,
-    /// Number of times that all connections were cut while listening went on.
-    cuts: watch::Sender<u64>,
-    shut: AtomicBool,
+    /// Number of calls of [`Server::abort_connections`].
+    aborts: watch::Sender<u64>,
+    /// Whether new connections are closed at once.
+    refusing: AtomicBool,
     /// Whether connections may still be accepted.
     accepting: AtomicBool,
     connections: AtomicUsize,
     ended: Notify,
 }
 
-/// Listens on `listener` and answers each request by `answer`, with at most `most` connections.
-pub fn serve<F, R, B>(listener: TcpListener, most: usize, answer: F) -> std::io::Result<Server>
+/// Serves requests on `listener` with `handler`, and with up to `max_connections` connections.
+pub fn serve<F, R, B>(
+    listener: TcpListener,
+    max_connections: usize,
+    handler: F,
+) -> std::io::Result<Server>
 where
     F: Fn(Request<Incoming>) -> R + Clone + Send + Sync + 'static,
     R: Future<Output = Result<Response<B>, Abort>> + Send + 'static,
@@ -93,14 +98,18 @@
     B::Data: Send,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
-    serve_with_bounds(listener, Bounds::with_max_connections(most), answer)
+    serve_with_bounds(
+        listener,
+        Bounds::with_max_connections(max_connections),
+        handler,
+    )
 }
 
-/// Listens on `listener` within `bounds` and answers each request by `answer`.
+/// Serves requests on `listener` with `handler`, within `bounds`.
 pub fn serve_with_bounds<F, R, B>(
     listener: TcpListener,
     bounds: Bounds,
-    answer: F,
+    handler: F,
 ) -> std::io::Result<Server>
 where
     F: Fn(Request<Incoming>) -> R + Clone + Send + Sync + 'static,
@@ -112,22 +121,22 @@
     let addr = listener.local_addr()?;
     let state = Arc::new(State {
         phase: watch::Sender::new(Phase::Open),
-        cuts: watch::Sender::new(0),
-        shut: AtomicBool::new(false),
+        aborts: watch::Sender::new(0),
+        refusing: AtomicBool::new(false),
         accepting: AtomicBool::new(true),
         connections: AtomicUsize::new(0),
         ended: Notify::new(),
     });
     let accepting = state.clone();
     tokio::spawn(async move {
-        accept(listener, bounds, answer, accepting.clone()).await;
+        accept(listener, bounds, handler, accepting.clone()).await;
         accepting.accepting.store(false, Ordering::SeqCst);
         accepting.ended.notify_waiters();
     });
     Ok(Server { addr, state })
 }
 
-async fn accept<F, R, B>(listener: TcpListener, bounds: Bounds, answer: F, state: Arc<State>)
+async fn accept<F, R, B>(listener: TcpListener, bounds: Bounds, handler: F, state: Arc<State>)
 where
     F: Fn(Request<Incoming>) -> R + Clone + Send + Sync + 'static,
     R: Future<Output = Result<Response<B>, Abort>> + Send + 'static,
@@ -142,24 +151,24 @@
             _ = reached(&mut phase, Phase::Draining) => break,
         };
         let Ok((stream, _)) = accepted else {
-            // Out of descriptors: wait for connections to end.
+            // Out of file descriptors: wait for connections to end.
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
-        admit(stream, bounds, &answer, &state);
+        admit(stream, bounds, &handler, &state);
     }
-    // Connections that the system holds for us already must not be reset.
-    let until = Instant::now() + QUIET_LIMIT;
+    // Connections in the kernel's accept queue must not be reset.
+    let until = Instant::now() + ACCEPT_LIMIT;
     while Instant::now() < until && *phase.borrow() == Phase::Draining {
-        match timeout(QUIET, listener.accept()).await {
-            Ok(Ok((stream, _))) => admit(stream, bounds, &answer, &state),
+        match timeout(ACCEPT_IDLE, listener.accept()).await {
+            Ok(Ok((stream, _))) => admit(stream, bounds, &handler, &state),
             _ => return,
         }
     }
 }
 
-/// Serves a connection, unless there are too many.
-fn admit<F, R, B>(stream: TcpStream, bounds: Bounds, answer: &F, state: &Arc<State>)
+/// Serves a connection, or closes it if there are too many or the server refuses connections.
+fn admit<F, R, B>(stream: TcpStream, bounds: Bounds, handler: &F, state: &Arc<State>)
 where
     F: Fn(Request<Incoming>) -> R + Clone + Send + Sync + 'static,
     R: Future<Output = Result<Response<B>, Abort>> + Send + 'static,
@@ -167,15 +176,20 @@
     B::Data: Send,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
-    let full = state.connections.load(Ordering::SeqCst) >= bounds.max_connections;
-    if full || state.shut.load(Ordering::SeqCst) {
+    let is_full = state.connections.load(Ordering::SeqCst) >= bounds.max_connections;
+    if is_full || state.refusing.load(Ordering::SeqCst) {
         return;
     }
     state.connections.fetch_add(1, Ordering::SeqCst);
-    tokio::spawn(connection(stream, bounds, answer.clone(), state.clone()));
+    tokio::spawn(serve_connection(
+        stream,
+        bounds,
+        handler.clone(),
+        state.clone(),
+    ));
 }
 
-async fn connection<F, R, B>(stream: TcpStream, bounds: Bounds, answer: F, state: Arc<State>)
+async fn serve_connection<F, R, B>(stream: TcpStream, bounds: Bounds, handler: F, state: Arc<State>)
 where
     F: Fn(Request<Incoming>) -> R + Clone + Send + Sync + 'static,
     R: Future<Output = Result<Response<B>, Abort>> + Send + 'static,
@@ -184,72 +198,72 @@
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
     let _ = stream.set_nodelay(true);
-    let asked = Arc::new(AtomicBool::new(false));
+    let has_request = Arc::new(AtomicBool::new(false));
     let service = {
-        let asked = asked.clone();
+        let has_request = has_request.clone();
         service_fn(move |request| {
-            asked.store(true, Ordering::SeqCst);
-            answer(request)
+            has_request.store(true, Ordering::SeqCst);
+            handler(request)
         })
     };
     let mut phase = state.phase.subscribe();
-    let mut cut = state.phase.subscribe();
-    let mut cuts = state.cuts.subscribe();
-    cuts.mark_unchanged();
+    let mut aborted = state.phase.subscribe();
+    let mut aborts = state.aborts.subscribe();
+    aborts.mark_unchanged();
     let mut conn = pin!(
         http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(bounds.head_timeout)
             .max_buf_size(bounds.max_head_bytes)
-            .serve_connection(TokioIo::new(Stall::new(stream)), service)
+            .serve_connection(TokioIo::new(WriteTimeout::new(stream)), service)
     );
     tokio::select! {
         _ = conn.as_mut() => {}
         _ = reached(&mut phase, Phase::Draining) => {
             let mut has_ended = false;
-            if !asked.load(Ordering::SeqCst) {
-                // Its caller may be sending its first request at this very moment.
+            if !has_request.load(Ordering::SeqCst) {
+                // The peer may be sending its first request right now.
                 tokio::select! {
-                    ended = timeout(FIRST_REQUEST, conn.as_mut()) => has_ended = ended.is_ok(),
-                    _ = reached(&mut phase, Phase::Cut) => {}
+                    ended = timeout(FIRST_REQUEST_TIMEOUT, conn.as_mut()) => has_ended = ended.is_ok(),
+                    _ = reached(&mut phase, Phase::Aborted) => {}
                 }
             }
-            // One that ended by an answer's failure would end that answer as if it were whole.
+            // Polling a connection that failed within a response would terminate that response as if it were complete.
             if !has_ended {
                 conn.as_mut().graceful_shutdown();
                 tokio::select! {
                     _ = conn.as_mut() => {}
-                    _ = reached(&mut cut, Phase::Cut) => {}
+                    _ = reached(&mut aborted, Phase::Aborted) => {}
                 }
             }
         }
-        _ = cuts.changed() => {}
+        _ = aborts.changed() => {}
     }
     state.connections.fetch_sub(1, Ordering::SeqCst);
     state.ended.notify_waiters();
 }
 
-/// Waits until the server has come to `phase`, or is gone.
-async fn reached(now: &mut watch::Receiver<Phase>, phase: Phase) {
-    let _ = now.wait_for(|p| *p >= phase).await;
+/// Waits until the server has reached `phase` or was dropped.
+async fn reached(current: &mut watch::Receiver<Phase>, phase: Phase) {
+    let _ = current.wait_for(|p| *p >= phase).await;
 }
 
 impl Server {
-    /// Connections open now.
+    /// Number of open connections.
     pub fn connection_count(&self) -> usize {
         self.state.connections.load(Ordering::SeqCst)
     }
 
-    /// Stops listening and waits until requests in flight have ended.
+    /// Stops listening and waits up to `limit` until all requests in flight have ended.
     ///
-    /// Returns the connections still open when `limit` ran out.
+    /// Returns the number of connections that are still open.
     pub async fn drain(&self, limit: Duration) -> usize {
         let _ = self.state.phase.send_replace(Phase::Draining);
-        let _ = timeout(limit, self.emptied()).await;
+        let _ = timeout(limit, self.closed()).await;
         self.connection_count()
     }
 
-    async fn emptied(&self) {
+    async fn closed(&self) {
         loop {
             let ended = self.state.ended.notified();
             let accepting = self.state.accepting.load(Ordering::SeqCst);
@@ -260,19 +274,19 @@
         }
     }
 
-    /// Cuts every connection but goes on listening.
+    /// Aborts all connections and continues to listen.
     pub fn abort_connections(&self) {
-        self.state.cuts.send_modify(|cuts| *cuts += 1);
+        self.state.aborts.send_modify(|aborts| *aborts += 1);
     }
 
-    /// Closes each new connection unanswered while `shut`.
-    pub fn set_refusing(&self, shut: bool) {
-        self.state.shut.store(shut, Ordering::SeqCst);
+    /// Sets whether new connections are closed without a response.
+    pub fn set_refusing(&self, refusing: bool) {
+        self.state.refusing.store(refusing, Ordering::SeqCst);
     }
 
-    /// Cuts every connection at once, as a killed process would.
+    /// Stops listening and aborts all connections, as if the process were killed.
     pub fn abort(&self) {
-        let _ = self.state.phase.send_replace(Phase::Cut);
+        let _ = self.state.phase.send_replace(Phase::Aborted);
     }
 }
 
--- a/crates/conn/src/write_timeout.rs
+++ b/crates/conn/src/write_timeout.rs
@@ -1,4 +1,4 @@
-//! A socket that fails when its peer reads nothing for long.
+//! TCP stream with a timeout on stalled writes.
 
 use std::future::Future;
 use std::io;
@@ -9,42 +9,43 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, Sleep, sleep_until};
 
-/// Time for which a peer may take no byte that waits for it.
-const STALL_LIMIT: Duration = Duration::from_secs(30);
+/// Maximum time for which a write may wait for the peer to read.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// TCP stream with a bound on how long a write may wait.
-pub(crate) struct Stall {
+/// TCP stream whose writes fail with `TimedOut` when the peer reads nothing for [`WRITE_TIMEOUT`].
+pub(crate) struct WriteTimeout {
     stream: TcpStream,
-    stalled: Option<Pin<Box<Sleep>>>,
+    /// Runs while a write is pending.
+    timer: Option<Pin<Box<Sleep>>>,
 }
 
-impl Stall {
+impl WriteTimeout {
     pub(crate) fn new(stream: TcpStream) -> Self {
-        Stall {
+        WriteTimeout {
             stream,
-            stalled: None,
+            timer: None,
         }
     }
 
-    /// Passes a write's outcome on, or fails it when writes have waited too long.
-    fn bounded(
+    /// Returns the result of a write, or an error if writes have been pending for too long.
+    fn check_timeout(
         &mut self,
         cx: &mut Context<'_>,
         written: Poll<io::Result<usize>>,
     ) -> Poll<io::Result<usize>> {
         if written.is_ready() {
-            self.stalled = None;
+            self.timer = None;
             return written;
         }
         let timer = self
-            .stalled
-            .get_or_insert_with(|| Box::pin(sleep_until(Instant::now() + STALL_LIMIT)));
+            .timer
+            .get_or_insert_with(|| Box::pin(sleep_until(Instant::now() + WRITE_TIMEOUT)));
         ready!(timer.as_mut().poll(cx));
         Poll::Ready(Err(io::ErrorKind::TimedOut.into()))
     }
 }
 
-impl AsyncRead for Stall {
+impl AsyncRead for WriteTimeout {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -54,14 +55,14 @@
     }
 }
 
-impl AsyncWrite for Stall {
+impl AsyncWrite for WriteTimeout {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.bounded(cx, written)
+        self.check_timeout(cx, written)
     }
 
     fn poll_write_vectored(
@@ -70,7 +71,7 @@
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.bounded(cx, written)
+        self.check_timeout(cx, written)
     }
 
     fn is_write_vectored(&self) -> bool {
