--- a/crates/upstream/src/engine.rs
+++ b/crates/upstream/src/engine.rs
@@ -1,7 +1,7 @@
-//! Model engines: requests, streams, reports, cache events, orders. Their format is known here only.
+//! Client of model engines: requests and their streams, reports, cache events and orders.
 //!
-//! Every event of a stream echoes the request and the attempt it belongs to,
-//! and a stream has an explicit end: what breaks off before it is not whole.
+//! Each event of a stream names the request and the attempt that it belongs to. A stream is complete only if it ends
+//! with an end marker.
 
 mod message;
 mod session;
--- a/crates/upstream/src/engine/message.rs
+++ b/crates/upstream/src/engine/message.rs
@@ -1,4 +1,4 @@
-//! Messages of an engine.
+//! JSON messages and paths of the engine protocol.
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
@@ -6,117 +6,117 @@
 use unit::Name;
 pub use unit::engine::*;
 
-/// Path that starts or resumes a request.
+/// Path to start or resume a request.
 pub const RUN_PATH: &str = "/v1/run";
-/// Path that cancels a request.
+/// Path to cancel a request.
 pub const CANCEL_PATH: &str = "/v1/cancel";
 /// Path of the load report.
 pub const REPORT_PATH: &str = "/v1/report";
-/// Path that takes orders.
+/// Path of orders.
 pub const ORDER_PATH: &str = "/v1/order";
 /// Path of cache events.
 pub const CACHE_PATH: &str = "/v1/cache";
 
-/// Identity of one attempt at one request.
+/// Attempt at a request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Attempt {
-    /// The request.
+    /// ID of the request.
     #[serde(rename = "r")]
     pub request: Name,
-    /// Number of the attempt, from 1.
+    /// Number of the attempt, counted from 1.
     #[serde(rename = "a")]
     pub number: u32,
 }
 
-/// Request to an engine.
+/// Request to run or resume a generation.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Run {
-    /// Whose attempt this is.
+    /// Attempt that this is.
     pub attempt: Attempt,
-    /// Model that must answer.
+    /// Model to run.
     pub model: Name,
-    /// Version of the model that the sender knows of; none for any.
+    /// Version of the model; none for any.
     pub version: Option<Name>,
-    /// Adapter on it.
+    /// Adapter of the model.
     pub adapter: Option<Name>,
-    /// Prompt; with `given`, the engine continues behind that text.
+    /// Prompt; the engine continues after `given`, if that is not empty.
     pub prompt: Name,
-    /// Text generated so far elsewhere.
+    /// Text that another engine has generated so far.
     #[serde(default)]
     pub given: String,
-    /// Tokens that `given` stands for; the first new token has this offset.
+    /// Number of tokens in `given`, which is the offset of the first new token.
     #[serde(default)]
     pub given_tokens: u32,
-    /// Resumes the attempt's own stream at this token instead of starting.
+    /// Offset at which the stream of this attempt is resumed, instead of starting a run.
     pub resume_at: Option<u32>,
-    /// Most tokens to generate in all.
+    /// Maximum number of tokens to generate in total.
     pub max_tokens: u32,
-    /// Rank; a higher one goes first.
+    /// Priority; higher values run first.
     pub priority: u8,
-    /// Sampling fields of the caller's request, as they came.
+    /// Sampling parameters of the caller's request, unchanged.
     #[serde(default)]
     pub sampling: Map<String, Value>,
 }
 
-/// Line of an engine's stream; its text is borrowed from the line where it can be.
+/// Event of a stream, one per line; its text borrows from the line if possible.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Event<'a> {
-    /// The request it belongs to.
+    /// ID of its request.
     #[serde(rename = "r", borrow)]
     pub request: Cow<'a, str>,
-    /// The attempt it belongs to.
+    /// Number of its attempt.
     #[serde(rename = "a")]
     pub number: u32,
     /// Offset of its first token.
     #[serde(rename = "o")]
     pub offset: u32,
-    /// Text of its tokens.
+    /// Text.
     #[serde(rename = "t", borrow, default)]
     pub text: Cow<'a, str>,
-    /// Number of its tokens.
+    /// Number of tokens.
     #[serde(rename = "n")]
     pub tokens: u32,
-    /// End of the whole answer.
+    /// End marker, in the last event.
     #[serde(rename = "e", default, skip_serializing_if = "Option::is_none")]
     pub end: Option<End>,
 }
 
 impl Event<'_> {
-    /// Whether the event belongs to an attempt.
+    /// Whether the event belongs to `attempt`.
     pub fn is_of(&self, attempt: &Attempt) -> bool {
         self.request == *attempt.request && self.number == attempt.number
     }
 }
 
-/// End marker of a stream.
+/// End of a stream.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct End {
-    /// Why it ended, such as `stop` or `length`.
+    /// Finish reason, such as `stop` or `length`.
     pub finish: Name,
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u32,
     /// Load of the engine at the end.
     pub load: Load,
 }
 
-/// Documented refusal: the engine did not and will not run the attempt.
+/// Refusal of a request, which guarantees that the engine did not and will not run the attempt.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Whose attempt it was.
+    /// Attempt that was refused.
     pub attempt: Attempt,
-    /// Why.
+    /// Reason of the refusal.
     pub refused: RefusalReason,
 }
 
-/// Cache event: a hint with gaps.
+/// Change of an engine's prefix cache. Events may be lost, so they are hints only.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Number of the event, growing; a gap means that some were lost.
+    /// Sequence number of the event; a gap means that events were lost.
     pub number: u64,
-    /// The model.
+    /// Model.
     pub model: Name,
     /// Hash of the prefix.
     pub prefix: u64,
-    /// Whether it is held now; else it was dropped.
+    /// Whether the prefix was cached; otherwise it was evicted.
     pub held: bool,
 }
--- a/crates/upstream/src/engine/stream.rs
+++ b/crates/upstream/src/engine/stream.rs
@@ -1,4 +1,4 @@
-//! Requests to an engine and their streams.
+//! Runs of requests at an engine, and the streams of their tokens.
 
 use super::message::*;
 use bytes::{Buf, Bytes, BytesMut};
@@ -10,43 +10,45 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Longest line of a stream, in bytes.
-const MOST_LINE: usize = 1_000_000;
+/// Maximum length of a line of a stream, in bytes.
+const MAX_LINE_BYTES: usize = 1_000_000;
 
-/// Longest refusal, in bytes.
-const MOST_REFUSAL: usize = 64_000;
+/// Maximum size of a refusal and of the response to a cancellation, in bytes.
+const MAX_REFUSAL_BYTES: usize = 64_000;
 
-/// Time in which a whole refusal must arrive, and a cancel be answered.
-const SHORT_LIMIT: Duration = Duration::from_secs(2);
+/// Timeout of the body of a refusal, of the end of a finished stream and of a cancellation.
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How an attempt failed.
+/// Why an attempt failed.
 #[derive(Debug)]
 pub enum Failure {
-    /// Proven not to have run: nothing was sent.
+    /// Nothing was sent, so the request did not run.
     Unsent(Error),
-    /// Proven not to have run: the engine's documented refusal.
+    /// The engine refused the request and guarantees that it did not run.
     Refused(RefusalReason),
-    /// It may have run, or run in part.
+    /// The request may have run, completely or in part; holds the reason.
     Lost(String),
 }
 
-/// Open stream of an attempt.
+/// Stream of the tokens of an attempt.
 pub struct Stream {
     addr: SocketAddr,
     attempt: Attempt,
     body: Incoming,
     buffer: BytesMut,
+    /// Length of the prefix of `buffer` that contains no newline.
     scanned: usize,
+    /// Offset of the next token.
     next: u32,
-    line: Option<Connection>,
+    connection: Option<Connection>,
     pool: Option<Pool>,
-    /// Events of other attempts that were dropped.
+    /// Number of dropped events that belonged to other attempts.
     pub foreign: u64,
-    /// Events that repeated tokens already received and were dropped.
+    /// Number of dropped events that repeated tokens.
     pub duplicates: u64,
 }
 
-/// What a stream gives next.
+/// Item of a stream.
 #[derive(Debug, PartialEq)]
 pub enum Item {
     /// New tokens.
@@ -56,11 +58,11 @@
         /// Their number.
         count: u32,
     },
-    /// The end of the whole answer.
+    /// The end of the stream.
     End(End),
 }
 
-/// Starts (or resumes) a run and waits at most `limit` for the head of its answer.
+/// Starts or resumes a run, and waits up to `limit` for the head of the response.
 pub async fn start(
     pool: &Pool,
     addr: SocketAddr,
@@ -70,8 +72,8 @@
 ) -> Result<Stream, Failure> {
     let request =
         conn::json_request(addr, RUN_PATH, Some(run)).map_err(|e| Failure::Lost(e.to_string()))?;
-    let mut line = pool.acquire(addr, reuse).await.map_err(Failure::Unsent)?;
-    let response = match line.send(request, limit).await {
+    let mut connection = pool.acquire(addr, reuse).await.map_err(Failure::Unsent)?;
+    let response = match connection.send(request, limit).await {
         Ok(response) => response,
         Err(e) if e.proves_unsent() => return Err(Failure::Unsent(e)),
         Err(e) => return Err(Failure::Lost(e.to_string())),
@@ -86,22 +88,22 @@
         buffer: BytesMut::new(),
         scanned: 0,
         next: run.resume_at.unwrap_or(run.given_tokens),
-        line: Some(line),
+        connection: Some(connection),
         pool: Some(pool.clone()),
         foreign: 0,
         duplicates: 0,
     })
 }
 
-/// Reads a refusal; anything that is not this attempt's own proves nothing.
+/// Reads a refusal. Only a refusal of this attempt guarantees that it did not run.
 async fn refusal(response: Response<Incoming>, attempt: &Attempt) -> Failure {
     let status = response.status();
-    let body = Limited::new(response.into_body(), MOST_REFUSAL).collect();
-    let whole = match timeout(SHORT_LIMIT, body).await {
-        Ok(Ok(whole)) => whole.to_bytes(),
+    let body = Limited::new(response.into_body(), MAX_REFUSAL_BYTES).collect();
+    let bytes = match timeout(CONTROL_TIMEOUT, body).await {
+        Ok(Ok(body)) => body.to_bytes(),
         _ => return Failure::Lost(format!("status {status} and no readable body")),
     };
-    match serde_json::from_slice::<Refusal>(&whole) {
+    match serde_json::from_slice::<Refusal>(&bytes) {
         Ok(refusal) if refusal.attempt == *attempt => Failure::Refused(refusal.refused),
         _ => Failure::Lost(format!("status {status} without a refusal of this attempt")),
     }
@@ -113,7 +115,7 @@
         self.next
     }
 
-    /// Waits at most `limit` for the next tokens or the end.
+    /// Waits up to `limit` for the next tokens or the end.
     pub async fn next(&mut self, limit: Duration) -> Result<Item, Failure> {
         match timeout(limit, self.advance()).await {
             Ok(item) => item,
@@ -124,10 +126,10 @@
         }
     }
 
-    /// The next item if it has arrived already; none when it has not.
+    /// Returns the next item if it has been received already.
     pub fn buffered(&mut self) -> Option<Result<Item, Failure>> {
         while let Some(line) = self.take_line() {
-            if let Some(item) = self.read(&line).transpose() {
+            if let Some(item) = self.parse(&line).transpose() {
                 return Some(item);
             }
         }
@@ -144,9 +146,9 @@
     }
 
     async fn fill(&mut self) -> Result<(), Failure> {
-        if self.buffer.len() > MOST_LINE {
+        if self.buffer.len() > MAX_LINE_BYTES {
             return Err(Failure::Lost(format!(
-                "a line longer than {MOST_LINE} bytes"
+                "a line longer than {MAX_LINE_BYTES} bytes"
             )));
         }
         match self.body.frame().await {
@@ -175,8 +177,8 @@
         Some(line)
     }
 
-    /// Reads a line; none when it was dropped as foreign or doubled.
-    fn read(&mut self, line: &[u8]) -> Result<Option<Item>, Failure> {
+    /// Parses a line; none if it is empty or was dropped as another attempt's or a duplicate.
+    fn parse(&mut self, line: &[u8]) -> Result<Option<Item>, Failure> {
         if !line.has_remaining() {
             return Ok(None);
         }
@@ -206,19 +208,21 @@
         }))
     }
 
-    /// Reads what follows the end and keeps the connection for others.
+    /// Reads the end of the body and returns the connection to the pool.
     pub async fn finish(mut self) {
-        let rest = timeout(SHORT_LIMIT, self.body.frame()).await;
-        if let (Ok(None), Some(line), Some(pool)) = (rest, self.line.take(), self.pool.take()) {
-            pool.release(self.addr, line);
+        let end = timeout(CONTROL_TIMEOUT, self.body.frame()).await;
+        if let (Ok(None), Some(connection), Some(pool)) =
+            (end, self.connection.take(), self.pool.take())
+        {
+            pool.release(self.addr, connection);
         }
     }
 }
 
-/// Tells an engine that nobody waits for a request any more.
+/// Cancels an attempt, because no caller waits for it any more.
 pub async fn cancel(pool: &Pool, addr: SocketAddr, attempt: &Attempt) -> Result<(), Error> {
     let request: hyper::Request<Body> = conn::json_request(addr, CANCEL_PATH, Some(attempt))?;
-    pool.exchange(addr, request, SHORT_LIMIT, MOST_REFUSAL)
+    pool.exchange(addr, request, CONTROL_TIMEOUT, MAX_REFUSAL_BYTES)
         .await
         .map(|_| ())
 }
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -1,4 +1,4 @@
-//! Clients of what stands behind coveford: model engines and plain services.
+//! Clients of the upstreams: model engines and plain services.
 
 pub mod engine;
 pub mod service;
--- a/crates/upstream/src/service.rs
+++ b/crates/upstream/src/service.rs
@@ -1,53 +1,56 @@
-//! Plain services: a request is passed through as it came.
+//! Client of plain services, to which requests are forwarded unchanged.
 
 use conn::{Body, Error, Pool, Reply, Reuse};
 use hyper::Request;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Header that carries the request id to a service.
+/// Header field with the request ID.
 pub const REQUEST_HEADER: &str = "coveford-request";
 
-/// Header by which a service may echo the request id; a wrong echo is another's answer.
+/// Header field in which a service may echo the request ID. A response with another ID belongs to another request.
 pub const ECHO_HEADER: &str = "coveford-request";
 
-/// How a call to a service failed.
+/// Why a call to a service failed.
 #[derive(Debug)]
 pub enum Failure {
-    /// Proven not to have run: nothing was sent.
+    /// Nothing was sent, so the request did not run.
     Unsent(Error),
-    /// Proven not to have run: the status by which the service documents it.
+    /// The service refused the request with the status that guarantees that it did not run.
     Refused(Reply),
-    /// It may have run.
+    /// The request may have run; holds the reason.
     Lost(String),
 }
 
-/// What a call needs besides its request.
+/// Options of a call.
 #[derive(Debug, Clone, Copy)]
 pub struct Options {
-    /// Which connections may serve.
+    /// Whether the call may use a pooled connection.
     pub reuse: Reuse,
-    /// Status by which the service states that it ran nothing.
+    /// Status with which the service guarantees that the request did not run.
     pub refusal_status: Option<u16>,
-    /// Time for the whole answer.
+    /// Timeout of the head of the response, and again of its body.
     pub timeout: Duration,
-    /// Longest answer in bytes.
+    /// Maximum size of the response body, in bytes.
     pub max_bytes: usize,
 }
 
-/// Passes a request to a service and reads its whole answer.
+/// Sends a request to a service and reads the complete response; `id` is the request ID.
 pub async fn call(
     pool: &Pool,
     addr: SocketAddr,
     id: &str,
     request: Request<Body>,
-    rules: Options,
+    options: Options,
 ) -> Result<Reply, Failure> {
-    let mut line = pool
-        .acquire(addr, rules.reuse)
+    let mut connection = pool
+        .acquire(addr, options.reuse)
         .await
         .map_err(Failure::Unsent)?;
-    let reply = match line.exchange(request, rules.timeout, rules.max_bytes).await {
+    let reply = match connection
+        .exchange(request, options.timeout, options.max_bytes)
+        .await
+    {
         Ok(reply) => reply,
         Err(e) if e.proves_unsent() => return Err(Failure::Unsent(e)),
         Err(e) => return Err(Failure::Lost(e.to_string())),
@@ -59,8 +62,8 @@
             "the answer echoes another request's id".into(),
         ));
     }
-    pool.release(addr, line);
-    if rules.refusal_status == Some(reply.status.as_u16()) {
+    pool.release(addr, connection);
+    if options.refusal_status == Some(reply.status.as_u16()) {
         return Err(Failure::Refused(reply));
     }
     Ok(reply)
