--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -1,12 +1,12 @@
 //! Doing what the command line asks for.
 
-use crate::bundles::{self, Signing};
+use crate::bundles::{self, Signer};
+use crate::client::{self, Client};
 use crate::error::{Error, ReadSnafu};
-use crate::options::{Command, Options, Signer};
-use crate::platform_tool::{self, Tool};
-use crate::render::{json, out, table};
-use crate::state::{self, Seen};
-use crate::{gauges, keys, losses, story, why};
+use crate::options::{Command, Credentials, Options};
+use crate::render::{print_json, print_line, table};
+use crate::status::{self, Seen};
+use crate::{keys, losses, metrics, timeline, why};
 use bundle::part;
 use daemon::documents;
 use serde_json::json;
@@ -29,24 +29,24 @@
 async fn command(options: &Options) -> Result<(), Error> {
     match &options.command {
         Command::KeyMake { file } => {
-            out(keys::make(file)?);
+            print_line(keys::make(file)?);
             Ok(())
         }
         Command::KeyShow { file } => {
-            out(bundle::key::public_key(&keys::read(file)?));
+            print_line(bundle::key::public_key(&keys::read(file)?));
             Ok(())
         }
         Command::KeyHash { key } => {
-            out(part::hash(key.as_bytes()));
+            print_line(part::hash(key.as_bytes()));
             Ok(())
         }
         Command::KeyWire => {
-            out(keys::wire());
+            print_line(keys::wire());
             Ok(())
         }
         Command::Check { file, fleet: false } => {
             let intent = bundles::check(&name(file), &read(file)?)?;
-            out(format!(
+            print_line(format!(
                 "{} is in order: {} models, {} adapters, {} callers, {} services.",
                 file.display(),
                 intent.models.len(),
@@ -57,32 +57,32 @@
             Ok(())
         }
         Command::WhyRequest { logs, request } if !logs.is_empty() => {
-            print(&story::request(request, logs)?);
+            print_lines(&timeline::request(request, logs)?);
             Ok(())
         }
         Command::Losses { logs, step } => {
             let losses = losses::read(logs, *step)?;
             match options.json {
-                true => json(&losses),
-                false => out(losses::tables(&losses)),
+                true => print_json(&losses),
+                false => print_line(losses::tables(&losses)),
             }
             Ok(())
         }
         Command::Status { metrics } if !metrics.is_empty() => daemons(options, metrics).await,
-        _ => with_platform(options, &platform_tool::load(&options.settings)?).await,
+        _ => with_platform(options, &client::load(&options.settings)?).await,
     }
 }
 
 /// Shows the state of daemons on a platform, and what an operator should know of it.
 async fn daemons(options: &Options, metrics: &[SocketAddr]) -> Result<(), Error> {
-    let daemons = gauges::ask(metrics).await;
+    let daemons = metrics::ask(metrics).await;
     if options.json {
-        json(&daemons);
-        return gauges::check(&daemons);
+        print_json(&daemons);
+        return metrics::check(&daemons);
     }
-    out(gauges::table(&daemons));
-    print(&gauges::findings(&daemons));
-    gauges::check(&daemons)
+    print_line(metrics::table(&daemons));
+    print_lines(&metrics::findings(&daemons));
+    metrics::check(&daemons)
 }
 
 fn read(path: &Path) -> Result<String, Error> {
@@ -93,68 +93,71 @@
     path.display().to_string()
 }
 
-async fn with_platform(options: &Options, tool: &Tool) -> Result<(), Error> {
+async fn with_platform(options: &Options, client: &Client) -> Result<(), Error> {
     match &options.command {
         Command::Check { file, .. } => {
-            let fit = bundles::check_fleet(tool, &name(file), &read(file)?).await?;
-            out(format!("{} is in order and fits: {fit}", file.display()));
+            let fit = bundles::check_fleet(client, &name(file), &read(file)?).await?;
+            print_line(format!("{} is in order and fits: {fit}", file.display()));
         }
         Command::Diff { file } => {
-            let diff = bundles::compare(tool, &name(file), &read(file)?).await?;
+            let diff = bundles::compare(client, &name(file), &read(file)?).await?;
             show_diff(options, &diff);
         }
-        Command::Propose { file, signer } => {
+        Command::Propose { file, credentials } => {
             let text = read(file)?;
-            let draft = signed(signer, async |s| {
-                bundles::propose(tool, &name(file), &text, &s).await
+            let draft = with_signer(credentials, async |s| {
+                bundles::propose(client, &name(file), &text, &s).await
             })
             .await?;
-            let needed = tool.settings.trust.required_approvals;
+            let needed = client.settings.trust.required_approvals;
             match options.json {
-                true => json(&draft),
-                false => out(format!(
+                true => print_json(&draft),
+                false => print_line(format!(
                     "Draft {} would replace bundle {}; it needs {needed} approvals.",
                     draft.id, draft.replaces
                 )),
             }
         }
-        Command::Approve { draft, signer } => {
-            let draft = signed(signer, async |s| bundles::approve(tool, draft, &s).await).await?;
+        Command::Approve { draft, credentials } => {
+            let draft = with_signer(credentials, async |s| {
+                bundles::approve(client, draft, &s).await
+            })
+            .await?;
             match options.json {
-                true => json(&draft),
-                false => out(format!(
+                true => print_json(&draft),
+                false => print_line(format!(
                     "Draft {} has {} approvals.",
                     draft.id,
                     draft.approvals.len()
                 )),
             }
         }
-        Command::Roll { draft } => roll(options, tool, draft).await?,
-        Command::BundleStatus => bundle_status(options, tool).await?,
-        Command::History => history(options, tool).await?,
+        Command::Roll { draft } => roll(options, client, draft).await?,
+        Command::BundleStatus => bundle_status(options, client).await?,
+        Command::History => history(options, client).await?,
         Command::Show { sequence } => {
-            let head = bundles::find(tool, *sequence).await?;
-            out(bundles::text(tool, &head).await?);
+            let head = bundles::find(client, *sequence).await?;
+            print_line(bundles::load_text(client, &head).await?);
         }
-        Command::Status { .. } => status(options, tool).await?,
+        Command::Status { .. } => status(options, client).await?,
         Command::WhyRequest { request, .. } => {
-            let record = why::request(tool, request).await?;
+            let record = why::request(client, request).await?;
             match options.json {
-                true => json(&record),
-                false => print(&record.explain()),
+                true => print_json(&record),
+                false => print_lines(&record.explain()),
             }
         }
-        Command::WhyModel { model } => print(&why::model(tool, model).await?),
+        Command::WhyModel { model } => print_lines(&why::model(client, model).await?),
         Command::WhyMove { fence } => {
-            let moved = why::find_move(tool, fence).await?;
+            let moved = why::find_move(client, fence).await?;
             match options.json {
-                true => json(&moved),
-                false => print(&why::explain_move(&moved)),
+                true => print_json(&moved),
+                false => print_lines(&why::explain_move(&moved)),
             }
         }
-        Command::Moves => moves(options, tool).await?,
-        Command::Drain { host } => drain(tool, host).await?,
-        Command::KeyList => key_list(options, tool).await?,
+        Command::Moves => moves(options, client).await?,
+        Command::Drain { host } => drain(client, host).await?,
+        Command::KeyList => key_list(options, client).await?,
         Command::KeyMake { .. }
         | Command::KeyShow { .. }
         | Command::KeyHash { .. }
@@ -164,53 +167,55 @@
     Ok(())
 }
 
-async fn signed<T>(
-    signer: &Signer,
-    act: impl AsyncFnOnce(Signing<'_>) -> Result<T, Error>,
+async fn with_signer<T>(
+    credentials: &Credentials,
+    act: impl AsyncFnOnce(Signer<'_>) -> Result<T, Error>,
 ) -> Result<T, Error> {
-    let key = keys::read(&signer.key)?;
-    let operator = &signer.operator;
-    act(Signing {
+    let key = keys::read(&credentials.key)?;
+    let operator = &credentials.operator;
+    act(Signer {
         operator,
         key: &key,
     })
     .await
 }
 
-fn print(lines: &[String]) {
+fn print_lines(lines: &[String]) {
     for line in lines {
-        out(line);
+        print_line(line);
     }
 }
 
 fn show_diff(options: &Options, diff: &bundle::diff::Diff) {
     if options.json {
-        return json(diff);
+        return print_json(diff);
     }
     if diff.changes.is_empty() {
-        return out("Nothing would change.");
+        return print_line("Nothing would change.");
     }
     let rows = diff
         .changes
         .iter()
         .map(|c| [c.kind.to_string(), c.name.to_string(), c.text.clone()]);
-    out(table(["KIND", "NAME", "CHANGE"], rows.collect()));
-    out(format!(
+    print_line(table(["KIND", "NAME", "CHANGE"], rows.collect()));
+    print_line(format!(
         "At least {} loads and {} unloads; floors need {} more while it settles and {} less afterwards.",
         diff.loads, diff.unloads, diff.memory_added, diff.memory_freed
     ));
 }
 
-async fn roll(options: &Options, tool: &Tool, draft: &Name) -> Result<(), Error> {
-    let head = bundles::roll(tool, draft).await?;
+async fn roll(options: &Options, client: &Client, draft: &Name) -> Result<(), Error> {
+    let head = bundles::roll(client, draft).await?;
     // The roll is done; that not every host answers at once does not undo it.
-    let seen = state::wait_for(tool, head.sequence)
+    let seen = status::wait_for(client, head.sequence)
         .await
         .unwrap_or_default();
     let there = in_force(&seen, head.sequence);
     match options.json {
-        true => json(&json!({"sequence": head.sequence, "hosts": seen.len(), "in_force": there})),
-        false => out(format!(
+        true => {
+            print_json(&json!({"sequence": head.sequence, "hosts": seen.len(), "in_force": there}))
+        }
+        false => print_line(format!(
             "Bundle {} is accepted, and in force on {there} of {} hosts.",
             head.sequence,
             seen.len()
@@ -224,12 +229,12 @@
     seen.iter().filter(there).count()
 }
 
-async fn bundle_status(options: &Options, tool: &Tool) -> Result<(), Error> {
-    let head = documents::head(&tool.kv).await?.value;
-    let drafts = documents::drafts(&tool.kv).await?;
-    let seen = state::all(tool).await?;
+async fn bundle_status(options: &Options, client: &Client) -> Result<(), Error> {
+    let head = documents::head(&client.kv).await?.value;
+    let drafts = documents::drafts(&client.kv).await?;
+    let seen = status::all(client).await?;
     if options.json {
-        json(&json!({
+        print_json(&json!({
             "head": head,
             "drafts": drafts,
             "hosts": seen.iter().map(|s| json!({
@@ -241,7 +246,7 @@
     }
     let current = head.as_ref().map_or(0, |h| h.sequence);
     match &head {
-        Some(head) => out(format!(
+        Some(head) => print_line(format!(
             "Bundle {} ({}), proposed by {}, is in force on {} of {} hosts.",
             head.sequence,
             head.draft.title,
@@ -249,7 +254,7 @@
             in_force(&seen, current),
             seen.len()
         )),
-        None => out("No bundle is in force yet."),
+        None => print_line("No bundle is in force yet."),
     }
     let rows: Vec<[String; 5]> = drafts
         .iter()
@@ -267,7 +272,7 @@
         })
         .collect();
     if !rows.is_empty() {
-        out(table(
+        print_line(table(
             ["DRAFT", "TITLE", "PROPOSED BY", "APPROVED BY", "REPLACES"],
             rows,
         ));
@@ -275,10 +280,10 @@
     Ok(())
 }
 
-async fn history(options: &Options, tool: &Tool) -> Result<(), Error> {
-    let heads = bundles::history(tool).await?;
+async fn history(options: &Options, client: &Client) -> Result<(), Error> {
+    let heads = bundles::history(client).await?;
     if options.json {
-        json(&heads);
+        print_json(&heads);
         return Ok(());
     }
     let rows = heads.iter().map(|h| {
@@ -295,25 +300,25 @@
             approvals.join(", "),
         ]
     });
-    out(table(
+    print_line(table(
         ["BUNDLE", "TITLE", "PROPOSED BY", "APPROVED BY"],
         rows.collect(),
     ));
     Ok(())
 }
 
-async fn status(options: &Options, tool: &Tool) -> Result<(), Error> {
-    let seen = state::all(tool).await?;
+async fn status(options: &Options, client: &Client) -> Result<(), Error> {
+    let seen = status::all(client).await?;
     if options.json {
         let statuses: Vec<_> = seen
             .iter()
             .map(|s| json!({"name": s.host.name, "status": s.status}))
             .collect();
-        json(&statuses);
+        print_json(&statuses);
         return Ok(());
     }
     let rows = seen.iter().map(host_row);
-    out(table(
+    print_line(table(
         ["HOST", "HALL", "STATE", "BUNDLE", "ROLES", "IN FLIGHT"],
         rows.collect(),
     ));
@@ -327,7 +332,7 @@
             reason: "none answered.".into(),
         });
     };
-    out(format!("\nAs {} sees it:", status.name));
+    print_line(format!("\nAs {} sees it:", status.name));
     let rows = status.upstreams.iter().map(|u| {
         let state = match (u.leaving, u.ejected) {
             (true, _) => "leaving",
@@ -344,13 +349,13 @@
             format!("{} of {}", u.in_flight, u.allowed),
         ]
     });
-    out(table(
+    print_line(table(
         [
             "UPSTREAM", "HALL", "STATE", "MEMORY", "RUNNING", "WAITING", "OURS",
         ],
         rows.collect(),
     ));
-    out("");
+    print_line("");
     let rows = status.models.iter().map(|(name, model)| {
         let ready = model
             .replicas
@@ -366,7 +371,7 @@
             format!("{:.1}", model.rate),
         ]
     });
-    out(table(
+    print_line(table(
         ["MODEL", "VERSION", "READY", "REPLICAS", "WAITING", "RATE/S"],
         rows.collect(),
     ));
@@ -408,44 +413,49 @@
     ]
 }
 
-async fn moves(options: &Options, tool: &Tool) -> Result<(), Error> {
-    let moves = why::moves(tool).await?;
+async fn moves(options: &Options, client: &Client) -> Result<(), Error> {
+    let moves = why::moves(client).await?;
     if options.json {
-        json(&moves);
+        print_json(&moves);
         return Ok(());
     }
     let rows = moves.iter().map(|m| {
         let state = if m.open { "open" } else { "settled" };
         [
             why::move_id(m),
-            m.moved.upstream.to_string(),
-            why::action(&m.moved.action),
+            m.inner.upstream.to_string(),
+            why::action(&m.inner.action),
             state.into(),
-            m.moved.reason.clone(),
+            m.inner.reason.clone(),
         ]
     });
-    out(table(
+    print_line(table(
         ["MOVE", "UPSTREAM", "ACTION", "STATE", "WHY"],
         rows.collect(),
     ));
     Ok(())
 }
 
-async fn drain(tool: &Tool, host: &Name) -> Result<(), Error> {
-    let daemons = tool.daemons().await?;
+async fn drain(client: &Client, host: &Name) -> Result<(), Error> {
+    let daemons = client.daemons().await?;
     let found = daemons.iter().find(|d| d.name == *host);
     let found = found.ok_or_else(|| Error::NotFound {
         text: format!(
             "The host list has no host '{host}' of coveford's; 'coveford status' lists them."
         ),
     })?;
-    let key = &tool.settings.wire_key;
-    let asked =
-        daemon::distribution::exchange(&tool.pool, key, found.addr, &Frame::Drain, Duration::ZERO)
-            .await;
+    let key = &client.settings.wire_key;
+    let asked = daemon::distribution::exchange(
+        &client.pool,
+        key,
+        found.addr,
+        &Frame::Drain,
+        Duration::ZERO,
+    )
+    .await;
     match asked {
         Ok((Frame::Draining { in_flight }, _)) => {
-            out(format!(
+            print_line(format!(
                 "{host} drains; {in_flight} requests in flight will end first."
             ));
             Ok(())
@@ -461,22 +471,22 @@
     }
 }
 
-async fn key_list(options: &Options, tool: &Tool) -> Result<(), Error> {
-    let head = documents::head(&tool.kv).await?.value;
+async fn key_list(options: &Options, client: &Client) -> Result<(), Error> {
+    let head = documents::head(&client.kv).await?.value;
     let revoked = match &head {
         Some(head) => {
-            let text = bundles::text(tool, head).await?;
+            let text = bundles::load_text(client, head).await?;
             bundles::check("bundle in force", &text)?.revoked
         }
         None => Default::default(),
     };
-    let keys = &tool.settings.trust.operators;
+    let keys = &client.settings.trust.operators;
     if options.json {
         let list: Vec<_> = keys
             .iter()
             .map(|(n, k)| json!({"operator": n, "key": k, "revoked": revoked.contains(k)}))
             .collect();
-        json(&list);
+        print_json(&list);
         return Ok(());
     }
     let rows = keys.iter().map(|(n, k)| {
@@ -487,6 +497,6 @@
         };
         [n.to_string(), state.into(), k.to_string()]
     });
-    out(table(["OPERATOR", "STATE", "KEY"], rows.collect()));
+    print_line(table(["OPERATOR", "STATE", "KEY"], rows.collect()));
     Ok(())
 }
--- a/crates/front/src/readers/client.rs
+++ b/crates/front/src/readers/client.rs
@@ -77,7 +77,7 @@
 /// Polls a reader for the changes after a revision, and records them to serve them to others.
 ///
 /// `bound` is the propagation bound. After an error the changes must be read from another source.
-pub async fn ask(
+pub async fn poll(
     state: &State,
     reader: SocketAddr,
     after: u64,
@@ -129,8 +129,8 @@
 ) -> Result<StoreUpdate, Error> {
     let revision = response.revision;
     match response.payload {
-        Payload::Changes(rows) => {
-            let found: Vec<Change> = rows.into_iter().map(Change::from).collect();
+        Payload::Changes(changes) => {
+            let found: Vec<Change> = changes.into_iter().map(Change::from).collect();
             record_changes(state, &found, revision, confirmed);
             Ok(StoreUpdate::Changes(Listing {
                 items: found,
@@ -138,8 +138,8 @@
             }))
         }
         Payload::Snapshot(_) if revision <= after => Err(Error::Behind { revision, after }),
-        Payload::Snapshot(rows) => {
-            let changes = rows.into_iter().map(Change::from);
+        Payload::Snapshot(changes) => {
+            let changes = changes.into_iter().map(Change::from);
             let found: Vec<Item> = changes.filter_map(written_item).collect();
             record_snapshot(state, &found, revision, confirmed);
             Ok(StoreUpdate::Snapshot(Listing {
@@ -179,6 +179,6 @@
         let why = format!("unexpected status {}", reply.status);
         return Err(Error::Malformed { why });
     }
-    let read = rmp_serde::from_slice(&reply.body);
-    read.map_err(|e: rmp_serde::decode::Error| Error::Malformed { why: e.to_string() })
+    let response = rmp_serde::from_slice(&reply.body);
+    response.map_err(|e: rmp_serde::decode::Error| Error::Malformed { why: e.to_string() })
 }
