--- a/crates/daemon/src/planner.rs
+++ b/crates/daemon/src/planner.rs
@@ -1,12 +1,12 @@
-//! Planner of this host's hall, while this host holds the hall's lease.
+//! Planner of this host's hall; active while the host holds the hall's lease.
 //!
-//! Each tick: read the reports over the connections that orders will take,
-//! decide, write the ledger by compare-and-swap, then send. The lease keeps
-//! planners from working against each other; safety rests on the ledger.
+//! Each tick reads the reports over the connections that also carry the orders,
+//! computes a plan, writes the ledger by compare-and-swap, then sends the orders.
+//! The lease keeps planners from competing; safety depends on the ledger alone.
 
-mod book;
+mod connections;
 mod lease;
-mod lines;
+mod ledger_store;
 mod status;
 
 pub use status::{Status, StatusCell};
@@ -15,9 +15,9 @@
 use crate::core::Core;
 use crate::distribution;
 use backing::hosts::Kind;
-use book::Book;
+use connections::Connections;
 use lease::Lease;
-use lines::Lines;
+use ledger_store::LedgerStore;
 use place::demand::Estimator;
 use place::homes::Hall;
 use place::plan::{Demand, Input, LoadLimiter, Plan, Spec};
@@ -31,180 +31,188 @@
 use unit::{Bytes, Name, Span};
 use wire::Frame;
 
-/// Time for the demand of one peer.
-const DEMAND_LIMIT: Duration = Duration::ZERO;
+/// Time a peer may hold back its answer to a demand query.
+const DEMAND_WAIT: Duration = Duration::ZERO;
 
-/// Time of one request assumed until one has been measured.
-const UNKNOWN_SERVICE: Span = Span::from_secs(1);
+/// Service time of a request before the first measurement.
+const DEFAULT_SERVICE_TIME: Span = Span::from_secs(1);
 
-/// Batch assumed until one has been reported.
-const UNKNOWN_BATCH: u32 = 32;
+/// Batch size of an upstream before the first report.
+const DEFAULT_BATCH: u32 = 32;
 
-/// Planner with what it keeps between ticks.
+/// Planner and the state it keeps between ticks.
 struct Planner {
     core: Arc<Core>,
     lease: Lease,
-    book: Book,
-    lines: Lines,
-    demand: Estimator,
-    starts: Option<(usize, LoadLimiter)>,
+    ledger_store: LedgerStore,
+    connections: Connections,
+    estimator: Estimator,
+    /// Load limiter and the number of halls it was built for.
+    load_limiter: Option<(usize, LoadLimiter)>,
 }
 
-/// Plans for the hall whenever this host holds its lease, until the process ends.
+/// Runs the planner until the daemon drains; plans only while this host holds the hall's lease.
 pub async fn run(core: Arc<Core>) {
     let mut planner = Planner {
         lease: Lease::new(&core.settings),
-        book: Book::new(&core.settings),
-        lines: Lines::default(),
-        demand: Estimator::default(),
-        starts: None,
+        ledger_store: LedgerStore::new(&core.settings),
+        connections: Connections::default(),
+        estimator: Estimator::default(),
+        load_limiter: None,
         core,
     };
     loop {
         sleep(planner.core.settings.planner.tick.std()).await;
         if planner.core.is_draining() {
-            planner.lease.give_up(&planner.core).await;
+            planner.lease.release(&planner.core).await;
             return;
         }
-        planner.turn().await;
+        planner.tick().await;
     }
 }
 
 impl Planner {
-    async fn turn(&mut self) {
+    async fn tick(&mut self) {
         let Some(bundle) = self.core.in_force() else {
             return;
         };
-        let held = self.lease.hold(&self.core).await;
+        let held = self.lease.acquire_or_renew(&self.core).await;
         if !held {
-            self.book.forget();
+            self.ledger_store.invalidate();
             self.core.planner_status.record_step_down();
             return;
         }
-        if let Err(e) = self.tick(&bundle).await {
-            self.book.forget();
-            warn!(target: "planner", "no moves this tick: {e}");
+        if let Err(e) = self.plan_and_send(&bundle).await {
+            self.ledger_store.invalidate();
+            warn!(target: "planner", "planning failed, no orders sent in this tick: {e}");
         }
     }
 
-    async fn tick(&mut self, bundle: &Bundle) -> Result<(), crate::documents::Error> {
-        self.book.open(&self.core).await?;
+    async fn plan_and_send(&mut self, bundle: &Bundle) -> Result<(), crate::documents::Error> {
+        self.ledger_store.open(&self.core).await?;
         let fleet = self.fleet(bundle).await;
-        let elsewhere = elsewhere(&self.core, bundle);
-        let homes = self.book.homes(&self.core).await?;
-        let wants = wants(bundle);
+        let other_halls = other_halls(&self.core, bundle);
+        let homes = self.ledger_store.read_homes(&self.core).await?;
+        let specs = specs(bundle);
         let halls = halls(&self.core, &fleet);
-        let needs = self.needs(&wants).await;
+        let demand = self.demand(&specs).await;
         let weights = bundle.intent.weights;
         let input = Input {
             now: self.core.now(),
             wall_ms: crate::clock::wall_ms(),
             hall: &self.core.settings.hall,
             halls: &halls,
-            specs: &wants,
+            specs: &specs,
             fleet: &fleet,
-            other_halls: &elsewhere,
+            other_halls: &other_halls,
             homes: &homes,
-            demand: &needs,
+            demand: &demand,
             attainment_weight: weights.attainment,
             move_cost: weights.moves,
         };
         let started = std::time::Instant::now();
-        let ledger = self.book.ledger();
-        let starts = starts(&mut self.starts, &self.core, halls.len());
-        let plan = plan(&input, ledger, starts);
-        let took = Span::from(started.elapsed());
+        let ledger = self.ledger_store.ledger();
+        let load_limiter = load_limiter(&mut self.load_limiter, &self.core, halls.len());
+        let plan = plan(&input, ledger, load_limiter);
+        let elapsed = Span::from(started.elapsed());
         crate::metrics::record(
             &self.core.metrics.histogram("coveford_plan_seconds", &[]),
-            took,
+            elapsed,
         );
-        self.book.write_homes(&self.core, &plan).await?;
-        self.book.write(&self.core).await?;
+        self.ledger_store.write_homes(&self.core, &plan).await?;
+        self.ledger_store.write(&self.core).await?;
         self.core
             .planner_status
-            .record_plan(self.book.ledger(), &plan);
+            .record_plan(self.ledger_store.ledger(), &plan);
         self.send(&fleet, plan).await;
         Ok(())
     }
 
-    /// Upstreams of this hall with reports read over their order connections.
+    /// Upstreams of this hall, with the reports read over their order connections.
     async fn fleet(&mut self, bundle: &Bundle) -> Fleet {
         let hall = &self.core.settings.hall;
         let entries = self.core.fleet.entries();
-        let here = entries.into_iter().filter(|e| e.host.hall == *hall);
-        let engines: Vec<_> = here
+        let local = entries.into_iter().filter(|e| e.host.hall == *hall);
+        let engines: Vec<_> = local
             .filter(|e| matches!(e.host.kind, Kind::Engine { .. }))
             .collect();
-        let limit = self.core.settings.planner.order_limit.std();
-        let reports = self.lines.reports(&engines, limit, self.core.now()).await;
+        let timeout = self.core.settings.planner.order_limit.std();
+        let reports = self
+            .connections
+            .read_reports(&engines, timeout, self.core.now())
+            .await;
         let mut upstreams = Vec::new();
         for entry in engines {
-            let Some(found) = reports.get(&entry.host.name) else {
+            let Some(last) = reports.get(&entry.host.name) else {
                 continue;
             };
             upstreams.push(place::Upstream {
                 name: entry.host.name.clone(),
-                leaving: entry.is_leaving() || found.report.leaving,
+                leaving: entry.is_leaving() || last.report.leaving,
                 fencing: bundle.intent.upstreams.checks_fences(&entry.host.name),
-                unreachable: found.silent,
-                report: found.report.clone(),
+                unreachable: last.unreachable,
+                report: last.report.clone(),
             });
         }
         Fleet { upstreams }
     }
 
-    /// Demand by model, from all daemons.
-    async fn needs(&mut self, wants: &[Spec]) -> BTreeMap<Name, Demand> {
-        let arriving = arriving(&self.core).await;
-        self.demand.update(self.core.now(), &arriving);
+    /// Demand by model over all daemons.
+    async fn demand(&mut self, specs: &[Spec]) -> BTreeMap<Name, Demand> {
+        let arrival_rates = arrival_rates(&self.core).await;
+        self.estimator.update(self.core.now(), &arrival_rates);
         let work = work_per_request(&self.core);
-        let need = |want: &Spec| Demand {
-            rate: self.demand.rate(&want.model),
-            work: work.get(&want.model).copied().unwrap_or_else(default_work),
+        let demand = |spec: &Spec| Demand {
+            rate: self.estimator.rate(&spec.model),
+            work: work.get(&spec.model).copied().unwrap_or_else(default_work),
         };
-        wants.iter().map(|w| (w.model.clone(), need(w))).collect()
+        specs
+            .iter()
+            .map(|spec| (spec.model.clone(), demand(spec)))
+            .collect()
     }
 
-    /// Sends the orders of a plan, and again those that a fencing upstream never saw.
+    /// Sends the orders of a plan and resends those that a fencing upstream never received.
     async fn send(&mut self, fleet: &Fleet, plan: Plan) {
-        if !self.lease.is_safe(self.core.now()) {
+        if !self.lease.is_valid(self.core.now()) {
             return;
         }
         for (upstream, order) in &plan.orders {
-            count(&self.core, &order.action);
-            info!(target: "planner", "order {}.{} to {upstream}: {:?}", order.fence.term, order.fence.number, order.action);
+            count_move(&self.core, &order.action);
+            info!(target: "planner", "sending order {}.{} to {upstream}: {:?}", order.fence.term, order.fence.number, order.action);
         }
         let orders: Vec<_> = plan.orders.into_iter().chain(plan.resends).collect();
-        let answers = self.lines.send(orders).await;
-        let ledger = self.book.ledger();
+        let answers = self.connections.send(orders).await;
+        let ledger = self.ledger_store.ledger();
         let mut changed = false;
-        for (name, fence, obeyed) in answers {
-            changed |= match (obeyed, fleet.find(&name)) {
-                (Some(obeyed), _) => ledger.record_answer(&name, fence, obeyed),
+        for (name, fence, status) in answers {
+            changed |= match (status, fleet.find(&name)) {
+                (Some(status), _) => ledger.record_answer(&name, fence, status),
                 (None, Some(upstream)) => ledger.record_no_answer(upstream, fence),
                 (None, None) => false,
             };
         }
         if changed {
-            self.book.touch();
+            self.ledger_store.mark_dirty();
         }
     }
 }
 
-fn starts<'a>(
-    starts: &'a mut Option<(usize, LoadLimiter)>,
+/// Load limiter for the given number of halls; built anew when that number changes.
+fn load_limiter<'a>(
+    current: &'a mut Option<(usize, LoadLimiter)>,
     core: &Core,
     halls: usize,
 ) -> &'a mut LoadLimiter {
-    if starts.as_ref().is_none_or(|(n, _)| *n != halls) {
+    if current.as_ref().is_none_or(|(n, _)| *n != halls) {
         let store = core.settings.planner.store;
-        let made = LoadLimiter::new(store.loads_per_second, store.concurrent, halls);
-        *starts = Some((halls, made));
+        let limiter = LoadLimiter::new(store.loads_per_second, store.concurrent, halls);
+        *current = Some((halls, limiter));
     }
-    &mut starts.as_mut().expect("it was just made").1
+    &mut current.as_mut().expect("just set").1
 }
 
-fn count(core: &Core, action: &Action) {
+fn count_move(core: &Core, action: &Action) {
     let kind = match action {
         Action::Load { .. } => "load",
         Action::Unload { .. } => "unload",
@@ -216,14 +224,14 @@
     counter.increment(1);
 }
 
-/// Models of a bundle as the planner wants them.
-fn wants(bundle: &Bundle) -> Vec<Spec> {
+/// Planner's specification of each model in a bundle.
+fn specs(bundle: &Bundle) -> Vec<Spec> {
     let intent = &bundle.intent;
     let adapters = |model: &Name| {
-        let of = intent.adapters.iter().filter(|(_, a)| a.model == *model);
-        of.map(|(name, a)| (name.clone(), a.memory)).collect()
+        let adapters = intent.adapters.iter().filter(|(_, a)| a.model == *model);
+        adapters.map(|(name, a)| (name.clone(), a.memory)).collect()
     };
-    let want = |(name, model): (&Name, &bundle::intent::Model)| Spec {
+    let spec = |(name, model): (&Name, &bundle::intent::Model)| Spec {
         model: name.clone(),
         version: model.version.clone(),
         memory: model.memory,
@@ -231,18 +239,20 @@
         priority: intent.classes.get(&model.class).map_or(0, |c| c.priority),
         adapters: adapters(name),
     };
-    intent.models.iter().map(want).collect()
+    intent.models.iter().map(spec).collect()
 }
 
-/// Halls with the memory of their upstreams; this hall's upstreams as just reported.
+/// Halls with the total memory of their upstreams that are not leaving.
+///
+/// This hall is listed with no memory if all its upstreams are leaving.
 fn halls(core: &Core, fleet: &Fleet) -> Vec<Hall> {
     let mut memory: BTreeMap<Name, Bytes> = BTreeMap::new();
     for entry in core.fleet.entries() {
-        let Kind::Engine { memory: size } = entry.host.kind else {
+        let Kind::Engine { memory: capacity } = entry.host.kind else {
             continue;
         };
         if !entry.host.leaving {
-            *memory.entry(entry.host.hall.clone()).or_default() += size;
+            *memory.entry(entry.host.hall.clone()).or_default() += capacity;
         }
     }
     if !fleet.upstreams.is_empty() {
@@ -252,26 +262,26 @@
     memory.into_iter().map(hall).collect()
 }
 
-/// Requests a second that arrive at all daemons, by model.
-async fn arriving(core: &Arc<Core>) -> BTreeMap<Name, f64> {
+/// Arrival rate over all daemons in requests per second, by model.
+async fn arrival_rates(core: &Arc<Core>) -> BTreeMap<Name, f64> {
     let peers = core.other_daemons();
-    let asked = peers
+    let queries = peers
         .iter()
-        .map(|peer| distribution::call(core, peer.addr, &Frame::GetDemand, DEMAND_LIMIT));
-    let answers = futures::future::join_all(asked).await;
-    let mut sum: BTreeMap<Name, f64> = BTreeMap::new();
-    let others = answers.into_iter().flat_map(|answer| match answer {
+        .map(|peer| distribution::call(core, peer.addr, &Frame::GetDemand, DEMAND_WAIT));
+    let answers = futures::future::join_all(queries).await;
+    let mut rates: BTreeMap<Name, f64> = BTreeMap::new();
+    let peer_demands = answers.into_iter().flat_map(|answer| match answer {
         Ok(Frame::Demands { demands }) => demands,
         _ => Vec::new(),
     });
-    for demand in others.chain(core.demands()) {
-        *sum.entry(demand.model).or_default() += demand.rate;
+    for demand in peer_demands.chain(core.demands()) {
+        *rates.entry(demand.model).or_default() += demand.rate;
     }
-    sum
+    rates
 }
 
 /// Upstreams of other halls, as last reported to this daemon.
-fn elsewhere(core: &Core, bundle: &Bundle) -> Fleet {
+fn other_halls(core: &Core, bundle: &Bundle) -> Fleet {
     let entries = core.fleet.entries();
     let others = entries.iter().filter(|e| e.host.hall != core.settings.hall);
     let upstreams = others.filter_map(|entry| {
@@ -288,22 +298,23 @@
     }
 }
 
+/// Work per request before the first measurement.
 fn default_work() -> f64 {
-    UNKNOWN_SERVICE.secs() / f64::from(UNKNOWN_BATCH)
+    DEFAULT_SERVICE_TIME.secs() / f64::from(DEFAULT_BATCH)
 }
 
-/// Share of an upstream's capacity that one request a second takes, by model.
+/// Fraction of an upstream's capacity taken by one request per second, by model.
 fn work_per_request(core: &Core) -> BTreeMap<Name, f64> {
     let mut sums: BTreeMap<Name, (f64, f64)> = BTreeMap::new();
     for entry in core.fleet.entries() {
         let Some(report) = &entry.report else {
             continue;
         };
-        let service = entry.service_time.estimate();
-        if service == Span::ZERO {
+        let service_time = entry.service_time.estimate();
+        if service_time == Span::ZERO {
             continue;
         }
-        let work = service.secs() / f64::from(report.batch.max(1));
+        let work = service_time.secs() / f64::from(report.batch.max(1));
         for resident in report
             .resident
             .iter()
--- a/crates/daemon/src/planner/lease.rs
+++ b/crates/daemon/src/planner/lease.rs
@@ -1,4 +1,4 @@
-//! Lease of a hall's planner.
+//! Lease that elects a hall's planner.
 
 use crate::core::Core;
 use crate::settings::Settings;
@@ -6,10 +6,10 @@
 use backing::kv::{Error, SwapOutcome};
 use unit::{Span, Time};
 
-/// Share of the lease's time after which its holder stops sending orders, in percent.
-const SAFE_PERCENT: f64 = 0.7;
+/// Fraction of the lease's time to live after which its holder stops sending orders.
+const SAFE_FRACTION: f64 = 0.7;
 
-/// Lease, held or wanted.
+/// Lease of one hall, whether or not this host holds it.
 pub(super) struct Lease {
     key: String,
     ttl: Span,
@@ -18,9 +18,9 @@
 
 #[derive(Clone, Copy)]
 struct Held {
-    lease: u64,
-    /// When the last call that extended it was begun, by our own clock.
-    from: Time,
+    id: u64,
+    /// Start of the last successful renewal, by the local clock.
+    renewed_at: Time,
 }
 
 impl Lease {
@@ -32,52 +32,58 @@
         }
     }
 
-    /// Extends the lease, or takes it when nobody holds it; tells whether it is held.
-    pub(super) async fn hold(&mut self, core: &Core) -> bool {
-        let from = core.now();
+    /// Renews the lease, or acquires it if nobody holds it; returns whether the host may plan.
+    pub(super) async fn acquire_or_renew(&mut self, core: &Core) -> bool {
+        let started = core.now();
         match self.held {
-            Some(held) => match core.kv.renew(held.lease).await {
-                Ok(lease) => self.held = Some(Held { lease, from }),
+            Some(held) => match core.kv.renew(held.id).await {
+                Ok(id) => {
+                    self.held = Some(Held {
+                        id,
+                        renewed_at: started,
+                    })
+                }
                 Err(Error::Lapsed) => self.held = None,
-                Err(_) if !self.is_safe(core.now()) => self.held = None,
-                // Held still, by our own clock; nothing new can be written meanwhile.
+                Err(_) if !self.is_valid(core.now()) => self.held = None,
+                // Still held by the local clock, but the ledger cannot be written either.
                 Err(_) => return false,
             },
-            None => self.take(core, from).await,
+            None => self.acquire(core, started).await,
         }
         self.held.is_some()
     }
 
-    async fn take(&mut self, core: &Core, from: Time) {
-        let taken = core.kv.get(&self.key).await;
-        if !matches!(taken, Ok(None)) {
+    async fn acquire(&mut self, core: &Core, started: Time) {
+        let holder = core.kv.get(&self.key).await;
+        if !matches!(holder, Ok(None)) {
             return;
         }
-        let Ok(lease) = core.kv.grant(self.ttl.std()).await else {
+        let Ok(id) = core.kv.grant(self.ttl.std()).await else {
             return;
         };
         let name = Some(&*core.settings.name);
-        match core
-            .kv
-            .compare_and_swap(&self.key, 0, name, Some(lease))
-            .await
-        {
-            Ok(SwapOutcome::Written(_)) => self.held = Some(Held { lease, from }),
-            // Not ours, or not known to be: the grant lapses by itself.
+        match core.kv.compare_and_swap(&self.key, 0, name, Some(id)).await {
+            Ok(SwapOutcome::Written(_)) => {
+                self.held = Some(Held {
+                    id,
+                    renewed_at: started,
+                })
+            }
+            // Not acquired, or not known to be: the lease expires by itself.
             Ok(SwapOutcome::Conflict(_)) | Err(_) => {}
         }
     }
 
-    /// Whether the lease is still held by our own clock, less a margin.
-    pub(super) fn is_safe(&self, now: Time) -> bool {
+    /// Whether the lease is still held by the local clock, with a safety margin.
+    pub(super) fn is_valid(&self, now: Time) -> bool {
         self.held
-            .is_some_and(|held| now.since(held.from) < self.ttl * SAFE_PERCENT)
+            .is_some_and(|held| now.since(held.renewed_at) < self.ttl * SAFE_FRACTION)
     }
 
-    /// Gives the lease up, so that the next planner need not wait it out.
-    pub(super) async fn give_up(&mut self, core: &Core) {
+    /// Revokes the lease, so that the next planner need not wait for it to expire.
+    pub(super) async fn release(&mut self, core: &Core) {
         if let Some(held) = self.held.take() {
-            let _ = core.kv.revoke(held.lease).await;
+            let _ = core.kv.revoke(held.id).await;
         }
     }
 }
--- a/crates/daemon/src/planner/book.rs
+++ b/crates/daemon/src/planner/ledger_store.rs
@@ -1,4 +1,4 @@
-//! The hall's ledger and the models' homes in the key-value service.
+//! Hall ledger and model homes, stored in the key-value service.
 
 use crate::core::Core;
 use crate::documents::{self, Error, Versioned};
@@ -10,34 +10,35 @@
 use serde::Serialize;
 use unit::Name;
 
-/// Tries to settle a write whose answer was lost, within one tick.
-const TRIES: u32 = 3;
+/// Attempts at one compare-and-swap, within one tick.
+const MAX_ATTEMPTS: u32 = 3;
 
-/// Ledger as last read or written.
-pub(super) struct Book {
+/// Ledger and homes as last read or written.
+pub(super) struct LedgerStore {
     key: String,
     hall: Name,
     name: Name,
     writes: u64,
     ledger: Ledger,
-    written: Ledger,
-    /// Revision of the ledger; none when it must be read first.
+    /// Ledger as stored at `revision`.
+    stored: Ledger,
+    /// Revision of the stored ledger; `None` if it must be read first.
     revision: Option<u64>,
-    touched: bool,
+    dirty: bool,
     homes: Versioned<Homes>,
 }
 
-impl Book {
-    pub(super) fn new(settings: &Settings) -> Book {
-        Book {
+impl LedgerStore {
+    pub(super) fn new(settings: &Settings) -> LedgerStore {
+        LedgerStore {
             key: keys::ledger(&settings.hall),
             hall: settings.hall.clone(),
             name: settings.name.clone(),
             writes: 0,
             ledger: Ledger::default(),
-            written: Ledger::default(),
+            stored: Ledger::default(),
             revision: None,
-            touched: false,
+            dirty: false,
             homes: Versioned {
                 value: None,
                 revision: 0,
@@ -45,72 +46,73 @@
         }
     }
 
-    /// Forgets what was read; it is read back before the next order.
-    pub(super) fn forget(&mut self) {
+    /// Requires the ledger to be read again before the next order.
+    pub(super) fn invalidate(&mut self) {
         self.revision = None;
     }
 
-    /// The ledger to decide on.
     pub(super) fn ledger(&mut self) -> &mut Ledger {
         &mut self.ledger
     }
 
-    /// Notes a change that the next write must carry.
-    pub(super) fn touch(&mut self) {
-        self.touched = true;
+    /// Makes the next [`write`](Self::write) store the ledger even if no entry changed.
+    pub(super) fn mark_dirty(&mut self) {
+        self.dirty = true;
     }
 
-    /// Reads the ledger and takes it over with a higher term, unless it is open already.
+    /// Reads the ledger and takes it over with a higher term, unless that is done already.
     pub(super) async fn open(&mut self, core: &Core) -> Result<(), Error> {
         if self.revision.is_some() {
             return Ok(());
         }
-        let at: Versioned<Ledger> = documents::read(&core.kv, &self.key).await?;
-        self.ledger = at.value.unwrap_or_default();
-        self.written = self.ledger.clone();
-        self.revision = Some(at.revision);
+        let found: Versioned<Ledger> = documents::read(&core.kv, &self.key).await?;
+        self.ledger = found.value.unwrap_or_default();
+        self.stored = self.ledger.clone();
+        self.revision = Some(found.revision);
         self.ledger.take_over();
-        self.touched = true;
+        self.dirty = true;
         self.write(core).await
     }
 
-    /// Writes the ledger if it changed; until that is known to have taken effect, no order is sent.
+    /// Writes the ledger if it changed.
+    ///
+    /// Fails if the write is not known to have taken effect; no order may be sent then.
     pub(super) async fn write(&mut self, core: &Core) -> Result<(), Error> {
-        self.touched |= self.ledger.open != self.written.open;
+        self.dirty |= self.ledger.open != self.stored.open;
         let Some(expected) = self.revision else {
-            return Err(lost("the ledger is not open"));
+            return Err(unavailable("the ledger has not been read"));
         };
-        if !self.touched {
+        if !self.dirty {
             return Ok(());
         }
         self.ledger.writer = self.nonce();
-        let text = text(&self.ledger);
+        let text = to_json(&self.ledger);
         let writer = self.ledger.writer.clone();
         let is_ours = |found: &str| {
             let found = documents::parse::<Ledger>(&self.key, found);
             found.is_ok_and(|l| l.writer == writer)
         };
-        match swap(core, &self.key, expected, &text, is_ours).await? {
+        match write_if_unchanged(core, &self.key, expected, &text, is_ours).await? {
             Some(revision) => {
                 self.revision = Some(revision);
-                self.written = self.ledger.clone();
-                self.touched = false;
+                self.stored = self.ledger.clone();
+                self.dirty = false;
                 Ok(())
             }
             None => {
                 self.revision = None;
-                Err(lost("another planner has written the ledger"))
+                Err(unavailable("another planner has written the ledger"))
             }
         }
     }
 
-    /// Reads the homes.
-    pub(super) async fn homes(&mut self, core: &Core) -> Result<Homes, Error> {
+    /// Reads the homes and keeps them for [`write_homes`](Self::write_homes).
+    pub(super) async fn read_homes(&mut self, core: &Core) -> Result<Homes, Error> {
         self.homes = documents::read(&core.kv, keys::HOMES).await?;
         Ok(self.homes.value.clone().unwrap_or_default())
     }
 
-    /// Writes the joins and leaves of a plan, on the homes it was decided on.
+    /// Applies a plan's joins and leaves to the homes last read and writes the result.
     pub(super) async fn write_homes(&mut self, core: &Core, plan: &Plan) -> Result<(), Error> {
         let mut homes = self.homes.value.clone().unwrap_or_default();
         let mut changed = false;
@@ -129,29 +131,30 @@
             let found = documents::parse::<Homes>(keys::HOMES, found);
             found.is_ok_and(|h| h.writer == writer)
         };
-        // Another hall that wrote first is no failure: the next tick decides on what it wrote.
-        swap(
+        // A conflicting write by another hall is no error: the next tick reads its result.
+        write_if_unchanged(
             core,
             keys::HOMES,
             self.homes.revision,
-            &text(&homes),
+            &to_json(&homes),
             is_ours,
         )
         .await?;
         Ok(())
     }
 
+    /// Identity of one write, to recognize it when it is read back.
     fn nonce(&mut self) -> Name {
         self.writes += 1;
         format!("{}:{:x}:{}", self.name, std::process::id(), self.writes).into()
     }
 }
 
-fn text<T: Serialize>(value: &T) -> String {
-    serde_json::to_string(value).expect("it can always be written")
+fn to_json<T: Serialize>(value: &T) -> String {
+    serde_json::to_string(value).expect("ledger and homes are always serializable")
 }
 
-fn lost(reason: &str) -> Error {
+fn unavailable(reason: &str) -> Error {
     Error::Kv {
         source: KvError::Unavailable {
             reason: reason.into(),
@@ -159,9 +162,11 @@
     }
 }
 
-/// Writes a value; a lost answer is settled by reading back and by trying again, which
-/// moves the revision past the expected one. None when another's write stands there.
-async fn swap(
+/// Writes a value if the key is still at the expected revision; returns the new revision.
+///
+/// A write with a lost answer is tried again: if it took effect, the retry conflicts and `is_ours`
+/// recognizes the stored value. Returns `None` if the key holds another writer's value.
+async fn write_if_unchanged(
     core: &Core,
     key: &str,
     expected: u64,
@@ -169,9 +174,9 @@
     is_ours: impl Fn(&str) -> bool,
 ) -> Result<Option<u64>, Error> {
     let mut last = KvError::Unavailable {
-        reason: "not tried".into(),
+        reason: "no attempt was made".into(),
     };
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         match core
             .kv
             .compare_and_swap(key, expected, Some(text), None)
--- a/crates/daemon/src/planner/status.rs
+++ b/crates/daemon/src/planner/status.rs
@@ -1,4 +1,4 @@
-//! What the planner did last, for operators.
+//! Status of the planner, for operators.
 
 use parking_lot::Mutex;
 use place::ledger::{Entry, Ledger, Move};
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use unit::Name;
 
-/// Holder of the planner's state.
+/// Shared status of the planner, as of its last tick.
 #[derive(Default)]
 pub struct StatusCell {
     status: Mutex<Status>,
@@ -16,15 +16,15 @@
 /// Status of the planner.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// Whether this host plans for its hall.
+    /// Whether this host holds its hall's planner lease.
     pub holds: bool,
-    /// Its term.
+    /// Term of the ledger.
     pub term: u64,
     /// Unresolved orders.
     pub open: Vec<Entry>,
-    /// Newest moves with their reasons.
+    /// Newest moves, with their reasons.
     pub moves: Vec<Move>,
-    /// What could not be done, by model.
+    /// Why a model could not be placed as specified, by model.
     pub notes: BTreeMap<Name, String>,
 }
 
@@ -43,7 +43,6 @@
         self.status.lock().holds = false;
     }
 
-    /// Copy of the state.
     pub fn get(&self) -> Status {
         self.status.lock().clone()
     }
