--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -1,6 +1,6 @@
-//! Table of upstreams, and the queues of requests that wait for room at them.
+//! Upstreams as this daemon sees them, and the queues of requests that wait for them.
 //!
-//! One mutex holds both; the work under it is short and never waits.
+//! One mutex guards both; it is held for short, non-blocking work only.
 
 mod entry;
 mod reservation;
@@ -25,44 +25,46 @@
 use unit::{Name, Span, Time};
 use upstream::engine::{Cached, Load, Report};
 
-/// Time a request waits for a replica when there is none at all, such as while one restarts.
+/// Maximum wait of a request whose target no upstream answers, such as during a restart.
 pub const UNAVAILABLE_WAIT: Span = Span::from_secs(3);
 
-/// Request that wants a place.
+/// Request for a reservation at an upstream.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// What must answer it.
+    /// What it is addressed to.
     pub target: Target,
-    /// Who sent it.
+    /// Client account that sent it.
     pub caller: Name,
     /// Weight of the caller's share.
     pub weight: u32,
-    /// Rank of its class.
+    /// Priority of its class.
     pub priority: u8,
     /// When it arrived.
     pub arrived: Time,
-    /// When nobody needs it any more.
+    /// When it expires.
     pub deadline: Time,
-    /// How it is to be placed.
+    /// Criteria for the choice among upstreams.
     pub criteria: choose::Request,
 }
 
-/// Why no place could be had; the request was not run.
+/// Why a request got no reservation; it was not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AcquireError {
-    /// It was shed.
+    /// The queue rejected it.
     Rejected(Rejection),
-    /// No upstream holds what it asked for.
+    /// No upstream answers its target.
     Unavailable,
 }
 
-/// Running table; clones of the `Arc` share it.
+/// Upstreams and queues of this daemon.
 pub struct Fleet {
     clock: Clock,
     tables: Mutex<Tables>,
 }
 
-/// Makes an empty table.
+/// Creates a fleet without upstreams.
+///
+/// `distance` is the one-way delay to other halls.
 pub fn open(clock: Clock, seed: u64, hall: Name, distance: BTreeMap<Name, Span>) -> Arc<Fleet> {
     let rng = ChaCha8Rng::seed_from_u64(seed);
     Arc::new(Fleet {
@@ -71,55 +73,57 @@
     })
 }
 
-/// What a waiting request is told: its place, or that it was shed.
+/// Outcome of a request for a reservation.
 type Acquired = Result<Reservation, AcquireError>;
 
 impl Fleet {
-    /// Gets a place for a request, waiting in the queue if it must.
+    /// Reserves an upstream for a request, which waits in the queue until one has capacity.
     pub async fn acquire(self: &Arc<Self>, request: Request, queue_capacity: usize) -> Acquired {
         let deadline = request.deadline;
         let waiting = {
             let mut tables = self.tables.lock();
             let now = self.clock.now();
-            match tables.try_place(self, now, &request) {
-                Some(placed) => return Ok(placed),
+            match tables.try_reserve(self, now, &request) {
+                Some(reservation) => return Ok(reservation),
                 None => enqueue(&mut tables, now, request, queue_capacity)?,
             }
         };
         let until = self.clock.instant(waiting.until);
         match timeout_at(until, waiting.receiver).await {
-            Ok(Ok(grant)) => grant,
+            Ok(Ok(acquired)) => acquired,
             Ok(Err(_)) => Err(AcquireError::Rejected(Rejection::Full)),
             Err(_) if waiting.until < deadline => Err(AcquireError::Unavailable),
             Err(_) => Err(AcquireError::Rejected(Rejection::Expired)),
         }
     }
 
-    /// Takes over the host list; upstreams not in it any more are leaving.
+    /// Applies the host list; an upstream that is no longer listed is leaving.
     pub fn set_hosts(self: &Arc<Self>, hosts: &[Host]) {
         let mut tables = self.tables.lock();
         tables.set_hosts(hosts);
         tables.serve_all(self, self.clock.now());
     }
 
-    /// Takes in a report that was read just now.
+    /// Records a report that was just read.
     pub fn record_report(self: &Arc<Self>, upstream: &str, report: Report) {
         let mut tables = self.tables.lock();
         tables.record_report(self.clock.now(), upstream, report);
         tables.serve_all(self, self.clock.now());
     }
 
-    /// Takes in the load that rode on an answer.
-    pub fn record_load(&self, slot: usize, load: Load) {
-        self.tables.lock().record_load(self.clock.now(), slot, load);
+    /// Records the load that came with an answer.
+    pub fn record_load(&self, index: usize, load: Load) {
+        self.tables
+            .lock()
+            .record_load(self.clock.now(), index, load);
     }
 
-    /// Takes in cache events.
+    /// Records cache events of an upstream.
     pub fn record_cache_events(&self, upstream: &str, events: &[Cached]) {
         self.tables.lock().record_cache_events(upstream, events);
     }
 
-    /// Notes that a poll of an upstream failed.
+    /// Records that a poll of an upstream failed.
     pub fn record_poll_failure(&self, upstream: &str) {
         let now = self.clock.now();
         let mut tables = self.tables.lock();
@@ -128,17 +132,17 @@
         }
     }
 
-    /// Gives up the place of a request and serves those that wait.
-    fn release(self: &Arc<Self>, slot: usize, attempt: u64) {
+    /// Ends an attempt and serves the requests that wait for its upstream.
+    fn release(self: &Arc<Self>, index: usize, attempt: u64) {
         let mut tables = self.tables.lock();
-        tables.finish(slot, attempt);
-        tables.serve_waiting(self, self.clock.now(), slot);
+        tables.finish(index, attempt);
+        tables.serve_waiting(self, self.clock.now(), index);
     }
 
-    /// Changes the entry of a slot.
-    fn change(&self, slot: usize, change: impl FnOnce(Time, &mut Entry)) {
+    /// Changes the entry at an index.
+    fn change(&self, index: usize, change: impl FnOnce(Time, &mut Entry)) {
         let now = self.clock.now();
-        change(now, self.tables.lock().entry_mut(slot));
+        change(now, self.tables.lock().entry_mut(index));
     }
 
     /// Copies of all entries, for the planner and for operators.
@@ -146,17 +150,17 @@
         self.tables.lock().entries()
     }
 
-    /// Upstreams whose last report is older than `age`, oldest first.
+    /// Engines whose last report is at least `age` old, oldest first.
     pub fn stale_reports(&self, age: Span) -> Vec<(Name, SocketAddr)> {
         self.tables.lock().stale_reports(self.clock.now(), age)
     }
 
-    /// Requests that wait, by model or service.
+    /// Number of waiting requests by target, without empty queues.
     pub fn queue_lengths(&self) -> Vec<(Target, usize)> {
         self.tables.lock().queue_lengths()
     }
 
-    /// Whether an upstream that is not leaving holds a target ready.
+    /// Whether an upstream that is not leaving answers a target.
     pub fn is_available(&self, target: &Target) -> bool {
         self.tables.lock().is_available(target)
     }
@@ -167,15 +171,15 @@
     until: Time,
 }
 
-/// Puts a request into its queue, unless it has no hope there.
+/// Puts a request into its queue; rejects it at once if it would expire there.
 fn enqueue(
     tables: &mut Tables,
     now: Time,
     request: Request,
     queue_capacity: usize,
 ) -> Result<Waiting, AcquireError> {
-    let reachable = tables.is_available(&request.target);
-    let until = match reachable {
+    let available = tables.is_available(&request.target);
+    let until = match available {
         true => request.deadline,
         false => request.deadline.min(now + UNAVAILABLE_WAIT),
     };
@@ -195,8 +199,8 @@
         payload: tables::Waiter { request, sender },
     };
     queue.expire(now, |waiter| waiter.sender.is_closed());
-    if let Some(shed) = queue.push(now, ticket) {
-        let _ = shed
+    if let Some(rejected) = queue.push(now, ticket) {
+        let _ = rejected
             .payload
             .sender
             .send(Err(AcquireError::Rejected(Rejection::Full)));
--- a/crates/daemon/src/fleet/entry.rs
+++ b/crates/daemon/src/fleet/entry.rs
@@ -1,4 +1,4 @@
-//! What is known of one upstream.
+//! State of one upstream, as this daemon sees it.
 
 use backing::hosts::{Host, Kind};
 use route::breaker::Breaker;
@@ -9,19 +9,19 @@
 use unit::{Name, Span, Time};
 use upstream::engine::{Load, Report, State};
 
-/// Requests in flight that a new limit allows, per batch slot of the engine.
+/// Initial limit of requests in flight, per batch slot of the engine.
 const INITIAL_PER_BATCH: u32 = 2;
 
-/// Most requests in flight, per batch slot.
+/// Maximum limit of requests in flight, per batch slot of the engine.
 const MAX_PER_BATCH: u32 = 4;
 
-/// Batch assumed before the first report, and for plain services.
+/// Batch size of engines before the first report, and of plain services.
 const DEFAULT_BATCH: u32 = 32;
 
-/// Prefixes remembered per upstream from cache events; hints, so few will do.
+/// Cached prefixes remembered per upstream; the oldest is evicted.
 const MAX_PREFIXES: usize = 512;
 
-/// What must answer a request.
+/// What a request is addressed to.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Target {
     /// A model, with an adapter or without.
@@ -48,11 +48,11 @@
     }
 }
 
-/// Request of this daemon in flight.
+/// Attempt of this daemon that is in flight.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Attempt {
     pub(super) id: u64,
-    pub(super) sent: Time,
+    pub(super) sent_at: Time,
 }
 
 /// Upstream, as this daemon sees it.
@@ -62,23 +62,24 @@
     pub host: Host,
     /// Its newest report.
     pub report: Option<Report>,
-    /// When that report came.
+    /// When the newest report was received; zero to have it polled first.
     pub reported_at: Time,
     /// Its newest load, from a report or an answer.
     pub load: Load,
-    /// When that load came.
+    /// When the newest load was received.
     pub load_at: Time,
-    /// Whether it fails.
+    /// Circuit breaker over this daemon's requests to it.
     pub breaker: Breaker,
-    /// Requests of this daemon that may be in flight there.
+    /// Limit of this daemon's requests in flight there.
     pub limit: Limit,
-    /// Time that one request takes there.
+    /// Estimated time of one request there.
     pub service_time: ServiceTime,
-    /// Whether it refused a request since it is leaving, in this incarnation.
+    /// Whether its current incarnation refused a request because it is leaving.
     pub refused_leaving: bool,
-    /// What it serves now, as last put into the index.
-    pub(super) serves: Vec<Target>,
+    /// Targets under which it is indexed.
+    pub(super) targets: Vec<Target>,
     pub(super) attempts: Vec<Attempt>,
+    /// Cached prefixes, with the number of the event that added each.
     pub(super) prefixes: HashMap<u64, u64>,
 }
 
@@ -97,13 +98,13 @@
             ),
             service_time: ServiceTime::default(),
             refused_leaving: false,
-            serves: Vec::new(),
+            targets: Vec::new(),
             attempts: Vec::new(),
             prefixes: HashMap::new(),
         }
     }
 
-    /// Whether it gets no new work: by the host list, its report, or its refusal.
+    /// Whether it is leaving by the host list, its report or its refusal, and so gets no new work.
     pub fn is_leaving(&self) -> bool {
         self.host.leaving || self.refused_leaving || self.report.as_ref().is_some_and(|r| r.leaving)
     }
@@ -113,22 +114,22 @@
         self.attempts.len() as u32
     }
 
-    /// Takes in a report, unless it is older than the newest of the same incarnation.
+    /// Records a report, unless it is older than the newest of the same incarnation.
     pub(super) fn record_report(&mut self, now: Time, report: Report) {
         if let Some(known) = &self.report {
-            let same = known.incarnation == report.incarnation;
-            if same && report.number < known.number {
+            let same_incarnation = known.incarnation == report.incarnation;
+            if same_incarnation && report.number < known.number {
                 return;
             }
-            if !same {
+            if !same_incarnation {
                 self.refused_leaving = false;
                 self.prefixes.clear();
             }
-            if !same || known.batch != report.batch {
-                self.limit = limit(report.batch);
+            if !same_incarnation || known.batch != report.batch {
+                self.limit = concurrency_limit(report.batch);
             }
         } else {
-            self.limit = limit(report.batch);
+            self.limit = concurrency_limit(report.batch);
         }
         self.load = report.load;
         self.load_at = now;
@@ -136,30 +137,30 @@
         self.report = Some(report);
     }
 
-    /// What it can answer now.
-    pub(super) fn targets(&self) -> Vec<Target> {
+    /// Targets that it can answer now.
+    pub(super) fn ready_targets(&self) -> Vec<Target> {
         if let Kind::Service { service } = &self.host.kind {
             return vec![Target::Service(service.clone())];
         }
         let Some(report) = &self.report else {
             return Vec::new();
         };
-        let ready = |r: &&upstream::engine::Resident| r.state == State::Ready;
-        let mut answers: Vec<Target> = report
+        let is_ready = |r: &&upstream::engine::Resident| r.state == State::Ready;
+        let mut targets: Vec<Target> = report
             .resident
             .iter()
-            .filter(ready)
+            .filter(is_ready)
             .map(|r| Target::Model {
                 model: r.weights.model.clone(),
                 adapter: r.weights.adapter.clone(),
             })
             .collect();
-        answers.sort();
-        answers.dedup();
-        answers
+        targets.sort();
+        targets.dedup();
+        targets
     }
 
-    /// This upstream as a candidate for a request.
+    /// This upstream as a candidate for a request with the given prefix.
     pub(super) fn candidate(
         &self,
         now: Time,
@@ -167,13 +168,13 @@
         prefix: Option<u64>,
     ) -> Candidate<'_> {
         let age = choose::report_age(now, self.load_at, Span::ZERO);
-        let before = self.attempts.partition_point(|f| f.sent <= self.load_at);
+        let sent_before = self.attempts.partition_point(|a| a.sent_at <= self.load_at);
         Candidate {
             upstream: &self.host.name,
             distance,
             reported: self.load.running + self.load.waiting,
             age,
-            sent_since: (self.attempts.len() - before) as u32,
+            sent_since: (self.attempts.len() - sent_before) as u32,
             batch: self.report.as_ref().map_or(DEFAULT_BATCH, |r| r.batch),
             service_time: self.service_time.estimate(),
             in_flight: self.in_flight(),
@@ -183,7 +184,7 @@
         }
     }
 
-    /// Takes in a cache event; a gap in the numbers forgets everything.
+    /// Records that a prefix was cached or dropped, by the event of the given number.
     pub(super) fn record_cache_event(&mut self, number: u64, prefix: u64, held: bool) {
         if !held {
             self.prefixes.remove(&prefix);
@@ -202,6 +203,6 @@
     }
 }
 
-fn limit(batch: u32) -> Limit {
+fn concurrency_limit(batch: u32) -> Limit {
     Limit::new(batch * INITIAL_PER_BATCH, batch * MAX_PER_BATCH)
 }
--- a/crates/daemon/src/fleet/reservation.rs
+++ b/crates/daemon/src/fleet/reservation.rs
@@ -1,4 +1,4 @@
-//! Place of a request at an upstream; dropping it gives the place up.
+//! Reservation of an upstream for one attempt of a request.
 
 use super::Fleet;
 use backing::hosts::Host;
@@ -8,25 +8,25 @@
 use unit::{Name, Span, Time};
 use upstream::engine::{Load, RefusalReason};
 
-/// Place of one attempt.
+/// Attempt counted as in flight at an upstream until this is dropped.
 pub struct Reservation {
     fleet: Option<Arc<Fleet>>,
-    slot: usize,
+    index: usize,
     attempt: u64,
-    /// The upstream.
+    /// Name of the upstream.
     pub upstream: Name,
-    /// Its address.
+    /// Address of the upstream.
     pub addr: SocketAddr,
     /// How the candidates were evaluated.
     pub evaluations: Vec<Evaluation>,
-    /// When it was given.
+    /// When the reservation was made.
     pub reserved_at: Time,
 }
 
 impl Reservation {
     pub(super) fn new(
         fleet: Arc<Fleet>,
-        slot: usize,
+        index: usize,
         attempt: u64,
         host: &Host,
         evaluations: Vec<Evaluation>,
@@ -34,7 +34,7 @@
     ) -> Reservation {
         Reservation {
             fleet: Some(fleet),
-            slot,
+            index,
             attempt,
             upstream: host.name.clone(),
             addr: host.addr,
@@ -43,19 +43,19 @@
         }
     }
 
-    /// Takes the place apart without giving it up.
+    /// Index and attempt id, without releasing the reservation.
     pub(super) fn into_parts(mut self) -> (usize, u64) {
         self.fleet = None;
-        (self.slot, self.attempt)
+        (self.index, self.attempt)
     }
 
     fn change(&self, change: impl FnOnce(Time, &mut super::Entry)) {
         if let Some(fleet) = &self.fleet {
-            fleet.change(self.slot, change);
+            fleet.change(self.index, change);
         }
     }
 
-    /// Notes the first sign of an answer: `delay` after sending, which should be within `target`.
+    /// Records the first part of an answer, `delay` after sending; the limit aims at `target`.
     pub fn record_first_response(&self, delay: Span, target: Span) {
         self.change(|now, entry| {
             entry.breaker.record_success();
@@ -64,29 +64,30 @@
         });
     }
 
-    /// Notes the end of a whole answer: its delay to the first sign, and its whole time.
-    pub fn record_completion(&self, first: Span, whole: Span, load: Option<Load>) {
+    /// Records a complete answer: time to its first part, total time, and the load it carried.
+    pub fn record_completion(&self, to_first: Span, total: Span, load: Option<Load>) {
         self.change(|_, entry| {
             entry.breaker.record_success();
-            entry.service_time.record(first, whole);
+            entry.service_time.record(to_first, total);
         });
         if let (Some(fleet), Some(load)) = (&self.fleet, load) {
-            fleet.record_load(self.slot, load);
+            fleet.record_load(self.index, load);
         }
     }
 
-    /// Notes a failure.
+    /// Records a failed attempt.
     pub fn record_failure(&self) {
         self.change(|now, entry| {
             entry.breaker.record_failure(now);
         });
     }
 
-    /// Notes a documented refusal.
-    pub fn record_refusal(&self, cause: RefusalReason) {
-        self.change(|now, entry| match cause {
+    /// Records a refusal by the upstream, according to its reason.
+    pub fn record_refusal(&self, reason: RefusalReason) {
+        self.change(|now, entry| match reason {
             RefusalReason::Leaving => entry.refused_leaving = true,
             RefusalReason::Full => entry.limit.decrease(now),
+            // The newest report is out of date: have it polled first.
             RefusalReason::Absent | RefusalReason::Unknown => entry.reported_at = Time(0),
         });
     }
@@ -95,7 +96,7 @@
 impl Drop for Reservation {
     fn drop(&mut self) {
         if let Some(fleet) = self.fleet.take() {
-            fleet.release(self.slot, self.attempt);
+            fleet.release(self.index, self.attempt);
         }
     }
 }
--- a/crates/daemon/src/fleet/tables.rs
+++ b/crates/daemon/src/fleet/tables.rs
@@ -1,4 +1,4 @@
-//! The tables behind the fleet's mutex.
+//! State behind the fleet's mutex: upstreams and queues.
 
 use super::entry::{Attempt, Entry, Target};
 use super::reservation::Reservation;
@@ -14,10 +14,10 @@
 use unit::{Name, Span, Time};
 use upstream::engine::{Cached, Load, Report};
 
-/// Delay assumed to a hall that the settings do not name.
+/// One-way delay to a hall that the settings do not list.
 const DEFAULT_DISTANCE: Span = Span::from_ms(5);
 
-/// Request that waits, with the way to its owner.
+/// Waiting request, with the channel to its task.
 pub(super) struct Waiter {
     pub(super) request: Request,
     pub(super) sender: oneshot::Sender<Acquired>,
@@ -27,16 +27,18 @@
     rng: ChaCha8Rng,
     upstreams: Upstreams,
     queues: HashMap<Target, Queue<Waiter>>,
-    next_flight: u64,
+    next_attempt: u64,
 }
 
-/// Upstreams by slot, by name, and by what they answer.
+/// Upstreams, with indices by name and by target.
+///
+/// Entries are never removed, so an index into `entries` stays valid.
 struct Upstreams {
     hall: Name,
     distance: BTreeMap<Name, Span>,
     entries: Vec<Entry>,
-    slots: HashMap<Name, usize>,
-    index: HashMap<Target, Vec<usize>>,
+    by_name: HashMap<Name, usize>,
+    by_target: HashMap<Target, Vec<usize>>,
 }
 
 impl Tables {
@@ -47,11 +49,11 @@
                 hall,
                 distance,
                 entries: Vec::new(),
-                slots: HashMap::new(),
-                index: HashMap::new(),
+                by_name: HashMap::new(),
+                by_target: HashMap::new(),
             },
             queues: HashMap::new(),
-            next_flight: 0,
+            next_attempt: 0,
         }
     }
 
@@ -59,8 +61,8 @@
         self.upstreams.entries.clone()
     }
 
-    pub(super) fn entry_mut(&mut self, slot: usize) -> &mut Entry {
-        &mut self.upstreams.entries[slot]
+    pub(super) fn entry_mut(&mut self, index: usize) -> &mut Entry {
+        &mut self.upstreams.entries[index]
     }
 
     pub(super) fn find_mut(&mut self, upstream: &str) -> Option<&mut Entry> {
@@ -75,8 +77,8 @@
         self.upstreams.record_report(now, upstream, report);
     }
 
-    pub(super) fn record_load(&mut self, now: Time, slot: usize, load: Load) {
-        let entry = self.entry_mut(slot);
+    pub(super) fn record_load(&mut self, now: Time, index: usize, load: Load) {
+        let entry = self.entry_mut(index);
         entry.load = load;
         entry.load_at = now;
     }
@@ -90,42 +92,42 @@
     }
 
     pub(super) fn is_available(&self, target: &Target) -> bool {
-        !self.upstreams.serving(target).is_empty()
+        !self.upstreams.accepting(target).is_empty()
     }
 
-    /// Places a request now, unless others wait before it or there is no room.
-    pub(super) fn try_place(
+    /// Reserves an upstream for a request, unless others wait for its target or none has capacity.
+    pub(super) fn try_reserve(
         &mut self,
         fleet: &Arc<Fleet>,
         now: Time,
         request: &Request,
     ) -> Option<Reservation> {
-        let waiting = self
+        let has_queue = self
             .queues
             .get(&request.target)
             .is_some_and(|q| !q.is_empty());
-        if waiting {
+        if has_queue {
             return None;
         }
-        self.place(fleet, now, request)
+        self.reserve(fleet, now, request)
     }
 
-    fn place(&mut self, fleet: &Arc<Fleet>, now: Time, request: &Request) -> Option<Reservation> {
-        let slots = self.upstreams.serving(&request.target);
+    fn reserve(&mut self, fleet: &Arc<Fleet>, now: Time, request: &Request) -> Option<Reservation> {
+        let indices = self.upstreams.accepting(&request.target);
         let candidates = self
             .upstreams
-            .candidates(now, &slots, request.criteria.prefix);
-        let verdict = choose::choose(&request.criteria, &candidates, &mut self.rng);
-        let Selection::Take(taken) = verdict else {
+            .candidates(now, &indices, request.criteria.prefix);
+        let selection = choose::choose(&request.criteria, &candidates, &mut self.rng);
+        let Selection::Take(chosen) = selection else {
             return None;
         };
-        let evaluations = choose::evaluate(&request.criteria, &candidates, taken);
-        let slot = slots[taken];
-        let attempt = self.begin(now, slot);
-        let host = &self.upstreams.entries[slot].host;
+        let evaluations = choose::evaluate(&request.criteria, &candidates, chosen);
+        let index = indices[chosen];
+        let attempt = self.begin(now, index);
+        let host = &self.upstreams.entries[index].host;
         Some(Reservation::new(
             fleet.clone(),
-            slot,
+            index,
             attempt,
             host,
             evaluations,
@@ -133,40 +135,42 @@
         ))
     }
 
-    fn begin(&mut self, now: Time, slot: usize) -> u64 {
-        self.next_flight += 1;
-        let id = self.next_flight;
-        let entry = self.entry_mut(slot);
+    /// Adds an attempt to those in flight; returns its id.
+    fn begin(&mut self, now: Time, index: usize) -> u64 {
+        self.next_attempt += 1;
+        let id = self.next_attempt;
+        let entry = self.entry_mut(index);
         entry.breaker.record_sent(now);
-        entry.attempts.push(Attempt { id, sent: now });
+        entry.attempts.push(Attempt { id, sent_at: now });
         id
     }
 
-    /// Takes a request out of those in flight.
-    pub(super) fn finish(&mut self, slot: usize, attempt: u64) {
-        let entry = self.entry_mut(slot);
-        entry.attempts.retain(|f| f.id != attempt);
+    /// Removes an attempt from those in flight.
+    pub(super) fn finish(&mut self, index: usize, attempt: u64) {
+        let entry = self.entry_mut(index);
+        entry.attempts.retain(|a| a.id != attempt);
         entry.breaker.record_inconclusive();
     }
 
-    pub(super) fn queue(&mut self, target: &Target, most: usize) -> &mut Queue<Waiter> {
+    pub(super) fn queue(&mut self, target: &Target, capacity: usize) -> &mut Queue<Waiter> {
         let queue = self
             .queues
             .entry(target.clone())
-            .or_insert_with(|| Queue::new(most));
-        queue.set_capacity(most);
+            .or_insert_with(|| Queue::new(capacity));
+        queue.set_capacity(capacity);
         queue
     }
 
-    /// Serves requests that wait for what a slot answers, the first in rank first.
-    pub(super) fn serve_waiting(&mut self, fleet: &Arc<Fleet>, now: Time, slot: usize) {
-        let serves = self.upstreams.entries[slot].serves.clone();
+    /// Serves the requests that wait for an upstream's targets, highest rank first, while there is
+    /// capacity.
+    pub(super) fn serve_waiting(&mut self, fleet: &Arc<Fleet>, now: Time, index: usize) {
+        let targets = self.upstreams.entries[index].targets.clone();
         loop {
             let ranked = |target: &&Target| {
                 let head = self.queues.get(*target).and_then(|q| q.head(now))?;
                 Some((std::cmp::Reverse(head.rank), head.deadline))
             };
-            let first = serves
+            let first = targets
                 .iter()
                 .filter_map(|t| ranked(&t).map(|rank| (rank, t)))
                 .min();
@@ -179,7 +183,7 @@
         }
     }
 
-    /// Serves all queues as far as there is room.
+    /// Serves every queue as far as upstreams have capacity.
     pub(super) fn serve_all(&mut self, fleet: &Arc<Fleet>, now: Time) {
         self.queues.retain(|_, queue| !queue.is_empty());
         let targets: Vec<Target> = self.queues.keys().cloned().collect();
@@ -188,7 +192,7 @@
         }
     }
 
-    /// Gives a place to the first request of a queue; tells whether there was room.
+    /// Serves the first request of a queue; returns false if there is none or no capacity.
     fn serve_first(&mut self, fleet: &Arc<Fleet>, now: Time, target: &Target) -> bool {
         let Some(queue) = self.queues.get_mut(target) else {
             return false;
@@ -198,15 +202,15 @@
             return false;
         };
         let request = first.payload.request.clone();
-        let Some(placed) = self.place(fleet, now, &request) else {
+        let Some(reservation) = self.reserve(fleet, now, &request) else {
             return false;
         };
         let ticket = self.queues.get_mut(target).and_then(|q| q.pop(now));
-        let sent = ticket.map(|t| t.payload.sender.send(Ok(placed)));
+        let sent = ticket.map(|t| t.payload.sender.send(Ok(reservation)));
         if let Some(Err(Ok(unused))) = sent {
-            // Its owner has just gone; dropping the place here would take the lock we hold.
-            let (slot, attempt) = unused.into_parts();
-            self.finish(slot, attempt);
+            // The request's task is gone; dropping the reservation would lock the mutex held here.
+            let (index, attempt) = unused.into_parts();
+            self.finish(index, attempt);
         }
         true
     }
@@ -234,8 +238,8 @@
 
 impl Upstreams {
     fn find_mut(&mut self, upstream: &str) -> Option<&mut Entry> {
-        let slot = *self.slots.get(upstream)?;
-        Some(&mut self.entries[slot])
+        let index = *self.by_name.get(upstream)?;
+        Some(&mut self.entries[index])
     }
 
     fn set_hosts(&mut self, hosts: &[Host]) {
@@ -244,13 +248,13 @@
             if matches!(host.kind, Kind::Daemon { .. }) {
                 continue;
             }
-            match self.slots.get(&host.name) {
-                Some(slot) => {
-                    listed[*slot] = true;
-                    self.replace_host(*slot, host);
+            match self.by_name.get(&host.name) {
+                Some(index) => {
+                    listed[*index] = true;
+                    self.replace_host(*index, host);
                 }
                 None => {
-                    self.slots.insert(host.name.clone(), self.entries.len());
+                    self.by_name.insert(host.name.clone(), self.entries.len());
                     self.entries.push(Entry::new(host.clone()));
                     listed.push(true);
                     self.reindex(self.entries.len() - 1);
@@ -262,52 +266,52 @@
         }
     }
 
-    /// Takes over a host's entry; at a new address it is another process.
-    fn replace_host(&mut self, slot: usize, host: &Host) {
-        let entry = &mut self.entries[slot];
+    /// Updates the host of an entry; a new address means another process.
+    fn replace_host(&mut self, index: usize, host: &Host) {
+        let entry = &mut self.entries[index];
         if entry.host.addr != host.addr {
             entry.report = None;
             entry.refused_leaving = false;
         }
         entry.host = host.clone();
-        self.reindex(slot);
+        self.reindex(index);
     }
 
     fn record_report(&mut self, now: Time, upstream: &str, report: Report) {
-        let Some(slot) = self.slots.get(upstream).copied() else {
+        let Some(index) = self.by_name.get(upstream).copied() else {
             return;
         };
-        self.entries[slot].record_report(now, report);
-        self.reindex(slot);
+        self.entries[index].record_report(now, report);
+        self.reindex(index);
     }
 
-    /// Brings the index of targets up to what an upstream answers now.
-    fn reindex(&mut self, slot: usize) {
-        let now = self.entries[slot].targets();
-        if now == self.entries[slot].serves {
+    /// Updates `by_target` to what an upstream answers now.
+    fn reindex(&mut self, index: usize) {
+        let now = self.entries[index].ready_targets();
+        if now == self.entries[index].targets {
             return;
         }
-        let before = std::mem::replace(&mut self.entries[slot].serves, now.clone());
+        let before = std::mem::replace(&mut self.entries[index].targets, now.clone());
         for target in before {
-            if let Some(slots) = self.index.get_mut(&target) {
-                slots.retain(|s| *s != slot);
+            if let Some(indices) = self.by_target.get_mut(&target) {
+                indices.retain(|i| *i != index);
             }
         }
         for target in now {
-            self.index.entry(target).or_default().push(slot);
+            self.by_target.entry(target).or_default().push(index);
         }
     }
 
-    /// Slots that may get new work for a target.
-    fn serving(&self, target: &Target) -> Vec<usize> {
-        let slots = self.index.get(target).map_or(&[][..], Vec::as_slice);
-        let staying = |slot: &&usize| !self.entries[**slot].is_leaving();
-        slots.iter().filter(staying).copied().collect()
+    /// Upstreams that answer a target and are not leaving.
+    fn accepting(&self, target: &Target) -> Vec<usize> {
+        let indices = self.by_target.get(target).map_or(&[][..], Vec::as_slice);
+        let is_staying = |index: &&usize| !self.entries[**index].is_leaving();
+        indices.iter().filter(is_staying).copied().collect()
     }
 
-    fn candidates(&self, now: Time, slots: &[usize], prefix: Option<u64>) -> Vec<Candidate<'_>> {
-        let candidate = |slot: &usize| {
-            let entry = &self.entries[*slot];
+    fn candidates(&self, now: Time, indices: &[usize], prefix: Option<u64>) -> Vec<Candidate<'_>> {
+        let candidate = |index: &usize| {
+            let entry = &self.entries[*index];
             let distance = match entry.host.hall == self.hall {
                 true => Span::ZERO,
                 false => *self
@@ -317,6 +321,6 @@
             };
             entry.candidate(now, distance, prefix)
         };
-        slots.iter().map(candidate).collect()
+        indices.iter().map(candidate).collect()
     }
 }
