--- a/crates/daemon/src/distribution/freshness.rs
+++ b/crates/daemon/src/distribution/freshness.rs
@@ -1,12 +1,12 @@
-//! Whether this daemon can still confirm that its bundle is the newest.
+//! Confirmations that the active bundle is the newest.
 
 use parking_lot::Mutex;
 use unit::{Span, Time};
 
-/// Time after which a head that nobody confirmed is said to be unconfirmed.
+/// Time for which a confirmation counts.
 const CONFIRMATION_TTL: Span = Span::from_secs(15);
 
-/// Last confirmations of the head.
+/// Times of the last confirmations that the active bundle is the newest.
 #[derive(Default)]
 pub struct Freshness {
     last: Mutex<Last>,
@@ -19,22 +19,22 @@
 }
 
 impl Freshness {
-    /// The key-value service answered a watch.
+    /// Records that the key-value service answered a watch.
     pub fn record_service(&self, now: Time) {
         self.last.lock().service = Some(now);
     }
 
-    /// A peer answered with a head that is no older.
+    /// Records that a peer answered with a sequence that is no lower.
     pub fn record_peer(&self, now: Time) {
         self.last.lock().peer = Some(now);
     }
 
-    /// Whether the service answered lately.
+    /// Whether the key-value service answered a watch within [`CONFIRMATION_TTL`].
     pub fn is_service_reachable(&self, now: Time) -> bool {
         is_recent(self.last.lock().service, now)
     }
 
-    /// Whether the head was confirmed lately by anybody.
+    /// Whether the service or a peer confirmed the bundle within [`CONFIRMATION_TTL`].
     pub fn is_confirmed(&self, now: Time) -> bool {
         let last = *self.last.lock();
         is_recent(last.service, now) || is_recent(last.peer, now)
--- a/crates/daemon/src/distribution/peer.rs
+++ b/crates/daemon/src/distribution/peer.rs
@@ -1,4 +1,4 @@
-//! Asking other daemons, and answering them.
+//! Calls between daemons, one frame each way.
 
 use crate::core::Core;
 use bundle::Delta;
@@ -13,101 +13,105 @@
 use tokio::time::timeout;
 use wire::Frame;
 
-/// Time for an answer beyond what it may wait on purpose.
-const ANSWER_LIMIT: Duration = Duration::from_secs(2);
+/// Time for an answer, beyond the wait that the call asks for.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Longest wait that a peer may ask for.
-const MOST_WAIT: Duration = Duration::from_secs(30);
+/// Maximum wait that a peer may ask for.
+const MAX_WAIT: Duration = Duration::from_secs(30);
 
-/// Most parts given in one answer.
-const MOST_PARTS: usize = 1_024;
+/// Maximum number of parts in one answer.
+const MAX_PARTS: usize = 1_024;
 
-/// Why a peer's answer could not be had.
+/// Why a call to another daemon failed.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The exchange failed.
+    /// The HTTP exchange failed.
     #[snafu(display("{source}"), context(false))]
     Conn {
-        /// Why.
+        /// Cause.
         source: conn::Error,
     },
-    /// The message was not a sealed frame.
+    /// The request or the answer could not be encoded, decoded or authenticated.
     #[snafu(display("{source}"), context(false))]
     Wire {
-        /// Why.
+        /// Cause.
         source: wire::Error,
     },
     /// The peer refused.
     #[snafu(display("The daemon at {addr} refused: {reason}"))]
     Refused {
-        /// Which.
+        /// Address of the daemon.
         addr: SocketAddr,
-        /// Why.
+        /// Text of its answer.
         reason: String,
     },
 }
 
-/// Sends a frame to another daemon, reads its answer and counts the bytes.
+/// Sends a frame to another daemon, reads its answer and counts the bytes in the metrics.
+///
+/// `wait` is how long the daemon may hold back its answer.
 pub async fn call(
     core: &Core,
     addr: SocketAddr,
-    question: &Frame,
+    request: &Frame,
     wait: Duration,
 ) -> Result<Frame, Error> {
     let key = &core.settings.wire_key;
-    let (answer, bytes) = exchange(&core.pool, key, addr, question, wait).await?;
+    let (answer, traffic) = exchange(&core.pool, key, addr, request, wait).await?;
     let counter = |way| {
         core.metrics
             .counter("coveford_control_bytes_total", &[("way", way)])
     };
-    counter("out").increment(bytes.sent as u64);
-    counter("in").increment(bytes.received as u64);
+    counter("out").increment(traffic.sent as u64);
+    counter("in").increment(traffic.received as u64);
     Ok(answer)
 }
 
-/// Bytes of one exchange, without HTTP's own.
+/// Body bytes of one exchange.
 #[derive(Debug, Clone, Copy)]
 pub struct Traffic {
-    /// Of the question.
+    /// Bytes of the request.
     pub sent: usize,
-    /// Of the answer.
+    /// Bytes of the answer.
     pub received: usize,
 }
 
 /// Sends a frame to a daemon and reads its answer.
+///
+/// `wait` is how long the daemon may hold back its answer.
 pub async fn exchange(
     pool: &Pool,
     key: &wire::Key,
     addr: SocketAddr,
-    question: &Frame,
+    request: &Frame,
     wait: Duration,
 ) -> Result<(Frame, Traffic), Error> {
-    let sealed = wire::encode(key, &[], question)?;
-    let request = Request::post(wire::PATH)
+    let encoded = wire::encode(key, &[], request)?;
+    let post = Request::post(wire::PATH)
         .header(HOST, addr.to_string())
-        .body(conn::Body::new(Bytes::from(sealed.clone())))
+        .body(conn::Body::new(Bytes::from(encoded.clone())))
         .expect("a constant path makes a valid request");
-    let limit = wait + ANSWER_LIMIT;
+    let timeout = wait + ANSWER_TIMEOUT;
     let reply = pool
-        .exchange(addr, request, limit, wire::MAX_MESSAGE_BYTES)
+        .exchange(addr, post, timeout, wire::MAX_MESSAGE_BYTES)
         .await?;
     if reply.status != StatusCode::OK {
         let reason = String::from_utf8_lossy(&reply.body).into_owned();
         return Err(Error::Refused { addr, reason });
     }
-    let bytes = Traffic {
-        sent: sealed.len(),
+    let traffic = Traffic {
+        sent: encoded.len(),
         received: reply.body.len(),
     };
-    Ok((wire::decode(key, &sealed, &reply.body)?, bytes))
+    Ok((wire::decode(key, &encoded, &reply.body)?, traffic))
 }
 
 /// Answers a frame of another daemon.
-pub async fn handle(core: &Arc<Core>, question: Frame) -> Frame {
-    match question {
+pub async fn handle(core: &Arc<Core>, request: Frame) -> Frame {
+    match request {
         Frame::Follow { after, wait_ms } => {
-            let wait = Duration::from_millis(wait_ms).min(MOST_WAIT);
-            head_past(core, after, wait).await
+            let wait = Duration::from_millis(wait_ms).min(MAX_WAIT);
+            newer_head(core, after, wait).await
         }
         Frame::Fetch { hashes } => parts(core, &hashes),
         Frame::GetDemand => Frame::Demands {
@@ -132,9 +136,12 @@
     }
 }
 
-async fn head_past(core: &Arc<Core>, after: u64, wait: Duration) -> Frame {
+/// Waits at most `wait` for a sequence above `after` and returns the head with it.
+///
+/// The head is sent as a delta if the one that `after` names is still kept.
+async fn newer_head(core: &Arc<Core>, after: u64, wait: Duration) -> Frame {
     let mut sequence = core.active_bundle.subscribe();
-    // A lapsed wait is answered with what is in force.
+    // On timeout, the answer carries the current sequence and no head.
     let _ = timeout(wait, sequence.wait_for(|s| *s > after)).await;
     let current = core.in_force();
     let sequence = current.as_ref().map_or(0, |c| c.head.sequence);
@@ -142,7 +149,7 @@
         && sequence > after
     {
         let delta = Delta::between(&past, &current.head);
-        let delta = serde_json::to_string(&delta).expect("a delta can always be written");
+        let delta = serde_json::to_string(&delta).expect("a delta is always serializable");
         return Frame::Delta {
             sequence,
             delta: delta.into(),
@@ -159,8 +166,8 @@
     let Some(current) = core.in_force() else {
         return Frame::Parts { texts: Vec::new() };
     };
-    let found = hashes.iter().take(MOST_PARTS);
-    let texts = found.filter_map(|hash| current.parts.get(hash).cloned());
+    let requested = hashes.iter().take(MAX_PARTS);
+    let texts = requested.filter_map(|hash| current.parts.get(hash).cloned());
     Frame::Parts {
         texts: texts.collect(),
     }
@@ -169,12 +176,12 @@
 fn loads(core: &Core) -> Vec<wire::Load> {
     let now = core.now();
     let entries = core.fleet.entries();
-    let seen = entries.iter().filter(|e| e.report.is_some());
+    let reported = entries.iter().filter(|e| e.report.is_some());
     let load = |e: &crate::fleet::Entry| wire::Load {
         upstream: e.host.name.clone(),
         age: now.since(e.load_at),
         running: e.load.running,
         waiting: e.load.waiting,
     };
-    seen.map(load).collect()
+    reported.map(load).collect()
 }
--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -1,4 +1,4 @@
-//! What a daemon answers to operators, collectors and other daemons.
+//! HTTP interface for operators, metrics collectors and other daemons.
 
 mod status;
 
@@ -17,16 +17,16 @@
 use tokio::time::timeout;
 use tracing::warn;
 
-/// Connections of operators, collectors and daemons at once.
+/// Maximum number of open connections of operators, collectors and daemons.
 pub const MAX_CONNECTIONS: usize = 4_096;
 
-/// Time for a whole frame to arrive.
-const FRAME_LIMIT: Duration = Duration::from_secs(10);
+/// Time for a complete frame to arrive.
+const FRAME_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Newest requests listed.
-const NEWEST: usize = 50;
+/// Number of requests that `/requests` lists.
+const LISTED_REQUESTS: usize = 50;
 
-/// Answers one request.
+/// Answers one HTTP request.
 pub async fn handle(core: Arc<Core>, request: Request<Incoming>) -> Response<Full<Bytes>> {
     let path = request.uri().path().to_owned();
     if request.method() == Method::POST && path == wire::PATH {
@@ -43,7 +43,7 @@
         "/readyz" => readiness(&core),
         "/metrics" => text(StatusCode::OK, metrics(&core)),
         "/status" => json(&status::status(&core)),
-        "/requests" => json(&core.request_log.newest(NEWEST)),
+        "/requests" => json(&core.request_log.newest(LISTED_REQUESTS)),
         "/planner" => json(&core.planner_status.get()),
         path => match path.strip_prefix("/why/request/") {
             Some(id) => match core.request_log.find(id) {
@@ -59,16 +59,16 @@
 }
 
 fn readiness(core: &Core) -> Response<Full<Bytes>> {
-    let refuse = |why| text(StatusCode::SERVICE_UNAVAILABLE, why);
+    let unavailable = |reason| text(StatusCode::SERVICE_UNAVAILABLE, reason);
     if core.is_draining() {
-        return refuse("draining\n");
+        return unavailable("draining\n");
     }
     if core.active_bundle.sequence() == 0 {
-        return refuse("no bundle in force yet\n");
+        return unavailable("no bundle in force yet\n");
     }
     match core.freshness.is_confirmed(core.now()) {
         true => text(StatusCode::OK, "ready\n"),
-        // Still serving: an old bundle is better than none.
+        // Still ready: serving with an old bundle is better than not serving.
         false => text(
             StatusCode::OK,
             "ready, but neither the key-value service nor a peer confirms the bundle\n",
@@ -100,8 +100,8 @@
 
 async fn frame(core: &Arc<Core>, request: Request<Incoming>) -> Response<Full<Bytes>> {
     let body = Limited::new(request.into_body(), wire::MAX_MESSAGE_BYTES).collect();
-    let message = match timeout(FRAME_LIMIT, body).await {
-        Ok(Ok(whole)) => whole.to_bytes(),
+    let message = match timeout(FRAME_TIMEOUT, body).await {
+        Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(_)) => {
             return text(
                 StatusCode::PAYLOAD_TOO_LARGE,
@@ -116,19 +116,19 @@
         }
     };
     let key = &core.settings.wire_key;
-    let question = match wire::decode(key, &[], &message) {
-        Ok(question) => question,
+    let request = match wire::decode(key, &[], &message) {
+        Ok(request) => request,
         Err(e) => {
             core.metrics
                 .counter("coveford_frames_refused_total", &[])
                 .increment(1);
-            warn!(target: "wire", "a message was refused: {e}");
+            warn!(target: "wire", "rejected a frame of another daemon: {e}");
             return text(StatusCode::FORBIDDEN, format!("{e}\n"));
         }
     };
-    let answer = distribution::handle(core, question).await;
+    let answer = distribution::handle(core, request).await;
     match wire::encode(key, &message, &answer) {
-        Ok(sealed) => Response::new(Full::new(sealed.into())),
+        Ok(encoded) => Response::new(Full::new(encoded.into())),
         Err(e) => text(StatusCode::INTERNAL_SERVER_ERROR, format!("{e}\n")),
     }
 }
@@ -136,15 +136,15 @@
 fn text(status: StatusCode, body: impl Into<Bytes>) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(body.into()));
     *response.status_mut() = status;
-    let plain = hyper::header::HeaderValue::from_static("text/plain; charset=utf-8");
-    response.headers_mut().insert(CONTENT_TYPE, plain);
+    let content_type = hyper::header::HeaderValue::from_static("text/plain; charset=utf-8");
+    response.headers_mut().insert(CONTENT_TYPE, content_type);
     response
 }
 
 fn json<T: Serialize>(value: &T) -> Response<Full<Bytes>> {
-    let body = serde_json::to_vec(value).expect("it can always be written");
+    let body = serde_json::to_vec(value).expect("answers are always serializable");
     let mut response = Response::new(Full::new(body.into()));
-    let kind = hyper::header::HeaderValue::from_static("application/json");
-    response.headers_mut().insert(CONTENT_TYPE, kind);
+    let content_type = hyper::header::HeaderValue::from_static("application/json");
+    response.headers_mut().insert(CONTENT_TYPE, content_type);
     response
 }
--- a/crates/daemon/src/operator/status.rs
+++ b/crates/daemon/src/operator/status.rs
@@ -1,4 +1,4 @@
-//! State of a daemon, for `coveford status` and `coveford why`.
+//! Status of a daemon, for `coveford status` and `coveford why`.
 
 use crate::core::Core;
 use crate::distribution::is_relay;
@@ -9,89 +9,88 @@
 use unit::engine::State;
 use unit::{Bytes, Name, Span};
 
-/// State of a daemon.
+/// Status of a daemon.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// Its host.
+    /// Name of its host.
     pub name: Name,
     /// Its hall.
     pub hall: Name,
-    /// Whether it has been told to stop.
+    /// Whether it is draining.
     pub draining: bool,
-    /// Bundle in force; 0 before the first.
+    /// Sequence of the bundle in force; 0 before the first.
     pub bundle: u64,
     /// Title of that bundle.
     pub title: Name,
-    /// Whether the service or a peer confirmed the bundle lately.
+    /// Whether the key-value service or a peer recently confirmed that the bundle is the newest.
     pub confirmed: bool,
-    /// Whether the key-value service answered lately.
+    /// Whether the key-value service recently answered.
     pub service_answers: bool,
-    /// Whether it relays bundles in its hall.
+    /// Whether it is one of its hall's relays for bundles.
     pub relay: bool,
-    /// Whether it plans for its hall.
+    /// Whether it holds its hall's planner lease.
     pub planner: bool,
     /// Requests in flight.
     pub in_flight: u64,
-    /// Upstreams as seen from here.
+    /// Upstreams, as this daemon sees them.
     pub upstreams: Vec<Upstream>,
-    /// Models of the bundle as seen from here.
+    /// Models of the bundle, as this daemon sees them.
     pub models: BTreeMap<Name, Model>,
 }
 
-/// Upstream as seen from a daemon.
+/// Upstream, as a daemon sees it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Upstream {
     /// Its name.
     pub name: Name,
     /// Its hall.
     pub hall: Name,
-    /// Whether it gets no new work.
+    /// Whether it is leaving and gets no new work.
     pub leaving: bool,
-    /// Whether it is ejected for failing.
+    /// Whether its circuit breaker is open.
     pub ejected: bool,
     /// Age of its last report.
     pub report_age: Span,
     /// Accelerator memory; 0 for plain services.
     pub memory: Bytes,
-    /// Memory taken.
+    /// Accelerator memory in use by weights.
     pub taken: Bytes,
-    /// Requests running there.
+    /// Requests running there, from all daemons.
     pub running: u32,
-    /// Requests waiting there.
+    /// Requests waiting there, from all daemons.
     pub waiting: u32,
     /// This daemon's requests in flight there.
     pub in_flight: u32,
-    /// How many it may have there.
+    /// Limit of this daemon's requests in flight there.
     pub allowed: u32,
 }
 
-/// Model as seen from a daemon.
+/// Model, as a daemon sees it.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Model {
     /// Version the bundle asks for.
     pub version: Name,
     /// Replicas.
     pub replicas: Vec<Replica>,
-    /// Requests waiting here.
+    /// Requests in this daemon's queues.
     pub waiting: u64,
-    /// Requests a second that arrive here, smoothed.
+    /// Smoothed arrival rate at this daemon, in requests per second.
     pub rate: f64,
 }
 
 /// Replica of a model.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Replica {
-    /// Where.
+    /// Its upstream.
     pub upstream: Name,
     /// Its version.
     pub version: Name,
     /// Its state.
     pub state: State,
-    /// Whether its upstream gets no new work.
+    /// Whether its upstream is leaving and gets no new work.
     pub leaving: bool,
 }
 
-/// State of a daemon now.
 pub(super) fn status(core: &Core) -> Status {
     let now = core.now();
     let current = core.in_force();
@@ -151,12 +150,12 @@
     }
     for entry in entries {
         let resident = entry.report.iter().flat_map(|r| &r.resident);
-        for held in resident.filter(|r| r.weights.adapter.is_none()) {
-            if let Some(model) = models.get_mut(&held.weights.model) {
+        for replica in resident.filter(|r| r.weights.adapter.is_none()) {
+            if let Some(model) = models.get_mut(&replica.weights.model) {
                 model.replicas.push(Replica {
                     upstream: entry.host.name.clone(),
-                    version: held.weights.version.clone(),
-                    state: held.state,
+                    version: replica.weights.version.clone(),
+                    state: replica.state,
                     leaving: entry.is_leaving(),
                 });
             }
