--- a/crates/daemon/src/active_bundle.rs
+++ b/crates/daemon/src/active_bundle.rs
@@ -1,4 +1,6 @@
-//! The bundle in force at this daemon: only ever a higher one, switched at once.
+//! The bundle in force at this daemon.
+//!
+//! It is replaced as a whole, and only by a bundle with a higher sequence.
 
 use arc_swap::ArcSwapOption;
 use bundle::head;
@@ -11,57 +13,57 @@
 use tokio::sync::watch;
 use unit::Name;
 
-/// Bundle in force.
+/// Verified bundle.
 pub struct Bundle {
     /// Its head.
     pub head: Head,
-    /// The head as text, as it is passed on.
+    /// The head as text, as it is sent to other daemons.
     pub text: Name,
-    /// Texts of its parts by hash.
+    /// Texts of its parts, by hash.
     pub parts: HashMap<Name, Name>,
-    /// Its content.
+    /// Its parsed content.
     pub intent: Intent,
 }
 
-/// Why a head was not put in force.
+/// Why a bundle was not activated.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// It is not higher than the one in force.
+    /// Its sequence is not above that of the bundle in force.
     #[snafu(display("Bundle {sequence} is not above {current}, which is in force."))]
     NotNewer {
         /// Its sequence.
         sequence: u64,
-        /// The one in force.
+        /// Sequence of the bundle in force.
         current: u64,
     },
-    /// It is not signed as it must be.
+    /// Its signatures are not sufficient.
     #[snafu(display("{source}"), context(false))]
     Rejected {
-        /// What is missing.
+        /// Cause.
         source: head::Error,
     },
-    /// A part is missing or is not what its hash says.
+    /// A part is missing or does not match its hash.
     #[snafu(display("Part {hash} of bundle {sequence} is missing or corrupt."))]
     InvalidPart {
-        /// Its hash.
+        /// Hash of the part.
         hash: Name,
-        /// The bundle.
+        /// Sequence of the bundle.
         sequence: u64,
     },
-    /// Its content is no valid bundle.
+    /// Its content is not valid.
     #[snafu(display("Bundle {sequence} has {} problems; the first: {}", problems.len(), problems[0]))]
     InvalidContent {
-        /// The bundle.
+        /// Sequence of the bundle.
         sequence: u64,
-        /// What is wrong.
+        /// All problems found.
         problems: Vec<Problem>,
     },
 }
 
-/// Heads kept, so that followers a few bundles behind are sent only what changed.
+/// Number of past heads kept, so that followers slightly behind can be sent a delta.
 const MAX_PAST_HEADS: usize = 32;
 
-/// Holder of the bundle in force.
+/// The bundle in force, replaced atomically, and the heads before it.
 pub struct ActiveBundle {
     trust: Trust,
     current: ArcSwapOption<Bundle>,
@@ -70,7 +72,7 @@
     sequence: watch::Sender<u64>,
 }
 
-/// Makes a holder with nothing in force.
+/// Creates the holder, with no bundle in force.
 pub fn open(trust: Trust) -> ActiveBundle {
     ActiveBundle {
         trust,
@@ -82,28 +84,30 @@
 }
 
 impl ActiveBundle {
-    /// The bundle in force, if any.
     pub fn current(&self) -> Option<Arc<Bundle>> {
         self.current.load_full()
     }
 
-    /// Sequence in force; 0 before the first.
+    /// Sequence of the bundle in force; 0 before the first.
     pub fn sequence(&self) -> u64 {
         *self.sequence.borrow()
     }
 
-    /// A head that was in force here before, if it is still kept.
+    /// Head of an earlier bundle, if it is still kept.
     pub fn past_head(&self, sequence: u64) -> Option<Head> {
         let past = self.past_heads.lock();
         past.iter().find(|head| head.sequence == sequence).cloned()
     }
 
-    /// Follows the sequence in force.
+    /// Receiver of the sequence in force.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.sequence.subscribe()
     }
 
-    /// Puts a head in force when it is higher, signed, and whole.
+    /// Verifies a bundle and puts it in force.
+    ///
+    /// Fails if its sequence is not higher, its signatures are not sufficient, a part is missing or
+    /// corrupt, or its content is not valid.
     pub fn activate(
         &self,
         text: &Name,
@@ -123,7 +127,7 @@
         let revoked = revoked.unwrap_or_default();
         head.verify(&self.trust, &revoked)?;
         let parts = verify_parts(&head, texts)?;
-        let ordered = head.draft.parts.iter().map(|at| &*parts[&at.hash]);
+        let ordered = head.draft.parts.iter().map(|part| &*parts[&part.hash]);
         let intent = part::parse(ordered)
             .map_err(|problems| Error::InvalidContent { sequence, problems })?;
         if let Some(current) = current {
@@ -143,18 +147,18 @@
     }
 }
 
-/// Exactly the parts that a head names, each checked against its hash.
+/// The parts that a head references, each checked against its hash.
 fn verify_parts(head: &Head, texts: &HashMap<Name, Name>) -> Result<HashMap<Name, Name>, Error> {
     let mut parts = HashMap::new();
-    for at in &head.draft.parts {
+    for part in &head.draft.parts {
         let text = texts
-            .get(&at.hash)
-            .filter(|text| part::hash(text.as_bytes()) == at.hash)
+            .get(&part.hash)
+            .filter(|text| part::hash(text.as_bytes()) == part.hash)
             .ok_or_else(|| Error::InvalidPart {
-                hash: at.hash.clone(),
+                hash: part.hash.clone(),
                 sequence: head.sequence,
             })?;
-        parts.insert(at.hash.clone(), text.clone());
+        parts.insert(part.hash.clone(), text.clone());
     }
     Ok(parts)
 }
--- a/crates/daemon/src/distribution.rs
+++ b/crates/daemon/src/distribution.rs
@@ -65,11 +65,11 @@
 pub async fn follow(core: Arc<Core>) {
     let mut revision = 0;
     loop {
-        let answered = match is_relay(&core) {
+        let succeeded = match is_relay(&core) {
             true => watch(&core, &mut revision).await,
             false => follow_relay(&core).await,
         };
-        if !answered {
+        if !succeeded {
             sleep(RETRY_DELAY).await;
         }
     }
--- a/crates/daemon/src/polling.rs
+++ b/crates/daemon/src/polling.rs
@@ -1,4 +1,4 @@
-//! Watching the host list and the upstreams' reports.
+//! Polling of the host list and of the upstreams' reports.
 
 use crate::core::{Core, is_daemon};
 use backing::hosts::Host;
@@ -12,30 +12,30 @@
 use unit::Name;
 use upstream::engine::Orders;
 
-/// Time between two reads of the host list.
+/// Time between two polls of the host list.
 const HOSTS_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time between two looks at which reports are old.
+/// Time between two checks for reports that are due.
 const REPORTS_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time for one poll of an upstream.
+/// Time for one call on an upstream.
 const POLL_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Follows the host list until the process ends.
+/// Polls the host list until the process ends.
 pub async fn hosts(core: Arc<Core>) {
     let mut failing = false;
     loop {
         match core.hosts.poll().await {
-            Ok(news) => {
+            Ok(changed) => {
                 failing = false;
-                if let Some(hosts) = news {
+                if let Some(hosts) = changed {
                     apply_hosts(&core, hosts);
                 }
             }
-            // The last list stays in force: silence is not leaving.
+            // The last list stays in use: hosts do not leave because the list is unreachable.
             Err(e) if !failing => {
                 failing = true;
-                warn!(target: "hosts", "the host list cannot be read: {e}");
+                warn!(target: "hosts", "the host list cannot be read, keeping the last one: {e}");
             }
             Err(_) => {}
         }
@@ -49,50 +49,52 @@
     *core.peers.write() = peers;
 }
 
-/// Connection to an engine and how far its cache events were read.
+/// Connection to an engine.
 struct Connection {
     orders: Orders,
-    cache_after: u64,
+    /// Number of the last cache event read.
+    last_event: u64,
 }
 
-/// Kept connections, and the upstreams that are being polled.
+/// Idle connections, and the upstreams that are being polled.
 #[derive(Default)]
 struct Connections {
-    kept: HashMap<Name, Connection>,
-    busy: HashSet<Name>,
+    idle: HashMap<Name, Connection>,
+    polled: HashSet<Name>,
 }
 
-/// Polls the reports of upstreams whose load has not ridden on an answer lately.
+/// Polls the engines whose last report is older than the poll interval, until the process ends.
 ///
-/// The number of polls a second is bounded, so that this traffic does not grow
-/// with the fleet; the oldest reports go first. A frozen upstream holds up
-/// nobody else's poll.
+/// The number of polls per second is limited, so that this traffic does not grow
+/// with the fleet; the oldest reports are renewed first. Polls run concurrently, so
+/// that an upstream that does not answer delays no other's poll.
 pub async fn reports(core: Arc<Core>) {
     let settings = core.settings.reports;
-    let each = (u64::from(settings.polls_per_second) * REPORTS_INTERVAL.as_millis() as u64)
+    let polls_per_check = (u64::from(settings.polls_per_second)
+        * REPORTS_INTERVAL.as_millis() as u64)
         .div_ceil(1_000);
-    let polls: Arc<Mutex<Connections>> = Arc::default();
-    let mut looks = interval(REPORTS_INTERVAL);
-    looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let connections: Arc<Mutex<Connections>> = Arc::default();
+    let mut checks = interval(REPORTS_INTERVAL);
+    checks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        looks.tick().await;
+        checks.tick().await;
         let stale = core.fleet.stale_reports(settings.poll_interval);
-        for (name, addr) in stale.into_iter().take(each as usize) {
-            if polls.lock().busy.insert(name.clone()) {
-                tokio::spawn(poll(core.clone(), polls.clone(), name, addr));
+        for (name, addr) in stale.into_iter().take(polls_per_check as usize) {
+            if connections.lock().polled.insert(name.clone()) {
+                tokio::spawn(poll(core.clone(), connections.clone(), name, addr));
             }
         }
     }
 }
 
-async fn poll(core: Arc<Core>, polls: Arc<Mutex<Connections>>, name: Name, addr: SocketAddr) {
-    let kept = polls.lock().kept.remove(&name);
-    let asked = poll_once(&core, kept, &name, addr).await;
-    let mut polls = polls.lock();
-    polls.busy.remove(&name);
-    match asked {
-        Ok(poll) => {
-            polls.kept.insert(name, poll);
+async fn poll(core: Arc<Core>, connections: Arc<Mutex<Connections>>, name: Name, addr: SocketAddr) {
+    let connection = connections.lock().idle.remove(&name);
+    let polled = poll_once(&core, connection, &name, addr).await;
+    let mut connections = connections.lock();
+    connections.polled.remove(&name);
+    match polled {
+        Ok(connection) => {
+            connections.idle.insert(name, connection);
         }
         Err(_) => core.fleet.record_poll_failure(&name),
     }
@@ -100,28 +102,28 @@
 
 async fn poll_once(
     core: &Arc<Core>,
-    kept: Option<Connection>,
+    connection: Option<Connection>,
     name: &Name,
     addr: SocketAddr,
 ) -> Result<Connection, conn::Error> {
-    let mut poll = match kept {
-        Some(poll) => poll,
+    let mut connection = match connection {
+        Some(connection) => connection,
         None => Connection {
             orders: Orders::open(addr, POLL_TIMEOUT).await?,
-            cache_after: 0,
+            last_event: 0,
         },
     };
-    let report = poll.orders.report().await?;
+    let report = connection.orders.report().await?;
     core.fleet.record_report(name, report);
-    let events = poll.orders.cache(poll.cache_after).await?;
+    let events = connection.orders.cache(connection.last_event).await?;
     if let Some(last) = events.last() {
-        poll.cache_after = last.number;
+        connection.last_event = last.number;
         core.fleet.record_cache_events(name, &events);
     }
-    Ok(poll)
+    Ok(connection)
 }
 
-/// Keeps metrics from piling up, until the process ends.
+/// Runs the upkeep of the metrics at regular intervals, until the process ends.
 pub async fn metrics_upkeep(core: Arc<Core>) {
     loop {
         sleep(Duration::from_secs(5)).await;
--- a/crates/daemon/src/request_log.rs
+++ b/crates/daemon/src/request_log.rs
@@ -1,4 +1,4 @@
-//! What this daemon decided, for `coveford why`: a bounded ring of records.
+//! Log of recent requests and the decisions on them, for `coveford why`.
 
 use parking_lot::Mutex;
 use route::choose::{Evaluation, Exclusion};
@@ -7,13 +7,13 @@
 use std::collections::{HashMap, VecDeque};
 use unit::{Name, Span};
 
-/// Requests whose reasons are kept.
+/// Number of requests kept.
 const MAX_RECORDS: usize = 4_096;
 
-/// Decisions kept for one request.
+/// Number of decisions kept per request.
 const MAX_DECISIONS: usize = 8;
 
-/// Decision on one attempt.
+/// Choice of the upstream for one attempt, and how the attempt ended.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Decision {
     /// Time since the request arrived.
@@ -22,46 +22,46 @@
     pub attempt: u32,
     /// Upstream that was chosen.
     pub upstream: Name,
-    /// All candidates as they were weighed.
+    /// Evaluations of all candidates.
     pub weighed: Vec<Evaluation>,
-    /// How the attempt ended, as a sentence; empty while it runs.
+    /// How the attempt ended, as text; empty while it runs.
     pub ended: String,
 }
 
 /// Record of one request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// The request.
+    /// Identity of the request.
     pub request: Name,
-    /// Who sent it.
+    /// Client account that sent it.
     pub caller: Name,
-    /// Its class.
+    /// Name of its class.
     pub class: Name,
     /// Model, adapter or service it asked for.
     pub target: Name,
-    /// Whether it may be repeated.
+    /// Whether it may be run more than once.
     pub repeatable: bool,
     /// Sequence of the bundle it was served under.
     pub bundle: u64,
-    /// Time in the queue.
+    /// Total time in the queue.
     pub waited: Span,
-    /// Decisions in order.
+    /// Decisions on its attempts, in order.
     pub decisions: Vec<Decision>,
-    /// Outcome; none while it runs.
+    /// Outcome; `None` while it runs.
     pub outcome: Option<Outcome>,
-    /// Why it ended so, as a sentence.
+    /// Reason for the outcome, as text.
     pub reason: String,
 }
 
 impl Record {
-    /// The record in sentences.
+    /// Explanation of the record, one sentence per line.
     pub fn explain(&self) -> Vec<String> {
-        let repeat = match self.repeatable {
+        let repeatability = match self.repeatable {
             true => "may be repeated",
             false => "may run at most once",
         };
         let mut lines = vec![format!(
-            "Request {} of caller {} asked for {} in class {} under bundle {}; it {repeat}.",
+            "Request {} of caller {} asked for {} in class {} under bundle {}; it {repeatability}.",
             self.request, self.caller, self.target, self.class, self.bundle
         )];
         if self.waited > Span::ZERO {
@@ -90,8 +90,8 @@
             self.upstream,
             self.weighed.len()
         )];
-        for weighed in &self.weighed {
-            lines.push(format!("  {}", explain(weighed)));
+        for evaluation in &self.weighed {
+            lines.push(format!("  {}", explain(evaluation)));
         }
         if !self.ended.is_empty() {
             lines.push(format!("  It ended: {}", self.ended));
@@ -100,8 +100,8 @@
     }
 }
 
-fn explain(weighed: &Evaluation) -> String {
-    let why = match weighed.exclusion {
+fn explain(evaluation: &Evaluation) -> String {
+    let reason = match evaluation.exclusion {
         None => "chosen as the cheapest of those sampled",
         Some(Exclusion::Costlier) => "passed over: no cheaper",
         Some(Exclusion::NotSampled) => "passed over: not among those sampled",
@@ -110,12 +110,12 @@
         Some(Exclusion::Failed) => "passed over: it failed this request before",
     };
     format!(
-        "{}: wait {}, prefill {}, distance {}; {why}.",
-        weighed.upstream, weighed.wait, weighed.prefill, weighed.distance
+        "{}: wait {}, prefill {}, distance {}; {reason}.",
+        evaluation.upstream, evaluation.wait, evaluation.prefill, evaluation.distance
     )
 }
 
-/// Ring of records.
+/// Bounded log of request records.
 #[derive(Default)]
 pub struct RequestLog {
     ring: Mutex<Ring>,
@@ -128,7 +128,7 @@
 }
 
 impl RequestLog {
-    /// Starts the record of a request; the oldest goes when the ring is full.
+    /// Starts the record of a request; evicts the oldest when the log is full.
     pub fn begin(&self, record: Record) {
         let mut ring = self.ring.lock();
         if ring.order.len() >= MAX_RECORDS
@@ -140,14 +140,14 @@
         ring.records.insert(record.request.clone(), record);
     }
 
-    /// Changes a record, if it is still kept.
+    /// Updates a record, if it is still kept.
     pub fn update(&self, request: &Name, update: impl FnOnce(&mut Record)) {
         if let Some(record) = self.ring.lock().records.get_mut(request) {
             update(record);
         }
     }
 
-    /// Adds a decision to a record.
+    /// Adds a decision to a record, up to [`MAX_DECISIONS`].
     pub fn record_decision(&self, request: &Name, decision: Decision) {
         self.update(request, |record| {
             if record.decisions.len() < MAX_DECISIONS {
@@ -156,7 +156,7 @@
         });
     }
 
-    /// Notes how the last attempt ended.
+    /// Records how the last attempt ended.
     pub fn record_attempt_end(&self, request: &Name, ended: &str) {
         self.update(request, |record| {
             if let Some(last) = record.decisions.last_mut() {
@@ -165,7 +165,7 @@
         });
     }
 
-    /// Notes the outcome.
+    /// Records the outcome of a request and the reason for it.
     pub fn record_outcome(&self, request: &Name, outcome: Outcome, reason: &str) {
         self.update(request, |record| {
             record.outcome = Some(outcome);
@@ -178,10 +178,10 @@
         self.ring.lock().records.get(request).cloned()
     }
 
-    /// The newest records, newest first.
-    pub fn newest(&self, most: usize) -> Vec<Record> {
+    /// At most `max` records, newest first.
+    pub fn newest(&self, max: usize) -> Vec<Record> {
         let ring = self.ring.lock();
-        let newest = ring.order.iter().rev().take(most);
+        let newest = ring.order.iter().rev().take(max);
         newest
             .filter_map(|id| ring.records.get(id).cloned())
             .collect()
