--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a daemon, read from INI and checked whole.
+//! Settings of a daemon, read from INI; all problems are reported together.
 
 use crate::error::{Error, ReadSettingsSnafu};
 use backing::store::Capacity;
@@ -10,139 +10,139 @@
 use std::path::Path;
 use unit::{Bytes, Name, Span};
 
-/// Checked settings.
+/// Valid settings of a daemon.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Name of this host, unique over the fleet.
+    /// Name of this host, unique in the fleet.
     pub name: Name,
-    /// Data hall it stands in.
+    /// Data hall that the host is in.
     pub hall: Name,
-    /// Where it answers callers.
+    /// Address for callers.
     pub caller_addr: SocketAddr,
-    /// Where it answers operators and other daemons.
+    /// Address for operators and other daemons.
     pub operator_addr: SocketAddr,
-    /// Longest time that requests in flight have to end when the daemon stops.
+    /// Maximum time for requests in flight to end when the daemon stops.
     pub drain_timeout: Span,
-    /// Time between failing readiness and refusing connections, for the balancer to notice.
+    /// Time from failing readiness to refusing connections, for the load balancer to notice.
     pub drain_delay: Span,
-    /// Key-value service, one or more addresses.
+    /// Addresses of the key-value service.
     pub kv: Vec<SocketAddr>,
-    /// Host list.
+    /// Address of the host list.
     pub hosts: SocketAddr,
-    /// Time for one call on the platform.
+    /// Timeout of one call on the key-value service or the host list.
     pub call_limit: Span,
-    /// Key that seals messages between daemons.
+    /// Key that authenticates messages between daemons.
     pub wire_key: wire::Key,
-    /// Operators whose signatures count.
+    /// Operators whose signatures are accepted, and the number of approvals required.
     pub trust: Trust,
-    /// Bounds of this process.
+    /// Resource limits of this process.
     pub limits: Limits,
-    /// Reports of upstreams.
+    /// Polling of upstreams' reports.
     pub reports: Reports,
-    /// The planner, when this host holds its hall's lease.
+    /// Planner, used while this host holds its hall's lease.
     pub planner: Planner,
-    /// Delay to other halls, one way.
+    /// One-way delay to other halls.
     pub distance: BTreeMap<Name, Span>,
-    /// Logs.
+    /// Logging.
     pub log: Log,
 }
 
-/// Bounds of one process.
+/// Resource limits of the process.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Open connections of callers.
+    /// Maximum number of open connections of callers.
     pub connections: usize,
-    /// Memory of request bodies held at once.
+    /// Total memory for the bodies of requests.
     pub body_memory: Bytes,
-    /// Time without a token after which a stream is held to be lost.
+    /// Time without a token after which a stream counts as lost.
     pub stall_timeout: Span,
 }
 
-/// How upstreams' reports are had.
+/// Polling of upstreams' reports.
 #[derive(Debug, Clone, Copy)]
 pub struct Reports {
-    /// Time between two polls of an upstream whose reports do not ride on answers.
+    /// Age of an upstream's last report at which it is polled again.
     pub poll_interval: Span,
-    /// Polls a second in all, so that control traffic does not grow with the fleet.
+    /// Maximum polls per second over all upstreams, to keep traffic independent of the fleet size.
     pub polls_per_second: u32,
-    /// Age a report has already when it comes.
+    /// Age of a report when it arrives.
     pub lag: Span,
 }
 
-/// How the planner works.
+/// Settings of the planner.
 #[derive(Debug, Clone, Copy)]
 pub struct Planner {
     /// Time between two ticks.
     pub tick: Span,
     /// Time to live of the lease.
     pub lease: Span,
-    /// Time for an order to be answered.
+    /// Timeout of a report or order on an upstream's order connection.
     pub order_limit: Span,
-    /// Bounds of the weight store.
+    /// Capacity of the weight store.
     pub store: Capacity,
 }
 
-/// How logs are written.
+/// Settings of the log.
 #[derive(Debug, Clone)]
 pub struct Log {
-    /// Filter such as `info` or `info,spread=debug`.
+    /// Level filter, such as `info` or `info,spread=debug`.
     pub level: Name,
-    /// Form.
+    /// Output format.
     pub format: LogFormat,
 }
 
-/// Form of logs.
+/// Output format of the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogFormat {
-    /// A line of text each.
+    /// One line of text per event.
     Text,
-    /// A JSON object each.
+    /// One JSON object per event.
     Json,
 }
 
-/// Sections a settings file may have.
+/// Sections that a settings file may have, as listed in problems.
 const SECTIONS: &str =
     "daemon, platform, wire, approvals, operator NAME, limits, reports, planner, distance, log";
 
-/// Reads settings from a file.
+/// Reads a daemon's settings from a file.
 pub fn load(path: &Path) -> Result<Settings, Error> {
     let text = std::fs::read_to_string(path).context(ReadSettingsSnafu { path })?;
     read(&path.display().to_string(), &text).map_err(|problems| Error::Settings { problems })
 }
 
-/// Reads settings from text; every problem is reported at once.
+/// Reads a daemon's settings from text; `file` names it in problems.
 pub fn read(file: &str, text: &str) -> Result<Settings, Vec<Problem>> {
     let mut problems = Problems::new(file);
     let document = ini::parse(text, &mut problems);
     check_sections(&document, &mut problems);
     let settings = read_document(&document, &mut problems);
     let settings = problems.into_result(settings)?;
-    Ok(settings.expect("settings without a problem are whole"))
+    Ok(settings.expect("settings without problems are complete"))
 }
 
-/// What an operator's tool needs of the settings; a daemon's own file serves as well.
+/// Settings of the command line, which can read a daemon's file too.
 #[derive(Debug, Clone)]
 pub struct Tool {
-    /// Key-value service.
+    /// Addresses of the key-value service.
     pub kv: Vec<SocketAddr>,
-    /// Host list.
+    /// Address of the host list.
     pub hosts: SocketAddr,
-    /// Time for one call on the platform.
+    /// Timeout of one call on the key-value service or the host list.
     pub call_limit: Span,
-    /// Key that seals messages to daemons.
+    /// Key that authenticates messages to daemons.
     pub wire_key: wire::Key,
-    /// Operators whose signatures count.
+    /// Operators whose signatures are accepted, and the number of approvals required.
     pub trust: Trust,
 }
 
-/// Reads a tool's settings from a file.
+/// Reads the command line's settings from a file.
 pub fn load_tool(path: &Path) -> Result<Tool, Error> {
     let text = std::fs::read_to_string(path).context(ReadSettingsSnafu { path })?;
-    let read = read_tool(&path.display().to_string(), &text);
-    read.map_err(|problems| Error::Settings { problems })
+    let settings = read_tool(&path.display().to_string(), &text);
+    settings.map_err(|problems| Error::Settings { problems })
 }
 
-/// Reads a tool's settings from text; every problem is reported at once.
+/// Reads the command line's settings from text; `file` names it in problems.
 pub fn read_tool(file: &str, text: &str) -> Result<Tool, Vec<Problem>> {
     let mut problems = Problems::new(file);
     let document = ini::parse(text, &mut problems);
@@ -151,15 +151,15 @@
     let wire_key = read_wire(&document.section("wire"), &mut problems);
     let approvals = document.section("approvals");
     let trust = read_trust(&operators(&document), &approvals, &mut problems);
-    let whole = platform.zip(wire_key).map(|(platform, wire_key)| Tool {
+    let tool = platform.zip(wire_key).map(|(platform, wire_key)| Tool {
         kv: platform.kv,
         hosts: platform.hosts,
         call_limit: platform.call_limit,
         wire_key,
         trust,
     });
-    let whole = problems.into_result(whole)?;
-    Ok(whole.expect("settings without a problem are whole"))
+    let tool = problems.into_result(tool)?;
+    Ok(tool.expect("settings without problems are complete"))
 }
 
 fn operators(document: &Document) -> Vec<&Section> {
@@ -167,8 +167,9 @@
     sections.filter(|s| &*s.kind == "operator").collect()
 }
 
+/// Reports sections that are unknown or occur twice.
 fn check_sections(document: &Document, problems: &mut Problems) {
-    let mut lines: BTreeMap<String, u32> = BTreeMap::new();
+    let mut first_lines: BTreeMap<String, u32> = BTreeMap::new();
     for section in &document.sections {
         let known = match &*section.kind {
             "operator" => !section.name.is_empty(),
@@ -183,7 +184,7 @@
                 format!("[{header}] is not a section of the settings; known are: {SECTIONS}."),
             );
         }
-        if let Some(first) = lines.insert(header.clone(), section.line) {
+        if let Some(first) = first_lines.insert(header.clone(), section.line) {
             problems.add(
                 section.line,
                 format!("[{header}] stands already at line {first}; join the two."),
@@ -193,16 +194,16 @@
 }
 
 fn read_document(document: &Document, problems: &mut Problems) -> Option<Settings> {
-    let find = |kind: &str| document.section(kind);
-    let host = read_host(&find("daemon"), problems);
-    let platform = read_platform(&find("platform"), problems);
-    let wire_key = read_wire(&find("wire"), problems);
-    let trust = read_trust(&operators(document), &find("approvals"), problems);
-    let limits = read_limits(&find("limits"), problems);
-    let reports = read_reports(&find("reports"), problems);
-    let planner = read_planner(&find("planner"), problems);
-    let distance = read_distance(&find("distance"), problems);
-    let log = read_log(&find("log"), problems);
+    let section = |kind: &str| document.section(kind);
+    let host = read_host(&section("daemon"), problems);
+    let platform = read_platform(&section("platform"), problems);
+    let wire_key = read_wire(&section("wire"), problems);
+    let trust = read_trust(&operators(document), &section("approvals"), problems);
+    let limits = read_limits(&section("limits"), problems);
+    let reports = read_reports(&section("reports"), problems);
+    let planner = read_planner(&section("planner"), problems);
+    let distance = read_distance(&section("distance"), problems);
+    let log = read_log(&section("log"), problems);
     let (host, platform) = (host?, platform?);
     Some(Settings {
         name: host.name,
@@ -224,6 +225,7 @@
     })
 }
 
+/// Section `daemon`.
 struct Host {
     name: Name,
     hall: Name,
@@ -237,8 +239,8 @@
     let mut fields = Fields::new(section, problems);
     let name = fields.required("name");
     let hall = fields.required("hall");
-    let caller_addr = address(&mut fields, "callers");
-    let operator_addr = address(&mut fields, "operator");
+    let caller_addr = read_address(&mut fields, "callers");
+    let operator_addr = read_address(&mut fields, "operator");
     let hour = Span::from_secs(3_600);
     let drain_timeout = fields.value("drain", Span::from_secs(600), Span::from_ms(1)..=hour);
     let drain_delay = fields.value("grace", Span::from_secs(2), Span::ZERO..=hour);
@@ -253,7 +255,7 @@
     })
 }
 
-fn address(fields: &mut Fields, key: &'static str) -> Option<SocketAddr> {
+fn read_address(fields: &mut Fields, key: &'static str) -> Option<SocketAddr> {
     let text = fields.required(key)?;
     match text.parse() {
         Ok(addr) => Some(addr),
@@ -267,6 +269,7 @@
     }
 }
 
+/// Section `platform`.
 struct Platform {
     kv: Vec<SocketAddr>,
     hosts: SocketAddr,
@@ -286,7 +289,7 @@
             "give IP numbers and ports, such as 127.0.0.1:7000, separated by commas.",
         );
     }
-    let hosts = address(&mut fields, "hosts");
+    let hosts = read_address(&mut fields, "hosts");
     let bounds = Span::from_ms(10)..=Span::from_secs(60);
     let call_limit = fields.value("call_limit", Span::from_secs(1), bounds);
     fields.finish();
@@ -399,7 +402,7 @@
             Ok(span) => {
                 distance.insert(entry.key.clone(), span);
             }
-            Err(why) => problems.add(entry.line, format!("{}: {why}", entry.key)),
+            Err(reason) => problems.add(entry.line, format!("{}: {reason}", entry.key)),
         }
     }
     distance
--- a/crates/daemon/tests/process.rs
+++ b/crates/daemon/tests/process.rs
@@ -1,4 +1,4 @@
-//! The daemon as a process: its settings checked, a stop that cuts nothing.
+//! Tests of the daemon as a process: check of the settings, graceful stop.
 
 use standin::caller::{Ask, Caller};
 use standin::engine::text;
@@ -9,12 +9,13 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-fn file(name: &str, text: &str) -> PathBuf {
+fn write_settings(name: &str, text: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("coveford-{name}-{}.ini", std::process::id()));
     fs::write(&path, text).unwrap();
     path
 }
 
+/// Runs the daemon with `--check`.
 fn check(path: &Path) -> Output {
     let command = Command::new(env!("CARGO_BIN_EXE_covefordd"))
         .args(["--settings".as_ref(), path.as_os_str(), "--check".as_ref()])
@@ -24,7 +25,7 @@
 
 #[test]
 fn every_wrong_setting_is_reported_at_once() {
-    let path = file(
+    let path = write_settings(
         "bad",
         "[daemon]\nname = d1\nhall = hall-a\ncallers = localhost:80\noperator = 127.0.0.1:9001\ndrain = soon\ncolour = blue\n\
          [platform]\nkv = 127.0.0.1:7000, nowhere\nhosts = 127.0.0.1:7001\n\
@@ -32,23 +33,23 @@
     );
     let output = check(&path);
     assert_eq!(output.status.code(), Some(2));
-    let said = String::from_utf8(output.stderr).unwrap();
-    insta::assert_snapshot!(said.replace(&path.display().to_string(), "bad.ini"));
+    let stderr = String::from_utf8(output.stderr).unwrap();
+    insta::assert_snapshot!(stderr.replace(&path.display().to_string(), "bad.ini"));
     let _ = fs::remove_file(path);
 }
 
 #[test]
-fn a_missing_file_is_a_clear_error() {
+fn missing_settings_file_is_reported() {
     let output = check(Path::new("/nonexistent/d1.ini"));
     assert_eq!(output.status.code(), Some(2));
-    let said = String::from_utf8(output.stderr).unwrap();
+    let stderr = String::from_utf8(output.stderr).unwrap();
     assert!(
-        said.contains("/nonexistent/d1.ini cannot be read"),
-        "{said}"
+        stderr.contains("/nonexistent/d1.ini cannot be read"),
+        "{stderr}"
     );
 }
 
-/// Daemon process; killed by its own id if a test fails.
+/// Daemon process, killed on drop.
 struct Process(Child);
 
 impl Process {
@@ -74,7 +75,8 @@
     }
 }
 
-async fn ready(fleet: &Fleet, addr: std::net::SocketAddr) -> bool {
+/// Waits up to 20 s for a ready replica in the daemon's status; returns whether there is one.
+async fn wait_until_ready(fleet: &Fleet, addr: std::net::SocketAddr) -> bool {
     for _ in 0..2_000 {
         let reply = fleet.tool.get(addr, "/status").await;
         if let Ok(reply) = reply {
@@ -88,6 +90,7 @@
     false
 }
 
+/// Address under a key of the settings.
 fn address(text: &str, key: &str) -> std::net::SocketAddr {
     let line = text
         .lines()
@@ -96,7 +99,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stop_ends_the_stream_first_and_exits_with_zero() {
+async fn stop_completes_the_stream_and_exits_with_zero() {
     let mut fleet = fleet::bind(Plan {
         halls: 1,
         engines: 1,
@@ -109,15 +112,18 @@
         .roll(&fleet::sample(1, 0).replace("least = 2", "least = 1"))
         .await
         .unwrap();
-    let text_of = fleet.settings_text("d1", 0).unwrap();
-    let path = file("good", &text_of);
+    let settings = fleet.settings_text("d1", 0).unwrap();
+    let path = write_settings("good", &settings);
     assert_eq!(check(&path).status.code(), Some(0));
     let mut process = Process::start(&path);
-    let (callers, operator) = (address(&text_of, "callers"), address(&text_of, "operator"));
-    assert!(ready(&fleet, operator).await);
-    let ask = Ask::new("judge-00", "tell me a long story", 1_500).streamed();
-    let prompt = format!("user: {}\n", ask.prompt);
-    let telling = tokio::spawn(async move { Caller::new(callers, KEY_ONE).chat(&ask).await });
+    let (callers, operator) = (
+        address(&settings, "callers"),
+        address(&settings, "operator"),
+    );
+    assert!(wait_until_ready(&fleet, operator).await);
+    let request = Ask::new("judge-00", "tell me a long story", 1_500).streamed();
+    let prompt = format!("user: {}\n", request.prompt);
+    let call = tokio::spawn(async move { Caller::new(callers, KEY_ONE).chat(&request).await });
     let engine = fleet.engines.remove(0).1;
     for _ in 0..2_000 {
         if !engine.started().is_empty() {
@@ -126,11 +132,11 @@
         sleep(Duration::from_millis(5)).await;
     }
     process.terminate();
-    let got = telling.await.unwrap();
+    let answer = call.await.unwrap();
     assert!(
-        got.whole && got.text == text("judge-00", &prompt, 1_500),
+        answer.whole && answer.text == text("judge-00", &prompt, 1_500),
         "{}",
-        got.message
+        answer.message
     );
     let status = process.0.wait().unwrap();
     assert_eq!(status.code(), Some(0));
