--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -23,7 +23,7 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout_at;
 use unit::{Name, Span, Time};
-use upstream::engine::{Cached, Load, Report};
+use upstream::engine::{CacheEvent, Load, Report};
 
 /// Maximum wait of a request whose target no upstream answers, such as during a restart.
 pub const UNAVAILABLE_WAIT: Span = Span::from_secs(3);
@@ -119,7 +119,7 @@
     }
 
     /// Records cache events of an upstream.
-    pub fn record_cache_events(&self, upstream: &str, events: &[Cached]) {
+    pub fn record_cache_events(&self, upstream: &str, events: &[CacheEvent]) {
         self.tables.lock().record_cache_events(upstream, events);
     }
 
--- a/crates/daemon/src/planner/connections.rs
+++ b/crates/daemon/src/planner/connections.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use unit::engine::{Fence, Order, OrderStatus, Report};
 use unit::{Name, Span, Time};
-use upstream::engine::Orders;
+use upstream::engine::Session;
 
 /// Time after which the last report of an unreachable upstream is dropped.
 const REPORT_RETENTION: Span = Span::from_secs(10);
@@ -22,7 +22,7 @@
 /// Connections by upstream.
 #[derive(Default)]
 pub(super) struct Connections {
-    open: HashMap<Name, Orders>,
+    open: HashMap<Name, Session>,
     last_reports: HashMap<Name, LastReport>,
 }
 
@@ -100,13 +100,13 @@
 
 async fn read_report(
     entry: &Entry,
-    connection: Option<Orders>,
+    connection: Option<Session>,
     timeout: Duration,
-) -> (Name, Option<(Orders, Report)>) {
+) -> (Name, Option<(Session, Report)>) {
     let name = entry.host.name.clone();
     let mut connection = match connection {
         Some(connection) => connection,
-        None => match Orders::open(entry.host.addr, timeout).await {
+        None => match Session::open(entry.host.addr, timeout).await {
             Ok(connection) => connection,
             Err(_) => return (name, None),
         },
@@ -120,9 +120,9 @@
 /// Sends orders one after another; the first one without an answer closes the connection.
 async fn send_all(
     name: Name,
-    mut connection: Option<Orders>,
+    mut connection: Option<Session>,
     orders: Vec<Order>,
-) -> (Name, Option<Orders>, Vec<(Fence, Option<OrderStatus>)>) {
+) -> (Name, Option<Session>, Vec<(Fence, Option<OrderStatus>)>) {
     let mut answers = Vec::new();
     for order in orders {
         let Some(open) = &mut connection else {
--- a/crates/daemon/src/polling.rs
+++ b/crates/daemon/src/polling.rs
@@ -10,7 +10,7 @@
 use tokio::time::{MissedTickBehavior, interval, sleep};
 use tracing::warn;
 use unit::Name;
-use upstream::engine::Orders;
+use upstream::engine::Session;
 
 /// Time between two polls of the host list.
 const HOSTS_INTERVAL: Duration = Duration::from_millis(500);
@@ -51,7 +51,7 @@
 
 /// Connection to an engine.
 struct Connection {
-    orders: Orders,
+    session: Session,
     /// Number of the last cache event read.
     last_event: u64,
 }
@@ -109,13 +109,13 @@
     let mut connection = match connection {
         Some(connection) => connection,
         None => Connection {
-            orders: Orders::open(addr, POLL_TIMEOUT).await?,
+            session: Session::open(addr, POLL_TIMEOUT).await?,
             last_event: 0,
         },
     };
-    let report = connection.orders.report().await?;
+    let report = connection.session.report().await?;
     core.fleet.record_report(name, report);
-    let events = connection.orders.cache(connection.last_event).await?;
+    let events = connection.session.cache(connection.last_event).await?;
     if let Some(last) = events.last() {
         connection.last_event = last.number;
         core.fleet.record_cache_events(name, &events);
