--- a/crates/cli/src/bundles.rs
+++ b/crates/cli/src/bundles.rs
@@ -1,4 +1,4 @@
-//! Life of a bundle: check, diff, propose, approve, roll.
+//! Operations on bundles: check, diff, propose, approve, roll, history.
 
 use crate::client::Client;
 use crate::error::Error;
@@ -20,27 +20,26 @@
 use tokio::time::sleep;
 use unit::Name;
 
-/// Tries to settle a roll whose answer was lost.
-const TRIES: u32 = 10;
+/// Attempts at a write whose outcome is unknown, such as after a lost response.
+const WRITE_ATTEMPTS: u32 = 10;
 
-/// Pause between two such tries.
-const PAUSE: Duration = Duration::from_millis(300);
+/// Pause between two such attempts.
+const RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Operator with its key.
+/// An operator with its signing key.
 pub struct Signer<'a> {
-    /// Name in the settings.
+    /// Its name in the settings.
     pub operator: &'a Name,
-    /// Key.
     pub key: &'a SigningKey,
 }
 
-/// Reads and checks the text of a bundle.
-pub fn check(file: &str, text: &str) -> Result<Intent, Error> {
+/// Parses and validates the text of a bundle; `file` names it in the problems found.
+pub fn parse(file: &str, text: &str) -> Result<Intent, Error> {
     bundle::parse(file, text).map_err(|problems| Error::Bundle { problems })
 }
 
-/// Whether a bundle's floors fit the accelerators in the host list.
-pub async fn fit(client: &Client, intent: &Intent) -> Result<Fit, Error> {
+/// Checks whether the replicas that a bundle requires fit the accelerators in the host list.
+pub async fn check_fit(client: &Client, intent: &Intent) -> Result<Fit, Error> {
     let bins: Vec<Bin> = client
         .hosts()
         .await?
@@ -57,42 +56,42 @@
     Ok(fit::check(&requirements(intent), &bins))
 }
 
-/// What a bundle wants kept, each model with its adapters.
+/// Replicas that a bundle requires; the memory of a model includes its adapters.
 fn requirements(intent: &Intent) -> Vec<Requirement> {
-    let whole = |name: &Name, model: &bundle::intent::Model| {
+    let total_memory = |name: &Name, model: &bundle::intent::Model| {
         let adapters = intent.adapters.values().filter(|a| a.model == *name);
         model.memory + adapters.map(|a| a.memory).sum()
     };
     let requirements = intent.models.iter().map(|(name, model)| Requirement {
         model: name.clone(),
-        memory: whole(name, model),
+        memory: total_memory(name, model),
         min_replicas: model.least,
     });
     requirements.collect()
 }
 
-/// Refuses a bundle that does not fit.
-async fn must_fit(client: &Client, intent: &Intent) -> Result<(), Error> {
-    let fit = fit(client, intent).await?;
+/// Fails if a bundle does not fit.
+async fn ensure_fit(client: &Client, intent: &Intent) -> Result<(), Error> {
+    let fit = check_fit(client, intent).await?;
     match fit.fits() {
         true => Ok(()),
         false => Err(Error::InsufficientMemory { fit }),
     }
 }
 
-/// Checks a bundle, and with `fleet` that it fits.
-pub async fn check_fleet(client: &Client, file: &str, text: &str) -> Result<Fit, Error> {
-    let intent = check(file, text)?;
-    let fit = fit(client, &intent).await?;
+/// Validates a bundle and checks that it fits the host list.
+pub async fn check_with_fleet(client: &Client, file: &str, text: &str) -> Result<Fit, Error> {
+    let intent = parse(file, text)?;
+    let fit = check_fit(client, &intent).await?;
     match fit.fits() {
         true => Ok(fit),
         false => Err(Error::InsufficientMemory { fit }),
     }
 }
 
-/// What rolling a bundle would mean.
+/// Compares a bundle with the one in force.
 pub async fn compare(client: &Client, file: &str, text: &str) -> Result<Diff, Error> {
-    let new = check(file, text)?;
+    let new = parse(file, text)?;
     let head = documents::head(&client.kv).await?;
     let old = match head.value {
         Some(head) => load_intent(client, &head).await?,
@@ -101,30 +100,30 @@
     Ok(diff(&old, &new))
 }
 
-/// Content of a head.
+/// Reads and parses the bundle of a head.
 async fn load_intent(client: &Client, head: &Head) -> Result<Intent, Error> {
     let text = load_text(client, head).await?;
-    check(&format!("bundle {}", head.sequence), &text)
+    parse(&format!("bundle {}", head.sequence), &text)
 }
 
-/// Text of a head.
+/// Reads the text of a head's bundle.
 pub async fn load_text(client: &Client, head: &Head) -> Result<String, Error> {
     let parts = &head.draft.parts;
     let texts = documents::parts(&client.kv, parts, &HashMap::new()).await?;
-    let ordered = parts.iter().map(|at| &*texts[&at.hash]);
+    let ordered = parts.iter().map(|part| &*texts[&part.hash]);
     Ok(part::concat(ordered))
 }
 
-/// Makes a signed draft; gives it as it stands in the service.
+/// Writes a signed draft of a bundle to the key-value service and returns it.
 pub async fn propose(
     client: &Client,
     file: &str,
     text: &str,
     signer: &Signer<'_>,
 ) -> Result<Draft, Error> {
-    let intent = check(file, text)?;
-    must_fit(client, &intent).await?;
-    check_key(client, signer)?;
+    let intent = parse(file, text)?;
+    ensure_fit(client, &intent).await?;
+    ensure_key_matches(client, signer)?;
     let parts: Vec<Part> =
         part::split(file, text).map_err(|problems| Error::Bundle { problems })?;
     let head = documents::head(&client.kv).await?;
@@ -132,7 +131,7 @@
     let refs: Vec<_> = parts.iter().map(|p| p.reference.clone()).collect();
     let root = part::content_hash(&refs);
     let draft = Draft {
-        id: id(&root),
+        id: draft_id(&root),
         replaces,
         title: intent.title.clone(),
         parts: refs,
@@ -146,22 +145,23 @@
         approvals: Vec::new(),
     };
     documents::put_parts(&client.kv, &parts).await?;
-    let text = to_text(&draft);
+    let text = to_json(&draft);
     let key = keys::draft(&draft.id);
-    // The id is fresh, so a repeat after a lost answer can only meet this very draft.
-    settle(client, &key, 0, &text, "the proposal").await?;
+    // The id is unique, so a retry after a lost response can only conflict with this draft itself.
+    write(client, &key, 0, &text, "the proposal").await?;
     Ok(draft)
 }
 
-/// Identity of a draft: the time and the content, and a little chance.
-fn id(root: &str) -> Name {
-    let chance: u16 = rand::random();
-    format!("{:x}-{}-{chance:04x}", wall_ms() / 1_000, &root[..8]).into()
+/// Id of a new draft: its time in seconds, a prefix of its content hash and a random suffix.
+fn draft_id(root: &str) -> Name {
+    let suffix: u16 = rand::random();
+    format!("{:x}-{}-{suffix:04x}", wall_ms() / 1_000, &root[..8]).into()
 }
 
-fn check_key(client: &Client, signer: &Signer) -> Result<(), Error> {
-    let known = client.settings.trust.operators.get(signer.operator);
-    match known == Some(&public_key(signer.key)) {
+/// Fails if the signer's key is not the operator's key in the settings.
+fn ensure_key_matches(client: &Client, signer: &Signer) -> Result<(), Error> {
+    let registered = client.settings.trust.operators.get(signer.operator);
+    match registered == Some(&public_key(signer.key)) {
         true => Ok(()),
         false => Err(Error::KeyMismatch {
             operator: signer.operator.clone(),
@@ -169,25 +169,25 @@
     }
 }
 
-fn to_text<T: Serialize>(value: &T) -> String {
-    serde_json::to_string(value).expect("it can always be written")
+fn to_json<T: Serialize>(value: &T) -> String {
+    serde_json::to_string(value).expect("the value serializes to JSON")
 }
 
-/// Reads a draft.
+/// Reads a draft; it has a value.
 pub async fn draft(client: &Client, id: &Name) -> Result<Versioned<Draft>, Error> {
-    let at: Versioned<Draft> = documents::read(&client.kv, &keys::draft(id)).await?;
-    match at.value {
-        Some(_) => Ok(at),
+    let stored: Versioned<Draft> = documents::read(&client.kv, &keys::draft(id)).await?;
+    match stored.value {
+        Some(_) => Ok(stored),
         None => Err(Error::DraftNotFound { id: id.clone() }),
     }
 }
 
 /// Adds an operator's approval to a draft.
 pub async fn approve(client: &Client, id: &Name, signer: &Signer<'_>) -> Result<Draft, Error> {
-    check_key(client, signer)?;
+    ensure_key_matches(client, signer)?;
     loop {
-        let at = draft(client, id).await?;
-        let mut draft = at.value.expect("a draft that was found is there");
+        let stored = draft(client, id).await?;
+        let mut draft = stored.value.expect("a draft that was read has a value");
         if draft.proposal.operator == *signer.operator {
             return Err(Error::OwnProposal {
                 operator: signer.operator.clone(),
@@ -205,15 +205,23 @@
             draft.replaces,
         );
         draft.approvals.push(approval);
-        let text = to_text(&draft);
-        let written = settle(client, &keys::draft(id), at.revision, &text, "the approval").await?;
+        let text = to_json(&draft);
+        let written = write(
+            client,
+            &keys::draft(id),
+            stored.revision,
+            &text,
+            "the approval",
+        )
+        .await?;
         if written {
             return Ok(draft);
         }
-        // Another operator approved meanwhile: add ours to what stands there now.
+        // Another operator's approval was written first: retry on top of it.
     }
 }
 
+/// Fails if the bundle that a draft replaces is not the one in force.
 fn ensure_current(draft: &Draft, head: Option<&Head>) -> Result<(), Error> {
     let current = head.map_or(0, |h| h.sequence);
     if draft.replaces == current {
@@ -228,15 +236,15 @@
     })
 }
 
-/// Puts an approved draft in force; gives its head.
+/// Puts an approved draft in force and returns its head.
 pub async fn roll(client: &Client, id: &Name) -> Result<Head, Error> {
     let draft = draft(client, id)
         .await?
         .value
-        .expect("a draft that was found is there");
-    let at = documents::head(&client.kv).await?;
-    ensure_current(&draft, at.value.as_ref())?;
-    let revoked = match &at.value {
+        .expect("a draft that was read has a value");
+    let stored = documents::head(&client.kv).await?;
+    ensure_current(&draft, stored.value.as_ref())?;
+    let revoked = match &stored.value {
         Some(head) => load_intent(client, head).await?.revoked,
         None => Default::default(),
     };
@@ -244,9 +252,9 @@
     let texts = documents::parts(&client.kv, &draft.parts, &HashMap::new()).await?;
     let intent = part::parse(draft.parts.iter().map(|p| &*texts[&p.hash]))
         .map_err(|problems| Error::Bundle { problems })?;
-    must_fit(client, &intent).await?;
-    if let Some(head) = &at.value {
-        keep(client, head).await?;
+    ensure_fit(client, &intent).await?;
+    if let Some(head) = &stored.value {
+        archive(client, head).await?;
     }
     let head = Head {
         sequence: draft.replaces + 1,
@@ -254,35 +262,35 @@
         draft,
     };
     let what = format!("the roll of bundle {}", head.sequence);
-    let written = settle(client, keys::HEAD, at.revision, &to_text(&head), &what).await?;
+    let written = write(client, keys::HEAD, stored.revision, &to_json(&head), &what).await?;
     if !written && !was_in_force(client, &head).await? {
         let now = documents::head(&client.kv).await?;
         ensure_current(&head.draft, now.value.as_ref())?;
     }
-    let _ = keep(client, &head).await;
+    let _ = archive(client, &head).await;
     Ok(head)
 }
 
-/// Whether a head took effect by a write whose answer was lost, and was overtaken since.
+/// Whether a head took effect by a write whose response was lost, and has been superseded since.
 ///
-/// Whoever rolls the next bundle keeps the one before it in the history first.
+/// Rolling a bundle first writes the one that it replaces to the history.
 async fn was_in_force(client: &Client, head: &Head) -> Result<bool, Error> {
-    let kept: Result<Versioned<Head>, _> =
+    let archived: Result<Versioned<Head>, _> =
         documents::read(&client.kv, &keys::history(head.sequence)).await;
-    let kept = kept.map_err(|_| Error::Indeterminate {
+    let archived = archived.map_err(|_| Error::Indeterminate {
         what: format!("the roll of bundle {}", head.sequence),
     })?;
-    Ok(kept
+    Ok(archived
         .value
-        .is_some_and(|kept| kept.draft.id == head.draft.id))
+        .is_some_and(|archived| archived.draft.id == head.draft.id))
 }
 
-/// Keeps a head in the history; its key is its sequence, so a repeat is harmless.
-async fn keep(client: &Client, head: &Head) -> Result<(), Error> {
+/// Writes a head to the history. Its sequence is the key, so a repeated write has no effect.
+async fn archive(client: &Client, head: &Head) -> Result<(), Error> {
     let key = keys::history(head.sequence);
     match client
         .kv
-        .compare_and_swap(&key, 0, Some(&to_text(head)), None)
+        .compare_and_swap(&key, 0, Some(&to_json(head)), None)
         .await
     {
         Ok(_) => Ok(()),
@@ -290,9 +298,11 @@
     }
 }
 
-/// Writes a value and settles a lost answer: true when it took effect, false when another's
-/// write stands there, an error when it is not known.
-async fn settle(
+/// Writes a value if its key is at the expected revision, and retries after a lost response.
+///
+/// Returns true if the write took effect, false if another write came first, and
+/// [`Error::Indeterminate`] if that is still unknown after all attempts.
+async fn write(
     client: &Client,
     key: &str,
     expected: u64,
@@ -300,37 +310,37 @@
     what: &str,
 ) -> Result<bool, Error> {
     let mut in_doubt = false;
-    for _ in 0..TRIES {
+    for _ in 0..WRITE_ATTEMPTS {
         match client
             .kv
             .compare_and_swap(key, expected, Some(text), None)
             .await
         {
             Ok(SwapOutcome::Written(_)) => return Ok(true),
-            Ok(SwapOutcome::Conflict(found)) => {
-                return Ok(found.is_some_and(|f| &*f.value == text));
+            Ok(SwapOutcome::Conflict(current)) => {
+                return Ok(current.is_some_and(|c| &*c.value == text));
             }
             Err(KvError::Indeterminate { .. }) => in_doubt = true,
             Err(source) if !in_doubt => return Err(documents::Error::Kv { source }.into()),
             Err(_) => {}
         }
-        sleep(PAUSE).await;
+        sleep(RETRY_INTERVAL).await;
     }
     Err(Error::Indeterminate { what: what.into() })
 }
 
-/// Past bundles, oldest first.
+/// Heads of the bundles in the history, oldest first.
 pub async fn history(client: &Client) -> Result<Vec<Head>, Error> {
-    let found = client.kv.list(keys::HISTORY).await;
-    let found = found.map_err(|source| documents::Error::Kv { source })?;
+    let entries = client.kv.list(keys::HISTORY).await;
+    let entries = entries.map_err(|source| documents::Error::Kv { source })?;
     let mut heads = Vec::new();
-    for value in &found {
-        heads.push(documents::parse::<Head>(&value.key, &value.value)?);
+    for entry in &entries {
+        heads.push(documents::parse::<Head>(&entry.key, &entry.value)?);
     }
     Ok(heads)
 }
 
-/// A bundle by sequence, or the one in force.
+/// Head of the bundle with a sequence, or of the one in force.
 pub async fn find(client: &Client, sequence: Option<u64>) -> Result<Head, Error> {
     let head = documents::head(&client.kv).await?.value;
     match (sequence, head) {
@@ -338,10 +348,10 @@
         (None, None) => Err(Error::NoBundle),
         (Some(n), Some(head)) if head.sequence == n => Ok(head),
         (Some(n), _) => {
-            let at: Versioned<Head> = documents::read(&client.kv, &keys::history(n)).await?;
-            at.value.ok_or_else(|| Error::NotFound {
+            let stored: Versioned<Head> = documents::read(&client.kv, &keys::history(n)).await?;
+            stored.value.ok_or_else(|| Error::NotFound {
                 text: format!(
-                    "There is no bundle {n}; 'coveford bundle history' lists those there were."
+                    "There is no bundle {n}; 'coveford bundle history' lists past bundles."
                 ),
             })
         }
--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -1,4 +1,4 @@
-//! Client of the services and the daemons that the commands call.
+//! Client of the key-value service, the host list and the daemons.
 
 use crate::error::Error;
 use backing::hosts::{Host, Hosts, Kind};
@@ -10,12 +10,12 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Longest answer of a daemon, in bytes.
-const MOST_ANSWER: usize = 32_000_000;
+/// Longest response body accepted from a daemon, in bytes.
+const MAX_RESPONSE_BYTES: usize = 32_000_000;
 
 /// Client of the key-value service, the host list and the daemons.
 pub struct Client {
-    /// Its settings.
+    /// Settings of the command-line tool.
     pub settings: Settings,
     /// Key-value service.
     pub kv: Kv,
@@ -31,10 +31,10 @@
 
 /// Creates a client.
 pub fn open(settings: Settings) -> Client {
-    let limit = settings.call_limit.std();
+    let timeout = settings.call_limit.std();
     Client {
-        kv: backing::kv::open(&settings.kv, limit),
-        hosts: backing::hosts::open(settings.hosts, limit),
+        kv: backing::kv::open(&settings.kv, timeout),
+        hosts: backing::hosts::open(settings.hosts, timeout),
         pool: Pool::default(),
         settings,
     }
@@ -49,7 +49,7 @@
         })
     }
 
-    /// Coveford's own hosts.
+    /// Hosts in the host list that run a daemon.
     pub async fn daemons(&self) -> Result<Vec<Host>, Error> {
         let hosts = self.hosts().await?;
         let daemons = hosts
@@ -58,15 +58,17 @@
         Ok(daemons.collect())
     }
 
-    /// Reads a path of a daemon.
+    /// Sends a GET request to a daemon.
     pub async fn get(&self, addr: SocketAddr, path: &str) -> Result<Reply, conn::Error> {
         let request = conn::json_request::<()>(addr, path, None)?;
-        let limit: Duration = self.settings.call_limit.std();
-        self.pool.exchange(addr, request, limit, MOST_ANSWER).await
+        let timeout: Duration = self.settings.call_limit.std();
+        self.pool
+            .exchange(addr, request, timeout, MAX_RESPONSE_BYTES)
+            .await
     }
 
-    /// Reads JSON of a daemon; none when it has nothing at that path.
-    pub async fn json<T: serde::de::DeserializeOwned>(
+    /// Reads JSON from a daemon; `None` if it answers 404.
+    pub async fn get_json<T: serde::de::DeserializeOwned>(
         &self,
         addr: SocketAddr,
         path: &str,
--- a/crates/cli/src/keys.rs
+++ b/crates/cli/src/keys.rs
@@ -1,4 +1,4 @@
-//! Operators' key files.
+//! Operators' key files, and the daemons' shared wire key.
 
 use crate::error::{Error, ReadSnafu, WriteSnafu};
 use bundle::key::{parse_signing_key, public_key};
@@ -10,33 +10,33 @@
 use std::path::Path;
 use unit::Name;
 
-/// Permissions of a key file: its owner only.
-const MODE: u32 = 0o600;
+/// Permissions of a new key file: read and write for its owner only.
+const KEY_FILE_MODE: u32 = 0o600;
 
-/// Bits that let others read or write a file.
-const OTHERS: u32 = 0o077;
+/// Permission bits of the group and of other users.
+const GROUP_AND_OTHER_BITS: u32 = 0o077;
 
-/// Bytes of the inner protocol's key.
-const WIRE_BYTES: usize = 32;
+/// Length of the key that authenticates messages between daemons, in bytes.
+const WIRE_KEY_BYTES: usize = 32;
 
-/// Makes a key and writes it to a new file; gives its public half.
-pub fn make(path: &Path) -> Result<Name, Error> {
+/// Generates a signing key, writes it to a new file and returns its public key.
+pub fn generate(path: &Path) -> Result<Name, Error> {
     let key = SigningKey::generate(&mut rand::rng());
     let mut file = OpenOptions::new()
         .write(true)
         .create_new(true)
-        .mode(MODE)
+        .mode(KEY_FILE_MODE)
         .open(path)
         .context(WriteSnafu { path })?;
     writeln!(file, "{}", hex::encode(key.to_bytes())).context(WriteSnafu { path })?;
     Ok(public_key(&key))
 }
 
-/// Reads a key from a file that others cannot read.
+/// Reads a signing key; refuses a file that the group or others may access.
 pub fn read(path: &Path) -> Result<SigningKey, Error> {
     let meta = fs::metadata(path).context(ReadSnafu { path })?;
     let mode = meta.permissions().mode() & 0o777;
-    if mode & OTHERS != 0 {
+    if mode & GROUP_AND_OTHER_BITS != 0 {
         return Err(Error::ExposedKey {
             path: path.to_owned(),
             mode,
@@ -48,8 +48,8 @@
     })
 }
 
-/// Makes a key for the inner protocol, in hex.
-pub fn wire() -> String {
-    let bytes: [u8; WIRE_BYTES] = rand::random();
+/// Generates a wire key, in hex.
+pub fn generate_wire_key() -> String {
+    let bytes: [u8; WIRE_KEY_BYTES] = rand::random();
     hex::encode(bytes)
 }
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,4 +1,4 @@
-//! The operators' tool: bundles, state, reasons, keys.
+//! Library of `coveford`, the operators' command-line tool.
 
 pub mod bundles;
 mod client;
--- a/crates/cli/src/options.rs
+++ b/crates/cli/src/options.rs
@@ -1,53 +1,52 @@
-//! Command line of the tool.
+//! Command-line options.
 
 use bpaf::{OptionParser, Parser, construct, long, positional, pure};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use unit::Name;
 
-/// What the command line asks for.
+/// Parsed command line.
 #[derive(Debug, Clone)]
 pub struct Options {
     /// Print JSON instead of tables.
     pub json: bool,
     /// Settings file.
     pub settings: PathBuf,
-    /// The command.
     pub command: Command,
 }
 
-/// Command.
+/// A command with its arguments.
 #[derive(Debug, Clone)]
 pub enum Command {
-    /// Checks a bundle.
+    /// Validates a bundle.
     Check {
-        /// Its file.
+        /// Bundle file.
         file: PathBuf,
-        /// Whether to check that it fits the accelerators of the host list.
+        /// Also check that it fits the accelerators in the host list.
         fleet: bool,
     },
-    /// Tells what a bundle would change.
+    /// Compares a bundle with the one in force.
     Diff {
-        /// Its file.
+        /// Bundle file.
         file: PathBuf,
     },
-    /// Proposes a bundle.
+    /// Writes a signed draft of a bundle.
     Propose {
-        /// Its file.
+        /// Bundle file.
         file: PathBuf,
-        /// Who proposes.
+        /// Proposing operator.
         credentials: Credentials,
     },
     /// Approves a draft.
     Approve {
-        /// The draft.
+        /// Id of the draft.
         draft: Name,
-        /// Who approves.
+        /// Approving operator.
         credentials: Credentials,
     },
-    /// Rolls a draft.
+    /// Puts an approved draft in force.
     Roll {
-        /// The draft.
+        /// Id of the draft.
         draft: Name,
     },
     /// Shows the bundle in force, where it is in force, and the drafts.
@@ -56,70 +55,70 @@
     History,
     /// Prints the bundle in force, or a past one, as INI.
     Show {
-        /// Its sequence; the one in force when none.
+        /// Sequence of the bundle; `None` for the one in force.
         sequence: Option<u64>,
     },
     /// Shows hosts, upstreams and models.
     Status {
-        /// Metrics addresses of daemons on a platform, to be asked instead of the hosts in the store.
+        /// Metrics addresses of daemons on a platform; if empty, the daemons in the host list are asked.
         metrics: Vec<SocketAddr>,
     },
     /// Explains a request.
     WhyRequest {
-        /// Logs to read instead of asking the hosts.
+        /// Log files; if empty, the daemons are asked.
         logs: Vec<PathBuf>,
-        /// Its id.
+        /// Id of the request.
         request: Name,
     },
-    /// Counts how requests ended, from logs.
+    /// Counts request outcomes from logs.
     Losses {
-        /// Logs of daemons on a platform.
+        /// Log files of daemons on a platform.
         logs: Vec<PathBuf>,
         /// Length of a row, in seconds.
         step: u32,
     },
     /// Explains a model's placement.
     WhyModel {
-        /// Its name.
+        /// Name of the model.
         model: Name,
     },
     /// Explains a move.
     WhyMove {
-        /// Its fence, as TERM.NUMBER, and its hall, as HALL/TERM.NUMBER.
+        /// Hall and fence of the move, as `HALL/TERM.NUMBER`.
         fence: Name,
     },
-    /// Lists the newest moves.
+    /// Lists the recorded moves, newest first.
     Moves,
-    /// Drains a host of coveford.
+    /// Drains a host.
     Drain {
-        /// Its name.
+        /// Name of the host.
         host: Name,
     },
-    /// Makes an operator's key.
+    /// Generates an operator's key.
     KeyMake {
-        /// Its file.
+        /// New key file.
         file: PathBuf,
     },
-    /// Shows the public half of a key.
+    /// Prints the public key of a key file.
     KeyShow {
-        /// Its file.
+        /// Key file.
         file: PathBuf,
     },
     /// Lists the operators' keys in the settings and whether they are revoked.
     KeyList,
     /// Hashes a caller's key for a bundle.
     KeyHash {
-        /// The key.
+        /// Key of the caller.
         key: Name,
     },
-    /// Makes a key for the inner protocol.
+    /// Generates a wire key, which authenticates messages between daemons.
     KeyWire,
 }
 
-/// Operator that signs.
+/// Name and key file of the operator that signs.
 #[derive(Debug, Clone)]
 pub struct Credentials {
-    /// Name in the settings.
+    /// Name of the operator in the settings.
     pub operator: Name,
     /// Key file.
     pub key: PathBuf,
@@ -147,26 +146,26 @@
 fn bundle() -> OptionParser<Command> {
     let check = {
         let fleet = long("fleet")
-            .help("Also check that it fits the accelerators of the host list")
+            .help("Also check that it fits the accelerators in the host list")
             .switch();
         let file = file("FILE");
         construct!(Command::Check { fleet, file })
             .to_options()
-            .descr("Checks a bundle whole and lists every problem with its line")
+            .descr("Validates a bundle and lists every problem with its line")
             .command("check")
     };
     let diff = {
         let file = file("FILE");
         construct!(Command::Diff { file })
             .to_options()
-            .descr("Tells what rolling a bundle would mean: changes, loads, memory")
+            .descr("Shows the effects of rolling a bundle: changes, loads, memory")
             .command("diff")
     };
     let propose = {
         let (credentials, file) = (credentials(), file("FILE"));
         construct!(Command::Propose { credentials, file })
             .to_options()
-            .descr("Makes a signed draft of a bundle")
+            .descr("Writes a signed draft of a bundle")
             .footer("Example: coveford --settings ops.ini bundle propose b.ini --operator alice --key alice.key")
             .command("propose")
     };
@@ -174,7 +173,7 @@
         let (credentials, draft) = (credentials(), name("DRAFT"));
         construct!(Command::Approve { credentials, draft })
             .to_options()
-            .descr("Signs a draft of another operator")
+            .descr("Approves a draft of another operator")
             .command("approve")
     };
     let roll = {
@@ -208,19 +207,19 @@
     let request = {
         let request = name("REQUEST");
         let logs = long("log")
-            .help("Log of a daemon on a platform, may be given several times; - is standard input")
+            .help("Log of a daemon on a platform; repeatable; - is standard input")
             .argument::<PathBuf>("FILE")
             .many();
         construct!(Command::WhyRequest { logs, request })
             .to_options()
-            .descr("Explains what happened to a request, by the host that kept it or by logs")
+            .descr("Explains what happened to a request, from the record of its host or from logs")
             .command("request")
     };
     let model = {
         let model = name("MODEL");
         construct!(Command::WhyModel { model })
             .to_options()
-            .descr("Explains where a model is and why")
+            .descr("Explains where a model is placed and why")
             .command("model")
     };
     let fence = {
@@ -240,14 +239,14 @@
         let file = file("FILE");
         construct!(Command::KeyMake { file })
             .to_options()
-            .descr("Makes an operator's key")
+            .descr("Generates an operator's key")
             .command("make")
     };
     let show = {
         let file = file("FILE");
         construct!(Command::KeyShow { file })
             .to_options()
-            .descr("Prints the public half of a key")
+            .descr("Prints the public key of a key file")
             .command("show")
     };
     let hash = {
@@ -263,7 +262,7 @@
         .command("list");
     let wire = pure(Command::KeyWire)
         .to_options()
-        .descr("Makes a key for the inner protocol")
+        .descr("Generates a key for the inner protocol")
         .command("wire");
     construct!([make, show, hash, list, wire])
         .to_options()
@@ -274,7 +273,7 @@
     let json = long("json").help("Print JSON instead of tables").switch();
     let settings = long("settings")
         .short('s')
-        .help("Settings file; a daemon's own serves")
+        .help("Settings file; a daemon's settings file works too")
         .argument::<PathBuf>("FILE.ini")
         .fallback(PathBuf::from("coveford.ini"));
     let bundle = bundle().command("bundle");
@@ -282,7 +281,7 @@
     let key = key().command("key");
     let status = {
         let metrics = long("metrics")
-            .help("Metrics address of a daemon on a platform; may be given again")
+            .help("Metrics address of a daemon on a platform; repeatable")
             .argument::<SocketAddr>("IP:PORT")
             .many();
         construct!(Command::Status { metrics })
@@ -297,23 +296,23 @@
             .guard(|step| *step > 0, "a row must be at least one second long")
             .fallback(2);
         let logs = long("log")
-            .help("Log of a daemon on a platform, may be given several times; - is standard input")
+            .help("Log of a daemon on a platform; repeatable; - is standard input")
             .argument::<PathBuf>("FILE")
             .some("give at least one log with --log FILE");
         construct!(Command::Losses { logs, step })
             .to_options()
-            .descr("Counts how requests ended, by cause, route and second, from logs")
+            .descr("Counts request outcomes by cause, route and second, from logs")
             .command("losses")
     };
     let moves = pure(Command::Moves)
         .to_options()
-        .descr("Lists the newest moves and their reasons")
+        .descr("Lists recorded moves and their reasons, newest first")
         .command("moves");
     let drain = {
         let host = name("HOST");
         construct!(Command::Drain { host })
             .to_options()
-            .descr("Drains one of coveford's hosts: requests in flight end, then it stops")
+            .descr("Drains a host: requests in flight complete, then its daemon stops")
             .command("drain")
     };
     let command = construct!([bundle, status, why, losses, moves, drain, key]);
@@ -324,12 +323,12 @@
     })
     .to_options()
     .version(env!("CARGO_PKG_VERSION"))
-    .descr("Rolls bundles of intent and asks coveford why")
+    .descr("Manages bundles of intent, and shows and explains the state of coveford")
     .footer("Examples:\n  coveford --settings ops.ini bundle check b.ini --fleet\n  coveford --settings ops.ini why request d1-5f3a-2c\n  coveford why request 9c41d07be2a35f68 --log d1.log --log d2.log\n  coveford losses --log d1.log --log d2.log\n  coveford status --metrics 10.1.0.38:9464 --metrics 10.2.0.40:9464\nExit codes: 0 done, 2 wrong use, 3 refused, 4 unreachable, 5 not known yet")
 }
 
-/// Reads the command line of this process; wrong use ends it with code 2.
-pub fn read() -> Options {
+/// Parses the command line of this process; exits with code 2 if it is invalid.
+pub fn parse() -> Options {
     let args = bpaf::Args::current_args();
     match parser().run_inner(args) {
         Ok(options) => options,
--- a/crates/cli/src/render.rs
+++ b/crates/cli/src/render.rs
@@ -1,4 +1,4 @@
-//! Tables and JSON.
+//! Output as aligned tables and as JSON.
 
 use comfy_table::presets::NOTHING;
 use comfy_table::{ContentArrangement, Table};
@@ -6,7 +6,7 @@
 use std::fmt::Display;
 use std::io::{self, Write};
 
-/// Makes a plain aligned table with a header.
+/// Formats a table without borders; trailing spaces are trimmed.
 pub fn table<const N: usize>(header: [&str; N], rows: Vec<[String; N]>) -> String {
     let mut table = Table::new();
     table.load_style(NOTHING);
@@ -22,11 +22,11 @@
 
 /// Prints a value as JSON.
 pub fn print_json<T: Serialize>(value: &T) {
-    let text = serde_json::to_string_pretty(value).expect("it can always be written");
+    let text = serde_json::to_string_pretty(value).expect("the value serializes to JSON");
     print_line(text);
 }
 
-/// Prints a line; a reader that has gone away, such as `head`, is no error.
+/// Prints a line; write errors are ignored, since a reader such as `head` may close the pipe early.
 pub fn print_line(line: impl Display) {
     let _ = writeln!(io::stdout(), "{line}");
 }
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -1,11 +1,11 @@
-//! Doing what the command line asks for.
+//! Execution of the commands.
 
 use crate::bundles::{self, Signer};
 use crate::client::{self, Client};
 use crate::error::{Error, ReadSnafu};
 use crate::options::{Command, Credentials, Options};
 use crate::render::{print_json, print_line, table};
-use crate::status::{self, Seen};
+use crate::status::{self, Entry};
 use crate::{keys, losses, metrics, timeline, why};
 use bundle::part;
 use daemon::documents;
@@ -17,19 +17,19 @@
 use unit::Name;
 use wire::Frame;
 
-/// Does what the command line asks for.
+/// Runs the command of the parsed command line.
 pub fn run(options: &Options) -> Result<(), Error> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("a runtime on one thread can be made");
-    runtime.block_on(command(options))
+        .expect("the single-threaded runtime starts");
+    runtime.block_on(dispatch(options))
 }
 
-async fn command(options: &Options) -> Result<(), Error> {
+async fn dispatch(options: &Options) -> Result<(), Error> {
     match &options.command {
         Command::KeyMake { file } => {
-            print_line(keys::make(file)?);
+            print_line(keys::generate(file)?);
             Ok(())
         }
         Command::KeyShow { file } => {
@@ -41,11 +41,11 @@
             Ok(())
         }
         Command::KeyWire => {
-            print_line(keys::wire());
+            print_line(keys::generate_wire_key());
             Ok(())
         }
         Command::Check { file, fleet: false } => {
-            let intent = bundles::check(&name(file), &read(file)?)?;
+            let intent = bundles::parse(&display_name(file), &read(file)?)?;
             print_line(format!(
                 "{} is in order: {} models, {} adapters, {} callers, {} services.",
                 file.display(),
@@ -57,7 +57,7 @@
             Ok(())
         }
         Command::WhyRequest { logs, request } if !logs.is_empty() => {
-            print_lines(&timeline::request(request, logs)?);
+            print_lines(&timeline::from_files(request, logs)?);
             Ok(())
         }
         Command::Losses { logs, step } => {
@@ -68,45 +68,46 @@
             }
             Ok(())
         }
-        Command::Status { metrics } if !metrics.is_empty() => daemons(options, metrics).await,
-        _ => with_platform(options, &client::load(&options.settings)?).await,
+        Command::Status { metrics } if !metrics.is_empty() => show_metrics(options, metrics).await,
+        _ => dispatch_with_client(options, &client::load(&options.settings)?).await,
     }
 }
 
-/// Shows the state of daemons on a platform, and what an operator should know of it.
-async fn daemons(options: &Options, metrics: &[SocketAddr]) -> Result<(), Error> {
-    let daemons = metrics::ask(metrics).await;
+/// Shows the gauges of daemons on a platform, and the problems that they show.
+async fn show_metrics(options: &Options, addrs: &[SocketAddr]) -> Result<(), Error> {
+    let daemons = metrics::fetch_all(addrs).await;
     if options.json {
         print_json(&daemons);
-        return metrics::check(&daemons);
+        return metrics::ensure_reachable(&daemons);
     }
     print_line(metrics::table(&daemons));
     print_lines(&metrics::findings(&daemons));
-    metrics::check(&daemons)
+    metrics::ensure_reachable(&daemons)
 }
 
 fn read(path: &Path) -> Result<String, Error> {
     std::fs::read_to_string(path).context(ReadSnafu { path })
 }
 
-fn name(path: &Path) -> String {
+fn display_name(path: &Path) -> String {
     path.display().to_string()
 }
 
-async fn with_platform(options: &Options, client: &Client) -> Result<(), Error> {
+/// Runs a command that calls the key-value service, the host list or the daemons.
+async fn dispatch_with_client(options: &Options, client: &Client) -> Result<(), Error> {
     match &options.command {
         Command::Check { file, .. } => {
-            let fit = bundles::check_fleet(client, &name(file), &read(file)?).await?;
+            let fit = bundles::check_with_fleet(client, &display_name(file), &read(file)?).await?;
             print_line(format!("{} is in order and fits: {fit}", file.display()));
         }
         Command::Diff { file } => {
-            let diff = bundles::compare(client, &name(file), &read(file)?).await?;
+            let diff = bundles::compare(client, &display_name(file), &read(file)?).await?;
             show_diff(options, &diff);
         }
         Command::Propose { file, credentials } => {
             let text = read(file)?;
-            let draft = with_signer(credentials, async |s| {
-                bundles::propose(client, &name(file), &text, &s).await
+            let draft = with_signer(credentials, async |signer| {
+                bundles::propose(client, &display_name(file), &text, &signer).await
             })
             .await?;
             let needed = client.settings.trust.required_approvals;
@@ -119,8 +120,8 @@
             }
         }
         Command::Approve { draft, credentials } => {
-            let draft = with_signer(credentials, async |s| {
-                bundles::approve(client, draft, &s).await
+            let draft = with_signer(credentials, async |signer| {
+                bundles::approve(client, draft, &signer).await
             })
             .await?;
             match options.json {
@@ -133,13 +134,13 @@
             }
         }
         Command::Roll { draft } => roll(options, client, draft).await?,
-        Command::BundleStatus => bundle_status(options, client).await?,
-        Command::History => history(options, client).await?,
+        Command::BundleStatus => show_bundle_status(options, client).await?,
+        Command::History => show_history(options, client).await?,
         Command::Show { sequence } => {
             let head = bundles::find(client, *sequence).await?;
             print_line(bundles::load_text(client, &head).await?);
         }
-        Command::Status { .. } => status(options, client).await?,
+        Command::Status { .. } => show_status(options, client).await?,
         Command::WhyRequest { request, .. } => {
             let record = why::request(client, request).await?;
             match options.json {
@@ -155,25 +156,26 @@
                 false => print_lines(&why::explain_move(&moved)),
             }
         }
-        Command::Moves => moves(options, client).await?,
+        Command::Moves => show_moves(options, client).await?,
         Command::Drain { host } => drain(client, host).await?,
-        Command::KeyList => key_list(options, client).await?,
+        Command::KeyList => show_keys(options, client).await?,
         Command::KeyMake { .. }
         | Command::KeyShow { .. }
         | Command::KeyHash { .. }
         | Command::KeyWire
-        | Command::Losses { .. } => unreachable!("these need no platform"),
+        | Command::Losses { .. } => unreachable!("handled by `dispatch`"),
     }
     Ok(())
 }
 
+/// Calls a function with the operator's key, read from its file.
 async fn with_signer<T>(
     credentials: &Credentials,
-    act: impl AsyncFnOnce(Signer<'_>) -> Result<T, Error>,
+    call: impl AsyncFnOnce(Signer<'_>) -> Result<T, Error>,
 ) -> Result<T, Error> {
     let key = keys::read(&credentials.key)?;
     let operator = &credentials.operator;
-    act(Signer {
+    call(Signer {
         operator,
         key: &key,
     })
@@ -206,40 +208,41 @@
 
 async fn roll(options: &Options, client: &Client, draft: &Name) -> Result<(), Error> {
     let head = bundles::roll(client, draft).await?;
-    // The roll is done; that not every host answers at once does not undo it.
-    let seen = status::wait_for(client, head.sequence)
+    // The bundle is rolled; an error while waiting for the hosts does not undo it.
+    let entries = status::wait_for_bundle(client, head.sequence)
         .await
         .unwrap_or_default();
-    let there = in_force(&seen, head.sequence);
+    let updated = count_in_force(&entries, head.sequence);
     match options.json {
-        true => {
-            print_json(&json!({"sequence": head.sequence, "hosts": seen.len(), "in_force": there}))
-        }
+        true => print_json(
+            &json!({"sequence": head.sequence, "hosts": entries.len(), "in_force": updated}),
+        ),
         false => print_line(format!(
-            "Bundle {} is accepted, and in force on {there} of {} hosts.",
+            "Bundle {} is accepted, and in force on {updated} of {} hosts.",
             head.sequence,
-            seen.len()
+            entries.len()
         )),
     }
     Ok(())
 }
 
-fn in_force(seen: &[Seen], sequence: u64) -> usize {
-    let there = |s: &&Seen| s.status.as_ref().is_some_and(|s| s.bundle >= sequence);
-    seen.iter().filter(there).count()
+/// Number of hosts on which the bundle, or a later one, is in force.
+fn count_in_force(entries: &[Entry], sequence: u64) -> usize {
+    let has_bundle = |e: &&Entry| e.status.as_ref().is_some_and(|s| s.bundle >= sequence);
+    entries.iter().filter(has_bundle).count()
 }
 
-async fn bundle_status(options: &Options, client: &Client) -> Result<(), Error> {
+async fn show_bundle_status(options: &Options, client: &Client) -> Result<(), Error> {
     let head = documents::head(&client.kv).await?.value;
     let drafts = documents::drafts(&client.kv).await?;
-    let seen = status::all(client).await?;
+    let entries = status::fetch_all(client).await?;
     if options.json {
         print_json(&json!({
             "head": head,
             "drafts": drafts,
-            "hosts": seen.iter().map(|s| json!({
-                "name": s.host.name,
-                "bundle": s.status.as_ref().map(|s| s.bundle),
+            "hosts": entries.iter().map(|e| json!({
+                "name": e.host.name,
+                "bundle": e.status.as_ref().map(|s| s.bundle),
             })).collect::<Vec<_>>(),
         }));
         return Ok(());
@@ -251,8 +254,8 @@
             head.sequence,
             head.draft.title,
             head.draft.proposal.operator,
-            in_force(&seen, current),
-            seen.len()
+            count_in_force(&entries, current),
+            entries.len()
         )),
         None => print_line("No bundle is in force yet."),
     }
@@ -280,7 +283,7 @@
     Ok(())
 }
 
-async fn history(options: &Options, client: &Client) -> Result<(), Error> {
+async fn show_history(options: &Options, client: &Client) -> Result<(), Error> {
     let heads = bundles::history(client).await?;
     if options.json {
         print_json(&heads);
@@ -307,24 +310,24 @@
     Ok(())
 }
 
-async fn status(options: &Options, client: &Client) -> Result<(), Error> {
-    let seen = status::all(client).await?;
+async fn show_status(options: &Options, client: &Client) -> Result<(), Error> {
+    let entries = status::fetch_all(client).await?;
     if options.json {
-        let statuses: Vec<_> = seen
+        let statuses: Vec<_> = entries
             .iter()
-            .map(|s| json!({"name": s.host.name, "status": s.status}))
+            .map(|e| json!({"name": e.host.name, "status": e.status}))
             .collect();
         print_json(&statuses);
         return Ok(());
     }
-    let rows = seen.iter().map(host_row);
+    let rows = entries.iter().map(host_row);
     print_line(table(
         ["HOST", "HALL", "STATE", "BUNDLE", "ROLES", "IN FLIGHT"],
         rows.collect(),
     ));
-    let Some(status) = seen
+    let Some(status) = entries
         .iter()
-        .filter_map(|s| s.status.as_ref())
+        .filter_map(|e| e.status.as_ref())
         .max_by_key(|s| s.bundle)
     else {
         return Err(Error::Unreachable {
@@ -378,16 +381,16 @@
     Ok(())
 }
 
-fn host_row(seen: &Seen) -> [String; 6] {
-    let Some(status) = &seen.status else {
-        let no = || "-".to_string();
+fn host_row(entry: &Entry) -> [String; 6] {
+    let Some(status) = &entry.status else {
+        let blank = || "-".to_string();
         return [
-            seen.host.name.to_string(),
-            seen.host.hall.to_string(),
+            entry.host.name.to_string(),
+            entry.host.hall.to_string(),
             "no answer".into(),
-            no(),
-            no(),
-            no(),
+            blank(),
+            blank(),
+            blank(),
         ];
     };
     let state = match (status.draining, status.bundle, status.confirmed) {
@@ -413,7 +416,7 @@
     ]
 }
 
-async fn moves(options: &Options, client: &Client) -> Result<(), Error> {
+async fn show_moves(options: &Options, client: &Client) -> Result<(), Error> {
     let moves = why::moves(client).await?;
     if options.json {
         print_json(&moves);
@@ -424,7 +427,7 @@
         [
             why::move_id(m),
             m.inner.upstream.to_string(),
-            why::action(&m.inner.action),
+            why::describe_action(&m.inner.action),
             state.into(),
             m.inner.reason.clone(),
         ]
@@ -445,7 +448,7 @@
         ),
     })?;
     let key = &client.settings.wire_key;
-    let asked = daemon::distribution::exchange(
+    let reply = daemon::distribution::exchange(
         &client.pool,
         key,
         found.addr,
@@ -453,7 +456,7 @@
         Duration::ZERO,
     )
     .await;
-    match asked {
+    match reply {
         Ok((Frame::Draining { in_flight }, _)) => {
             print_line(format!(
                 "{host} drains; {in_flight} requests in flight will end first."
@@ -471,12 +474,12 @@
     }
 }
 
-async fn key_list(options: &Options, client: &Client) -> Result<(), Error> {
+async fn show_keys(options: &Options, client: &Client) -> Result<(), Error> {
     let head = documents::head(&client.kv).await?.value;
     let revoked = match &head {
         Some(head) => {
             let text = bundles::load_text(client, head).await?;
-            bundles::check("bundle in force", &text)?.revoked
+            bundles::parse("bundle in force", &text)?.revoked
         }
         None => Default::default(),
     };
--- a/crates/cli/src/status.rs
+++ b/crates/cli/src/status.rs
@@ -1,4 +1,4 @@
-//! State of the system, asked of every daemon.
+//! Status of the daemons in the host list, read from each over HTTP.
 
 use crate::client::Client;
 use crate::error::Error;
@@ -8,42 +8,42 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Time in which a rolled bundle should be in force everywhere.
-const EVERYWHERE: Duration = Duration::from_secs(6);
+/// Longest wait for a rolled bundle to be in force on every host.
+const ROLLOUT_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Pause between two looks.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Pause between two polls of the daemons.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a daemon said of itself; none when it did not answer.
-pub struct Seen {
-    /// Its host.
+/// A host that runs a daemon, with the daemon's answer.
+pub struct Entry {
+    /// Its entry in the host list.
     pub host: Host,
-    /// Its state.
+    /// The daemon's status; `None` if it did not answer.
     pub status: Option<Status>,
 }
 
-/// Asks every daemon in the host list.
-pub async fn all(client: &Client) -> Result<Vec<Seen>, Error> {
+/// Asks every daemon in the host list for its status, concurrently.
+pub async fn fetch_all(client: &Client) -> Result<Vec<Entry>, Error> {
     let daemons = client.daemons().await?;
-    let asked = daemons.into_iter().map(|host| async move {
-        let status = client.json(host.addr, "/status").await;
-        Seen {
+    let requests = daemons.into_iter().map(|host| async move {
+        let status = client.get_json(host.addr, "/status").await;
+        Entry {
             status: status.ok().flatten(),
             host,
         }
     });
-    Ok(join_all(asked).await)
+    Ok(join_all(requests).await)
 }
 
-/// Waits until a bundle is in force at every daemon that answers, for some seconds at most.
-pub async fn wait_for(client: &Client, sequence: u64) -> Result<Vec<Seen>, Error> {
-    let until = Instant::now() + EVERYWHERE;
+/// Polls the daemons until the bundle is in force on every host, or [`ROLLOUT_TIMEOUT`] has passed.
+pub async fn wait_for_bundle(client: &Client, sequence: u64) -> Result<Vec<Entry>, Error> {
+    let deadline = Instant::now() + ROLLOUT_TIMEOUT;
     loop {
-        let seen = all(client).await?;
-        let there = |s: &Seen| s.status.as_ref().is_some_and(|s| s.bundle >= sequence);
-        if seen.iter().all(there) || Instant::now() >= until {
-            return Ok(seen);
+        let entries = fetch_all(client).await?;
+        let has_bundle = |e: &Entry| e.status.as_ref().is_some_and(|s| s.bundle >= sequence);
+        if entries.iter().all(has_bundle) || Instant::now() >= deadline {
+            return Ok(entries);
         }
-        sleep(PAUSE).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/cli/src/timeline.rs
+++ b/crates/cli/src/timeline.rs
@@ -1,6 +1,6 @@
-//! The story of one request, told from the logs of daemons on a platform.
+//! Timeline of one request, from the logs of daemons on a platform.
 //!
-//! A line is a JSON object; what stands in front of it, such as a collector's time, is passed over.
+//! A log line is a JSON object; a prefix in front of it, such as a collector's timestamp, is ignored.
 
 use crate::error::{Error, ReadSnafu};
 use serde_json::{Map, Value};
@@ -9,8 +9,8 @@
 use std::io::Read;
 use std::path::{Path, PathBuf};
 
-/// Parts of a daemon whose lines say what it believed when it decided.
-const BELIEFS: [&str; 8] = [
+/// Targets of log lines that show what a daemon knew when it decided.
+const CONTEXT_TARGETS: [&str; 8] = [
     "view",
     "replica",
     "config",
@@ -21,128 +21,128 @@
     "daemon",
 ];
 
-/// Time before and after a request's lines in which beliefs are told, in milliseconds.
-const AROUND_MS: i64 = 5_000;
+/// Time before and after a request's lines in which context lines are included, in milliseconds.
+const CONTEXT_WINDOW_MS: i64 = 5_000;
 
-/// Line of a log.
+/// A parsed log line.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Line {
+pub struct LogLine {
     fields: Map<String, Value>,
     at_ms: i64,
 }
 
-/// Reads the lines of a log; lines of another form are passed over.
-pub fn read(text: &str) -> Vec<Line> {
-    text.lines().filter_map(line).collect()
+/// Parses the lines of a log; lines that are no JSON with a timestamp are skipped.
+pub fn parse(text: &str) -> Vec<LogLine> {
+    text.lines().filter_map(parse_line).collect()
 }
 
 /// Reads a log from a file, or from standard input for `-`.
-pub fn read_file(path: &Path) -> Result<Vec<Line>, Error> {
+pub fn read_file(path: &Path) -> Result<Vec<LogLine>, Error> {
     let mut text = String::new();
     match path.as_os_str() == "-" {
         true => std::io::stdin().read_to_string(&mut text).map(|_| ()),
-        false => std::fs::read_to_string(path).map(|read| text = read),
+        false => std::fs::read_to_string(path).map(|content| text = content),
     }
     .context(ReadSnafu { path })?;
-    Ok(read(&text))
+    Ok(parse(&text))
 }
 
-/// Tells the story of a request from logs.
-pub fn request(id: &str, logs: &[PathBuf]) -> Result<Vec<String>, Error> {
+/// Builds the timeline of a request from log files; fails if no line names the request.
+pub fn from_files(id: &str, logs: &[PathBuf]) -> Result<Vec<String>, Error> {
     let mut lines = Vec::new();
     for path in logs {
         lines.extend(read_file(path)?);
     }
-    let story = tell(id, &lines);
-    if story.is_empty() {
+    let timeline = build(id, &lines);
+    if timeline.is_empty() {
         let text = format!(
-            "No line names request '{id}'. Routine requests are told for one in 64, or as the settings say; those that failed are told up to a rate, and lines with event left_out count the rest."
+            "No line names request '{id}'. Routine requests are logged at one in 64, or at the rate in the settings; failed requests are logged up to a rate limit, and lines with event left_out count the dropped ones."
         );
         return Err(Error::NotFound { text });
     }
-    Ok(story)
+    Ok(timeline)
 }
 
-fn line(text: &str) -> Option<Line> {
+fn parse_line(text: &str) -> Option<LogLine> {
     let fields: Map<String, Value> = serde_json::from_str(&text[text.find('{')?..]).ok()?;
-    let at_ms = time_ms(fields.get("timestamp")?.as_str()?)?;
-    Some(Line { fields, at_ms })
+    let at_ms = parse_time_ms(fields.get("timestamp")?.as_str()?)?;
+    Some(LogLine { fields, at_ms })
 }
 
-/// Milliseconds since the beginning of the month, of a time such as 2026-04-01T14:36:49.768378Z.
+/// Milliseconds since the start of the month, of a timestamp such as 2026-04-01T14:36:49.768378Z.
 ///
-/// Lines of one request are seconds apart, so that no calendar is needed.
-fn time_ms(text: &str) -> Option<i64> {
+/// The year and month are ignored: the lines of one request are seconds apart.
+fn parse_time_ms(text: &str) -> Option<i64> {
     let (date, time) = text.split_once('T')?;
     let day: i64 = date.rsplit('-').next()?.parse().ok()?;
     let mut parts = time.trim_end_matches('Z').split(':');
     let hours: i64 = parts.next()?.parse().ok()?;
     let minutes: i64 = parts.next()?.parse().ok()?;
     let seconds: f64 = parts.next()?.parse().ok()?;
-    let whole = ((day * 24 + hours) * 60 + minutes) * 60_000;
-    Some(whole + (seconds * 1e3) as i64)
+    let whole_minutes = ((day * 24 + hours) * 60 + minutes) * 60_000;
+    Some(whole_minutes + (seconds * 1e3) as i64)
 }
 
-impl Line {
-    /// A field of text; empty where there is none.
+impl LogLine {
+    /// A field that is a string; empty if it is missing.
     pub fn text(&self, field: &str) -> &str {
         self.fields.get(field).and_then(Value::as_str).unwrap_or("")
     }
 
-    /// A field that is a number, if there is one.
-    pub fn measured(&self, field: &str) -> Option<f64> {
+    /// A field that is a number.
+    pub fn number(&self, field: &str) -> Option<f64> {
         self.fields.get(field).and_then(Value::as_f64)
     }
 
-    /// When it was written, in milliseconds since the beginning of the month.
+    /// Timestamp, in milliseconds since the start of the month.
     pub fn at_ms(&self) -> i64 {
         self.at_ms
     }
 
-    fn number(&self, field: &str) -> f64 {
-        self.measured(field).unwrap_or(0.0)
+    fn number_or_zero(&self, field: &str) -> f64 {
+        self.number(field).unwrap_or(0.0)
     }
 
-    fn is_about(&self, id: &str) -> bool {
-        let is_of_request = match self.text("target") {
+    fn is_of_request(&self, id: &str) -> bool {
+        let has_request_id = match self.text("target") {
             "request" | "limit" => true,
             "replica" => self.text("event") == "kept_back",
             _ => false,
         };
-        is_of_request && self.text("id") == id
+        has_request_id && self.text("id") == id
     }
 
-    /// The line as a sentence.
-    fn sentence(&self) -> String {
+    /// Describes the event in a sentence.
+    fn describe(&self) -> String {
         let replica = self.text("replica");
         let why = self.text("why");
-        let ms = self.number("ms");
+        let ms = self.number_or_zero("ms");
         match (self.text("target"), self.text("event")) {
             ("request", "sent") => format!(
                 "It was sent to {replica}, one of {} candidates, {ms:.0} ms after it came; its first token was expected in {:.0} ms.",
-                self.number("candidates"),
-                self.number("expected_ms")
+                self.number_or_zero("candidates"),
+                self.number_or_zero("expected_ms")
             ),
             ("request", "failed") => format!(
                 "{replica} at {} gave no answer ({why}); its entry was of revision {}.",
                 self.text("addr"),
-                self.number("entry")
+                self.number_or_zero("entry")
             ),
             ("request", "refused") => format!(
                 "It was given up with status {} after {ms:.0} ms: {} ({why}).{}{}",
-                self.number("status"),
+                self.number_or_zero("status"),
                 self.text("reason"),
-                self.come_back(),
-                self.knowledge()
+                self.describe_retry(),
+                self.describe_key_data()
             ),
             ("request", "broken") => format!(
                 "Its stream was broken off after {ms:.0} ms behind event {}, since the replica's answer was {why}; tried: {}.",
-                self.number("last"),
+                self.number_or_zero("last"),
                 self.text("tried")
             ),
             ("request", "continued") => format!(
                 "Its stream broke ({why}) and was taken up at {replica} behind event {}: {}.",
-                self.number("last"),
+                self.number_or_zero("last"),
                 self.text("outcome")
             ),
             ("request", "cancelled") => {
@@ -150,17 +150,17 @@
             }
             ("limit", "sent") => format!(
                 "It went to {replica}, which is in need and takes {} requests a second from all hosts together.",
-                self.number("rate")
+                self.number_or_zero("rate")
             ),
             ("limit", "named" | "changed") => format!(
                 "{replica} is in need: by the word of {} it takes {} requests a second from all hosts together.",
                 self.text("by"),
-                self.number("rate")
+                self.number_or_zero("rate")
             ),
             ("replica", "kept_back") => format!(
                 "It was not sent to {replica}, which {}, {:.0} ms after it had been chosen.",
                 self.text("why"),
-                self.number("placed_ms")
+                self.number_or_zero("placed_ms")
             ),
             ("replica", "leaving") => {
                 format!("{replica} leaves, by its own word to {}.", self.text("by"))
@@ -169,7 +169,7 @@
                 "{replica} turned request {} away and wants nothing from {} for {:.0} ms.",
                 self.text("id"),
                 self.text("by"),
-                self.number("left_ms")
+                self.number_or_zero("left_ms")
             ),
             ("replica", "rested") => format!("The rest of {replica} is over."),
             ("limit", "over") => format!(
@@ -177,44 +177,44 @@
                 self.text("by")
             ),
             ("request", "answered") => format!("It was answered after {ms:.0} ms."),
-            _ => self.plain(),
+            _ => self.describe_fields(),
         }
     }
 
-    fn come_back(&self) -> String {
-        match self.measured("retry_after_ms") {
+    fn describe_retry(&self) -> String {
+        match self.number("retry_after_ms") {
             Some(ms) => {
                 format!(" It had not run; the client was asked to come back in {ms:.0} ms.")
             }
-            None if self.number("status") < 500.0 => {
+            None if self.number_or_zero("status") < 500.0 => {
                 " It has not run, and would be refused again.".to_owned()
             }
             None => " Whether it ran is not known.".to_owned(),
         }
     }
 
-    /// Account of a refused request, and how old the host's knowledge of keys was.
-    fn knowledge(&self) -> String {
+    /// Account of a refused request, and the version and age of the host's key data.
+    fn describe_key_data(&self) -> String {
         let account = match self.text("account") {
             "" => String::new(),
             account => format!(" Its account is {account}."),
         };
-        match self.measured("age_ms") {
+        match self.number("age_ms") {
             Some(age) => format!(
                 "{account} The host knew the keys of configuration {}, as of {age:.0} ms before.",
-                self.number("version")
+                self.number_or_zero("version")
             ),
             None => account,
         }
     }
 
-    /// Any other line: its message and its fields.
-    fn plain(&self) -> String {
-        let told = ["timestamp", "level", "target", "message", "host", "event"];
+    /// Describes a line without a sentence of its own by its message and fields.
+    fn describe_fields(&self) -> String {
+        let shown_elsewhere = ["timestamp", "level", "target", "message", "host", "event"];
         let fields: Vec<String> = self
             .fields
             .iter()
-            .filter(|(key, _)| !told.contains(&key.as_str()))
+            .filter(|(key, _)| !shown_elsewhere.contains(&key.as_str()))
             .map(|(key, value)| match value {
                 Value::String(text) => format!("{key} {text}"),
                 other => format!("{key} {other}"),
@@ -228,21 +228,25 @@
         )
     }
 
-    fn told(&self, start: i64) -> String {
-        let after = self.at_ms - start;
-        format!("{after:+7} ms  {}: {}", self.text("host"), self.sentence())
+    fn format(&self, start_ms: i64) -> String {
+        let offset_ms = self.at_ms - start_ms;
+        format!(
+            "{offset_ms:+7} ms  {}: {}",
+            self.text("host"),
+            self.describe()
+        )
     }
 }
 
-/// Tells the lines of a request in order, with what its hosts came to believe around them.
-pub fn tell(id: &str, lines: &[Line]) -> Vec<String> {
-    let about: Vec<&Line> = lines.iter().filter(|l| l.is_about(id)).collect();
-    let Some(start) = about.iter().map(|l| l.at_ms).min() else {
+/// Builds the timeline of a request: its lines, and the context lines of its hosts around them.
+pub fn build(id: &str, lines: &[LogLine]) -> Vec<String> {
+    let own_lines: Vec<&LogLine> = lines.iter().filter(|l| l.is_of_request(id)).collect();
+    let Some(start) = own_lines.iter().map(|l| l.at_ms).min() else {
         return Vec::new();
     };
-    let end = about.iter().map(|l| l.at_ms).max().unwrap_or(start);
-    let hosts: BTreeSet<&str> = about.iter().map(|l| l.text("host")).collect();
-    let replicas: BTreeSet<&str> = about
+    let end = own_lines.iter().map(|l| l.at_ms).max().unwrap_or(start);
+    let hosts: BTreeSet<&str> = own_lines.iter().map(|l| l.text("host")).collect();
+    let replicas: BTreeSet<&str> = own_lines
         .iter()
         .flat_map(|l| {
             l.text("replica")
@@ -251,21 +255,24 @@
         })
         .filter(|r| !r.is_empty())
         .collect();
-    let believed = |line: &&Line| {
-        let near = line.at_ms >= start - AROUND_MS && line.at_ms <= end + AROUND_MS;
-        let part = BELIEFS.contains(&line.text("target")) && hosts.contains(line.text("host"));
-        let of_replica = ["view", "limit", "replica"].contains(&line.text("target"));
-        // What became known of all replicas that were out of the choice matters where no replica took it.
-        let is_word = ["limit", "replica"].contains(&line.text("target"));
-        let is_sending = is_word && ["sent", "kept_back"].contains(&line.text("event"));
-        let matters = replicas.contains(line.text("replica")) || is_word && replicas.is_empty();
-        let other = is_sending || of_replica && !matters;
-        near && part && !other
+    let is_context = |line: &&LogLine| {
+        let is_near =
+            line.at_ms >= start - CONTEXT_WINDOW_MS && line.at_ms <= end + CONTEXT_WINDOW_MS;
+        let is_host_context =
+            CONTEXT_TARGETS.contains(&line.text("target")) && hosts.contains(line.text("host"));
+        let is_about_replica = ["view", "limit", "replica"].contains(&line.text("target"));
+        // If no replica took the request, the signals of all replicas may explain why.
+        let is_signal = ["limit", "replica"].contains(&line.text("target"));
+        let is_other_request = is_signal && ["sent", "kept_back"].contains(&line.text("event"));
+        let is_relevant =
+            replicas.contains(line.text("replica")) || is_signal && replicas.is_empty();
+        let is_unrelated = is_other_request || is_about_replica && !is_relevant;
+        is_near && is_host_context && !is_unrelated
     };
-    let mut told: Vec<&Line> = lines
+    let mut shown: Vec<&LogLine> = lines
         .iter()
-        .filter(|l| l.is_about(id) || believed(l))
+        .filter(|l| l.is_of_request(id) || is_context(l))
         .collect();
-    told.sort_by_key(|l| l.at_ms);
-    told.into_iter().map(|l| l.told(start)).collect()
+    shown.sort_by_key(|l| l.at_ms);
+    shown.into_iter().map(|l| l.format(start)).collect()
 }
--- a/crates/cli/src/why.rs
+++ b/crates/cli/src/why.rs
@@ -1,4 +1,4 @@
-//! Explanations in sentences.
+//! Explanations of requests, models and moves.
 
 use crate::client::Client;
 use crate::error::Error;
@@ -13,23 +13,26 @@
 use unit::Name;
 use unit::engine::{Action, State, Weights};
 
-/// Finds the record of a request at the daemon that served it.
+/// Fetches the record of a request from the daemon that served it.
 pub async fn request(client: &Client, id: &Name) -> Result<Record, Error> {
     let daemons = client.daemons().await?;
-    // The id begins with the host's name; the others are asked in case it was renamed.
+    // The id starts with the name of its host; the other hosts are asked last, in case it was renamed.
     let mut ordered: Vec<_> = daemons.iter().collect();
     ordered.sort_by_key(|host| !id.starts_with(&*host.name));
-    let mut silent = Vec::new();
+    let mut unreachable = Vec::new();
     for host in ordered {
-        match client.json(host.addr, &format!("/why/request/{id}")).await {
+        match client
+            .get_json(host.addr, &format!("/why/request/{id}"))
+            .await
+        {
             Ok(Some(record)) => return Ok(record),
             Ok(None) => {}
-            Err(_) => silent.push(host.name.to_string()),
+            Err(_) => unreachable.push(host.name.to_string()),
         }
     }
-    let unanswered = match silent.is_empty() {
+    let unanswered = match unreachable.is_empty() {
         true => String::new(),
-        false => format!(" No answer came from: {}.", silent.join(", ")),
+        false => format!(" No answer came from: {}.", unreachable.join(", ")),
     };
     Err(Error::NotFound {
         text: format!(
@@ -38,34 +41,33 @@
     })
 }
 
-/// Ledgers of all halls that the hosts stand in.
+/// Reads the ledgers of all halls in the host list.
 pub async fn ledgers(client: &Client) -> Result<Vec<(Name, Ledger)>, Error> {
     let mut halls: Vec<Name> = client.hosts().await?.into_iter().map(|h| h.hall).collect();
     halls.sort();
     halls.dedup();
     let mut ledgers = Vec::new();
     for hall in halls {
-        let at = documents::read::<Ledger>(&client.kv, &keys::ledger(&hall)).await?;
-        if let Some(ledger) = at.value {
+        let stored = documents::read::<Ledger>(&client.kv, &keys::ledger(&hall)).await?;
+        if let Some(ledger) = stored.value {
             ledgers.push((hall, ledger));
         }
     }
     Ok(ledgers)
 }
 
-/// Move with its hall.
+/// A move with the hall whose ledger records it.
 #[derive(Debug, Clone, serde::Serialize)]
 pub struct HallMove {
-    /// The hall.
     pub hall: Name,
-    /// The move.
+    /// The move as recorded.
     #[serde(flatten)]
     pub inner: Move,
-    /// Whether it may still take effect.
+    /// Whether its order is open, so that it may still take effect.
     pub open: bool,
 }
 
-/// Newest moves of all halls, newest first.
+/// Recorded moves of all halls, newest first.
 pub async fn moves(client: &Client) -> Result<Vec<HallMove>, Error> {
     let mut all = Vec::new();
     for (hall, ledger) in ledgers(client).await? {
@@ -90,29 +92,29 @@
     })
 }
 
-/// Identity of a move.
+/// Id of a move, as `HALL/TERM.NUMBER`.
 pub fn move_id(moved: &HallMove) -> String {
     let fence = moved.inner.fence;
     format!("{}/{}.{}", moved.hall, fence.term, fence.number)
 }
 
-/// What an action does, for people.
-pub fn action(action: &Action) -> String {
+/// Describes an action.
+pub fn describe_action(action: &Action) -> String {
     match action {
-        Action::Load { weights, bytes } => format!("load {} ({bytes})", weights_name(weights)),
-        Action::Unload { weights } => format!("unload {}", weights_name(weights)),
+        Action::Load { weights, bytes } => format!("load {} ({bytes})", describe_weights(weights)),
+        Action::Unload { weights } => format!("unload {}", describe_weights(weights)),
         Action::SetRole { role } => format!("turn to {role:?}"),
     }
 }
 
-fn weights_name(weights: &Weights) -> String {
+fn describe_weights(weights: &Weights) -> String {
     match &weights.adapter {
         Some(adapter) => format!("adapter {adapter} of {}@{}", weights.model, weights.version),
         None => format!("{}@{}", weights.model, weights.version),
     }
 }
 
-/// A move in sentences.
+/// Explains a move, a sentence per line.
 pub fn explain_move(moved: &HallMove) -> Vec<String> {
     let state = match moved.open {
         true => "It may still take effect: no report has shown it yet.",
@@ -122,7 +124,7 @@
         format!(
             "Move {}: {} at {}.",
             move_id(moved),
-            action(&moved.inner.action),
+            describe_action(&moved.inner.action),
             moved.inner.upstream
         ),
         format!("Why: {}", moved.inner.reason),
@@ -130,10 +132,10 @@
     ]
 }
 
-/// A model in sentences.
+/// Explains where a model is placed and why, a sentence per line.
 pub async fn model(client: &Client, name: &Name) -> Result<Vec<String>, Error> {
-    let seen = status::all(client).await?;
-    let statuses: Vec<&Status> = seen.iter().filter_map(|s| s.status.as_ref()).collect();
+    let entries = status::fetch_all(client).await?;
+    let statuses: Vec<&Status> = entries.iter().filter_map(|e| e.status.as_ref()).collect();
     let newest = statuses.iter().max_by_key(|s| s.bundle);
     let newest = newest.ok_or_else(|| Error::Unreachable {
         what: "Every daemon".into(),
@@ -176,26 +178,28 @@
     for moved in moves(client)
         .await?
         .iter()
-        .filter(|m| concerns(&m.inner, name))
+        .filter(|m| is_about_model(&m.inner, name))
         .take(5)
     {
         lines.extend(explain_move(moved));
     }
-    for host in seen
+    for entry in entries
         .iter()
-        .filter(|s| s.status.as_ref().is_some_and(|s| s.planner))
+        .filter(|e| e.status.as_ref().is_some_and(|s| s.planner))
     {
-        let planner = client.json::<Planner>(host.host.addr, "/planner").await;
+        let planner = client
+            .get_json::<Planner>(entry.host.addr, "/planner")
+            .await;
         if let Ok(Some(planner)) = planner
             && let Some(note) = planner.notes.get(name)
         {
-            lines.push(format!("Planner at {}: {note}", host.host.name));
+            lines.push(format!("Planner at {}: {note}", entry.host.name));
         }
     }
     Ok(lines)
 }
 
-fn concerns(moved: &Move, model: &Name) -> bool {
+fn is_about_model(moved: &Move, model: &Name) -> bool {
     match &moved.action {
         Action::Load { weights, .. } | Action::Unload { weights } => weights.model == *model,
         Action::SetRole { .. } => false,
--- a/crates/cli/tests/losses.rs
+++ b/crates/cli/tests/losses.rs
@@ -1,9 +1,9 @@
-//! What `coveford losses` counts from logs.
+//! Counts of `coveford losses`.
 
 use cli::losses::{count, tables};
-use cli::timeline::read;
+use cli::timeline::parse;
 
-/// Two daemons: one tells every request, the other one in ten.
+/// Logs of two daemons: `c1` logs every request, `c2` one in ten.
 const LOG: &str = r#"
   -9.98 c1 {"host":"c1","timestamp":"2026-04-29T05:54:00.000000Z","event":"started","sample":1,"target":"daemon"}
 {"host":"c2","timestamp":"2026-04-29T05:54:00.000000Z","event":"started","sample":10,"target":"daemon"}
@@ -20,32 +20,32 @@
 "#;
 
 #[test]
-fn each_end_counts_under_its_cause_by_the_sample_of_its_host() {
-    let losses = count(&read(LOG), 2);
+fn outcomes_are_weighted_by_the_sampling_of_their_host() {
+    let losses = count(&parse(LOG), 2);
     let of = |cause: &str, route: &str| losses.causes[cause][route];
     assert_eq!(of("in time", "chat"), 1.0);
     assert_eq!(of("in time", "status"), 10.0);
     assert_eq!(of("late", "chat"), 1.0);
     assert_eq!(of("long pause", "chat"), 1.0);
     assert_eq!(of("failed by its replica", "status"), 10.0);
-    assert_eq!(of("no adapter", "chat"), 1.0, "a refusal stands for itself");
+    assert_eq!(of("no adapter", "chat"), 1.0, "refusals are not sampled");
     assert_eq!(of("limited", "chat"), 1.0);
     assert_eq!(of("stream broken off", "chat"), 1.0);
-    assert_eq!(losses.left_out, 7.0);
+    assert_eq!(losses.dropped_lines, 7.0);
 }
 
 #[test]
-fn a_request_stands_in_the_row_in_which_it_came() {
-    let losses = count(&read(LOG), 2);
-    let rows: Vec<i64> = losses.seconds.keys().copied().collect();
+fn requests_are_counted_in_the_row_of_their_arrival() {
+    let losses = count(&parse(LOG), 2);
+    let rows: Vec<i64> = losses.rows.keys().copied().collect();
     assert_eq!(rows, [0, 2], "the second row begins two seconds later");
-    assert_eq!(losses.seconds[&0]["in time"], 1.0);
-    assert_eq!(losses.seconds[&2]["late"], 1.0);
+    assert_eq!(losses.rows[&0]["in time"], 1.0);
+    assert_eq!(losses.rows[&2]["late"], 1.0);
 }
 
 #[test]
-fn the_largest_cause_stands_first_and_what_was_left_out_is_said() {
-    let text = tables(&count(&read(LOG), 2));
+fn the_largest_cause_comes_first_and_dropped_lines_are_reported() {
+    let text = tables(&count(&parse(LOG), 2));
     let lines: Vec<&str> = text.lines().collect();
     assert!(lines[1].starts_with(" failed by its replica") || lines[1].starts_with(" in time"));
     assert!(text.contains("status 10, chat 1"), "{text}");
@@ -53,6 +53,6 @@
 }
 
 #[test]
-fn a_log_without_requests_counts_nothing() {
-    assert!(count(&read("no log at all"), 2).causes.is_empty());
+fn a_log_without_requests_has_no_causes() {
+    assert!(count(&parse("no log at all"), 2).causes.is_empty());
 }
--- a/crates/cli/tests/session.rs
+++ b/crates/cli/tests/session.rs
@@ -1,4 +1,4 @@
-//! An operator's day with the tool, as a whole session.
+//! Sessions of `coveford` commands against a running fleet, compared with snapshots.
 
 use standin::fleet::{self, Fleet, Plan};
 use std::fs;
@@ -6,21 +6,21 @@
 use std::process::Command;
 use std::time::Duration;
 
-/// Folder of one session, with the operators' keys and settings.
-struct Desk {
-    folder: PathBuf,
+/// A session: a directory with the settings and the operators' keys, and the transcript so far.
+struct Session {
+    dir: PathBuf,
     transcript: String,
 }
 
-impl Desk {
-    /// Lays out the settings and the keys of two operators.
-    fn new(fleet: &Fleet, name: &str) -> Desk {
-        let folder = std::env::temp_dir().join(format!("coveford-{name}-{}", std::process::id()));
-        fs::create_dir_all(&folder).unwrap();
+impl Session {
+    /// Creates the directory and writes the settings and the key of each operator.
+    fn new(fleet: &Fleet, name: &str) -> Session {
+        let dir = std::env::temp_dir().join(format!("coveford-{name}-{}", std::process::id()));
+        fs::create_dir_all(&dir).unwrap();
         let settings = fleet.settings_text("desk", 0).unwrap();
-        fs::write(folder.join("coveford.ini"), settings).unwrap();
+        fs::write(dir.join("coveford.ini"), settings).unwrap();
         for operator in &fleet.operators {
-            let path = folder.join(format!("{}.key", operator.name));
+            let path = dir.join(format!("{}.key", operator.name));
             let key: String = operator
                 .key
                 .to_bytes()
@@ -31,21 +31,21 @@
             use std::os::unix::fs::PermissionsExt;
             fs::set_permissions(&path, fs::Permissions::from_mode(0o600)).unwrap();
         }
-        Desk {
-            folder,
+        Session {
+            dir,
             transcript: String::new(),
         }
     }
 
     fn write(&self, file: &str, text: &str) {
-        fs::write(self.folder.join(file), text).unwrap();
+        fs::write(self.dir.join(file), text).unwrap();
     }
 
-    /// Runs a command line and notes it with its output; gives what it printed.
+    /// Runs a command, appends it with its output to the transcript and returns its standard output.
     fn run(&mut self, line: &str) -> String {
         let output = Command::new(env!("CARGO_BIN_EXE_coveford"))
             .args(line.split_whitespace())
-            .current_dir(&self.folder)
+            .current_dir(&self.dir)
             .output()
             .unwrap();
         let stdout = String::from_utf8_lossy(&output.stdout).into_owned();
@@ -56,13 +56,13 @@
     }
 
     fn transcript(self) -> String {
-        let _ = fs::remove_dir_all(&self.folder);
+        let _ = fs::remove_dir_all(&self.dir);
         self.transcript
     }
 }
 
-/// Masks what differs from run to run.
-fn masks() -> Vec<(&'static str, &'static str)> {
+/// Replaces ids, addresses, durations and trailing spaces, which differ between runs.
+fn snapshot_filters() -> Vec<(&'static str, &'static str)> {
     vec![
         (r"[0-9a-f]{8}-[0-9a-f]{8}-[0-9a-f]{4}", "DRAFT"),
         (r"\d+\.\d+\.\d+\.\d+:\d+", "ADDRESS"),
@@ -89,7 +89,7 @@
 ";
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_operators_day() {
+async fn bundle_status_and_why_commands() {
     let fleet = fleet::bind(Plan {
         halls: 1,
         engines: 1,
@@ -99,60 +99,60 @@
     })
     .await
     .unwrap();
-    let mut desk = Desk::new(&fleet, "day");
-    desk.write("bad.ini", "[bundle]\ntitel = typo\n[model judge]\nmemory = 6\nclass = defect\nmemory = 7GB\nstray\n[caller x]\nkeys = short\n");
-    desk.write("first.ini", BUNDLE);
-    desk.write(
+    let mut session = Session::new(&fleet, "day");
+    session.write("bad.ini", "[bundle]\ntitel = typo\n[model judge]\nmemory = 6\nclass = defect\nmemory = 7GB\nstray\n[caller x]\nkeys = short\n");
+    session.write("first.ini", BUNDLE);
+    session.write(
         "second.ini",
         &BUNDLE
             .replace("first\n", "second\n")
             .replace("memory = 6GB", "memory = 7GB\nversion = 2"),
     );
-    desk.write("huge.ini", &BUNDLE.replace("6GB", "90GB"));
-    desk.run("bundle status");
-    desk.run("bundle check bad.ini");
-    desk.run("bundle check first.ini");
-    desk.run("bundle check first.ini --fleet");
-    desk.run("bundle check huge.ini --fleet");
-    desk.run("bundle diff first.ini");
-    let proposed = desk.run("bundle propose first.ini --operator alice --key alice.key");
+    session.write("huge.ini", &BUNDLE.replace("6GB", "90GB"));
+    session.run("bundle status");
+    session.run("bundle check bad.ini");
+    session.run("bundle check first.ini");
+    session.run("bundle check first.ini --fleet");
+    session.run("bundle check huge.ini --fleet");
+    session.run("bundle diff first.ini");
+    let proposed = session.run("bundle propose first.ini --operator alice --key alice.key");
     let draft = proposed.split_whitespace().nth(1).unwrap().to_owned();
-    desk.run(&format!(
+    session.run(&format!(
         "bundle approve {draft} --operator alice --key alice.key"
     ));
-    desk.run(&format!(
+    session.run(&format!(
         "bundle approve {draft} --operator bob --key alice.key"
     ));
-    desk.run(&format!("bundle roll {draft}"));
-    desk.run(&format!(
+    session.run(&format!("bundle roll {draft}"));
+    session.run(&format!(
         "bundle approve {draft} --operator bob --key bob.key"
     ));
-    desk.run(&format!("bundle roll {draft}"));
-    desk.run(&format!("bundle roll {draft}"));
+    session.run(&format!("bundle roll {draft}"));
+    session.run(&format!("bundle roll {draft}"));
     assert!(fleet.ready(1).await);
     let settled = || {
         let ledger = fleet.kv.value("coveford/hall/hall-a/ledger");
         ledger.is_some_and(|l| l.contains("\"open\":[]") && l.contains("lot-7"))
     };
     assert!(fleet.eventually(Duration::from_secs(20), settled).await);
-    desk.run("bundle status");
-    desk.run("bundle history");
-    desk.run("bundle diff second.ini");
-    desk.run("status");
-    desk.run("moves");
-    desk.run("why model judge");
-    desk.run("why model nobody");
-    desk.run("why request d1-0-0");
-    desk.run("why move hall-a/1.1");
-    desk.run("drain nobody");
-    desk.run("nonsense");
-    insta::with_settings!({filters => masks()}, {
-        insta::assert_snapshot!(desk.transcript());
+    session.run("bundle status");
+    session.run("bundle history");
+    session.run("bundle diff second.ini");
+    session.run("status");
+    session.run("moves");
+    session.run("why model judge");
+    session.run("why model nobody");
+    session.run("why request d1-0-0");
+    session.run("why move hall-a/1.1");
+    session.run("drain nobody");
+    session.run("nonsense");
+    insta::with_settings!({filters => snapshot_filters()}, {
+        insta::assert_snapshot!(session.transcript());
     });
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn keys() {
+async fn key_commands() {
     let fleet = fleet::bind(Plan {
         halls: 1,
         engines: 1,
@@ -162,32 +162,32 @@
     })
     .await
     .unwrap();
-    let mut desk = Desk::new(&fleet, "keys");
-    desk.write("exposed.key", &"11".repeat(32));
-    desk.write("broken.key", "not a key");
+    let mut session = Session::new(&fleet, "keys");
+    session.write("exposed.key", &"11".repeat(32));
+    session.write("broken.key", "not a key");
     use std::os::unix::fs::PermissionsExt;
     let mode = |m| fs::Permissions::from_mode(m);
-    fs::set_permissions(desk.folder.join("exposed.key"), mode(0o644)).unwrap();
-    fs::set_permissions(desk.folder.join("broken.key"), mode(0o600)).unwrap();
-    desk.run("key show alice.key");
-    desk.run("key show exposed.key");
-    desk.run("key show broken.key");
-    desk.run("key show missing.key");
-    desk.run("key make alice.key");
-    desk.run("key list");
-    desk.run("key hash key-of-nyabarongo");
-    let made = desk.run("key make new.key");
-    let meta = fs::metadata(desk.folder.join("new.key")).unwrap();
+    fs::set_permissions(session.dir.join("exposed.key"), mode(0o644)).unwrap();
+    fs::set_permissions(session.dir.join("broken.key"), mode(0o600)).unwrap();
+    session.run("key show alice.key");
+    session.run("key show exposed.key");
+    session.run("key show broken.key");
+    session.run("key show missing.key");
+    session.run("key make alice.key");
+    session.run("key list");
+    session.run("key hash key-of-nyabarongo");
+    let made = session.run("key make new.key");
+    let meta = fs::metadata(session.dir.join("new.key")).unwrap();
     assert_eq!(meta.permissions().mode() & 0o777, 0o600);
-    let shown = desk.run("key show new.key");
+    let shown = session.run("key show new.key");
     assert_eq!(made, shown);
-    let wire = desk.run("key wire");
+    let wire = session.run("key wire");
     assert_eq!(wire.trim().len(), 64);
-    let transcript = desk
+    let transcript = session
         .transcript()
         .replace(made.trim(), "PUBLIC")
         .replace(wire.trim(), "SECRET");
-    insta::with_settings!({filters => masks()}, {
+    insta::with_settings!({filters => snapshot_filters()}, {
         insta::assert_snapshot!(transcript);
     });
 }
--- a/crates/cli/tests/timeline.rs
+++ b/crates/cli/tests/timeline.rs
@@ -1,8 +1,8 @@
-//! The walks of docs/OPERATIONS.md rest on these lines of a real day.
+//! Timelines of `coveford why request` from logs, as docs/OPERATIONS.md walks through them.
 
-use cli::timeline::{read, tell};
+use cli::timeline::{build, parse};
 
-const DAY: &str = r#"
+const LOG: &str = r#"
   10.5 front-hall-c-1 {"host":"c1","timestamp":"2026-08-12T10:31:52.877873Z","level":"INFO","message":"news of a replica","event":"leaving","replica":"i-9f7c29cb8a","revision":61,"target":"view"}
 {"host":"c1","timestamp":"2026-08-12T10:31:52.900000Z","level":"INFO","message":"news of a replica","event":"leaving","replica":"i-other","revision":62,"target":"view"}
 {"host":"c1","timestamp":"2026-08-12T10:31:54.523873Z","level":"WARN","message":"the stream is broken off","event":"broken","id":"cfcd9a653bd04f86","route":"r-pdu6vcr","tried":"i-9f7c29cb8a","last":48,"ms":2319.068,"why":"lost: its stream broke off","target":"request"}
@@ -23,81 +23,88 @@
 "#;
 
 #[test]
-fn a_stream_broken_midway_leads_to_its_replica_that_left() {
-    let story = tell("cfcd9a653bd04f86", &read(DAY));
-    assert_eq!(story.len(), 2, "{story:#?}");
+fn a_broken_stream_shows_the_departure_of_its_replica() {
+    let timeline = build("cfcd9a653bd04f86", &parse(LOG));
+    assert_eq!(timeline.len(), 2, "{timeline:#?}");
     assert!(
-        story[0].contains("-1646 ms  c1: [view leaving]"),
+        timeline[0].contains("-1646 ms  c1: [view leaving]"),
         "{}",
-        story[0]
+        timeline[0]
     );
-    assert!(story[1].contains("behind event 48"), "{}", story[1]);
-    assert!(story[1].contains("i-9f7c29cb8a"));
+    assert!(timeline[1].contains("behind event 48"), "{}", timeline[1]);
+    assert!(timeline[1].contains("i-9f7c29cb8a"));
 }
 
 #[test]
-fn an_unknown_outcome_leads_to_the_replica_that_can_tell() {
-    let story = tell("a12038f8ce540c5a", &read(DAY));
-    assert!(story[0].contains("i-94c4785f64 at 10.2.64.32:8784 gave no answer"));
-    assert!(story[1].contains("Whether it ran is not known."));
+fn an_unknown_outcome_names_the_replica_that_failed() {
+    let timeline = build("a12038f8ce540c5a", &parse(LOG));
+    assert!(timeline[0].contains("i-94c4785f64 at 10.2.64.32:8784 gave no answer"));
+    assert!(timeline[1].contains("Whether it ran is not known."));
 }
 
 #[test]
-fn a_refusal_says_why_and_when_to_come_back() {
-    let story = tell("e3d534c64079d1c7", &read(DAY));
-    assert!(story[0].contains("overloaded"));
-    assert!(story[0].contains("come back in 810 ms"));
+fn a_refusal_shows_reason_and_retry_time() {
+    let timeline = build("e3d534c64079d1c7", &parse(LOG));
+    assert!(timeline[0].contains("overloaded"));
+    assert!(timeline[0].contains("come back in 810 ms"));
 }
 
 #[test]
-fn a_refused_key_leads_to_what_the_host_knew() {
-    let story = tell("k1", &read(DAY));
-    assert!(story[0].contains("status 401"), "{}", story[0]);
-    assert!(story[0].contains("It has not run, and would be refused again."));
-    assert!(story[0].contains("configuration 38, as of 412 ms before"));
-    let story = tell("k2", &read(DAY));
-    assert!(story[0].contains("come back in 500 ms. Its account is hule930."));
-    assert!(story[0].contains("as of 4120 ms before"));
+fn a_refused_key_shows_the_version_and_age_of_the_key_data() {
+    let timeline = build("k1", &parse(LOG));
+    assert!(timeline[0].contains("status 401"), "{}", timeline[0]);
+    assert!(timeline[0].contains("It has not run, and would be refused again."));
+    assert!(timeline[0].contains("configuration 38, as of 412 ms before"));
+    let timeline = build("k2", &parse(LOG));
+    assert!(timeline[0].contains("come back in 500 ms. Its account is hule930."));
+    assert!(timeline[0].contains("as of 4120 ms before"));
 }
 
 #[test]
-fn a_refusal_over_the_limit_tells_account_limit_and_use() {
-    let story = tell("q1", &read(DAY));
-    assert!(story[0].contains("over its limit of 10985 a second"));
-    assert!(story[0].contains("this request uses 1632"));
-    assert!(story[0].contains("come back in 640 ms. Its account is hule930."));
+fn a_quota_refusal_shows_account_limit_and_usage() {
+    let timeline = build("q1", &parse(LOG));
+    assert!(timeline[0].contains("over its limit of 10985 a second"));
+    assert!(timeline[0].contains("this request uses 1632"));
+    assert!(timeline[0].contains("come back in 640 ms. Its account is hule930."));
 }
 
 #[test]
-fn a_refusal_for_want_of_room_leads_to_the_limit_and_who_told_it() {
-    let story = tell("n1", &read(DAY));
-    assert_eq!(story.len(), 2, "{story:#?}");
-    assert!(story[0].contains("i-55 is in need: by the word of b2 it takes 1.3 requests a second"));
-    assert!(story[1].contains("limited") && story[1].contains("come back in 900 ms"));
-    let story = tell("n0", &read(DAY));
+fn a_rate_limit_refusal_shows_the_limit_and_its_source() {
+    let timeline = build("n1", &parse(LOG));
+    assert_eq!(timeline.len(), 2, "{timeline:#?}");
     assert!(
-        story.iter().any(|line| line.contains("It went to i-55")),
-        "{story:#?}"
+        timeline[0].contains("i-55 is in need: by the word of b2 it takes 1.3 requests a second")
+    );
+    assert!(timeline[1].contains("limited") && timeline[1].contains("come back in 900 ms"));
+    let timeline = build("n0", &parse(LOG));
+    assert!(
+        timeline.iter().any(|line| line.contains("It went to i-55")),
+        "{timeline:#?}"
     );
 }
 
 #[test]
-fn a_refusal_leads_to_the_replicas_that_leave_or_rest() {
-    let story = tell("m2", &read(DAY));
-    assert_eq!(story.len(), 3, "{story:#?}");
-    assert!(story[0].contains("i-66 leaves, by its own word to c3"));
-    assert!(story[1].contains("i-67 turned request m0 away and wants nothing from c3 for 3000 ms"));
-    assert!(story[2].contains("resting") && story[2].contains("come back in 2300 ms"));
+fn a_refusal_shows_departures_and_backoffs() {
+    let timeline = build("m2", &parse(LOG));
+    assert_eq!(timeline.len(), 3, "{timeline:#?}");
+    assert!(timeline[0].contains("i-66 leaves, by its own word to c3"));
+    assert!(
+        timeline[1].contains("i-67 turned request m0 away and wants nothing from c3 for 3000 ms")
+    );
+    assert!(timeline[2].contains("resting") && timeline[2].contains("come back in 2300 ms"));
 }
 
 #[test]
-fn a_request_that_was_kept_back_says_from_what() {
-    let story = tell("m1", &read(DAY));
-    let kept = "It was not sent to i-67, which rests, 41 ms after it had been chosen.";
-    assert!(story.iter().any(|line| line.contains(kept)), "{story:#?}");
+fn a_request_held_back_names_the_replica_and_reason() {
+    let timeline = build("m1", &parse(LOG));
+    let sentence = "It was not sent to i-67, which rests, 41 ms after it had been chosen.";
+    assert!(
+        timeline.iter().any(|line| line.contains(sentence)),
+        "{timeline:#?}"
+    );
 }
 
 #[test]
-fn an_unknown_request_has_no_story() {
-    assert!(tell("nobody", &read(DAY)).is_empty());
+fn an_unknown_request_has_no_timeline() {
+    assert!(build("nobody", &parse(LOG)).is_empty());
 }
