--- a/crates/front/src/attempt/call.rs
+++ b/crates/front/src/attempt/call.rs
@@ -34,8 +34,8 @@
     pub body: Bytes,
     /// Reservation of body memory, held until the request ends.
     pub _memory: Option<OwnedSemaphorePermit>,
-    /// What the header fields ask for.
-    pub ask: Metadata,
+    /// Metadata from the header fields.
+    pub metadata: Metadata,
     /// When the head arrived.
     pub arrived: Time,
     /// When the client stops waiting for the answer.
@@ -65,7 +65,7 @@
     pub fn criteria<'a>(&'a self, excluded: &'a [Name]) -> Criteria<'a> {
         Criteria {
             service: &self.service,
-            ask: &self.ask,
+            metadata: &self.metadata,
             priority: self.priority,
             max_gap: self.route.max_gap.map(Span::from),
             excluded,
--- a/crates/front/src/attempt/reservation.rs
+++ b/crates/front/src/attempt/reservation.rs
@@ -36,7 +36,7 @@
     pub fn open(state: &Arc<State>, call: &Call, choice: &Choice) -> Reservation {
         let now = state.now();
         let mut table = state.table.lock();
-        let unqueued_tokens = table.unqueued_tokens(&choice.replica, &call.ask, now);
+        let unqueued_tokens = table.unqueued_tokens(&choice.replica, &call.metadata, now);
         let footprint = table.begin(&choice.replica, &call.criteria(&[]), now);
         let listed = table.view.get(&choice.replica);
         let incarnation = listed.and_then(|s| s.entry.incarnation);
@@ -48,8 +48,8 @@
             incarnation,
             footprint,
             service: call.service.clone(),
-            model: call.ask.model.clone(),
-            without_adapter: call.ask.adapter.is_none(),
+            model: call.metadata.model.clone(),
+            without_adapter: call.metadata.adapter.is_none(),
             reserved_at: now,
             unqueued_tokens,
             first_token_at: None,
--- a/crates/front/src/queue.rs
+++ b/crates/front/src/queue.rs
@@ -40,8 +40,12 @@
 }
 
 fn key(call: &Call) -> Key {
-    let ask = &call.ask;
-    (call.service.clone(), ask.model.clone(), ask.adapter.clone())
+    let metadata = &call.metadata;
+    (
+        call.service.clone(),
+        metadata.model.clone(),
+        metadata.adapter.clone(),
+    )
 }
 
 impl Queues {
--- a/crates/front/src/quota.rs
+++ b/crates/front/src/quota.rs
@@ -36,7 +36,7 @@
     let claim = Claim {
         subject: Subject::Account(account.name.clone()),
         limit: shares::limit(&quota),
-        units: quota.cost(call.ask.total_tokens()),
+        units: quota.cost(call.metadata.total_tokens()),
         reserved: 0.0,
         will_retry: true,
     };
--- a/crates/front/src/relay.rs
+++ b/crates/front/src/relay.rs
@@ -260,7 +260,7 @@
         let id = &self.call.id;
         let ms = self.state.now().since(self.call.arrived).ms();
         let route = &self.call.route;
-        let model = self.call.ask.model.as_deref();
+        let model = self.call.metadata.model.as_deref();
         let target_ms = Span::from(route.target_latency).ms();
         let gap_ms = route.max_gap.map(|gap| Span::from(gap).ms());
         let (first_ms, pause_ms) = (self.ttft.ms(), self.longest_pause.duration.ms());
--- a/crates/front/src/relay/resume.rs
+++ b/crates/front/src/relay/resume.rs
@@ -28,7 +28,7 @@
             return false;
         }
         self.splitter.take_remainder();
-        let last = self.splitter.last_id().or(call.ask.last_event);
+        let last = self.splitter.last_id().or(call.metadata.last_event);
         for _ in 0..MAX_SENDS {
             if !self.history.may_run_again(&call) || state.now() >= call.deadline {
                 return false;
--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -100,7 +100,7 @@
 fn record_arrival(state: &State, call: &Call) {
     let bounds = &state.settings.bounds;
     let mut table = state.table.lock();
-    table.record_arrival(&call.service, &call.ask, bounds, call.arrived);
+    table.record_arrival(&call.service, &call.metadata, bounds, call.arrived);
 }
 
 /// State of a request between sends.
@@ -155,7 +155,7 @@
             }
         };
         progress.has_alternatives = choice.candidate_count > 1;
-        let exchange = send(state, call, &choice, reservation, call.ask.last_event).await;
+        let exchange = send(state, call, &choice, reservation, call.metadata.last_event).await;
         if let (Some(grant), Err(failure)) = (grant, &exchange)
             && failure.proves_unsent()
         {
@@ -264,7 +264,9 @@
             ..
         }
     );
-    if let (true, Some(model), Some(adapter)) = (misdirected, &call.ask.model, &call.ask.adapter) {
+    if let (true, Some(model), Some(adapter)) =
+        (misdirected, &call.metadata.model, &call.metadata.adapter)
+    {
         let mut table = state.table.lock();
         table.remove_adapter(&choice.replica, model, adapter);
     }
--- a/crates/front/src/serve/admit.rs
+++ b/crates/front/src/serve/admit.rs
@@ -150,7 +150,7 @@
     }
     let (utilization, model_eta) = {
         let table = state.table.lock();
-        let model = call.ask.model.as_ref();
+        let model = call.metadata.model.as_ref();
         let model_eta = model.and_then(|m| table.model_eta(m, now));
         (table.utilization(&call.criteria(&[]), now), model_eta)
     };
--- a/crates/front/src/serve/read.rs
+++ b/crates/front/src/serve/read.rs
@@ -71,11 +71,11 @@
     let (mut head, body) = request.into_parts();
     let host = host(&head.uri, &head.headers);
     let caller = accounts::authenticate(state, routes, &route, &mut head.headers)?;
-    let ask = ingress::parse(&head.headers);
-    let timeout = ask.timeout.unwrap_or(route.timeout).min(route.timeout);
+    let metadata = ingress::parse(&head.headers);
+    let timeout = metadata.timeout.unwrap_or(route.timeout).min(route.timeout);
     let deadline = arrived + Span::from(timeout);
     let (body, memory) = read_body(state, routes, body, deadline).await?;
-    let id = ask.id.clone().unwrap_or_else(|| "-".into());
+    let id = metadata.id.clone().unwrap_or_else(|| "-".into());
     let hash = rendezvous::hash(id.as_bytes());
     let service = route::routing::pick_weighted(&route.services, hash);
     let service = service.cloned().ok_or_else(|| {
@@ -97,7 +97,7 @@
         headers: head.headers,
         body,
         _memory: memory,
-        ask,
+        metadata,
         arrived,
         deadline,
         fingerprint: OnceLock::new(),
--- a/crates/front/src/serve/report.rs
+++ b/crates/front/src/serve/report.rs
@@ -20,7 +20,7 @@
     }
     state.log.sampled(&call.id, || {
         let ms = state.now().since(call.arrived).ms();
-        info!(target: "request", event = "sent", id = &*call.id, route = &*call.route.name, model = call.ask.model.as_deref(), adapter = call.ask.adapter.as_deref(), replica = &*choice.replica, candidates = choice.candidate_count, expected_ms = choice.ttft.ms(), paced = choice.fits_prefill_limit, waited, ms, entry = choice.revision, missing_ms, "request sent to the replica with the lowest cost")
+        info!(target: "request", event = "sent", id = &*call.id, route = &*call.route.name, model = call.metadata.model.as_deref(), adapter = call.metadata.adapter.as_deref(), replica = &*choice.replica, candidates = choice.candidate_count, expected_ms = choice.ttft.ms(), paced = choice.fits_prefill_limit, waited, ms, entry = choice.revision, missing_ms, "request sent to the replica with the lowest cost")
     });
 }
 
@@ -52,6 +52,6 @@
     let retry_after_ms = rejection.retry_after.map(|s| s.ms());
     let account = call.caller.account.as_ref().map(|a| &*a.name);
     state.log.rate_limited(|| {
-        warn!(target: "request", event = "refused", id = &*call.id, route = &*call.route.name, model = call.ask.model.as_deref(), adapter = call.ask.adapter.as_deref(), account, status = rejection.status.as_u16(), reason = rejection.reason, retry_after_ms, ms, why = rejection.message, "request rejected")
+        warn!(target: "request", event = "refused", id = &*call.id, route = &*call.route.name, model = call.metadata.model.as_deref(), adapter = call.metadata.adapter.as_deref(), account, status = rejection.status.as_u16(), reason = rejection.reason, retry_after_ms, ms, why = rejection.message, "request rejected")
     });
 }
--- a/crates/front/src/serve/unavailable.rs
+++ b/crates/front/src/serve/unavailable.rs
@@ -138,7 +138,7 @@
 
 /// Asks the leader to load the adapter of a request; `additional` if replicas hold it but are busy.
 pub(super) fn request_adapter(state: &State, call: &Call, additional: bool) {
-    if let (Some(model), Some(adapter)) = (&call.ask.model, &call.ask.adapter) {
+    if let (Some(model), Some(adapter)) = (&call.metadata.model, &call.metadata.adapter) {
         // The receiver lives as long as the daemon.
         let _ = state
             .placement_requests
@@ -154,7 +154,7 @@
 /// Tells the leader that no replica holds the model of a request, without waiting for the next
 /// report.
 fn request_model(state: &State, call: &Call) {
-    if let Some(model) = &call.ask.model {
+    if let Some(model) = &call.metadata.model {
         // The receiver lives as long as the daemon.
         let _ = state
             .placement_requests
--- a/crates/front/src/table.rs
+++ b/crates/front/src/table.rs
@@ -88,7 +88,7 @@
     /// Service that the request goes to.
     pub service: &'a Name,
     /// Header fields of the request.
-    pub ask: &'a Metadata,
+    pub metadata: &'a Metadata,
     /// Priority, 0 is the most urgent.
     pub priority: u8,
     /// Longest allowed pause between events of a stream, if bounded.
@@ -184,7 +184,7 @@
     /// Fraction of slots in use at the replicas of a service that hold the model; 1 when there are
     /// none.
     pub fn utilization(&self, criteria: &Criteria, now: Time) -> f64 {
-        let model = criteria.ask.model.as_ref();
+        let model = criteria.metadata.model.as_ref();
         let direct = self.has_direct_loads(now);
         let (mut in_flight, mut slots) = (0.0, 0.0);
         for replica in self.view.all() {
@@ -227,7 +227,7 @@
     pub fn begin(&mut self, replica: &Name, criteria: &Criteria, now: Time) -> Footprint {
         let pace = self
             .paces
-            .get(criteria.service, criteria.ask.model.as_ref());
+            .get(criteria.service, criteria.metadata.model.as_ref());
         self.record_adapter_use(replica, criteria);
         let state = self.replica_mut(replica);
         state.reachability.record_attempt(now);
@@ -290,17 +290,23 @@
     }
 
     /// Prompt tokens of a request that a replica has not cached, if no other prompt waits there.
-    pub fn unqueued_tokens(&self, replica: &str, ask: &Metadata, now: Time) -> Option<f64> {
-        let model = ask.model.as_ref()?;
+    pub fn unqueued_tokens(&self, replica: &str, metadata: &Metadata, now: Time) -> Option<f64> {
+        let model = metadata.model.as_ref()?;
         let state = self.replicas.get(replica);
         let load = state.map(|s| s.total_load(now, self.has_direct_loads(now)));
         let prefill_ms: f32 = load.unwrap_or_default().prefill_ms.iter().sum();
-        let cached = state.map_or(0, |s| s.cached_tokens(model, ask));
-        (prefill_ms <= 0.0).then(|| ask.prompt_tokens.saturating_sub(cached) as f64)
+        let cached = state.map_or(0, |s| s.cached_tokens(model, metadata));
+        (prefill_ms <= 0.0).then(|| metadata.prompt_tokens.saturating_sub(cached) as f64)
     }
 
     /// Counts a request in the demand of its model and in the retry budget of its service.
-    pub fn record_arrival(&mut self, service: &Name, ask: &Metadata, bounds: &Bounds, now: Time) {
+    pub fn record_arrival(
+        &mut self,
+        service: &Name,
+        metadata: &Metadata,
+        bounds: &Bounds,
+        now: Time,
+    ) {
         let window = bounds.retry_window.into();
         let open = || WindowedBudget::new(bounds.retry_share, bounds.retry_slack, window);
         let budget = self
@@ -308,8 +314,9 @@
             .entry(service.clone())
             .or_insert_with(open);
         budget.record_request(now);
-        if let Some(model) = &ask.model {
-            self.demand.record(service, model, ask.prompt_tokens, now);
+        if let Some(model) = &metadata.model {
+            self.demand
+                .record(service, model, metadata.prompt_tokens, now);
         }
     }
 
--- a/crates/front/src/table/choose.rs
+++ b/crates/front/src/table/choose.rs
@@ -115,7 +115,11 @@
     pub fn choose(&mut self, criteria: &Criteria, now: Time) -> Result<Choice, Unplaceable> {
         let service = self.service(criteria.service);
         let engine = service.as_ref().and_then(|s| s.engine.as_ref());
-        let model = criteria.ask.model.as_ref().filter(|_| engine.is_some());
+        let model = criteria
+            .metadata
+            .model
+            .as_ref()
+            .filter(|_| engine.is_some());
         let (mut eligible, mut without_adapter) = (Vec::new(), Vec::new());
         let mut best_fit = Fit::Excluded;
         let mut shortest_wait: Option<Saturation> = None;
@@ -233,7 +237,7 @@
             return Fit::NoModel;
         }
         let holds = |adapter| holds_adapter(entry, state, model, adapter, now);
-        match criteria.ask.adapter.as_ref().is_none_or(holds) {
+        match criteria.metadata.adapter.as_ref().is_none_or(holds) {
             true => fit,
             false => Fit::NoAdapter,
         }
@@ -272,15 +276,15 @@
         let default = State::default();
         let state = self.replicas.get(&entry.id).unwrap_or(&default);
         let load = state.total_load(inputs.now, inputs.uses_direct_loads);
-        let (model, ask) = (inputs.model, inputs.criteria.ask);
-        let cached = model.map_or(0, |m| state.cached_tokens(m, ask));
+        let (model, metadata) = (inputs.model, inputs.criteria.metadata);
+        let cached = model.map_or(0, |m| state.cached_tokens(m, metadata));
         let level = priority_level(inputs.criteria.priority);
         Candidate {
             slots: entry.slots,
             in_flight: f64::from(load.requests),
             prefill_ahead: ms(load.prefill_ms[..=level].iter().sum()),
             prefill_backlog: ms(load.prefill_ms.iter().sum()),
-            prefill: inputs.pace.prefill(model, ask, cached),
+            prefill: inputs.pace.prefill(model, metadata, cached),
             reserved_tokens: f64::from(load.reserved_tokens),
             token_capacity: inputs.token_capacity,
             decode: inputs.pace.decode,
@@ -295,15 +299,15 @@
 fn batch_request(criteria: &Criteria, engine: Option<&Engine>, jitter: Span) -> batch::Request {
     let stride = engine.map_or(1, |e| e.tokens_per_event);
     batch::Request {
-        tokens: max_tokens(criteria.ask) as f64,
+        tokens: max_tokens(criteria.metadata) as f64,
         prefill_limit: criteria.max_gap.map(|gap| prefill_limit(gap, stride)),
         jitter,
     }
 }
 
 /// Most tokens of the KV cache that a request needs.
-pub(super) fn max_tokens(ask: &Metadata) -> u64 {
-    ask.prompt_tokens + ask.output_hint.unwrap_or(ask.max_output_tokens)
+pub(super) fn max_tokens(metadata: &Metadata) -> u64 {
+    metadata.prompt_tokens + metadata.output_hint.unwrap_or(metadata.max_output_tokens)
 }
 
 /// Time that a replica may spend on prefill in one step without delaying events by more than `gap`.
--- a/crates/front/src/table/pace.rs
+++ b/crates/front/src/table/pace.rs
@@ -28,11 +28,11 @@
 
 impl Pace {
     /// Time to prefill a prompt of which `cached` tokens are cached; zero without a model.
-    pub(super) fn prefill(&self, model: Option<&Name>, ask: &Metadata, cached: u64) -> Span {
+    pub(super) fn prefill(&self, model: Option<&Name>, metadata: &Metadata, cached: u64) -> Span {
         if model.is_none() {
             return Span::ZERO;
         }
-        let tokens = ask.prompt_tokens.saturating_sub(cached) as f64;
+        let tokens = metadata.prompt_tokens.saturating_sub(cached) as f64;
         Span((tokens / self.prefill_speed * 1e3) as u64)
     }
 }
--- a/crates/front/src/table/replica.rs
+++ b/crates/front/src/table/replica.rs
@@ -87,15 +87,15 @@
 
     /// Adds a request to the load.
     pub(super) fn begin(&mut self, criteria: &Criteria, pace: &Pace) -> Footprint {
-        let model = criteria.ask.model.as_ref();
-        let cached = model.map_or(0, |m| self.cached_tokens(m, criteria.ask));
+        let model = criteria.metadata.model.as_ref();
+        let cached = model.map_or(0, |m| self.cached_tokens(m, criteria.metadata));
         let footprint = Footprint {
-            prefill_ms: pace.prefill(model, criteria.ask, cached).ms() as f32,
-            reserved_tokens: max_tokens(criteria.ask) as f32,
+            prefill_ms: pace.prefill(model, criteria.metadata, cached).ms() as f32,
+            reserved_tokens: max_tokens(criteria.metadata) as f32,
             level: priority_level(criteria.priority),
         };
         if let Some(model) = model {
-            self.cache_parts(model, criteria.ask);
+            self.cache_parts(model, criteria.metadata);
         }
         self.own.requests += 1.0;
         self.own.reserved_tokens += footprint.reserved_tokens;
@@ -117,8 +117,8 @@
     }
 
     /// Tokens at the beginning of a prompt that the replica's prefix cache likely holds.
-    pub(super) fn cached_tokens(&self, model: &Name, ask: &Metadata) -> u64 {
-        let cached = ask.segments.iter().map_while(|part| {
+    pub(super) fn cached_tokens(&self, model: &Name, metadata: &Metadata) -> u64 {
+        let cached = metadata.segments.iter().map_while(|part| {
             self.position(model, part.id)?;
             Some(part.tokens)
         });
@@ -126,8 +126,8 @@
     }
 
     /// Remembers the parts of a prompt, evicting the least recently used.
-    fn cache_parts(&mut self, model: &Name, ask: &Metadata) {
-        for part in &ask.segments {
+    fn cache_parts(&mut self, model: &Name, metadata: &Metadata) {
+        for part in &metadata.segments {
             let known = self.position(model, part.id);
             let known = known.and_then(|at| self.cached_parts.remove(at));
             let newest = known.unwrap_or_else(|| (model.clone(), part.id));
--- a/crates/front/tests/fanout.rs
+++ b/crates/front/tests/fanout.rs
@@ -143,12 +143,12 @@
 #[test]
 fn a_host_that_does_not_know_the_host_count_has_no_retry_slack() {
     let service: Name = "web".into();
-    let ask = ingress::parse(&hyper::HeaderMap::new());
+    let metadata = ingress::parse(&hyper::HeaderMap::new());
     let mut bounds = bounds();
     bounds.retry_slack = 400.0;
     let mut table = Table::new("a".into(), 1, HEARTBEAT);
     for _ in 0..3 {
-        table.record_arrival(&service, &ask, &bounds, at(0));
+        table.record_arrival(&service, &metadata, &bounds, at(0));
     }
     assert!(!table.spend_retry(&service, at(1)));
     table.host_count = 100;
--- a/crates/front/tests/load_exchange.rs
+++ b/crates/front/tests/load_exchange.rs
@@ -13,10 +13,10 @@
 fn table_with_requests(id: &Name) -> Table {
     let mut table = Table::new("a".into(), 1, HEARTBEAT);
     table.view.put(entry(id), 1);
-    let (service, ask) = ("web".into(), ingress::parse(&HeaderMap::new()));
+    let (service, metadata) = ("web".into(), ingress::parse(&HeaderMap::new()));
     let want = Criteria {
         service: &service,
-        ask: &ask,
+        metadata: &metadata,
         priority: 0,
         max_gap: None,
         excluded: &[],
