--- a/crates/front/src/planner/dispatch.rs
+++ b/crates/front/src/planner/dispatch.rs
@@ -135,9 +135,9 @@
     }
 
     /// Applies what an answer's head says about its replica.
-    fn take_feedback(&self, entry: &Entry, call: &str, said: Option<&Feedback>) {
-        if let Some(said) = said {
-            feedback::apply(&self.state, &source(entry, call), said);
+    fn take_feedback(&self, entry: &Entry, call: &str, feedback: Option<&Feedback>) {
+        if let Some(feedback) = feedback {
+            feedback::apply(&self.state, &source(entry, call), feedback);
         }
     }
 
