--- a/crates/front/src/attempt.rs
+++ b/crates/front/src/attempt.rs
@@ -263,13 +263,13 @@
     let mut request = Request::new(Body::new(call.body.clone()));
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.uri.clone();
-    let direction = ingress::Overrides {
+    let overrides = ingress::Overrides {
         replica: &choice.replica,
         remaining: remaining.std(),
         priority: call.priority,
         last_event,
         account,
     };
-    *request.headers_mut() = ingress::request_headers(&call.headers, &direction);
+    *request.headers_mut() = ingress::request_headers(&call.headers, &overrides);
     request
 }
