--- a/crates/front/src/attempt.rs
+++ b/crates/front/src/attempt.rs
@@ -117,8 +117,8 @@
     reservation: Reservation,
     last_event: Option<u64>,
 ) -> Result<Exchange, Failure> {
-    let is_repeatable = call.route.kind.is_idempotent();
-    let pooled = state.pool.take(&choice.replica, is_repeatable, state.now());
+    let is_idempotent = call.route.kind.is_idempotent();
+    let pooled = state.pool.take(&choice.replica, is_idempotent, state.now());
     let is_pooled = pooled.is_some();
     let mut line = match pooled {
         Some(line) => line,
--- a/crates/front/src/pool.rs
+++ b/crates/front/src/pool.rs
@@ -40,13 +40,13 @@
 
 impl Pool {
     /// Takes an idle connection that may carry the request.
-    pub fn take(&self, replica: &str, is_repeatable: bool, now: Time) -> Option<Connection> {
+    pub fn take(&self, replica: &str, is_idempotent: bool, now: Time) -> Option<Connection> {
         let mut idle = self.idle.lock();
         let lines = idle.get_mut(replica)?;
         lines.retain(|idle_line| idle_line.until > now && idle_line.line.is_reusable());
         // The most recently used connection is last.
         let newest = lines.last()?;
-        if !is_repeatable && now.since(newest.since) > MAX_IDLE_UNREPEATABLE {
+        if !is_idempotent && now.since(newest.since) > MAX_IDLE_UNREPEATABLE {
             return None;
         }
         lines.pop().map(|idle_line| idle_line.line)
--- a/crates/front/src/relay/resume.rs
+++ b/crates/front/src/relay/resume.rs
@@ -23,8 +23,8 @@
             self.state.pool.close_all(&source.reservation.replica);
         }
         let (state, call) = (self.state.clone(), self.call.clone());
-        let is_repeatable = call.route.kind.is_idempotent();
-        if *cause == Failure::TimedOut || !is_repeatable || !quarantine::may_retry(&state, &call) {
+        let is_idempotent = call.route.kind.is_idempotent();
+        if *cause == Failure::TimedOut || !is_idempotent || !quarantine::may_retry(&state, &call) {
             return false;
         }
         self.splitter.take_remainder();
--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -206,8 +206,8 @@
 impl Progress {
     /// Whether a retry may replace this answer, which is a server error.
     fn may_improve(&self, call: &Call, response: &Response<Body>) -> bool {
-        let is_repeatable = call.route.kind.is_idempotent();
-        response.status().is_server_error() && is_repeatable && self.history.may_run_again(call)
+        let is_idempotent = call.route.kind.is_idempotent();
+        response.status().is_server_error() && is_idempotent && self.history.may_run_again(call)
     }
 }
 
