--- a/crates/front/src/fleet.rs
+++ b/crates/front/src/fleet.rs
@@ -80,7 +80,7 @@
     /// Number of orders that the replica has accepted.
     pub orders_accepted: u64,
     /// Models that it holds, with their adapters.
-    pub held: Vec<Resident>,
+    pub resident: Vec<Resident>,
     pub pending: Option<Pending>,
     /// Orders to send, in order.
     pub queue: VecDeque<Job>,
@@ -112,7 +112,7 @@
             unanswered: Unanswered::default(),
             unanswered_before: Unanswered::default(),
             orders_accepted: 0,
-            held: Vec::new(),
+            resident: Vec::new(),
             pending: None,
             queue: VecDeque::new(),
             in_call: false,
@@ -299,12 +299,12 @@
 
     /// Whether an entry lists other models than the record.
     fn differs(&self, entry: &Entry) -> bool {
-        let names = |held: &[Resident]| {
-            let mut names: Vec<Name> = held.iter().map(|h| h.model.clone()).collect();
+        let names = |resident: &[Resident]| {
+            let mut names: Vec<Name> = resident.iter().map(|h| h.model.clone()).collect();
             names.sort();
             names
         };
-        names(&self.held) != names(&entry.resident)
+        names(&self.resident) != names(&entry.resident)
     }
 
     /// Applies a report, which counts as the newest state unless it is from an incarnation whose
@@ -316,12 +316,12 @@
         }
         self.last_ordered = now;
         self.orders_accepted = report.orders_accepted;
-        self.held.clone_from(&report.resident);
+        self.resident.clone_from(&report.resident);
         for (model, adapter) in &report.loading_adapters {
-            if let Some(held) = self.held.iter_mut().find(|h| h.model == *model)
-                && !held.adapters.contains(adapter)
+            if let Some(resident) = self.resident.iter_mut().find(|h| h.model == *model)
+                && !resident.adapters.contains(adapter)
             {
-                held.adapters.push(adapter.clone());
+                resident.adapters.push(adapter.clone());
             }
         }
         self.report_due = report.busy.then(|| now + BUSY_REPORT_INTERVAL);
@@ -332,25 +332,25 @@
 
     /// Applies an order's effect to the models and adapters held.
     pub fn apply(&mut self, job: &Job, now: Time) {
-        let at = self.held.iter().position(|h| h.model == job.model);
+        let at = self.resident.iter().position(|h| h.model == job.model);
         match (job.operation, &job.adapter, at) {
-            (Operation::Load, None, None) => self.held.push(Resident {
+            (Operation::Load, None, None) => self.resident.push(Resident {
                 model: job.model.clone(),
                 version: 0,
                 adapters: Vec::new(),
             }),
             (Operation::Unload, None, Some(at)) => {
-                self.held.remove(at);
+                self.resident.remove(at);
             }
             (Operation::Load, Some(adapter), Some(at)) => {
-                let adapters = &mut self.held[at].adapters;
+                let adapters = &mut self.resident[at].adapters;
                 if !adapters.contains(adapter) {
                     adapters.push(adapter.clone());
                 }
                 self.touch_adapter(&job.model, adapter, now);
             }
             (Operation::Unload, Some(adapter), Some(at)) => {
-                self.held[at].adapters.retain(|a| a != adapter);
+                self.resident[at].adapters.retain(|a| a != adapter);
             }
             _ => {}
         }
--- a/crates/front/src/fleet/adapters.rs
+++ b/crates/front/src/fleet/adapters.rs
@@ -7,7 +7,7 @@
 impl Record {
     /// Adapters that are loaded or being loaded, with their models.
     pub fn adapters(&self) -> Vec<(Name, Name)> {
-        let held = self.held.iter().flat_map(|h| {
+        let held = self.resident.iter().flat_map(|h| {
             let model = h.model.clone();
             h.adapters.iter().map(move |a| (model.clone(), a.clone()))
         });
@@ -16,7 +16,7 @@
 
     /// Whether an adapter is loaded or being loaded.
     pub fn holds_adapter(&self, model: &Name, adapter: &Name) -> bool {
-        let mut of_model = self.held.iter().filter(|h| h.model == *model);
+        let mut of_model = self.resident.iter().filter(|h| h.model == *model);
         of_model.any(|h| h.adapters.contains(adapter))
     }
 
--- a/crates/front/src/fleet/capacity.rs
+++ b/crates/front/src/fleet/capacity.rs
@@ -41,13 +41,13 @@
             // memory.
             model.map_or(engine.memory_mb, |m| m.memory_mb)
         };
-        let held: f64 = self.held.iter().map(|h| size(&h.model)).sum();
+        let held: f64 = self.resident.iter().map(|h| size(&h.model)).sum();
         let loading = self.pending.iter().map(|p| &p.job);
         let loading = loading
             .chain(&self.queue)
             .chain(self.unanswered_before.jobs())
             .filter(|j| j.operation == Operation::Load && j.adapter.is_none())
-            .filter(|j| !self.held.iter().any(|h| h.model == j.model));
+            .filter(|j| !self.resident.iter().any(|h| h.model == j.model));
         let incoming: f64 = loading.map(|j| size(&j.model)).sum();
         engine.memory_mb - held - incoming - largest * f64::from(engine.adapter_slots)
     }
--- a/crates/front/src/planner/adapters.rs
+++ b/crates/front/src/planner/adapters.rs
@@ -209,7 +209,7 @@
 
 /// Whether a replica holds a model and is not about to unload it.
 fn can_load_adapter(record: &Record, model: &Name) -> bool {
-    let holds = record.held.iter().any(|h| h.model == *model);
+    let holds = record.resident.iter().any(|h| h.model == *model);
     let will_unload = record.will_unload(model);
     let pending = record.pending.as_ref();
     let is_unloading = pending.is_some_and(|p| p.job.operation == Operation::Unload);
--- a/crates/front/src/planner/digest.rs
+++ b/crates/front/src/planner/digest.rs
@@ -185,7 +185,7 @@
 fn unloading(record: &Record, now: Time) -> Vec<Name> {
     let unloaded = record.last_unloaded.iter();
     let unloaded = unloaded.filter(|(_, at)| now.since(*at) < ANNOUNCED_FOR);
-    let unloaded = unloaded.filter(|(model, _)| !record.held.iter().any(|h| h.model == *model));
+    let unloaded = unloaded.filter(|(model, _)| !record.resident.iter().any(|h| h.model == *model));
     let unloading = record.unloading().into_iter();
     unloading
         .chain(unloaded.map(|(model, _)| model))
--- a/crates/front/src/planner/prefetch.rs
+++ b/crates/front/src/planner/prefetch.rs
@@ -66,7 +66,11 @@
             ))
         });
     Replica {
-        models: record.held.iter().filter_map(|h| index(&h.model)).collect(),
+        models: record
+            .resident
+            .iter()
+            .filter_map(|h| index(&h.model))
+            .collect(),
         free_slots: (engine.adapter_slots as usize).saturating_sub(record.adapters_expected()),
         adapters: held.collect(),
         accepts_orders: record.accepts_orders(),
--- a/crates/front/src/planner/service.rs
+++ b/crates/front/src/planner/service.rs
@@ -311,11 +311,11 @@
 ) -> copies::Replica {
     let index = |name: &Name| engine.models.iter().position(|m| m.name == *name);
     let unloading = record.unloading();
-    let held = record
-        .held
+    let resident = record
+        .resident
         .iter()
         .filter(|h| !unloading.contains(&&h.model));
-    let held: Vec<usize> = held.filter_map(|h| index(&h.model)).collect();
+    let held: Vec<usize> = resident.filter_map(|h| index(&h.model)).collect();
     let orders = record.pending.iter().map(|p| &p.job).chain(&record.queue);
     let loads = orders.filter(|j| j.operation == Operation::Load && j.adapter.is_none());
     let incoming = loads.map(|j| &j.model).chain(record.reserved_for());
@@ -367,7 +367,7 @@
         let durations = entry
             .resident
             .iter()
-            .map(|held| table.pace(service, &held.model).1);
+            .map(|resident| table.pace(service, &resident.model).1);
         let longest = durations.max()?;
         let utilization = rate * longest.secs() / f64::from(entry.slots.max(1));
         Some((entry.id.clone(), utilization.min(1.0)))
--- a/crates/front/tests/fleet.rs
+++ b/crates/front/tests/fleet.rs
@@ -10,12 +10,12 @@
 use unit::Span;
 
 fn held(models: &[&str]) -> Vec<Resident> {
-    let held = models.iter().map(|m| Resident {
+    let resident = models.iter().map(|m| Resident {
         model: (*m).into(),
         version: 1,
         adapters: Vec::new(),
     });
-    held.collect()
+    resident.collect()
 }
 
 fn entry(models: &[&str]) -> Entry {
@@ -233,7 +233,7 @@
     );
     record.queue.push_back(load("m3"));
     record.sync(&restarted(&[], 2), at(500));
-    assert!(record.held.is_empty() && record.queue.is_empty());
+    assert!(record.resident.is_empty() && record.queue.is_empty());
     assert_eq!(record.orders_accepted, 0);
     assert!(
         record.is_report_due(at(500)),
@@ -250,7 +250,7 @@
         ..report(&["m1"], 7, false)
     };
     record.apply_report(&early, at(10));
-    assert!(record.held.is_empty());
+    assert!(record.resident.is_empty());
     assert!(record.is_report_due(at(400)), "another report is due");
 }
 
@@ -263,7 +263,7 @@
     record.note_unanswered(&load("m1"), Some(1), at(100));
     assert!(record.fits(&load("m2"), &engine()));
     record.sync(&restarted(&[], 2), at(1_000));
-    record.held = held(&["m2"]);
+    record.resident = held(&["m2"]);
     assert!(
         !record.fits(&load("m3"), &engine()),
         "m1 may still be loaded"
@@ -278,6 +278,6 @@
     let mut record = Record::default();
     record.sync(&restarted(&[], 2), at(0));
     record.note_unanswered(&load("m1"), Some(1), at(100));
-    record.held = held(&["m2"]);
+    record.resident = held(&["m2"]);
     assert!(!record.fits(&load("m3"), &engine()));
 }
