--- a/crates/daemon/src/planner.rs
+++ b/crates/daemon/src/planner.rs
@@ -225,7 +225,7 @@
 }
 
 /// Planner's specification of each model in a bundle.
-fn specs(bundle: &Bundle) -> Vec<Spec> {
+pub fn specs(bundle: &Bundle) -> Vec<Spec> {
     let intent = &bundle.intent;
     let adapters = |model: &Name| {
         let adapters = intent.adapters.iter().filter(|(_, a)| a.model == *model);
