--- a/crates/daemon/src/entry/fault.rs
+++ b/crates/daemon/src/entry/error.rs
@@ -1,29 +1,32 @@
-//! Errors as callers see them.
+//! Error responses to callers.
 
 use hyper::StatusCode;
 use route::retry::Outcome;
 use serde_json::json;
 use unit::Span;
 
-/// Error that ends a request.
+/// Error response that ends a request.
 #[derive(Debug, Clone)]
-pub struct Fault {
-    /// HTTP status.
+pub struct ApiError {
     pub status: StatusCode,
-    /// What is known of the request.
+    /// Whether the request ran.
     pub outcome: Outcome,
     /// Machine-readable code.
     pub code: &'static str,
-    /// Full sentence for people.
+    /// Human-readable message: a full sentence.
     pub message: String,
-    /// When to come back, where that helps.
+    /// Value of `Retry-After`, if a retry may succeed.
     pub retry_after: Option<Span>,
 }
 
-impl Fault {
-    /// Request that was refused before dispatch for what it is.
-    pub fn refused(status: StatusCode, code: &'static str, message: impl Into<String>) -> Fault {
-        Fault {
+impl ApiError {
+    /// Rejects an invalid request before dispatch.
+    pub fn client_error(
+        status: StatusCode,
+        code: &'static str,
+        message: impl Into<String>,
+    ) -> ApiError {
+        ApiError {
             status,
             outcome: Outcome::NotRun,
             code,
@@ -32,27 +35,32 @@
         }
     }
 
-    /// Bad request.
-    pub fn bad(code: &'static str, message: impl Into<String>) -> Fault {
-        Fault::refused(StatusCode::BAD_REQUEST, code, message)
+    /// Rejects a request with status 400.
+    pub fn bad_request(code: &'static str, message: impl Into<String>) -> ApiError {
+        ApiError::client_error(StatusCode::BAD_REQUEST, code, message)
     }
 
-    /// Request that was not run for want of room; it may come again.
-    pub fn busy(code: &'static str, message: impl Into<String>, retry_after: Span) -> Fault {
-        Fault {
+    /// Rejects a request that was not run for lack of capacity (status 503).
+    pub fn unavailable(
+        code: &'static str,
+        message: impl Into<String>,
+        retry_after: Span,
+    ) -> ApiError {
+        ApiError {
             retry_after: Some(retry_after),
-            ..Fault::refused(StatusCode::SERVICE_UNAVAILABLE, code, message)
+            ..ApiError::client_error(StatusCode::SERVICE_UNAVAILABLE, code, message)
         }
     }
 
-    /// Request whose answer is lost.
-    pub fn lost(outcome: Outcome, message: impl Into<String>) -> Fault {
+    /// Reports a request without a response from its upstream: status 503 if it did not run,
+    /// else 502.
+    pub fn upstream_failure(outcome: Outcome, message: impl Into<String>) -> ApiError {
         let (status, code) = match outcome {
             Outcome::NotRun => (StatusCode::SERVICE_UNAVAILABLE, "upstream_not_reached"),
             _ => (StatusCode::BAD_GATEWAY, "outcome_unknown"),
         };
         let retry_after = (outcome == Outcome::NotRun).then_some(Span::from_secs(1));
-        Fault {
+        ApiError {
             status,
             outcome,
             code,
@@ -61,9 +69,9 @@
         }
     }
 
-    /// The error in the usual JSON form.
-    pub fn body(&self) -> Vec<u8> {
-        let kind = match self.status {
+    /// Encodes the error as the OpenAI API does, with the outcome added.
+    pub fn to_json(&self) -> Vec<u8> {
+        let error_type = match self.status {
             StatusCode::UNAUTHORIZED | StatusCode::FORBIDDEN => "authentication_error",
             status if status.is_client_error() => "invalid_request_error",
             _ => "server_error",
@@ -71,7 +79,7 @@
         let error = json!({
             "error": {
                 "message": self.message,
-                "type": kind,
+                "type": error_type,
                 "code": self.code,
                 "outcome": self.outcome.as_str(),
             }
--- a/crates/daemon/src/entry/ask.rs
+++ b/crates/daemon/src/entry/request.rs
@@ -1,6 +1,6 @@
-//! Callers' requests to models, read from their JSON.
+//! Requests to models: parsing of headers and JSON bodies.
 
-use super::fault::Fault;
+use super::error::ApiError;
 use super::{CLASS_HEADER, IDEMPOTENCY_HEADER, UNREPEATABLE_HEADER};
 use crate::active_bundle::Bundle;
 use crate::fleet::{self, Target};
@@ -12,17 +12,17 @@
 use std::sync::Arc;
 use unit::{Name, Time};
 
-/// Tokens generated when the caller names no bound.
-const DEFAULT_TOKENS: u32 = 256;
+/// Maximum number of output tokens if the request sets none.
+const DEFAULT_MAX_TOKENS: u32 = 256;
 
-/// Most tokens a caller may ask for.
-const MOST_TOKENS: u32 = 100_000;
+/// Largest `max_tokens` that a request may set.
+const MAX_TOKENS: u32 = 100_000;
 
-/// Longest idempotency key, in bytes.
-const MOST_KEY: usize = 256;
+/// Maximum length of an idempotency key.
+const MAX_KEY_BYTES: usize = 256;
 
-/// Fields handed to the engine as they came.
-const SAMPLING: [&str; 8] = [
+/// Fields of the body that are forwarded to the engine unchanged.
+const SAMPLING_FIELDS: [&str; 8] = [
     "temperature",
     "top_p",
     "stop",
@@ -33,46 +33,42 @@
     "response_format",
 ];
 
-/// Form of a request and its answer.
+/// API endpoint, which determines the format of request and response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Form {
+pub enum Endpoint {
     /// `/v1/chat/completions`.
     Chat,
     /// `/v1/completions`.
     Text,
 }
 
-/// Who asks, and under which rules.
+/// Metadata of a request to a model or a service.
 #[derive(Clone)]
-pub struct Asker {
-    /// Identity of the request.
-    pub request: Name,
-    /// Name of the caller.
+pub struct Metadata {
+    pub id: Name,
+    /// Client account.
     pub caller: Name,
-    /// Weight of its share.
+    /// Weight of the caller in fair queueing.
     pub weight: u32,
-    /// Name of the class.
     pub class_name: Name,
-    /// Targets and rank.
+    /// Latency targets, deadline and priority.
     pub class: Class,
-    /// Whether the request may be repeated.
+    /// Whether the request may be retried after it may have run.
     pub repeatable: bool,
-    /// Idempotency key, if it has one.
-    pub key: Option<Name>,
-    /// When it arrived.
+    pub idempotency_key: Option<Name>,
     pub arrived: Time,
-    /// Bundle it is served under, from its beginning to its end.
+    /// Bundle in force at arrival; it applies until the request ends.
     pub bundle: Arc<Bundle>,
 }
 
-impl Asker {
-    /// When nobody needs the answer any more.
+impl Metadata {
+    /// Time after which the response is of no use to the caller.
     pub fn deadline(&self) -> Time {
         self.arrived + self.class.deadline
     }
 
-    /// What the fleet is asked for on behalf of this request.
-    pub fn want(&self, target: Target, ask: choose::Request) -> fleet::Request {
+    /// Builds the request for a reservation in the fleet.
+    pub fn fleet_request(&self, target: Target, criteria: choose::Request) -> fleet::Request {
         fleet::Request {
             target,
             caller: self.caller.clone(),
@@ -80,37 +76,32 @@
             priority: self.class.priority,
             arrived: self.arrived,
             deadline: self.deadline(),
-            criteria: ask,
+            criteria,
         }
     }
 }
 
 /// Request to a model.
 #[derive(Clone)]
-pub struct Ask {
-    /// Who asks.
-    pub asker: Asker,
-    /// Name that the caller used, echoed in the answer.
-    pub asked: Name,
-    /// Model that answers.
+pub struct Completion {
+    pub meta: Metadata,
+    /// Name of the model or adapter in the request, echoed in the response.
+    pub requested_model: Name,
+    /// Base model.
     pub model: Name,
-    /// Adapter on it.
     pub adapter: Option<Name>,
-    /// Prompt.
     pub prompt: Name,
-    /// Most tokens.
+    /// Maximum number of output tokens.
     pub max_tokens: u32,
-    /// Whether the answer is streamed.
     pub stream: bool,
-    /// Whether the stream ends with the usage.
-    pub usage: bool,
-    /// Form.
-    pub form: Form,
-    /// Sampling fields.
+    /// Whether a stream ends with an event of the token usage.
+    pub include_usage: bool,
+    pub endpoint: Endpoint,
+    /// Sampling parameters, forwarded unchanged.
     pub sampling: Map<String, Value>,
 }
 
-/// Body of a request, as far as it concerns routing.
+/// Body of a request; `rest` holds the fields that are not interpreted here.
 #[derive(Deserialize)]
 struct Body {
     model: String,
@@ -145,61 +136,63 @@
     content: Value,
 }
 
-/// Finds the caller of a bearer key.
+/// Returns the caller of the API key in the `Authorization` header.
 pub fn authenticate<'a>(
     headers: &HeaderMap,
     bundle: &'a Bundle,
-) -> Result<(&'a Name, &'a Caller), Fault> {
-    let refused =
-        |message: &str| Fault::refused(StatusCode::UNAUTHORIZED, "invalid_api_key", message);
+) -> Result<(&'a Name, &'a Caller), ApiError> {
+    let unauthorized = |message: &str| {
+        ApiError::client_error(StatusCode::UNAUTHORIZED, "invalid_api_key", message)
+    };
     let key = headers
         .get(hyper::header::AUTHORIZATION)
         .and_then(|value| value.to_str().ok())
         .and_then(|value| value.strip_prefix("Bearer "))
-        .ok_or_else(|| refused("A key is missing; send it as 'Authorization: Bearer KEY'."))?;
+        .ok_or_else(|| unauthorized("A key is missing; send it as 'Authorization: Bearer KEY'."))?;
     let hash = bundle::part::hash(key.trim().as_bytes());
     bundle
         .intent
         .caller(&hash)
-        .ok_or_else(|| refused("The key is not one of a known caller."))
+        .ok_or_else(|| unauthorized("The key is not one of a known caller."))
 }
 
-/// Whether the caller marked the request as unrepeatable.
+/// Whether [`UNREPEATABLE_HEADER`] is set to anything but `no`.
 pub fn is_marked_unrepeatable(headers: &HeaderMap) -> bool {
     headers
         .get(UNREPEATABLE_HEADER)
         .is_some_and(|value| !value.as_bytes().eq_ignore_ascii_case(b"no"))
 }
 
-/// Idempotency key of a request.
-pub fn idempotency_key(headers: &HeaderMap) -> Result<Option<Name>, Fault> {
+/// Returns the idempotency key, or an error if it is empty, too long or not visible ASCII.
+pub fn idempotency_key(headers: &HeaderMap) -> Result<Option<Name>, ApiError> {
     let Some(value) = headers.get(IDEMPOTENCY_HEADER) else {
         return Ok(None);
     };
     match value.to_str() {
-        Ok(key) if !key.is_empty() && key.len() <= MOST_KEY => Ok(Some(key.into())),
-        _ => Err(Fault::bad(
+        Ok(key) if !key.is_empty() && key.len() <= MAX_KEY_BYTES => Ok(Some(key.into())),
+        _ => Err(ApiError::bad_request(
             "bad_idempotency_key",
-            format!("The idempotency key must be 1 to {MOST_KEY} visible characters."),
+            format!("The idempotency key must be 1 to {MAX_KEY_BYTES} visible characters."),
         )),
     }
 }
 
-/// Class of a request: named by the caller if it may, else the target's own.
+/// Class of a request: the one in [`CLASS_HEADER`] if the caller may use it, else the default of
+/// the model or service.
 pub fn class<'a>(
     headers: &HeaderMap,
     bundle: &'a Bundle,
     caller: &Caller,
-    own: &'a Name,
-) -> Result<(&'a Name, &'a Class), Fault> {
+    default_class: &'a Name,
+) -> Result<(&'a Name, &'a Class), ApiError> {
     let classes = &bundle.intent.classes;
     let name = match headers.get(CLASS_HEADER).map(|v| v.to_str()) {
-        None => own,
-        Some(Ok(named)) if caller.classes.iter().any(|c| &**c == named) => {
-            classes.get_key_value(named).map_or(own, |(name, _)| name)
-        }
+        None => default_class,
+        Some(Ok(requested)) if caller.classes.iter().any(|c| &**c == requested) => classes
+            .get_key_value(requested)
+            .map_or(default_class, |(name, _)| name),
         Some(_) => {
-            return Err(Fault::refused(
+            return Err(ApiError::client_error(
                 StatusCode::FORBIDDEN,
                 "class_not_allowed",
                 format!("The class named in {CLASS_HEADER} is not one of this caller's."),
@@ -207,79 +200,87 @@
         }
     };
     classes.get_key_value(name).ok_or_else(|| {
-        Fault::bad(
+        ApiError::bad_request(
             "unknown_class",
             format!("Class '{name}' is not in the bundle in force."),
         )
     })
 }
 
-/// What is read from a body before the bundle is asked.
-pub struct Read {
+/// Parsed body, not validated yet.
+pub struct Parsed {
     body: Body,
-    form: Form,
+    endpoint: Endpoint,
 }
 
-/// Reads a body.
-pub fn read(bytes: &[u8], form: Form) -> Result<Read, Fault> {
+/// Parses a body.
+pub fn parse(bytes: &[u8], endpoint: Endpoint) -> Result<Parsed, ApiError> {
     let body: Body = serde_json::from_slice(bytes).map_err(|e| {
-        Fault::bad(
+        ApiError::bad_request(
             "invalid_json",
             format!("The body is not a request in JSON: {e}."),
         )
     })?;
-    Ok(Read { body, form })
+    Ok(Parsed { body, endpoint })
 }
 
-impl Read {
-    /// Name of the model or adapter asked for.
+impl Parsed {
+    /// Name of the requested model or adapter.
     pub fn model(&self) -> &str {
         &self.body.model
     }
 
-    /// Checks the rest and makes the request.
-    pub fn ask(self, asker: Asker, model: Name, adapter: Option<Name>) -> Result<Ask, Fault> {
+    /// Validates the fields and builds the request.
+    pub fn into_completion(
+        self,
+        meta: Metadata,
+        model: Name,
+        adapter: Option<Name>,
+    ) -> Result<Completion, ApiError> {
         let body = self.body;
         if body.n.is_some_and(|n| n != 1) {
-            return Err(Fault::bad("unsupported", "Only n = 1 is supported."));
+            return Err(ApiError::bad_request(
+                "unsupported",
+                "Only n = 1 is supported.",
+            ));
         }
-        let prompt = match self.form {
-            Form::Chat => chat_prompt(body.messages)?,
-            Form::Text => text_prompt(body.prompt)?,
+        let prompt = match self.endpoint {
+            Endpoint::Chat => chat_prompt(body.messages)?,
+            Endpoint::Text => text_prompt(body.prompt)?,
         };
-        let most = body.max_completion_tokens.or(body.max_tokens);
-        let max_tokens = match most {
-            None => DEFAULT_TOKENS,
-            Some(n) if (1..=u64::from(MOST_TOKENS)).contains(&n) => n as u32,
+        let requested = body.max_completion_tokens.or(body.max_tokens);
+        let max_tokens = match requested {
+            None => DEFAULT_MAX_TOKENS,
+            Some(n) if (1..=u64::from(MAX_TOKENS)).contains(&n) => n as u32,
             Some(n) => {
-                return Err(Fault::bad(
+                return Err(ApiError::bad_request(
                     "bad_max_tokens",
-                    format!("max_tokens is {n}; it must be from 1 to {MOST_TOKENS}."),
+                    format!("max_tokens is {n}; it must be from 1 to {MAX_TOKENS}."),
                 ));
             }
         };
         let mut sampling = body.rest;
-        sampling.retain(|key, value| SAMPLING.contains(&key.as_str()) && !value.is_null());
-        Ok(Ask {
-            asker,
-            asked: body.model.into(),
+        sampling.retain(|key, value| SAMPLING_FIELDS.contains(&key.as_str()) && !value.is_null());
+        Ok(Completion {
+            meta,
+            requested_model: body.model.into(),
             model,
             adapter,
             prompt,
             max_tokens,
             stream: body.stream.unwrap_or(false),
-            usage: body.stream_options.is_some_and(|o| o.include_usage),
-            form: self.form,
+            include_usage: body.stream_options.is_some_and(|o| o.include_usage),
+            endpoint: self.endpoint,
             sampling,
         })
     }
 }
 
-/// Joins messages into one prompt; parts other than text are kept as JSON.
-fn chat_prompt(messages: Option<Vec<Message>>) -> Result<Name, Fault> {
+/// Joins messages into one prompt; parts other than text are included as JSON.
+fn chat_prompt(messages: Option<Vec<Message>>) -> Result<Name, ApiError> {
     let messages = messages.unwrap_or_default();
     if messages.is_empty() {
-        return Err(Fault::bad(
+        return Err(ApiError::bad_request(
             "missing_messages",
             "'messages' must hold at least one message.",
         ));
@@ -296,7 +297,7 @@
                 _ => prompt.push_str(&part.to_string()),
             }),
             _ => {
-                return Err(Fault::bad(
+                return Err(ApiError::bad_request(
                     "bad_content",
                     "The content of a message must be text or a list of parts.",
                 ));
@@ -307,12 +308,15 @@
     Ok(prompt.into())
 }
 
-fn text_prompt(prompt: Option<Value>) -> Result<Name, Fault> {
+fn text_prompt(prompt: Option<Value>) -> Result<Name, ApiError> {
     match prompt {
         Some(Value::String(text)) => Ok(text.into()),
-        Some(Value::Array(one)) if one.len() == 1 && one[0].is_string() => {
-            Ok(one[0].as_str().unwrap_or_default().into())
+        Some(Value::Array(prompts)) if prompts.len() == 1 && prompts[0].is_string() => {
+            Ok(prompts[0].as_str().unwrap_or_default().into())
         }
-        _ => Err(Fault::bad("missing_prompt", "'prompt' must be one text.")),
+        _ => Err(ApiError::bad_request(
+            "missing_prompt",
+            "'prompt' must be one text.",
+        )),
     }
 }
