--- a/crates/front/src/attempt/call.rs
+++ b/crates/front/src/attempt/call.rs
@@ -65,7 +65,7 @@
     pub fn criteria<'a>(&'a self, excluded: &'a [Name]) -> Criteria<'a> {
         Criteria {
             service: &self.service,
-            metadata: &self.metadata,
+            ask: &self.metadata,
             priority: self.priority,
             max_gap: self.route.max_gap.map(Span::from),
             excluded,
--- a/crates/front/src/table.rs
+++ b/crates/front/src/table.rs
@@ -88,7 +88,7 @@
     /// Service that the request goes to.
     pub service: &'a Name,
     /// Header fields of the request.
-    pub metadata: &'a Metadata,
+    pub ask: &'a Metadata,
     /// Priority, 0 is the most urgent.
     pub priority: u8,
     /// Longest allowed pause between events of a stream, if bounded.
@@ -184,7 +184,7 @@
     /// Fraction of slots in use at the replicas of a service that hold the model; 1 when there are
     /// none.
     pub fn utilization(&self, criteria: &Criteria, now: Time) -> f64 {
-        let model = criteria.metadata.model.as_ref();
+        let model = criteria.ask.model.as_ref();
         let direct = self.has_direct_loads(now);
         let (mut in_flight, mut slots) = (0.0, 0.0);
         for replica in self.view.all() {
@@ -227,7 +227,7 @@
     pub fn begin(&mut self, replica: &Name, criteria: &Criteria, now: Time) -> Footprint {
         let pace = self
             .paces
-            .get(criteria.service, criteria.metadata.model.as_ref());
+            .get(criteria.service, criteria.ask.model.as_ref());
         self.record_adapter_use(replica, criteria);
         let state = self.replica_mut(replica);
         state.reachability.record_attempt(now);
--- a/crates/front/src/table/adapters.rs
+++ b/crates/front/src/table/adapters.rs
@@ -12,8 +12,7 @@
 impl Table {
     /// Records the adapter that a request uses, for the next report to the leader.
     pub(super) fn record_adapter_use(&mut self, replica: &Name, criteria: &Criteria) {
-        let (Some(model), Some(adapter)) = (&criteria.metadata.model, &criteria.metadata.adapter)
-        else {
+        let (Some(model), Some(adapter)) = (&criteria.ask.model, &criteria.ask.adapter) else {
             return;
         };
         if self.adapter_uses.len() < MAX_USES {
--- a/crates/front/src/table/choose.rs
+++ b/crates/front/src/table/choose.rs
@@ -115,11 +115,7 @@
     pub fn choose(&mut self, criteria: &Criteria, now: Time) -> Result<Choice, Unplaceable> {
         let service = self.service(criteria.service);
         let engine = service.as_ref().and_then(|s| s.engine.as_ref());
-        let model = criteria
-            .metadata
-            .model
-            .as_ref()
-            .filter(|_| engine.is_some());
+        let model = criteria.ask.model.as_ref().filter(|_| engine.is_some());
         let (mut eligible, mut without_adapter) = (Vec::new(), Vec::new());
         let mut best_fit = Fit::Excluded;
         let mut shortest_wait: Option<Saturation> = None;
@@ -237,7 +233,7 @@
             return Fit::NoModel;
         }
         let holds = |adapter| holds_adapter(entry, state, model, adapter, now);
-        match criteria.metadata.adapter.as_ref().is_none_or(holds) {
+        match criteria.ask.adapter.as_ref().is_none_or(holds) {
             true => fit,
             false => Fit::NoAdapter,
         }
@@ -276,7 +272,7 @@
         let default = State::default();
         let state = self.replicas.get(&entry.id).unwrap_or(&default);
         let load = state.total_load(inputs.now, inputs.uses_direct_loads);
-        let (model, metadata) = (inputs.model, inputs.criteria.metadata);
+        let (model, metadata) = (inputs.model, inputs.criteria.ask);
         let cached = model.map_or(0, |m| state.cached_tokens(m, metadata));
         let level = priority_level(inputs.criteria.priority);
         Candidate {
@@ -299,7 +295,7 @@
 fn batch_request(criteria: &Criteria, engine: Option<&Engine>, jitter: Span) -> batch::Request {
     let stride = engine.map_or(1, |e| e.tokens_per_event);
     batch::Request {
-        tokens: max_tokens(criteria.metadata) as f64,
+        tokens: max_tokens(criteria.ask) as f64,
         prefill_limit: criteria.max_gap.map(|gap| prefill_limit(gap, stride)),
         jitter,
     }
--- a/crates/front/src/table/replica.rs
+++ b/crates/front/src/table/replica.rs
@@ -87,15 +87,15 @@
 
     /// Adds a request to the load.
     pub(super) fn begin(&mut self, criteria: &Criteria, pace: &Pace) -> Footprint {
-        let model = criteria.metadata.model.as_ref();
-        let cached = model.map_or(0, |m| self.cached_tokens(m, criteria.metadata));
+        let model = criteria.ask.model.as_ref();
+        let cached = model.map_or(0, |m| self.cached_tokens(m, criteria.ask));
         let footprint = Footprint {
-            prefill_ms: pace.prefill(model, criteria.metadata, cached).ms() as f32,
-            reserved_tokens: max_tokens(criteria.metadata) as f32,
+            prefill_ms: pace.prefill(model, criteria.ask, cached).ms() as f32,
+            reserved_tokens: max_tokens(criteria.ask) as f32,
             level: priority_level(criteria.priority),
         };
         if let Some(model) = model {
-            self.cache_parts(model, criteria.metadata);
+            self.cache_parts(model, criteria.ask);
         }
         self.own.requests += 1.0;
         self.own.reserved_tokens += footprint.reserved_tokens;
--- a/crates/front/tests/load_exchange.rs
+++ b/crates/front/tests/load_exchange.rs
@@ -16,7 +16,7 @@
     let (service, metadata) = ("web".into(), ingress::parse(&HeaderMap::new()));
     let want = Criteria {
         service: &service,
-        metadata: &metadata,
+        ask: &metadata,
         priority: 0,
         max_gap: None,
         excluded: &[],
