--- a/crates/soak/src/check.rs
+++ b/crates/soak/src/check.rs
@@ -2,8 +2,8 @@
 
 use crate::accounts::{self, Caller};
 use crate::client::{HELD, PATIENCE, Told};
+use crate::signals;
 use crate::site::Site;
-use crate::words;
 use platform_standin::replica::Replica;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -35,7 +35,7 @@
     violations.extend(replicas.iter().filter_map(memory));
     violations.extend(replicas.iter().filter_map(|r| leaving(r, &site.disturbed)));
     violations.extend(replicas.iter().filter_map(|r| limit(site, r)));
-    violations.extend(words::check(site));
+    violations.extend(signals::check(site));
     violations.extend(tokens(replicas));
     violations.extend(accounts::check(told, replicas, &site.written));
     violations.extend(stopped(replicas, peace));
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -1,7 +1,7 @@
 //! Clients that keep their connections, and what each was told.
 
 use crate::accounts::Caller;
-use crate::words;
+use crate::signals;
 use conn::{Connection, Reply};
 use hyper::Request;
 use parking_lot::Mutex;
@@ -164,7 +164,7 @@
     let id = format!("s-{}", book.next.fetch_add(1, Ordering::Relaxed));
     let sent = Instant::now();
     let mut request = request(kind, caller, model, &id);
-    let from = words::field(book.hosts[host]);
+    let from = signals::field(book.hosts[host]);
     request.headers_mut().insert(replica::HOST_HEADER, from);
     let opened = match kept {
         Some(line) => Ok(line),
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -1,8 +1,8 @@
 //! Faults from outside, in series that overlap, by a seed.
 
 use crate::error::Error;
+use crate::signals;
 use crate::site::{Pause, Site};
-use crate::words;
 use nix::sys::signal::Signal;
 use platform_standin::proxy::Mode as Way;
 use platform_standin::replica::{Fault, Replica};
@@ -65,7 +65,7 @@
         }
         restart(site, &mut restarts);
         change_need(site, &mut needs);
-        if let Some(replica) = words::change(site, &mut words) {
+        if let Some(replica) = signals::change(site, &mut words) {
             replace(site, replica).await?;
         }
         faults += 1;
@@ -84,7 +84,7 @@
         }
         sleep(Duration::from_millis(200)).await;
     }
-    words::end_rests(site);
+    signals::end_rests(site);
     last_needs(site).await;
     Ok(faults)
 }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -8,8 +8,8 @@
 pub mod faults;
 pub mod host;
 pub mod options;
+pub mod signals;
 pub mod site;
-pub mod words;
 
 pub use error::Error;
 
