--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -16,23 +16,23 @@
 use tokio::time::Instant;
 
 /// Time that a client gives its requests.
-pub const PATIENCE: Duration = Duration::from_secs(3);
+pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Time beyond it after which a request was held too long: the process may have been paused.
-pub const HELD: Duration = Duration::from_millis(1_000);
+pub const TIMEOUT_TOLERANCE: Duration = Duration::from_millis(1_000);
 
 /// Whose requests clients send: half of them of the account that has its key always.
-const CALLERS: [Caller; 6] = [
+const CALLER_MIX: [Caller; 6] = [
     Caller::Steady,
     Caller::Steady,
     Caller::Steady,
-    Caller::Going,
+    Caller::Intermittent,
     Caller::Limited,
     Caller::Limited,
 ];
 
 /// Events of a whole stream.
-pub const EVENTS: u64 = 5;
+pub const EVENTS_PER_STREAM: u64 = 5;
 
 /// What is asked for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -63,14 +63,14 @@
     }
 
     /// Whether it may run more than once.
-    pub fn is_repeatable(self) -> bool {
+    pub fn is_idempotent(self) -> bool {
         matches!(self, Kind::Resume | Kind::Again)
     }
 }
 
 /// What a client was told of one request.
 #[derive(Debug, Clone)]
-pub struct Told {
+pub struct Outcome {
     /// Identity.
     pub id: String,
     /// What was asked for.
@@ -82,106 +82,115 @@
     /// When it was sent.
     pub sent: Instant,
     /// How long the answer took.
-    pub took: Duration,
+    pub elapsed: Duration,
     /// Status; 0 when the connection broke, or never opened.
     pub status: u16,
     /// Whether a connection was there to be broken.
     pub connected: bool,
     /// What is wrong with the answer, if anything.
-    pub wrong: Option<String>,
+    pub mismatch: Option<String>,
 }
 
 /// Where clients find the hosts, and where they write down what they are told.
-pub struct Book {
+pub struct Workload {
     /// Hosts.
     pub hosts: Vec<SocketAddr>,
     /// What was told.
-    pub told: Mutex<Vec<Told>>,
+    pub outcomes: Mutex<Vec<Outcome>>,
     /// Whether clients go on.
-    pub goes_on: AtomicBool,
-    next: AtomicU64,
+    pub running: AtomicBool,
+    next_id: AtomicU64,
 }
 
 /// Makes an empty book.
-pub fn book(hosts: Vec<SocketAddr>) -> Arc<Book> {
-    Arc::new(Book {
+pub fn workload(hosts: Vec<SocketAddr>) -> Arc<Workload> {
+    Arc::new(Workload {
         hosts,
-        told: Mutex::default(),
-        goes_on: AtomicBool::new(true),
-        next: AtomicU64::new(1),
+        outcomes: Mutex::default(),
+        running: AtomicBool::new(true),
+        next_id: AtomicU64::new(1),
     })
 }
 
 /// Asks one request after the other until the book says no more.
-pub async fn run(book: Arc<Book>, seed: u64) {
+pub async fn run(workload: Arc<Workload>, seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut line: Option<(usize, Connection)> = None;
-    while book.goes_on.load(Ordering::Relaxed) {
+    let mut connection: Option<(usize, Connection)> = None;
+    while workload.running.load(Ordering::Relaxed) {
         let kind = [Kind::Stream, Kind::Resume, Kind::Once, Kind::Again][rng.random_range(0..4)];
-        let caller = CALLERS[rng.random_range(0..CALLERS.len())];
+        let caller = CALLER_MIX[rng.random_range(0..CALLER_MIX.len())];
         let model = ["m1", "m2", "m3"][rng.random_range(0..3)];
-        let host = match &line {
+        let host = match &connection {
             Some((host, _)) if rng.random_bool(0.8) => *host,
-            _ => rng.random_range(0..book.hosts.len()),
+            _ => rng.random_range(0..workload.hosts.len()),
         };
-        let kept = line.take().filter(|(at, l)| *at == host && l.is_reusable());
-        line = ask(&book, (kind, caller), model, host, kept.map(|(_, l)| l)).await;
+        let reusable = connection
+            .take()
+            .filter(|(at, c)| *at == host && c.is_reusable());
+        connection = send(
+            &workload,
+            (kind, caller),
+            model,
+            host,
+            reusable.map(|(_, c)| c),
+        )
+        .await;
         let pause = rng.random_range(5..40);
         tokio::time::sleep(Duration::from_millis(pause)).await;
     }
 }
 
 /// Body of a request that ends each plain replica that begins to run it.
-pub const FATAL: &str = "fatal";
+pub const FATAL_BODY: &str = "fatal";
 
 /// Pause between two comings of that request.
-const INSISTS: Duration = Duration::from_millis(400);
+const FATAL_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Sends a request that ends replicas, each time with another identity and to any host, until the book says no more.
-pub async fn insist(book: Arc<Book>, seed: u64) {
+pub async fn send_fatal_requests(workload: Arc<Workload>, seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
-    while book.goes_on.load(Ordering::Relaxed) {
-        let host = book.hosts[rng.random_range(0..book.hosts.len())];
-        let id = format!("s-{}", book.next.fetch_add(1, Ordering::Relaxed));
+    while workload.running.load(Ordering::Relaxed) {
+        let host = workload.hosts[rng.random_range(0..workload.hosts.len())];
+        let id = format!("s-{}", workload.next_id.fetch_add(1, Ordering::Relaxed));
         let mut request = request(Kind::Once, Caller::Steady, "", &id);
-        *request.body_mut() = conn::Body::new(FATAL.into());
-        if let Ok(mut line) = Connection::open(host, PATIENCE).await {
+        *request.body_mut() = conn::Body::new(FATAL_BODY.into());
+        if let Ok(mut connection) = Connection::open(host, REQUEST_TIMEOUT).await {
             // Whatever it is told: what counts is whether replicas fall.
-            let _ = line.exchange(request, PATIENCE, 1 << 20).await;
+            let _ = connection.exchange(request, REQUEST_TIMEOUT, 1 << 20).await;
         }
-        tokio::time::sleep(INSISTS).await;
+        tokio::time::sleep(FATAL_INTERVAL).await;
     }
 }
 
 /// Asks one request; gives the connection back if it may carry another.
-async fn ask(
-    book: &Book,
+async fn send(
+    workload: &Workload,
     (kind, caller): (Kind, Caller),
     model: &str,
     host: usize,
-    kept: Option<Connection>,
+    reusable: Option<Connection>,
 ) -> Option<(usize, Connection)> {
-    let id = format!("s-{}", book.next.fetch_add(1, Ordering::Relaxed));
+    let id = format!("s-{}", workload.next_id.fetch_add(1, Ordering::Relaxed));
     let sent = Instant::now();
     let mut request = request(kind, caller, model, &id);
-    let from = signals::field(book.hosts[host]);
-    request.headers_mut().insert(replica::HOST_HEADER, from);
-    let opened = match kept {
-        Some(line) => Ok(line),
-        None => Connection::open(book.hosts[host], Duration::from_secs(1)).await,
+    let sender = signals::host_header(workload.hosts[host]);
+    request.headers_mut().insert(replica::HOST_HEADER, sender);
+    let opened = match reusable {
+        Some(connection) => Ok(connection),
+        None => Connection::open(workload.hosts[host], Duration::from_secs(1)).await,
     };
-    let (connected, reply, line) = match opened {
-        Ok(mut line) => {
-            let limit = PATIENCE + HELD * 2;
-            let reply = line.exchange(request, limit, 1 << 20).await;
-            (true, reply.ok(), Some(line))
+    let (connected, reply, connection) = match opened {
+        Ok(mut connection) => {
+            let limit = REQUEST_TIMEOUT + TIMEOUT_TOLERANCE * 2;
+            let reply = connection.exchange(request, limit, 1 << 20).await;
+            (true, reply.ok(), Some(connection))
         }
         Err(_) => (false, None, None),
     };
-    let told = Told {
-        wrong: reply.as_ref().and_then(|r| wrong(kind, &id, r)),
+    let outcome = Outcome {
+        mismatch: reply.as_ref().and_then(|r| mismatch(kind, &id, r)),
         status: reply.as_ref().map_or(0, |r| r.status.as_u16()),
-        took: sent.elapsed(),
+        elapsed: sent.elapsed(),
         id,
         kind,
         caller,
@@ -189,17 +198,22 @@
         sent,
         connected,
     };
-    let keeps = reply.is_some_and(|r| response::parse(r.status, &r.headers).keep_alive);
-    book.told.lock().push(told);
-    line.filter(|_| keeps).map(|line| (host, line))
+    let keep_alive = reply.is_some_and(|r| response::parse(r.status, &r.headers).keep_alive);
+    workload.outcomes.lock().push(outcome);
+    connection
+        .filter(|_| keep_alive)
+        .map(|connection| (host, connection))
 }
 
 /// Status of one request to a path; none when there is no answer.
 pub async fn probe(host: SocketAddr, path: &str) -> Option<u16> {
-    let mut line = Connection::open(host, PATIENCE).await.ok()?;
+    let mut connection = Connection::open(host, REQUEST_TIMEOUT).await.ok()?;
     let mut request = request(Kind::Again, Caller::Steady, "", "probe");
     *request.uri_mut() = path.parse().ok()?;
-    let reply = line.exchange(request, PATIENCE, 1 << 20).await.ok()?;
+    let reply = connection
+        .exchange(request, REQUEST_TIMEOUT, 1 << 20)
+        .await
+        .ok()?;
     Some(reply.status.as_u16())
 }
 
@@ -210,7 +224,7 @@
         .header("host", "a.example")
         .header("authorization", format!("Token {}", caller.key()))
         .header(names::REQUEST_ID, id)
-        .header(names::DEADLINE_MS, PATIENCE.as_millis().to_string());
+        .header(names::DEADLINE_MS, REQUEST_TIMEOUT.as_millis().to_string());
     if kind.is_stream() {
         builder = builder
             .header(names::MODEL, model)
@@ -222,7 +236,7 @@
 }
 
 /// What is wrong with an answer that says that it is whole.
-fn wrong(kind: Kind, id: &str, reply: &Reply) -> Option<String> {
+fn mismatch(kind: Kind, id: &str, reply: &Reply) -> Option<String> {
     if !reply.status.is_success() {
         return None;
     }
@@ -231,11 +245,11 @@
     }
     let text = String::from_utf8_lossy(&reply.body);
     if matches!(kind, Kind::Once | Kind::Again) {
-        let own = text.contains(&format!(" answers {id} at {}", kind.path()));
-        return (!own).then(|| format!("another's answer: {text}"));
+        let is_own = text.contains(&format!(" answers {id} at {}", kind.path()));
+        return (!is_own).then(|| format!("another's answer: {text}"));
     }
     let ids = text.lines().filter_map(|l| l.strip_prefix("id: "));
     let ids: Vec<u64> = ids.filter_map(|id| id.parse().ok()).collect();
-    let whole: Vec<u64> = (1..=EVENTS).collect();
-    (ids != whole).then(|| format!("a whole stream of events {ids:?}"))
+    let expected: Vec<u64> = (1..=EVENTS_PER_STREAM).collect();
+    (ids != expected).then(|| format!("a whole stream of events {ids:?}"))
 }
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -4,7 +4,7 @@
 use crate::signals;
 use crate::site::{Pause, Site};
 use nix::sys::signal::Signal;
-use platform_standin::proxy::Mode as Way;
+use platform_standin::proxy::Mode as ProxyMode;
 use platform_standin::replica::{Fault, Replica};
 use platform_standin::store::Mode;
 use rand::rngs::SmallRng;
@@ -13,59 +13,59 @@
 use tokio::time::{Instant, sleep};
 
 /// Pause between two steps.
-const STEP_MS: std::ops::Range<u64> = 80..500;
+const STEP_INTERVAL_MS: std::ops::Range<u64> = 80..500;
 
 /// Time for which a disturbance lasts.
-const LASTS_MS: std::ops::Range<u64> = 300..2_500;
+const FAULT_DURATION_MS: std::ops::Range<u64> = 300..2_500;
 
 /// Time in which hosts that were told to stop are started again: a little over the grace of their
 /// settings, which is 6 s.
-const RESTART: Duration = Duration::from_secs(7);
+const RESTART_PERIOD: Duration = Duration::from_secs(7);
 
 /// What is to be undone, and when.
 struct Undo {
     at: Instant,
-    what: What,
+    action: UndoAction,
 }
 
 /// What is to be undone; hosts and replicas by index.
-enum What {
+enum UndoAction {
     /// The store's fault.
-    Store,
+    RestoreStore,
     /// The harm on a host's way to the store.
-    Way(usize),
+    RestoreProxy(usize),
     /// The pause of a host's process.
-    Wake(usize),
+    Resume(usize),
     /// The end of a host's process.
     Start(usize),
     /// A replica's fault.
-    Heal(usize),
+    ClearFault(usize),
     /// The entry of a replica that fell.
-    Vanish(usize),
+    RemoveEntry(usize),
 }
 
 /// Injects faults for a time, then undoes them all; tells how many there were.
-pub async fn inject(site: &mut Site, seed: u64, length: Duration) -> Result<usize, Error> {
+pub async fn inject(site: &mut Site, seed: u64, duration: Duration) -> Result<usize, Error> {
     let mut rng = SmallRng::seed_from_u64(seed);
     // Restarts have numbers of their own, so that a seed does all else as it did without them.
-    let mut restarts = SmallRng::seed_from_u64(!seed);
-    let mut needs = SmallRng::seed_from_u64(seed.rotate_left(32));
-    let mut words = SmallRng::seed_from_u64(seed.rotate_left(16));
-    let end = Instant::now() + length;
+    let mut restart_rng = SmallRng::seed_from_u64(!seed);
+    let mut rate_limit_rng = SmallRng::seed_from_u64(seed.rotate_left(32));
+    let mut signal_rng = SmallRng::seed_from_u64(seed.rotate_left(16));
+    let end = Instant::now() + duration;
     let mut undos: Vec<Undo> = Vec::new();
     let mut faults = 0;
     while Instant::now() < end {
-        let pause = rng.random_range(STEP_MS);
+        let pause = rng.random_range(STEP_INTERVAL_MS);
         sleep(Duration::from_millis(pause)).await;
         undo_due(site, &mut undos, false).await?;
-        let lasts = Duration::from_millis(rng.random_range(LASTS_MS));
-        if let Some(what) = strike(site, &mut rng).await? {
-            let at = Instant::now() + lasts;
-            undos.push(Undo { at, what });
+        let fault_duration = Duration::from_millis(rng.random_range(FAULT_DURATION_MS));
+        if let Some(action) = inject_one(site, &mut rng).await? {
+            let at = Instant::now() + fault_duration;
+            undos.push(Undo { at, action });
         }
-        restart(site, &mut restarts);
-        change_need(site, &mut needs);
-        if let Some(replica) = signals::change(site, &mut words) {
+        restart(site, &mut restart_rng);
+        change_rate_limit(site, &mut rate_limit_rng);
+        if let Some(replica) = signals::change(site, &mut signal_rng) {
             replace(site, replica).await?;
         }
         faults += 1;
@@ -73,27 +73,27 @@
     undo_due(site, &mut undos, true).await?;
     for host in &mut site.hosts {
         host.signal(Signal::SIGCONT);
-        host.store.set(Way::Pass);
+        host.store_proxy.set(ProxyMode::Pass);
     }
     site.store.set_mode(Mode::Up);
-    let stopped = Instant::now();
+    let restart_began = Instant::now();
     // A host that was told to stop needs its grace before it can start again.
-    while stopped.elapsed() < RESTART {
+    while restart_began.elapsed() < RESTART_PERIOD {
         for host in &mut site.hosts {
             host.start()?;
         }
         sleep(Duration::from_millis(200)).await;
     }
-    signals::end_rests(site);
-    last_needs(site).await;
+    signals::clear_backoffs(site);
+    set_final_rate_limits(site).await;
     Ok(faults)
 }
 
 /// Ways in which the store fails.
-const MODES: [Mode; 4] = [Mode::Busy, Mode::Reset, Mode::Silent, Mode::Lossy];
+const STORE_MODES: [Mode; 4] = [Mode::Busy, Mode::Reset, Mode::Silent, Mode::Lossy];
 
 /// Ways in which a replica treats requests wrongly.
-const FAULTS: [Fault; 8] = [
+const REPLICA_FAULTS: [Fault; 8] = [
     Fault::Shed,
     Fault::DropResponse,
     Fault::WrongRequestId,
@@ -105,50 +105,51 @@
 ];
 
 /// Does one thing; gives what is to be undone later.
-async fn strike(site: &mut Site, rng: &mut SmallRng) -> Result<Option<What>, Error> {
+async fn inject_one(site: &mut Site, rng: &mut SmallRng) -> Result<Option<UndoAction>, Error> {
     let host = rng.random_range(0..site.hosts.len());
     let replica = rng.random_range(0..site.replicas.len());
     Ok(match rng.random_range(0..16) {
         0 => {
-            site.disturb();
-            site.store.set_mode(MODES[rng.random_range(0..MODES.len())]);
-            Some(What::Store)
+            site.record_disturbance();
+            site.store
+                .set_mode(STORE_MODES[rng.random_range(0..STORE_MODES.len())]);
+            Some(UndoAction::RestoreStore)
         }
         1 => {
-            site.disturb();
+            site.record_disturbance();
             site.store.end_leases();
             None
         }
-        2 | 3 => Some(harm_way(site, host, rng)),
+        2 | 3 => Some(degrade_proxy(site, host, rng)),
         4 => Some(signal(site, host, Signal::SIGKILL)),
         5 | 6 => Some(signal(site, host, Signal::SIGTERM)),
         7 => {
             signal(site, host, Signal::SIGSTOP);
             site.pauses.push(Pause::start(host));
-            Some(What::Wake(host))
+            Some(UndoAction::Resume(host))
         }
         8 => {
             site.hosts[host].signal(Signal::SIGHUP);
             None
         }
         9 | 10 => {
-            site.configure();
+            site.write_config();
             None
         }
         11 | 12 => {
-            let fault = FAULTS[rng.random_range(0..FAULTS.len())];
+            let fault = REPLICA_FAULTS[rng.random_range(0..REPLICA_FAULTS.len())];
             site.replicas[replica].set_fault(fault);
-            Some(What::Heal(replica))
+            Some(UndoAction::ClearFault(replica))
         }
         13 | 14 => {
-            leave(site, replica).await?;
+            depart(site, replica).await?;
             None
         }
         _ => {
             // Its entry stays until its heartbeats are missed.
             site.replicas[replica].crash();
             replace(site, replica).await?;
-            Some(What::Vanish(replica))
+            Some(UndoAction::RemoveEntry(replica))
         }
     })
 }
@@ -166,84 +167,98 @@
 }
 
 /// Steps of which one lets a replica name another limit, or none any more.
-const STEPS_PER_NEED: u32 = 5;
+const STEPS_PER_RATE_LIMIT: u32 = 5;
 
 /// Requests a second that replicas in need name.
-const NEEDS: std::ops::Range<f64> = 0.0..8.0;
+const RATE_LIMITS: std::ops::Range<f64> = 0.0..8.0;
 
 /// Time in which a replica that runs answers, and its longest answer in bytes.
-const ASKED_FOR: Duration = Duration::from_millis(500);
-const MOST_ANSWER: usize = 64 * 1_024;
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
+const MAX_PROBE_RESPONSE_BYTES: usize = 64 * 1_024;
 
 /// What two replicas name at last.
-const LAST_NEED: &str = "2";
+const FINAL_RATE_LIMIT: &str = "2";
 
 /// Lets a replica get into need or out of it, now and then.
-fn change_need(site: &Site, rng: &mut SmallRng) {
+fn change_rate_limit(site: &Site, rng: &mut SmallRng) {
     let replica = &site.replicas[rng.random_range(0..site.replicas.len())];
-    let rate = rng.random_range(NEEDS).to_string();
-    if rng.random_ratio(1, STEPS_PER_NEED) {
-        let is_named = replica
+    let rate = rng.random_range(RATE_LIMITS).to_string();
+    if rng.random_ratio(1, STEPS_PER_RATE_LIMIT) {
+        let is_limited = replica
             .rate_limits()
             .last()
-            .is_some_and(|(_, named)| named.is_some());
-        replica.set_rate_limit((!is_named).then_some(&rate));
+            .is_some_and(|(_, advertised)| advertised.is_some());
+        replica.set_rate_limit((!is_limited).then_some(&rate));
     }
 }
 
 /// Leaves one replica of each service in need through the peace after all faults, in which nothing excuses a host: one
 /// that others can stand in for, so that what it does not take is served all the same.
-async fn last_needs(site: &Site) {
-    let mut staying = Vec::new();
+async fn set_final_rate_limits(site: &Site) {
+    let mut active = Vec::new();
     for replica in &site.replicas {
         replica.set_rate_limit(None);
-        if replica.announced_departure_at().is_none() && answers(replica).await {
-            staying.push(replica);
+        if replica.announced_departure_at().is_none() && is_responsive(replica).await {
+            active.push(replica);
         }
     }
     for service in ["llm", "web"] {
         let of_service = |r: &&Replica| r.options.service == service;
-        let staying: Vec<&Replica> = staying.iter().copied().filter(of_service).collect();
-        let stands_in = |one: &Replica| {
-            let others = staying.iter().filter(|r| r.options.id != one.options.id);
-            let held: Vec<String> = others.flat_map(|r| r.models().into_keys()).collect();
-            staying.len() > 1 && one.models().keys().all(|model| held.contains(model))
+        let active: Vec<&Replica> = active.iter().copied().filter(of_service).collect();
+        let has_substitute = |candidate: &Replica| {
+            let others = active
+                .iter()
+                .filter(|r| r.options.id != candidate.options.id);
+            let loaded: Vec<String> = others.flat_map(|r| r.models().into_keys()).collect();
+            active.len() > 1
+                && candidate
+                    .models()
+                    .keys()
+                    .all(|model| loaded.contains(model))
         };
-        if let Some(replica) = staying.iter().rev().find(|r| stands_in(r)) {
-            replica.set_rate_limit(Some(LAST_NEED));
+        if let Some(replica) = active.iter().rev().find(|r| has_substitute(r)) {
+            replica.set_rate_limit(Some(FINAL_RATE_LIMIT));
         }
     }
 }
 
 /// Whether a replica's process runs.
-async fn answers(replica: &Replica) -> bool {
-    let Ok(mut line) = conn::Connection::open(replica.addr, ASKED_FOR).await else {
+async fn is_responsive(replica: &Replica) -> bool {
+    let Ok(mut connection) = conn::Connection::open(replica.addr, PROBE_TIMEOUT).await else {
         return false;
     };
     let mut request = hyper::Request::new(conn::Body::default());
     *request.uri_mut() = "/".parse().expect("it is a path");
-    line.exchange(request, ASKED_FOR, MOST_ANSWER).await.is_ok()
+    connection
+        .exchange(request, PROBE_TIMEOUT, MAX_PROBE_RESPONSE_BYTES)
+        .await
+        .is_ok()
 }
 
 /// Harms a host's way to the store.
-fn harm_way(site: &mut Site, host: usize, rng: &mut SmallRng) -> What {
-    let delay = Way::Delay(Duration::from_millis(rng.random_range(20..400)));
-    let ways = [delay, Way::Reset, Way::DropToTarget, Way::DropFromTarget];
-    site.disturb();
-    let way = ways[rng.random_range(0..ways.len())];
-    site.hosts[host].store.set(way);
-    What::Way(host)
+fn degrade_proxy(site: &mut Site, host: usize, rng: &mut SmallRng) -> UndoAction {
+    let delay = ProxyMode::Delay(Duration::from_millis(rng.random_range(20..400)));
+    let modes = [
+        delay,
+        ProxyMode::Reset,
+        ProxyMode::DropToTarget,
+        ProxyMode::DropFromTarget,
+    ];
+    site.record_disturbance();
+    let mode = modes[rng.random_range(0..modes.len())];
+    site.hosts[host].store_proxy.set(mode);
+    UndoAction::RestoreProxy(host)
 }
 
 /// Sends a host's process a signal; it may have to be started again.
-fn signal(site: &mut Site, host: usize, signal: Signal) -> What {
-    site.disturb();
+fn signal(site: &mut Site, host: usize, signal: Signal) -> UndoAction {
+    site.record_disturbance();
     site.hosts[host].signal(signal);
-    What::Start(host)
+    UndoAction::Start(host)
 }
 
 /// A replica announces that it leaves; another takes its place.
-async fn leave(site: &mut Site, replica: usize) -> Result<(), Error> {
+async fn depart(site: &mut Site, replica: usize) -> Result<(), Error> {
     if site.replicas[replica].announced_departure_at().is_none() {
         site.replicas[replica].announce_departure();
         replace(site, replica).await?;
@@ -253,8 +268,8 @@
 
 /// Starts a replica in the place of one that is gone.
 async fn replace(site: &mut Site, replica: usize) -> Result<(), Error> {
-    let gone = &site.replicas[replica].options;
-    let (service, models) = (gone.service.clone(), gone.models.clone());
+    let departed = &site.replicas[replica].options;
+    let (service, models) = (departed.service.clone(), departed.models.clone());
     let models: Vec<&str> = models.iter().map(String::as_str).collect();
     site.add_replica(&service, &models).await
 }
@@ -267,19 +282,22 @@
         .partition(|u| all || u.at <= now);
     *undos = rest;
     for undo in due {
-        if !matches!(undo.what, What::Heal(_) | What::Vanish(_)) {
-            site.disturb();
+        if !matches!(
+            undo.action,
+            UndoAction::ClearFault(_) | UndoAction::RemoveEntry(_)
+        ) {
+            site.record_disturbance();
         }
-        match undo.what {
-            What::Store => site.store.set_mode(Mode::Up),
-            What::Way(host) => site.hosts[host].store.set(Way::Pass),
-            What::Wake(host) => {
+        match undo.action {
+            UndoAction::RestoreStore => site.store.set_mode(Mode::Up),
+            UndoAction::RestoreProxy(host) => site.hosts[host].store_proxy.set(ProxyMode::Pass),
+            UndoAction::Resume(host) => {
                 site.hosts[host].signal(Signal::SIGCONT);
-                site.wake(host);
+                site.end_pauses(host);
             }
-            What::Start(host) => site.hosts[host].start()?,
-            What::Heal(replica) => site.replicas[replica].set_fault(Fault::None),
-            What::Vanish(replica) => site.replicas[replica].remove_entry(),
+            UndoAction::Start(host) => site.hosts[host].start()?,
+            UndoAction::ClearFault(replica) => site.replicas[replica].set_fault(Fault::None),
+            UndoAction::RemoveEntry(replica) => site.replicas[replica].remove_entry(),
         }
     }
     Ok(())
--- a/crates/soak/src/host.rs
+++ b/crates/soak/src/host.rs
@@ -1,6 +1,6 @@
 //! One daemon as a process of its own, behind a proxy to the store.
 
-use crate::accounts::{QUOTA, WITHDRAWAL};
+use crate::accounts::{QUOTA, REVOCATION_BOUND};
 use crate::error::{Error, StartSnafu, SystemSnafu};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -18,53 +18,53 @@
     /// Its name.
     pub name: String,
     /// Where it answers callers.
-    pub callers: SocketAddr,
+    pub caller_addr: SocketAddr,
     /// Its way to the store.
-    pub store: Proxy,
+    pub store_proxy: Proxy,
     program: PathBuf,
     settings: PathBuf,
     log: PathBuf,
-    child: Option<Child>,
+    process: Option<Child>,
     /// When its process was started or sent a signal.
-    pub disturbed: Vec<Instant>,
+    pub disturbances: Vec<Instant>,
 }
 
 /// Starts a daemon with its settings and log in a folder.
 pub async fn spawn(
     program: &Path,
-    folder: &Path,
+    dir: &Path,
     name: &str,
     store: SocketAddr,
 ) -> Result<Host, Error> {
     let what = "a proxy";
-    let store = proxy::spawn(store).await.context(SystemSnafu { what })?;
-    let callers = ports::free();
+    let store_proxy = proxy::spawn(store).await.context(SystemSnafu { what })?;
+    let caller_addr = ports::free();
     let (window, overage, slack) = QUOTA;
     let text = format!(
-        "[daemon]\nname = {name}\nhall = a\ncallers = {callers}\nreadiness = {}\nmetrics = {}\npeers = {}\n\
+        "[daemon]\nname = {name}\nhall = a\ncallers = {caller_addr}\nreadiness = {}\nmetrics = {}\npeers = {}\n\
          [store]\naddress = {}\n[bounds]\ngrace_seconds = 6\nlease_ms = 1000\n\
          withdrawal_ms = {}\nquota_window_seconds = {}\nquota_overage = {}\nquota_slack = {}\n",
         ports::free(),
         ports::free(),
         ports::free(),
-        store.addr,
-        WITHDRAWAL.as_millis(),
+        store_proxy.addr,
+        REVOCATION_BOUND.as_millis(),
         window.as_secs_f64(),
         overage,
         slack,
     );
-    let settings = folder.join(format!("{name}.ini"));
+    let settings = dir.join(format!("{name}.ini"));
     let what = settings.display().to_string();
     std::fs::write(&settings, text).context(SystemSnafu { what })?;
     let mut host = Host {
         name: name.to_owned(),
-        callers,
-        store,
+        caller_addr,
+        store_proxy,
         program: program.to_owned(),
-        log: folder.join(format!("{name}.log")),
+        log: dir.join(format!("{name}.log")),
         settings,
-        child: None,
-        disturbed: Vec::new(),
+        process: None,
+        disturbances: Vec::new(),
     };
     host.start()?;
     Ok(host)
@@ -83,7 +83,7 @@
             .open(&self.log)
             .context(SystemSnafu { what })?;
         let program = self.program.clone();
-        let child = Command::new(&program)
+        let process = Command::new(&program)
             .arg("--settings")
             .arg(&self.settings)
             .stdin(Stdio::null())
@@ -91,15 +91,15 @@
             .stderr(Stdio::null())
             .spawn()
             .context(StartSnafu { program })?;
-        self.child = Some(child);
-        self.disturbed.push(Instant::now());
+        self.process = Some(process);
+        self.disturbances.push(Instant::now());
         Ok(())
     }
 
     /// Whether its process runs.
     pub fn is_running(&mut self) -> bool {
-        match &mut self.child {
-            Some(child) => matches!(child.try_wait(), Ok(None)),
+        match &mut self.process {
+            Some(process) => matches!(process.try_wait(), Ok(None)),
             None => false,
         }
     }
@@ -109,18 +109,18 @@
         if !self.is_running() {
             return;
         }
-        if let Some(child) = &self.child {
-            let _ = kill(Pid::from_raw(child.id() as i32), signal);
-            self.disturbed.push(Instant::now());
+        if let Some(process) = &self.process {
+            let _ = kill(Pid::from_raw(process.id() as i32), signal);
+            self.disturbances.push(Instant::now());
         }
     }
 }
 
 impl Drop for Host {
     fn drop(&mut self) {
-        if let Some(child) = &mut self.child {
-            let _ = child.kill();
-            let _ = child.wait();
+        if let Some(process) = &mut self.process {
+            let _ = process.kill();
+            let _ = process.wait();
         }
     }
 }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -38,18 +38,18 @@
     ]);
     let mut violations = Vec::new();
     for seed in options.seeds.clone() {
-        let played = runtime.block_on(site::play(options, seed))?;
+        let summary = runtime.block_on(site::run_seed(options, seed))?;
         table.add_row([
             seed.to_string(),
-            played.requests.to_string(),
-            played.whole.to_string(),
-            played.not_run.to_string(),
-            played.lost.to_string(),
-            played.faults.to_string(),
-            played.violations.len().to_string(),
+            summary.requests.to_string(),
+            summary.succeeded.to_string(),
+            summary.not_run.to_string(),
+            summary.failed.to_string(),
+            summary.faults.to_string(),
+            summary.violations.len().to_string(),
         ]);
-        let named = played.violations.into_iter();
-        violations.extend(named.map(|v| format!("seed {seed}: {v}")));
+        let found = summary.violations.into_iter();
+        violations.extend(found.map(|v| format!("seed {seed}: {v}")));
     }
     println!("{table}");
     for violation in &violations {
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -3,7 +3,7 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    match soak::run(&soak::options::read()) {
+    match soak::run(&soak::options::parse()) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(error) => {
--- a/crates/soak/src/options.rs
+++ b/crates/soak/src/options.rs
@@ -11,18 +11,18 @@
     /// Seeds to play, one after the other.
     pub seeds: Range<u64>,
     /// Time that faults are injected for, for each seed.
-    pub length: Duration,
+    pub duration: Duration,
     /// Daemons.
     pub hosts: usize,
     /// The daemon's program.
     pub program: PathBuf,
 }
 
-fn range(text: String) -> Result<Range<u64>, String> {
-    let wrong = || format!("'{text}' is not a range of seeds; write one such as 1..51");
-    let (first, end) = text.split_once("..").ok_or_else(wrong)?;
-    let first = first.parse().map_err(|_| wrong())?;
-    let end = end.parse().map_err(|_| wrong())?;
+fn parse_seeds(text: String) -> Result<Range<u64>, String> {
+    let invalid = || format!("'{text}' is not a range of seeds; write one such as 1..51");
+    let (first, end) = text.split_once("..").ok_or_else(invalid)?;
+    let first = first.parse().map_err(|_| invalid())?;
+    let end = end.parse().map_err(|_| invalid())?;
     Ok(first..end)
 }
 
@@ -34,9 +34,9 @@
     let seeds = long("seeds")
         .help("Seeds to play, one after the other")
         .argument::<String>("A..B")
-        .parse(range);
+        .parse(parse_seeds);
     let seeds = construct!([seed, seeds]).fallback(1..2);
-    let length = long("seconds")
+    let duration = long("seconds")
         .help("Time of faults for each seed")
         .argument::<u64>("S")
         .fallback(15)
@@ -49,10 +49,10 @@
     let program = long("program")
         .help("The daemon's program; by default the one beside this program")
         .argument::<PathBuf>("FILE")
-        .fallback_with(beside);
+        .fallback_with(default_program);
     construct!(Options {
         seeds,
-        length,
+        duration,
         hosts,
         program
     })
@@ -61,11 +61,11 @@
     .footer("Example: cargo build --release && cargo run --release --bin soak -- --seeds 1..51\nExit codes: 0 no violation, 1 violations, 2 wrong use")
 }
 
-fn beside() -> Result<PathBuf, std::io::Error> {
+fn default_program() -> Result<PathBuf, std::io::Error> {
     Ok(std::env::current_exe()?.with_file_name("covefordd"))
 }
 
 /// Reads the command line of this process.
-pub fn read() -> Options {
+pub fn parse() -> Options {
     parser().run()
 }
--- a/crates/soak/src/signals.rs
+++ b/crates/soak/src/signals.rs
@@ -18,17 +18,17 @@
 const CHANGES_PER_DEPARTURE: u32 = 4;
 
 /// Seconds for which replicas ask, and values that are no time.
-const RESTS: [&str; 8] = ["0.3", "0.7", "1", "2.5", "4", "NaN", "-1", "in a while"];
+const BACKOFFS: [&str; 8] = ["0.3", "0.7", "1", "2.5", "4", "NaN", "-1", "in a while"];
 
 /// Time after the word that it leaves in which a replica may get requests of a host.
-const LEAVING: Duration = Duration::from_millis(2_000);
+const DEPARTURE_BOUND: Duration = Duration::from_millis(2_000);
 
 /// Time after a refusal in which requests may come that were on their way, and the requests that may come later.
-const ON_THEIR_WAY: Duration = Duration::from_millis(500);
-const MOST_IN_A_REST: usize = 2;
+const IN_FLIGHT_TIME: Duration = Duration::from_millis(500);
+const MAX_IN_BACKOFF: usize = 2;
 
 /// Field by which a replica tells hosts apart.
-pub fn field(host: SocketAddr) -> HeaderValue {
+pub fn host_header(host: SocketAddr) -> HeaderValue {
     let text = host.to_string();
     HeaderValue::from_str(&text).expect("an address can stand in a header")
 }
@@ -37,29 +37,29 @@
 /// is to be started.
 pub fn change(site: &Site, rng: &mut SmallRng) -> Option<usize> {
     let at = rng.random_range(0..site.replicas.len());
-    let rest = RESTS[rng.random_range(0..RESTS.len())];
+    let backoff = BACKOFFS[rng.random_range(0..BACKOFFS.len())];
     let departs = rng.random_ratio(1, CHANGES_PER_DEPARTURE);
     if !rng.random_ratio(1, STEPS_PER_CHANGE) {
         return None;
     }
     let replica = &site.replicas[at];
-    let before = replica.signals();
-    let leaves = before.leaving || departs;
-    let rests = before.backoff.is_none() && !departs;
+    let previous = replica.signals();
+    let leaving = previous.leaving || departs;
+    let backs_off = previous.backoff.is_none() && !departs;
     replica.set_signals(Signals {
-        leaving: leaves,
-        backoff: rests.then(|| rest.to_owned()),
+        leaving,
+        backoff: backs_off.then(|| backoff.to_owned()),
     });
-    (leaves && !before.leaving && replica.announced_departure_at().is_none()).then_some(at)
+    (leaving && !previous.leaving && replica.announced_departure_at().is_none()).then_some(at)
 }
 
 /// Lets all replicas take requests again.
-pub fn end_rests(site: &Site) {
+pub fn clear_backoffs(site: &Site) {
     for replica in &site.replicas {
-        let words = replica.signals();
+        let signals = replica.signals();
         replica.set_signals(Signals {
             backoff: None,
-            ..words
+            ..signals
         });
     }
 }
@@ -68,40 +68,50 @@
 pub fn check(site: &Site) -> Vec<String> {
     let mut violations = Vec::new();
     for replica in &site.replicas {
-        let said = replica.sent_signals();
+        let sent_signals = replica.sent_signals();
         for host in &site.hosts {
-            let name = host.callers.to_string();
-            let said: Vec<&SentSignal> = said.iter().filter(|asked| asked.host == name).collect();
-            violations.extend(leaving(replica, host, &said));
-            violations.extend(said.iter().filter_map(|asked| rest(replica, host, asked)));
+            let name = host.caller_addr.to_string();
+            let sent_signals: Vec<&SentSignal> = sent_signals
+                .iter()
+                .filter(|sent| sent.host == name)
+                .collect();
+            violations.extend(check_departure(replica, host, &sent_signals));
+            violations.extend(
+                sent_signals
+                    .iter()
+                    .filter_map(|sent| check_backoff(replica, host, sent)),
+            );
         }
     }
     violations
 }
 
 /// Requests that a replica got from a host between two moments, up to the next start of either.
-fn arrived(
+fn count_arrivals(
     replica: &Replica,
     host: &Host,
-    told: Instant,
+    sent_at: Instant,
     from: Instant,
     to: Option<Instant>,
 ) -> usize {
     let starts = replica
         .restarts()
         .into_iter()
-        .chain(host.disturbed.iter().copied());
-    let end = starts.filter(|at| *at > told).chain(to).min();
-    let arrivals = replica.arrivals_from(&host.callers.to_string()).into_iter();
+        .chain(host.disturbances.iter().copied());
+    let end = starts.filter(|at| *at > sent_at).chain(to).min();
+    let arrivals = replica
+        .arrivals_from(&host.caller_addr.to_string())
+        .into_iter();
     let within = |at: &Instant| *at > from && end.is_none_or(|end| *at < end);
     arrivals.filter(within).count()
 }
 
-fn leaving(replica: &Replica, host: &Host, said: &[&SentSignal]) -> Option<String> {
-    let words = said
+fn check_departure(replica: &Replica, host: &Host, sent_signals: &[&SentSignal]) -> Option<String> {
+    let departures = sent_signals
         .iter()
-        .filter(|asked| asked.signal == Signal::Departure);
-    let late = words.map(|told| arrived(replica, host, told.at, told.at + LEAVING, None));
+        .filter(|sent| sent.signal == Signal::Departure);
+    let late = departures
+        .map(|sent| count_arrivals(replica, host, sent.at, sent.at + DEPARTURE_BOUND, None));
     let late = late.max().filter(|late| *late > 0)?;
     let (id, name) = (&replica.options.id, &host.name);
     Some(format!(
@@ -109,20 +119,20 @@
     ))
 }
 
-fn rest(replica: &Replica, host: &Host, asked: &SentSignal) -> Option<String> {
-    let Signal::Backoff(seconds) = asked.signal else {
+fn check_backoff(replica: &Replica, host: &Host, sent: &SentSignal) -> Option<String> {
+    let Signal::Backoff(seconds) = sent.signal else {
         return None;
     };
     let time = Duration::try_from_secs_f64(seconds).ok()?;
-    let count = arrived(
+    let count = count_arrivals(
         replica,
         host,
-        asked.at,
-        asked.at + ON_THEIR_WAY,
-        Some(asked.at + time),
+        sent.at,
+        sent.at + IN_FLIGHT_TIME,
+        Some(sent.at + time),
     );
     let (id, name) = (&replica.options.id, &host.name);
-    (count > MOST_IN_A_REST).then(|| {
+    (count > MAX_IN_BACKOFF).then(|| {
         format!("{count} requests reached replica {id} from {name} in a rest of {seconds} s")
     })
 }
--- a/crates/soak/tests/short.rs
+++ b/crates/soak/tests/short.rs
@@ -19,10 +19,10 @@
 }
 
 #[test]
-fn a_short_seed_breaks_no_promise() {
+fn one_short_seed_has_no_violations() {
     let options = Options {
         seeds: 7..8,
-        length: Duration::from_secs(8),
+        duration: Duration::from_secs(8),
         hosts: 3,
         program: program(),
     };
