--- a/crates/soak/src/accounts.rs
+++ b/crates/soak/src/accounts.rs
@@ -1,4 +1,4 @@
-//! Client accounts of the soak's site, and what must hold of them.
+//! Client accounts of the soak, and the checks of their keys and limits.
 
 use crate::client::Outcome;
 use platform_standin::Account;
@@ -6,31 +6,30 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time within which a key that was taken away runs nothing more, as the daemons' settings have it.
+/// Time after which no request may run with a revoked key; written to the daemons' settings.
 pub const REVOCATION_BOUND: Duration = Duration::from_millis(3_000);
 
-/// Window, part beyond and units beyond of limits, as the daemons' settings have them.
+/// Quota window, allowed overage as a fraction, and allowed slack in tokens; written to the daemons' settings.
 pub const QUOTA: (Duration, f64, f64) = (Duration::from_secs(8), 0.1, 1_000.0);
 
-/// Tokens a second, and at once, of the account with a limit.
+/// Tokens per second and burst of the account with a limit.
 const RATE_LIMIT: (f64, f64) = (400.0, 400.0);
 
-/// Tokens that a request of the model service tells, and that a plain one counts.
+/// Tokens charged for a stream, from its usage header, and for a plain request.
 const TOKENS_PER_REQUEST: (f64, f64) = (120.0, 200.0);
 
-/// Account whose requests a client sends.
+/// Account that a request is sent for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Caller {
-    /// It has its key always, and no limit.
+    /// Always has its key, and has no limit.
     Steady,
-    /// It loses its key with every other configuration.
+    /// Its key is revoked in every other version of the configuration.
     Intermittent,
-    /// It has a limit that its clients send more than.
+    /// Has a limit, which its clients exceed.
     Limited,
 }
 
 impl Caller {
-    /// Name of the account.
     pub fn account(self) -> &'static str {
         match self {
             Caller::Steady => "steady",
@@ -39,7 +38,6 @@
         }
     }
 
-    /// Its key.
     pub fn key(self) -> &'static str {
         match self {
             Caller::Steady => "key-of-steady",
@@ -49,12 +47,12 @@
     }
 }
 
-/// Whether the account that loses its key has it in a version.
+/// Whether the intermittent account has its key in this version of the configuration.
 fn has_key(version: u64) -> bool {
     version % 2 == 1
 }
 
-/// Accounts of a version of the configuration.
+/// Accounts in this version of the configuration.
 pub fn for_version(version: u64) -> Vec<Account> {
     let account = |caller: Caller, keys, tokens| Account {
         name: caller.account(),
@@ -77,7 +75,7 @@
     ]
 }
 
-/// What is broken about keys and limits; `versions` are when each version was written, the first first.
+/// Violations of keys and limits. `versions` holds the time at which each configuration version was written, in order.
 pub fn check(outcomes: &[Outcome], replicas: &[Replica], versions: &[Instant]) -> Vec<String> {
     let mut violations = Vec::new();
     for outcome in outcomes {
@@ -85,16 +83,18 @@
         for log in logs.filter(|log| log.arrivals > 0) {
             let (id, account) = (&outcome.id, outcome.caller.account());
             if log.had_key {
-                violations.push(format!("the key of request {id} reached a replica"));
+                violations.push(format!(
+                    "the key of request {id} was forwarded to a replica"
+                ));
             }
             if log.account.as_deref() != Some(account) {
                 let recorded = &log.account;
                 violations.push(format!(
-                    "a replica took request {id} of {account} for {recorded:?}"
+                    "request {id} of account {account} reached a replica as account {recorded:?}"
                 ));
             }
             if outcome.caller == Caller::Intermittent && is_revoked(outcome.sent, versions) {
-                violations.push(format!("request {id} ran with a key that was taken away"));
+                violations.push(format!("request {id} ran with a revoked key"));
             }
         }
     }
@@ -102,7 +102,7 @@
     violations
 }
 
-/// Whether the key was away for the whole of the bound before a moment.
+/// Whether the intermittent key had been revoked for longer than `REVOCATION_BOUND` at `at`.
 fn is_revoked(at: Instant, versions: &[Instant]) -> bool {
     let version = versions.partition_point(|written_at| *written_at <= at);
     let written_at = versions.get(version.saturating_sub(1));
@@ -110,7 +110,7 @@
         && written_at.is_some_and(|written_at| at > *written_at + REVOCATION_BOUND)
 }
 
-/// Whether the account with a limit had more run in some window than it may.
+/// Reports that the limited account used more tokens than allowed in some window.
 fn check_rate_limit(outcomes: &[Outcome], replicas: &[Replica]) -> Option<String> {
     let ran = |outcome: &&Outcome| {
         let runs = replicas
@@ -144,6 +144,7 @@
         .iter()
         .map(|(at, _)| used_in_window(*at))
         .fold(0.0, f64::max);
-    (max_used > allowed)
-        .then(|| format!("an account used {max_used} of {allowed} tokens in {window:?}"))
+    (max_used > allowed).then(|| {
+        format!("the limited account used {max_used} tokens in {window:?}, {allowed} allowed")
+    })
 }
--- a/crates/soak/src/check.rs
+++ b/crates/soak/src/check.rs
@@ -1,4 +1,4 @@
-//! The promises, checked from what callers and replicas saw.
+//! Checks of the daemons' guarantees, from what callers and replicas recorded.
 
 use crate::accounts::{self, Caller};
 use crate::client::{Outcome, REQUEST_TIMEOUT, TIMEOUT_TOLERANCE};
@@ -9,19 +9,19 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time within which a leaving replica must get no new work.
+/// Time after a replica announces its departure from which it must get no new requests.
 const DEPARTURE_BOUND: Duration = Duration::from_millis(2_000);
 
-/// Time without any disturbance before its leaving for which that bound counts.
+/// Time without a disturbance that a bound requires before it is checked.
 const QUIET_PERIOD: Duration = Duration::from_millis(3_000);
 
-/// Statuses that promise that a request has not run.
+/// Statuses that guarantee that a request has not run.
 pub const NOT_RUN_STATUSES: [u16; 3] = [401, 429, 503];
 
-/// Share of the requests in peace that must be answered whole.
+/// Fraction of requests that must succeed once all faults are over.
 const MIN_SUCCESS_RATIO: f64 = 0.9;
 
-/// All violations of a play; `peace` is when all faults were over and recovery had its time.
+/// All violations of a run; `settled_at` is when the site had had its time to recover from the last fault.
 pub fn all(outcomes: &[Outcome], site: &Site, settled_at: Instant) -> Vec<String> {
     let replicas = &site.replicas;
     let mut violations = Vec::new();
@@ -50,8 +50,8 @@
     violations
 }
 
-/// What is broken about one request that ran so many times, and whose host was paused so long
-/// meanwhile: a process that stands still answers nothing.
+/// Violations of one request that replicas ran `ran` times. `paused` is how long its host was paused
+/// meanwhile; the bound on the response time is extended by it.
 pub fn check_request(outcome: &Outcome, ran: u32, paused: Duration) -> Vec<String> {
     let mut violations = Vec::new();
     let Outcome { id, kind, .. } = outcome;
@@ -60,7 +60,7 @@
     }
     if NOT_RUN_STATUSES.contains(&outcome.status) && ran > 0 {
         violations.push(format!(
-            "request {id} ({kind:?}) ran, and was told not to have"
+            "request {id} ({kind:?}) ran although its status says that it did not"
         ));
     }
     if !kind.is_idempotent() && ran > 1 {
@@ -69,13 +69,14 @@
     if outcome.connected && outcome.elapsed > REQUEST_TIMEOUT + TIMEOUT_TOLERANCE + paused {
         let (ms, paused) = (outcome.elapsed.as_millis(), paused.as_millis());
         violations.push(format!(
-            "request {id} ({kind:?}) was held for {ms} ms, in {paused} of which its host was paused"
+            "request {id} ({kind:?}) took {ms} ms, during {paused} ms of which its host was paused"
         ));
     }
     violations
 }
 
-/// Whether a replica got new work long after it announced its leaving, with nothing in the way.
+/// Reports requests that reached a replica later than `DEPARTURE_BOUND` after it announced its departure, unless there was
+/// a disturbance between `QUIET_PERIOD` before the announcement and the request.
 fn check_departure(replica: &Replica, disturbances: &[Instant]) -> Option<String> {
     let departed_at = replica.announced_departure_at()?;
     let is_disturbed = |at: Instant| {
@@ -88,18 +89,19 @@
         .filter(|at| !is_disturbed(*at))
         .count();
     let id = &replica.options.id;
-    (late > 0).then(|| format!("{late} requests reached replica {id} long after it left"))
+    (late > 0).then(|| format!("{late} requests reached replica {id} more than {DEPARTURE_BOUND:?} after it announced its departure"))
 }
 
-/// Window in which requests to a replica in need are counted.
+/// Window in which requests to a replica with a rate limit are counted.
 const RATE_WINDOW: Duration = Duration::from_secs(4);
 
-/// The most that may arrive in a window: half more than the replica takes, and some that cross the news.
+/// Allowed arrivals in a window: 1.5 times the limit, and 5 that were in flight when it changed.
 fn max_arrivals(rate: f64) -> usize {
     (rate * RATE_WINDOW.as_secs_f64() * 1.5 + 5.0) as usize
 }
 
-/// Whether a replica got more than it takes in some window, with nothing in the way and the limit known.
+/// Reports a window in which a replica got more requests than its rate limit allows, if the limit was advertised at
+/// least `QUIET_PERIOD` before the window and there was no disturbance from `QUIET_PERIOD` before that to its end.
 fn check_rate_limit(site: &Site, replica: &Replica) -> Option<String> {
     let arrivals = replica.arrivals_after(site.config_written[0]);
     let limits = replica.rate_limits();
@@ -121,7 +123,7 @@
     });
     let id = &replica.options.id;
     excess.map(|(count, rate)| {
-        format!("{count} requests reached replica {id} in 4 s, which takes {rate} a second")
+        format!("{count} requests reached replica {id} in {RATE_WINDOW:?}; its rate limit is {rate} per second")
     })
 }
 
@@ -129,10 +131,10 @@
     let id = &replica.options.id;
     replica
         .is_overcommitted()
-        .then(|| format!("replica {id} was told to hold more than it can"))
+        .then(|| format!("replica {id} was ordered to load more than its memory holds"))
 }
 
-/// A fencing token is one holder's only.
+/// Reports fencing tokens under which two holders issued orders.
 fn check_fencing_tokens(replicas: &[Replica]) -> Vec<String> {
     let mut holders: HashMap<u64, String> = HashMap::new();
     let mut violations = Vec::new();
@@ -141,20 +143,20 @@
         let first = holders.entry(token).or_insert_with(|| holder.clone());
         if *first != holder {
             violations.push(format!(
-                "{first} and {holder} gave orders under token {token}"
+                "{first} and {holder} both issued orders under fencing token {token}"
             ));
         }
     }
     violations
 }
 
-/// A request that has ended replicas ends none any more.
+/// Reports replicas that the fatal request still crashed after all faults were over.
 fn check_crashes(replicas: &[Replica], settled_at: Instant) -> Option<String> {
     let crashes: Vec<Instant> = replicas.iter().flat_map(Replica::crashes).collect();
     let late = crashes.iter().filter(|at| **at > settled_at).count();
     let all = crashes.len();
     (late > 0).then(|| {
-        format!("a request ended {late} replicas after all faults, {all} with those before")
+        format!("the fatal request crashed replicas {late} times after all faults were over, {all} times in all")
     })
 }
 
@@ -165,5 +167,5 @@
     let enough = succeeded as f64 >= after.len() as f64 * MIN_SUCCESS_RATIO && !after.is_empty();
     let count = after.len();
     (!enough)
-        .then(|| format!("after all faults {succeeded} of {count} requests were answered whole"))
+        .then(|| format!("after all faults were over, {succeeded} of {count} requests succeeded"))
 }
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients that keep their connections, and what each was told.
+//! Clients with persistent connections, and the outcomes of their requests.
 
 use crate::accounts::Caller;
 use crate::signals;
@@ -15,13 +15,13 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time that a client gives its requests.
+/// Deadline that clients send with each request.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time beyond it after which a request was held too long: the process may have been paused.
+/// Time past the deadline after which a response counts as late.
 pub const TIMEOUT_TOLERANCE: Duration = Duration::from_millis(1_000);
 
-/// Whose requests clients send: half of them of the account that has its key always.
+/// Accounts that requests are drawn from; half of them are for the steady account.
 const CALLER_MIX: [Caller; 6] = [
     Caller::Steady,
     Caller::Steady,
@@ -31,19 +31,19 @@
     Caller::Limited,
 ];
 
-/// Events of a whole stream.
+/// Number of events in a complete stream.
 pub const EVENTS_PER_STREAM: u64 = 5;
 
-/// What is asked for.
+/// Kind of request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// A stream that may not be resumed.
+    /// Stream that may not be resumed.
     Stream,
-    /// A stream that may be resumed.
+    /// Stream that may be resumed.
     Resume,
-    /// A plain request that may not be repeated.
+    /// Plain request that is not idempotent.
     Once,
-    /// A plain request that may be repeated.
+    /// Plain request that is idempotent.
     Again,
 }
 
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Whether it is answered by events.
+    /// Whether the response is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Kind::Stream | Kind::Resume)
     }
@@ -68,41 +68,36 @@
     }
 }
 
-/// What a client was told of one request.
+/// Outcome of one request, as its client saw it.
 #[derive(Debug, Clone)]
 pub struct Outcome {
-    /// Identity.
+    /// Request ID.
     pub id: String,
-    /// What was asked for.
     pub kind: Kind,
-    /// Whose request it was.
     pub caller: Caller,
-    /// Host, by index.
+    /// Index of the host.
     pub host: usize,
-    /// When it was sent.
     pub sent: Instant,
-    /// How long the answer took.
+    /// Time until the response ended or the request failed.
     pub elapsed: Duration,
-    /// Status; 0 when the connection broke, or never opened.
+    /// HTTP status; 0 if the connection failed.
     pub status: u16,
-    /// Whether a connection was there to be broken.
+    /// Whether a connection was open.
     pub connected: bool,
-    /// What is wrong with the answer, if anything.
+    /// How a successful response differs from the expected one.
     pub mismatch: Option<String>,
 }
 
-/// Where clients find the hosts, and where they write down what they are told.
+/// State that all clients share.
 pub struct Workload {
-    /// Hosts.
+    /// Caller addresses of the hosts.
     pub hosts: Vec<SocketAddr>,
-    /// What was told.
     pub outcomes: Mutex<Vec<Outcome>>,
-    /// Whether clients go on.
+    /// Clients stop when this is false.
     pub running: AtomicBool,
     next_id: AtomicU64,
 }
 
-/// Makes an empty book.
 pub fn workload(hosts: Vec<SocketAddr>) -> Arc<Workload> {
     Arc::new(Workload {
         hosts,
@@ -112,7 +107,7 @@
     })
 }
 
-/// Asks one request after the other until the book says no more.
+/// Sends requests one after the other until the workload is stopped.
 pub async fn run(workload: Arc<Workload>, seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut connection: Option<(usize, Connection)> = None;
@@ -140,13 +135,13 @@
     }
 }
 
-/// Body of a request that ends each plain replica that begins to run it.
+/// Body of a request that crashes each plain replica that starts to run it.
 pub const FATAL_BODY: &str = "fatal";
 
-/// Pause between two comings of that request.
+/// Pause between two fatal requests.
 const FATAL_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Sends a request that ends replicas, each time with another identity and to any host, until the book says no more.
+/// Sends the fatal request to random hosts, each time with a new request ID, until the workload is stopped.
 pub async fn send_fatal_requests(workload: Arc<Workload>, seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     while workload.running.load(Ordering::Relaxed) {
@@ -155,14 +150,14 @@
         let mut request = request(Kind::Once, Caller::Steady, "", &id);
         *request.body_mut() = conn::Body::new(FATAL_BODY.into());
         if let Ok(mut connection) = Connection::open(host, REQUEST_TIMEOUT).await {
-            // Whatever it is told: what counts is whether replicas fall.
+            // The response does not matter; the check counts crashes of replicas.
             let _ = connection.exchange(request, REQUEST_TIMEOUT, 1 << 20).await;
         }
         tokio::time::sleep(FATAL_INTERVAL).await;
     }
 }
 
-/// Asks one request; gives the connection back if it may carry another.
+/// Sends one request; returns the connection if it can be reused.
 async fn send(
     workload: &Workload,
     (kind, caller): (Kind, Caller),
@@ -205,7 +200,7 @@
         .map(|connection| (host, connection))
 }
 
-/// Status of one request to a path; none when there is no answer.
+/// Status of a request to `path`; `None` if there is no response.
 pub async fn probe(host: SocketAddr, path: &str) -> Option<u16> {
     let mut connection = Connection::open(host, REQUEST_TIMEOUT).await.ok()?;
     let mut request = request(Kind::Again, Caller::Steady, "", "probe");
@@ -232,24 +227,25 @@
     }
     builder
         .body(conn::Body::new(id.to_owned().into()))
-        .expect("a request of plain values")
+        .expect("the method, URI and headers are valid")
 }
 
-/// What is wrong with an answer that says that it is whole.
+/// How a successful response differs from the expected one.
 fn mismatch(kind: Kind, id: &str, reply: &Reply) -> Option<String> {
     if !reply.status.is_success() {
         return None;
     }
     if !response::parse(reply.status, &reply.headers).signed {
-        return Some("a success without a signature".into());
+        return Some("a success response without a signature".into());
     }
     let text = String::from_utf8_lossy(&reply.body);
     if matches!(kind, Kind::Once | Kind::Again) {
         let is_own = text.contains(&format!(" answers {id} at {}", kind.path()));
-        return (!is_own).then(|| format!("another's answer: {text}"));
+        return (!is_own).then(|| format!("the response to another request: {text}"));
     }
     let ids = text.lines().filter_map(|l| l.strip_prefix("id: "));
     let ids: Vec<u64> = ids.filter_map(|id| id.parse().ok()).collect();
     let expected: Vec<u64> = (1..=EVENTS_PER_STREAM).collect();
-    (ids != expected).then(|| format!("a whole stream of events {ids:?}"))
+    (ids != expected)
+        .then(|| format!("a stream that ended normally with events {ids:?}, expected {expected:?}"))
 }
--- a/crates/soak/src/error.rs
+++ b/crates/soak/src/error.rs
@@ -1,27 +1,27 @@
-//! Why a soak could not run.
+//! Errors that stop a soak.
 
 use snafu::Snafu;
 use std::io;
 use std::path::PathBuf;
 
-/// Error of the soak; violations are no errors.
+/// Error that stops a soak; violations are reported, not returned as errors.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// The daemon's program cannot be started.
-    #[snafu(display("{} cannot be started: {source}. Build it with 'cargo build --release', or name it with --program.", program.display()))]
+    /// The daemon could not be started.
+    #[snafu(display("{} cannot be started: {source}. Build it with 'cargo build --release', or pass its path with --program.", program.display()))]
     Start {
-        /// Which.
+        /// Path of the daemon's program.
         program: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A socket, file or runtime cannot be had.
-    #[snafu(display("{what} cannot be had: {source}"))]
+    /// A socket, file or runtime could not be created.
+    #[snafu(display("cannot create {resource}: {source}"))]
     System {
-        /// What.
-        what: String,
-        /// What the system said.
+        /// Resource, with its article or path.
+        resource: String,
+        /// Error of the operating system.
         source: io::Error,
     },
 }
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults from outside, in series that overlap, by a seed.
+//! Injects overlapping faults into a site, in an order derived from a seed.
 
 use crate::error::Error;
 use crate::signals;
@@ -12,42 +12,42 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Pause between two steps.
+/// Pause between two steps, in milliseconds.
 const STEP_INTERVAL_MS: std::ops::Range<u64> = 80..500;
 
-/// Time for which a disturbance lasts.
+/// Time for which a fault lasts, in milliseconds.
 const FAULT_DURATION_MS: std::ops::Range<u64> = 300..2_500;
 
-/// Time in which hosts that were told to stop are started again: a little over the grace of their
-/// settings, which is 6 s.
+/// Time in which stopped hosts are started again; longer than their drain timeout, which is `grace_seconds = 6` in their
+/// settings.
 const RESTART_PERIOD: Duration = Duration::from_secs(7);
 
-/// What is to be undone, and when.
+/// Fault to undo at `at`.
 struct Undo {
     at: Instant,
     action: UndoAction,
 }
 
-/// What is to be undone; hosts and replicas by index.
+/// How a fault is undone; hosts and replicas by index.
 enum UndoAction {
-    /// The store's fault.
+    /// Make the store available again.
     RestoreStore,
-    /// The harm on a host's way to the store.
+    /// Let the host's proxy to the store pass everything again.
     RestoreProxy(usize),
-    /// The pause of a host's process.
+    /// Resume the paused process of a host.
     Resume(usize),
-    /// The end of a host's process.
+    /// Start the process of a host if it has ended.
     Start(usize),
-    /// A replica's fault.
+    /// Clear the fault of a replica.
     ClearFault(usize),
-    /// The entry of a replica that fell.
+    /// Remove the entry of a crashed replica.
     RemoveEntry(usize),
 }
 
-/// Injects faults for a time, then undoes them all; tells how many there were.
+/// Injects faults for `duration`, then undoes them all; returns the number of steps.
 pub async fn inject(site: &mut Site, seed: u64, duration: Duration) -> Result<usize, Error> {
     let mut rng = SmallRng::seed_from_u64(seed);
-    // Restarts have numbers of their own, so that a seed does all else as it did without them.
+    // Separate generators, so that a seed gives the same faults whatever the other generators draw.
     let mut restart_rng = SmallRng::seed_from_u64(!seed);
     let mut rate_limit_rng = SmallRng::seed_from_u64(seed.rotate_left(32));
     let mut signal_rng = SmallRng::seed_from_u64(seed.rotate_left(16));
@@ -77,7 +77,7 @@
     }
     site.store.set_mode(Mode::Up);
     let restart_began = Instant::now();
-    // A host that was told to stop needs its grace before it can start again.
+    // A host that got SIGTERM can only start again once it has drained.
     while restart_began.elapsed() < RESTART_PERIOD {
         for host in &mut site.hosts {
             host.start()?;
@@ -89,10 +89,10 @@
     Ok(faults)
 }
 
-/// Ways in which the store fails.
+/// Failure modes of the store.
 const STORE_MODES: [Mode; 4] = [Mode::Busy, Mode::Reset, Mode::Silent, Mode::Lossy];
 
-/// Ways in which a replica treats requests wrongly.
+/// Faults of replicas.
 const REPLICA_FAULTS: [Fault; 8] = [
     Fault::Shed,
     Fault::DropResponse,
@@ -104,7 +104,7 @@
     Fault::Replaced,
 ];
 
-/// Does one thing; gives what is to be undone later.
+/// Injects one random fault; returns how to undo it, if it does not end by itself.
 async fn inject_one(site: &mut Site, rng: &mut SmallRng) -> Result<Option<UndoAction>, Error> {
     let host = rng.random_range(0..site.hosts.len());
     let replica = rng.random_range(0..site.replicas.len());
@@ -146,7 +146,7 @@
             None
         }
         _ => {
-            // Its entry stays until its heartbeats are missed.
+            // Its entry stays until `RemoveEntry`, as after missed heartbeats.
             site.replicas[replica].crash();
             replace(site, replica).await?;
             Some(UndoAction::RemoveEntry(replica))
@@ -154,10 +154,10 @@
     })
 }
 
-/// Steps of which one starts a replica again under its identity.
+/// Average number of steps between two restarts of a replica under the same ID.
 const STEPS_PER_RESTART: u32 = 6;
 
-/// Starts a replica again under its identity, now and then, unless it has announced that it leaves.
+/// Randomly restarts a replica under the same ID, unless it has announced its departure.
 fn restart(site: &Site, rng: &mut SmallRng) {
     let replica = rng.random_range(0..site.replicas.len());
     let is_due = rng.random_ratio(1, STEPS_PER_RESTART);
@@ -166,20 +166,20 @@
     }
 }
 
-/// Steps of which one lets a replica name another limit, or none any more.
+/// Average number of steps between two changes of a replica's rate limit.
 const STEPS_PER_RATE_LIMIT: u32 = 5;
 
-/// Requests a second that replicas in need name.
+/// Rate limits that replicas advertise, in requests per second.
 const RATE_LIMITS: std::ops::Range<f64> = 0.0..8.0;
 
-/// Time in which a replica that runs answers, and its longest answer in bytes.
+/// Time in which a running replica must answer a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 const MAX_PROBE_RESPONSE_BYTES: usize = 64 * 1_024;
 
-/// What two replicas name at last.
+/// Rate limit advertised after all faults, in requests per second.
 const FINAL_RATE_LIMIT: &str = "2";
 
-/// Lets a replica get into need or out of it, now and then.
+/// Randomly sets or clears the rate limit of a replica.
 fn change_rate_limit(site: &Site, rng: &mut SmallRng) {
     let replica = &site.replicas[rng.random_range(0..site.replicas.len())];
     let rate = rng.random_range(RATE_LIMITS).to_string();
@@ -192,8 +192,8 @@
     }
 }
 
-/// Leaves one replica of each service in need through the peace after all faults, in which nothing excuses a host: one
-/// that others can stand in for, so that what it does not take is served all the same.
+/// Leaves a rate limit on one replica per service after all faults, where no disturbance excuses a host that exceeds it.
+/// Only a replica whose models others have loaded is chosen, so that the excess can be served.
 async fn set_final_rate_limits(site: &Site) {
     let mut active = Vec::new();
     for replica in &site.replicas {
@@ -222,20 +222,20 @@
     }
 }
 
-/// Whether a replica's process runs.
+/// Whether a replica answers a probe.
 async fn is_responsive(replica: &Replica) -> bool {
     let Ok(mut connection) = conn::Connection::open(replica.addr, PROBE_TIMEOUT).await else {
         return false;
     };
     let mut request = hyper::Request::new(conn::Body::default());
-    *request.uri_mut() = "/".parse().expect("it is a path");
+    *request.uri_mut() = "/".parse().expect("the path is valid");
     connection
         .exchange(request, PROBE_TIMEOUT, MAX_PROBE_RESPONSE_BYTES)
         .await
         .is_ok()
 }
 
-/// Harms a host's way to the store.
+/// Sets a random fault on a host's proxy to the store.
 fn degrade_proxy(site: &mut Site, host: usize, rng: &mut SmallRng) -> UndoAction {
     let delay = ProxyMode::Delay(Duration::from_millis(rng.random_range(20..400)));
     let modes = [
@@ -250,14 +250,14 @@
     UndoAction::RestoreProxy(host)
 }
 
-/// Sends a host's process a signal; it may have to be started again.
+/// Sends a signal to a host's process, which may end it.
 fn signal(site: &mut Site, host: usize, signal: Signal) -> UndoAction {
     site.record_disturbance();
     site.hosts[host].signal(signal);
     UndoAction::Start(host)
 }
 
-/// A replica announces that it leaves; another takes its place.
+/// Lets a replica announce its departure, and starts a replacement.
 async fn depart(site: &mut Site, replica: usize) -> Result<(), Error> {
     if site.replicas[replica].announced_departure_at().is_none() {
         site.replicas[replica].announce_departure();
@@ -266,7 +266,7 @@
     Ok(())
 }
 
-/// Starts a replica in the place of one that is gone.
+/// Starts a replica with the service and models of one that has left or crashed.
 async fn replace(site: &mut Site, replica: usize) -> Result<(), Error> {
     let departed = &site.replicas[replica].options;
     let (service, models) = (departed.service.clone(), departed.models.clone());
@@ -274,7 +274,7 @@
     site.add_replica(&service, &models).await
 }
 
-/// Undoes the disturbances whose time is over, or all.
+/// Undoes the faults that are due, or all.
 async fn undo_due(site: &mut Site, undos: &mut Vec<Undo>, all: bool) -> Result<(), Error> {
     let now = Instant::now();
     let (due, rest): (Vec<Undo>, Vec<Undo>) = std::mem::take(undos)
--- a/crates/soak/src/host.rs
+++ b/crates/soak/src/host.rs
@@ -1,4 +1,4 @@
-//! One daemon as a process of its own, behind a proxy to the store.
+//! A daemon in its own process, connected to the store through a proxy.
 
 use crate::accounts::{QUOTA, REVOCATION_BOUND};
 use crate::error::{Error, StartSnafu, SystemSnafu};
@@ -15,29 +15,30 @@
 
 /// Daemon that the soak has started.
 pub struct Host {
-    /// Its name.
     pub name: String,
-    /// Where it answers callers.
+    /// Address on which it serves callers.
     pub caller_addr: SocketAddr,
-    /// Its way to the store.
+    /// Proxy between it and the store.
     pub store_proxy: Proxy,
     program: PathBuf,
     settings: PathBuf,
     log: PathBuf,
     process: Option<Child>,
-    /// When its process was started or sent a signal.
+    /// Times at which its process was started or sent a signal.
     pub disturbances: Vec<Instant>,
 }
 
-/// Starts a daemon with its settings and log in a folder.
+/// Starts a daemon with its settings and log in `dir`.
 pub async fn spawn(
     program: &Path,
     dir: &Path,
     name: &str,
     store: SocketAddr,
 ) -> Result<Host, Error> {
-    let what = "a proxy";
-    let store_proxy = proxy::spawn(store).await.context(SystemSnafu { what })?;
+    let resource = "a proxy";
+    let store_proxy = proxy::spawn(store)
+        .await
+        .context(SystemSnafu { resource })?;
     let caller_addr = ports::free();
     let (window, overage, slack) = QUOTA;
     let text = format!(
@@ -54,8 +55,8 @@
         slack,
     );
     let settings = dir.join(format!("{name}.ini"));
-    let what = settings.display().to_string();
-    std::fs::write(&settings, text).context(SystemSnafu { what })?;
+    let resource = settings.display().to_string();
+    std::fs::write(&settings, text).context(SystemSnafu { resource })?;
     let mut host = Host {
         name: name.to_owned(),
         caller_addr,
@@ -71,17 +72,17 @@
 }
 
 impl Host {
-    /// Starts its process, unless one runs.
+    /// Starts its process unless it is running.
     pub fn start(&mut self) -> Result<(), Error> {
         if self.is_running() {
             return Ok(());
         }
-        let what = self.log.display().to_string();
+        let resource = self.log.display().to_string();
         let log = File::options()
             .create(true)
             .append(true)
             .open(&self.log)
-            .context(SystemSnafu { what })?;
+            .context(SystemSnafu { resource })?;
         let program = self.program.clone();
         let process = Command::new(&program)
             .arg("--settings")
@@ -96,7 +97,6 @@
         Ok(())
     }
 
-    /// Whether its process runs.
     pub fn is_running(&mut self) -> bool {
         match &mut self.process {
             Some(process) => matches!(process.try_wait(), Ok(None)),
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Sends its process a signal; only ever to the process that this soak started.
+    /// Sends a signal to its process, if it is still running.
     pub fn signal(&mut self, signal: Signal) {
         if !self.is_running() {
             return;
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,5 +1,5 @@
-//! Fault soak: real daemons as processes, stand-ins of the platform, faults from outside, and checks
-//! of what callers and replicas see.
+//! Fault soak: runs real daemons as processes against stand-ins of the platform, injects faults, and
+//! checks what callers and replicas see.
 
 pub mod accounts;
 pub mod check;
@@ -18,13 +18,13 @@
 use comfy_table::{Table, presets::NOTHING};
 use snafu::ResultExt;
 
-/// Plays all seeds and prints a table; tells whether no promise was broken.
+/// Runs all seeds and prints a table and the violations; returns whether there were none.
 pub fn run(options: &Options) -> Result<bool, Error> {
-    let what = "a runtime";
+    let resource = "a runtime";
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()
-        .context(SystemSnafu { what })?;
+        .context(SystemSnafu { resource })?;
     let mut table = Table::new();
     table.load_style(NOTHING);
     table.set_header([
@@ -57,7 +57,7 @@
     }
     if let Some(first) = violations.first().and_then(|v| v.split(':').next()) {
         let hosts = options.hosts;
-        println!("Again: soak --hosts {hosts} --{first}");
+        println!("To repeat: soak --hosts {hosts} --{first}");
     }
     Ok(violations.is_empty())
 }
--- a/crates/soak/src/options.rs
+++ b/crates/soak/src/options.rs
@@ -5,16 +5,16 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// What the command line asks for.
+/// Options of the command line.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Seeds to play, one after the other.
+    /// Seeds to run, one after the other.
     pub seeds: Range<u64>,
-    /// Time that faults are injected for, for each seed.
+    /// Time for which faults are injected, for each seed.
     pub duration: Duration,
-    /// Daemons.
+    /// Number of daemons.
     pub hosts: usize,
-    /// The daemon's program.
+    /// Path of the daemon's program.
     pub program: PathBuf,
 }
 
@@ -28,26 +28,26 @@
 
 fn parser() -> OptionParser<Options> {
     let seed = long("seed")
-        .help("Seed to play")
+        .help("Seed to run")
         .argument::<u64>("N")
         .map(|seed| seed..seed + 1);
     let seeds = long("seeds")
-        .help("Seeds to play, one after the other")
+        .help("Seeds to run, one after the other")
         .argument::<String>("A..B")
         .parse(parse_seeds);
     let seeds = construct!([seed, seeds]).fallback(1..2);
     let duration = long("seconds")
-        .help("Time of faults for each seed")
+        .help("Time for which faults are injected, for each seed")
         .argument::<u64>("S")
         .fallback(15)
         .map(Duration::from_secs);
     let hosts = long("hosts")
-        .help("Daemons")
+        .help("Number of daemons")
         .argument::<usize>("N")
-        .guard(|n| (1..=100).contains(n), "give 1 to 100 hosts")
+        .guard(|n| (1..=100).contains(n), "must be from 1 to 100")
         .fallback(4);
     let program = long("program")
-        .help("The daemon's program; by default the one beside this program")
+        .help("Path of the daemon's program; by default covefordd in the directory of this program")
         .argument::<PathBuf>("FILE")
         .fallback_with(default_program);
     construct!(Options {
@@ -65,7 +65,7 @@
     Ok(std::env::current_exe()?.with_file_name("covefordd"))
 }
 
-/// Reads the command line of this process.
+/// Parses the command line of this process; exits on wrong use.
 pub fn parse() -> Options {
     parser().run()
 }
--- a/crates/soak/src/signals.rs
+++ b/crates/soak/src/signals.rs
@@ -1,5 +1,4 @@
-//! What replicas say of themselves in answers and nowhere else: that they leave, and that they want rest. Checked from what
-//! each replica recorded.
+//! Departure and backoff signals that replicas send only in responses, and the check that hosts obey them.
 
 use crate::host::Host;
 use crate::site::Site;
@@ -11,30 +10,31 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Steps of which one changes what a replica says.
+/// Average number of steps between two changes of a replica's signals.
 const STEPS_PER_CHANGE: u32 = 3;
 
-/// Changes of which one lets a replica leave.
+/// Average number of changes between two departures.
 const CHANGES_PER_DEPARTURE: u32 = 4;
 
-/// Seconds for which replicas ask, and values that are no time.
+/// Backoff values that replicas send, in seconds; some are invalid.
 const BACKOFFS: [&str; 8] = ["0.3", "0.7", "1", "2.5", "4", "NaN", "-1", "in a while"];
 
-/// Time after the word that it leaves in which a replica may get requests of a host.
+/// Time after a departure signal in which the host may still send requests.
 const DEPARTURE_BOUND: Duration = Duration::from_millis(2_000);
 
-/// Time after a refusal in which requests may come that were on their way, and the requests that may come later.
+/// Time after a backoff signal in which requests that were in flight may arrive.
 const IN_FLIGHT_TIME: Duration = Duration::from_millis(500);
+/// Requests that may arrive later during a backoff.
 const MAX_IN_BACKOFF: usize = 2;
 
-/// Field by which a replica tells hosts apart.
+/// Value of the header by which replicas tell hosts apart.
 pub fn host_header(host: SocketAddr) -> HeaderValue {
     let text = host.to_string();
-    HeaderValue::from_str(&text).expect("an address can stand in a header")
+    HeaderValue::from_str(&text).expect("a socket address is a valid header value")
 }
 
-/// Changes, now and then, what a replica says in its answers; gives one that leaves by its word alone, in whose place another
-/// is to be started.
+/// Randomly changes the signals of a replica. Returns the index of one that now departs by signal alone; the caller has to
+/// replace it.
 pub fn change(site: &Site, rng: &mut SmallRng) -> Option<usize> {
     let at = rng.random_range(0..site.replicas.len());
     let backoff = BACKOFFS[rng.random_range(0..BACKOFFS.len())];
@@ -53,7 +53,7 @@
     (leaving && !previous.leaving && replica.announced_departure_at().is_none()).then_some(at)
 }
 
-/// Lets all replicas take requests again.
+/// Clears the backoff signals of all replicas.
 pub fn clear_backoffs(site: &Site) {
     for replica in &site.replicas {
         let signals = replica.signals();
@@ -64,7 +64,7 @@
     }
 }
 
-/// What hosts sent to replicas that had told them that they leave, or asked them for rest.
+/// Violations of departure and backoff signals, for each replica and host.
 pub fn check(site: &Site) -> Vec<String> {
     let mut violations = Vec::new();
     for replica in &site.replicas {
@@ -86,7 +86,8 @@
     violations
 }
 
-/// Requests that a replica got from a host between two moments, up to the next start of either.
+/// Requests that a replica got from a host between `from` and `to`, up to the next restart of the replica or disturbance of
+/// the host after `sent_at`.
 fn count_arrivals(
     replica: &Replica,
     host: &Host,
@@ -115,7 +116,7 @@
     let late = late.max().filter(|late| *late > 0)?;
     let (id, name) = (&replica.options.id, &host.name);
     Some(format!(
-        "{late} requests reached replica {id} from {name} long after it had told that it leaves"
+        "{late} requests reached replica {id} from {name} more than {DEPARTURE_BOUND:?} after its departure signal"
     ))
 }
 
@@ -133,6 +134,6 @@
     );
     let (id, name) = (&replica.options.id, &host.name);
     (count > MAX_IN_BACKOFF).then(|| {
-        format!("{count} requests reached replica {id} from {name} in a rest of {seconds} s")
+        format!("{count} requests reached replica {id} from {name} during a backoff of {seconds} s")
     })
 }
--- a/crates/soak/src/site.rs
+++ b/crates/soak/src/site.rs
@@ -1,4 +1,4 @@
-//! One play: a site is set up, disturbed, left in peace, and judged.
+//! One run of the soak: sets up a site, injects faults, lets it recover, and checks it.
 
 use crate::accounts;
 use crate::check;
@@ -18,55 +18,53 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Clients of a play.
+/// Number of clients in a run.
 const CLIENTS: u64 = 24;
 
-/// Time that the site has to come up, and to recover when all faults are over.
+/// Time for the site to start, and to recover once all faults are over.
 const SETTLE_TIME: Duration = Duration::from_secs(8);
 
-/// Time until a replica that a request has ended is back.
+/// Time until a replica that was crashed by a request is back.
 const RESTART_TIME: Duration = Duration::from_millis(1_500);
 
-/// Time of peace in which requests are judged for recovery.
+/// Time after recovery in which requests must succeed.
 const RECOVERY_WINDOW: Duration = Duration::from_secs(2);
 
-/// What a play came to.
+/// Result of a run.
 #[derive(Debug, Default)]
 pub struct Summary {
-    /// Requests that were sent.
+    /// Requests sent.
     pub requests: usize,
-    /// Whole answers.
+    /// Requests with status 200.
     pub succeeded: usize,
-    /// Requests that were told not to have run.
+    /// Requests whose status guarantees that they did not run.
     pub not_run: usize,
-    /// Requests without a whole answer otherwise.
+    /// All other requests.
     pub failed: usize,
-    /// Faults that were injected.
+    /// Steps in which faults were injected.
     pub faults: usize,
-    /// Promises that were broken.
+    /// Violations found by the checks.
     pub violations: Vec<String>,
 }
 
 /// Site under test.
 pub struct Site {
-    /// The store.
     pub store: Store,
-    /// Replicas, those included that have left.
+    /// Replicas, including those that have left or crashed.
     pub replicas: Vec<Replica>,
-    /// Daemons.
     pub hosts: Vec<Host>,
-    /// Version of the newest configuration.
+    /// Version of the latest configuration.
     pub version: u64,
-    /// When each version was written.
+    /// Time at which each version was written, in order.
     pub config_written: Vec<Instant>,
-    /// When the store or a host was disturbed, or a disturbance ended.
+    /// Times at which a fault of the store or a host began or ended.
     pub disturbances: Vec<Instant>,
-    /// When hosts stood still.
+    /// Pauses of hosts.
     pub pauses: Vec<Pause>,
     next_replica: u32,
 }
 
-/// Plays one seed.
+/// Runs one seed.
 pub async fn run_seed(options: &Options, seed: u64) -> Result<Summary, Error> {
     let dir = create_dir(seed)?;
     let mut site = set_up(options, &dir).await?;
@@ -91,7 +89,7 @@
     let mut summary = summarize(&site, &workload, settled_at);
     summary.violations.extend(config_violations);
     summary.faults = faults;
-    // Logs stay for a look only if a promise was broken.
+    // Logs are kept only if there are violations.
     match summary.violations.is_empty() {
         true => drop(std::fs::remove_dir_all(&dir)),
         false => eprintln!("logs of seed {seed}: {}", dir.display()),
@@ -102,14 +100,14 @@
 fn create_dir(seed: u64) -> Result<PathBuf, Error> {
     let name = format!("coveford-soak-{}-{seed}", std::process::id());
     let dir = std::env::temp_dir().join(name);
-    let what = dir.display().to_string();
-    std::fs::create_dir_all(&dir).context(SystemSnafu { what })?;
+    let resource = dir.display().to_string();
+    std::fs::create_dir_all(&dir).context(SystemSnafu { resource })?;
     Ok(dir)
 }
 
 async fn set_up(options: &Options, dir: &std::path::Path) -> Result<Site, Error> {
-    let what = "the store's stand-in";
-    let store = store::spawn().await.context(SystemSnafu { what })?;
+    let resource = "the store's stand-in";
+    let store = store::spawn().await.context(SystemSnafu { resource })?;
     let mut site = Site {
         store,
         replicas: Vec::new(),
@@ -135,17 +133,17 @@
     Ok(site)
 }
 
-/// Time in which a host's process was paused.
+/// Period in which a host's process was paused.
 #[derive(Debug, Clone, Copy)]
 pub struct Pause {
-    /// The host, by index.
+    /// Index of the host.
     pub host: usize,
     from: Instant,
     to: Option<Instant>,
 }
 
 impl Pause {
-    /// A pause that starts now.
+    /// Starts a pause now.
     pub fn start(host: usize) -> Pause {
         Pause {
             host,
@@ -154,7 +152,7 @@
         }
     }
 
-    /// Part of a span of time that falls into the pause.
+    /// Length of the overlap of the pause with the time from `from` to `to`.
     pub fn overlap(&self, from: Instant, to: Instant) -> Duration {
         let end = self.to.unwrap_or(to).min(to);
         end.saturating_duration_since(self.from.max(from))
@@ -171,12 +169,12 @@
         }
     }
 
-    /// Notes that the store or a host is disturbed now.
+    /// Records that a fault of the store or a host begins or ends now.
     pub fn record_disturbance(&mut self) {
         self.disturbances.push(Instant::now());
     }
 
-    /// Writes a configuration of a new version, with a route of that version.
+    /// Writes the next version of the configuration, which has a route named after the version.
     pub fn write_config(&mut self) {
         self.version += 1;
         self.store
@@ -184,7 +182,7 @@
         self.config_written.push(Instant::now());
     }
 
-    /// Hosts on which the newest configuration is not in force although all is at peace.
+    /// Reports hosts that do not use the latest configuration.
     async fn check_active_config(&self) -> Vec<String> {
         let mut violations = Vec::new();
         for host in &self.hosts {
@@ -193,14 +191,13 @@
             if status == Some(404) || status.is_none() {
                 let (name, version) = (&host.name, self.version);
                 violations.push(format!(
-                    "configuration {version} is not in force on {name}: {status:?}"
+                    "{name} does not use configuration {version}: its route answered {status:?}"
                 ));
             }
         }
         violations
     }
 
-    /// Starts a replica.
     pub async fn add_replica(&mut self, service: &str, models: &[&str]) -> Result<(), Error> {
         let id = format!("i-{}", self.next_replica);
         self.next_replica += 1;
@@ -213,16 +210,16 @@
             fatal_request: (service == "web").then_some((client::FATAL_BODY, RESTART_TIME)),
             ..ReplicaOptions::default()
         };
-        let what = "a replica's stand-in";
+        let resource = "a replica's stand-in";
         let replica = replica::spawn(&self.store, options)
             .await
-            .context(SystemSnafu { what })?;
+            .context(SystemSnafu { resource })?;
         self.replicas.push(replica);
         Ok(())
     }
 }
 
-/// Configuration whose last route is one of its version only.
+/// Configuration whose last route exists only in this version.
 fn configuration(version: u64) -> Value {
     let stream = |resumable| Kind::Stream { resumable };
     let routes = [
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -1,4 +1,4 @@
-//! The checks of single requests find what they are for.
+//! `check_request` finds each kind of violation, and only those.
 
 use rstest::rstest;
 use soak::accounts::Caller;
@@ -46,7 +46,7 @@
     assert_eq!(check_request(&answer, 1, Duration::ZERO).len(), 1);
 }
 
-/// Seed 110: two requests were held for 4.2 s on a host that stood still for 1.2 s.
+/// Guards against reporting a late response whose host was paused for as long as it was late.
 #[test]
 fn excuses_only_the_time_for_which_the_host_was_paused() {
     let mut late = outcome(Kind::Stream, 504);
--- a/crates/soak/tests/short.rs
+++ b/crates/soak/tests/short.rs
@@ -1,11 +1,11 @@
-//! One short seed, as CI plays it.
+//! Runs the soak on one short seed, as CI does.
 
 use soak::options::Options;
 use std::path::PathBuf;
 use std::process::Command;
 use std::time::Duration;
 
-/// The daemon's program of this build; tests of another package have to build it.
+/// Builds the daemon and returns its path; Cargo builds no binaries of other packages for a test.
 fn program() -> PathBuf {
     let built = Command::new(env!("CARGO"))
         .args(["build", "--quiet", "--locked", "-p", "coveford-daemon"])
@@ -13,7 +13,7 @@
         .status()
         .unwrap();
     assert!(built.success());
-    // This test stands in target/PROFILE/deps.
+    // The test binary is in target/PROFILE/deps, the daemon one level up.
     let test = std::env::current_exe().unwrap();
     test.parent().unwrap().with_file_name("covefordd")
 }
