--- a/crates/daemon/src/claim.rs
+++ b/crates/daemon/src/claim.rs
@@ -1,14 +1,14 @@
-//! Claims on idempotency keys: resends of an unrepeatable request, perhaps to
+//! Claims on idempotency keys: resends of an unrepeatable request, also to
 //! another daemon, never run it twice.
 //!
-//! A claim is created in the key-value service before dispatch. A creation
-//! whose answer was lost may land later, so a claim that was given up is not
-//! removed but marked as released: its revision is then past the one that a
-//! late creation expects.
+//! A claim is created in the key-value service before dispatch. A create whose
+//! response was lost may still be applied later. An abandoned claim is therefore
+//! not deleted but marked as released: its revision then differs from the one
+//! that a late create expects.
 
 use crate::core::Core;
 use crate::documents;
-use crate::entry::Fault;
+use crate::entry::ApiError;
 use backing::keys;
 use backing::kv::{Error, SwapOutcome};
 use hyper::StatusCode;
@@ -21,99 +21,98 @@
 use tokio::time::sleep;
 use unit::{Name, Span, Time};
 
-/// Time for which claims are kept.
-const KEPT: Duration = Duration::from_secs(24 * 3_600);
+/// Time to live of claims.
+const CLAIM_TTL: Duration = Duration::from_secs(24 * 3_600);
 
-/// Age at which a daemon takes a new lease for its claims; one lease serves many.
-const LEASE_AGE: Span = Span::from_secs(600);
+/// Age at which a daemon requests a new lease; claims share a lease until then.
+const MAX_LEASE_AGE: Span = Span::from_secs(600);
 
-/// Tries to settle a write whose answer was lost, before the request is given up.
-const TRIES: u32 = 3;
+/// Attempts to write a claim before the request is rejected.
+const ACQUIRE_ATTEMPTS: u32 = 3;
 
-/// Tries to settle a claim in the background, and the pause between them.
-const LATER_TRIES: u32 = 120;
-const LATER_PAUSE: Duration = Duration::from_secs(5);
+/// Attempts to settle a claim in the background.
+const SETTLE_ATTEMPTS: u32 = 120;
+/// Pause between attempts to settle a claim.
+const SETTLE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// When a caller may come back after a conflict or an outage.
+/// `Retry-After` while a request with the same key runs, or during an outage of the key-value
+/// service.
 const RETRY_AFTER: Span = Span::from_secs(1);
 
-/// Longest answer that is kept for resends, in bytes.
-const MOST_KEPT: usize = 64 * 1_024;
+/// Maximum size of a stored response.
+const MAX_STORED_BYTES: usize = 64 * 1_024;
 
 /// State of a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "state", rename_all = "snake_case")]
 pub enum State {
-    /// A daemon dispatches the request, or was lost doing so.
+    /// A daemon has dispatched or is about to dispatch the request, and may have crashed since.
     Held,
-    /// The request was proven not to have run; a resend may run.
+    /// The request certainly did not run; a resend may run.
     Released,
     /// The request ran to its end.
     Done {
-        /// Its answer, unless it was too long to keep.
-        answer: Option<Stored>,
+        /// Its response, unless it was too large or not text.
+        answer: Option<StoredResponse>,
     },
-    /// The request may have run; its answer is lost.
+    /// The request may have run; its response is lost.
     Lost,
 }
 
-/// Answer kept for resends.
+/// Response stored for resends.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
-pub enum Stored {
-    /// Answer of a model.
+pub enum StoredResponse {
+    /// Output of a model.
     Model {
-        /// Text and counts, as JSON.
-        whole: Name,
+        /// JSON of `entry::render::Output`.
+        #[serde(rename = "whole")]
+        output: Name,
     },
-    /// Answer of a plain service.
+    /// Response of a plain service.
     Plain {
-        /// HTTP status.
         status: u16,
-        /// Content type.
         content_type: Option<Name>,
-        /// Body, when it is text.
         body: Name,
     },
 }
 
-impl Stored {
+impl StoredResponse {
     fn len(&self) -> usize {
         match self {
-            Stored::Model { whole } => whole.len(),
-            Stored::Plain { body, .. } => body.len(),
+            StoredResponse::Model { output } => output.len(),
+            StoredResponse::Plain { body, .. } => body.len(),
         }
     }
 }
 
-/// Claim as it stands in the service.
+/// Claim as stored in the key-value service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// Request that holds it; also the nonce by which a daemon knows its own write.
+    /// Id of the request that holds the claim; a daemon recognizes its own writes by it.
     pub request: Name,
-    /// Hash of what was asked, so that a key is not used for another request.
+    /// Result of [`content_hash`], which detects a key that is reused for another request.
     pub content: Name,
-    /// State.
     #[serde(flatten)]
     pub state: State,
 }
 
 /// Claim held by this daemon.
-pub struct Held {
+pub struct HeldClaim {
     key: String,
     revision: u64,
     claim: Claim,
 }
 
-/// What a resend or first sending meets.
-pub enum Taken {
-    /// The claim is ours: the request may be dispatched.
-    Ours(Held),
-    /// The first sending ran; this is its answer.
-    Answer(Stored),
+/// Result of acquiring a claim.
+pub enum Acquisition {
+    /// The request holds the claim and may be dispatched.
+    Granted(HeldClaim),
+    /// An earlier request with this key ran; this is its response.
+    Replay(StoredResponse),
 }
 
-/// Lease that claims of one daemon share for a while.
+/// Lease in the key-value service that the claims of one daemon share.
 #[derive(Default)]
 pub struct Lease {
     current: Mutex<Option<(u64, Time)>>,
@@ -124,36 +123,41 @@
         let now = core.now();
         let current = *self.current.lock();
         if let Some((lease, at)) = current
-            && now.since(at) < LEASE_AGE
+            && now.since(at) < MAX_LEASE_AGE
         {
             return Ok(lease);
         }
-        let lease = core.kv.grant(KEPT).await?;
+        let lease = core.kv.grant(CLAIM_TTL).await?;
         *self.current.lock() = Some((lease, now));
         Ok(lease)
     }
 }
 
-/// Hash of what a request asks, for telling a resend from another request.
-pub fn content(method: &str, path: &str, body: &[u8]) -> Name {
+/// SHA-256 of a request's method, path and body, each prefixed with its length.
+pub fn content_hash(method: &str, path: &str, body: &[u8]) -> Name {
     let mut hash = Sha256::new();
-    for piece in [method.as_bytes(), path.as_bytes(), body] {
-        hash.update((piece.len() as u64).to_be_bytes());
-        hash.update(piece);
+    for field in [method.as_bytes(), path.as_bytes(), body] {
+        hash.update((field.len() as u64).to_be_bytes());
+        hash.update(field);
     }
     hex::encode(hash.finalize()).into()
 }
 
-/// Takes the claim on a caller's key for a request.
-pub async fn take(
+/// Acquires the claim on a caller's idempotency key for a request.
+///
+/// # Errors
+///
+/// Fails if another request holds the claim, ran without a stored response, or differs in
+/// content; and if the key-value service does not answer.
+pub async fn acquire(
     core: &Arc<Core>,
     caller: &Name,
     key: &Name,
     request: &Name,
     content: Name,
-) -> Result<Taken, Fault> {
+) -> Result<Acquisition, ApiError> {
     let hash = bundle::part::hash(format!("{caller}\0{key}").as_bytes());
-    let mut held = Held {
+    let mut held = HeldClaim {
         key: keys::claim(&hash),
         revision: 0,
         claim: Claim {
@@ -162,45 +166,51 @@
             state: State::Held,
         },
     };
-    let lease = core.claims.get(core).await.map_err(|_| down())?;
-    for _ in 0..TRIES {
+    let lease = core
+        .claim_lease
+        .get(core)
+        .await
+        .map_err(|_| kv_unavailable())?;
+    for _ in 0..ACQUIRE_ATTEMPTS {
         match write(core, &held, Some(lease)).await {
             Ok(SwapOutcome::Written(revision)) => {
                 held.revision = revision;
-                return Ok(Taken::Ours(held));
+                return Ok(Acquisition::Granted(held));
             }
             Ok(SwapOutcome::Conflict(found)) => {
-                let found = found.ok_or_else(down)?;
-                let claim: Claim = documents::parse(&held.key, &found.value).map_err(|_| down())?;
+                let found = found.ok_or_else(kv_unavailable)?;
+                let claim: Claim =
+                    documents::parse(&held.key, &found.value).map_err(|_| kv_unavailable())?;
                 if claim.request == *request {
                     held.revision = found.revision;
-                    return Ok(Taken::Ours(held));
+                    return Ok(Acquisition::Granted(held));
                 }
-                if let Some(taken) = met(&claim, &held.claim.content)? {
-                    return Ok(Taken::Answer(taken));
+                if let Some(stored) = check_existing(&claim, &held.claim.content)? {
+                    return Ok(Acquisition::Replay(stored));
                 }
                 held.revision = found.revision;
             }
             Err(Error::Indeterminate { .. }) => {}
             Err(Error::Unavailable { .. }) => sleep(Duration::from_millis(50)).await,
-            Err(Error::Lapsed) => *core.claims.current.lock() = None,
+            Err(Error::Lapsed) => *core.claim_lease.current.lock() = None,
         }
     }
-    // Our write may have landed or land yet; nothing was or will be dispatched.
-    settle_later(core, held, State::Released);
-    Err(down())
+    // The write may have been applied or may be yet, but the request is not dispatched.
+    settle_in_background(core, held, State::Released);
+    Err(kv_unavailable())
 }
 
-async fn write(core: &Core, held: &Held, lease: Option<u64>) -> Result<SwapOutcome, Error> {
-    let value = serde_json::to_string(&held.claim).expect("a claim can always be written");
+async fn write(core: &Core, held: &HeldClaim, lease: Option<u64>) -> Result<SwapOutcome, Error> {
+    let value = serde_json::to_string(&held.claim).expect("a claim serializes to JSON");
     core.kv
         .compare_and_swap(&held.key, held.revision, Some(&value), lease)
         .await
 }
 
-/// What another's claim means for a resend; none when it may be taken over.
-fn met(claim: &Claim, content: &Name) -> Result<Option<Stored>, Fault> {
-    let conflict = |outcome, code, message: &str| Fault {
+/// Decides on a request whose key another request has claimed: replays the stored response, or
+/// returns `None` if the claim may be taken over.
+fn check_existing(claim: &Claim, content: &Name) -> Result<Option<StoredResponse>, ApiError> {
+    let conflict = |outcome, code, message: &str| ApiError {
         status: StatusCode::CONFLICT,
         outcome,
         code,
@@ -211,7 +221,7 @@
         return Ok(None);
     }
     if claim.content != *content {
-        return Err(Fault::refused(
+        return Err(ApiError::client_error(
             StatusCode::UNPROCESSABLE_ENTITY,
             "idempotency_key_reused",
             "This idempotency key was used for another request; choose a new one.",
@@ -226,7 +236,7 @@
             "already_run",
             "The request ran to its end; its answer was too long to keep for a resend.",
         )),
-        State::Held => Err(Fault {
+        State::Held => Err(ApiError {
             retry_after: Some(RETRY_AFTER),
             ..conflict(
                 Outcome::Unknown,
@@ -243,40 +253,42 @@
     }
 }
 
-fn down() -> Fault {
-    Fault::busy(
+fn kv_unavailable() -> ApiError {
+    ApiError::unavailable(
         "claims_unavailable",
         "The request was not run: its idempotency key cannot be claimed while the key-value service does not answer.",
         RETRY_AFTER,
     )
 }
 
-/// Writes how a claimed request ended, in the background.
-pub fn settle(core: &Arc<Core>, held: Held, state: State) {
+/// Records in the background how a claimed request ended.
+pub fn settle(core: &Arc<Core>, held: HeldClaim, state: State) {
     let state = match state {
-        State::Done { answer: Some(a) } if a.len() > MOST_KEPT => State::Done { answer: None },
+        State::Done {
+            answer: Some(response),
+        } if response.len() > MAX_STORED_BYTES => State::Done { answer: None },
         state => state,
     };
-    settle_later(core, held, state);
+    settle_in_background(core, held, state);
 }
 
-fn settle_later(core: &Arc<Core>, mut held: Held, state: State) {
+fn settle_in_background(core: &Arc<Core>, mut held: HeldClaim, state: State) {
     held.claim.state = state;
     let core = core.clone();
     tokio::spawn(async move {
-        for _ in 0..LATER_TRIES {
+        for _ in 0..SETTLE_ATTEMPTS {
             if try_settle(&core, &mut held).await {
                 return;
             }
-            sleep(LATER_PAUSE).await;
+            sleep(SETTLE_INTERVAL).await;
         }
     });
 }
 
-/// Tries once to write the state; tells whether nothing is left to do.
-async fn try_settle(core: &Core, held: &mut Held) -> bool {
+/// Attempts once to write the state. Returns whether the claim needs no further attempt.
+async fn try_settle(core: &Core, held: &mut HeldClaim) -> bool {
     loop {
-        let Ok(lease) = core.claims.get(core).await else {
+        let Ok(lease) = core.claim_lease.get(core).await else {
             return false;
         };
         match write(core, held, Some(lease)).await {
@@ -286,8 +298,8 @@
                 let Ok(claim) = documents::parse::<Claim>(&held.key, &found.value) else {
                     return true;
                 };
-                let ours = claim.request == held.claim.request;
-                if !ours || claim.state == held.claim.state {
+                let is_own = claim.request == held.claim.request;
+                if !is_own || claim.state == held.claim.state {
                     return true;
                 }
                 held.revision = found.revision;
--- a/crates/daemon/src/entry/service.rs
+++ b/crates/daemon/src/entry/service.rs
@@ -1,8 +1,8 @@
-//! Plain services, passed through by path.
+//! Proxies requests to plain services, which are selected by path.
 
 use super::REQUEST_HEADER;
-use super::ask::Asker;
-use super::fault::Fault;
+use super::error::ApiError;
+use super::request::Metadata;
 use crate::core::Core;
 use crate::fleet::{AcquireError, Target};
 use crate::metrics::record;
@@ -17,140 +17,138 @@
 use unit::{Name, Span, rendezvous};
 use upstream::service::{self, Failure, Options};
 
-/// Header that tells a service which caller asks.
+/// Request header with the caller's name, sent to the service.
 const CALLER_HEADER: &str = "coveford-caller";
 
-/// When a shed caller may come back.
+/// `Retry-After` of requests that could not be placed.
 const RETRY_AFTER: Span = Span::from_secs(2);
 
-/// Longest answer of a service, in bytes.
-const MOST_ANSWER: usize = 16_000_000;
+const MAX_RESPONSE_BYTES: usize = 16_000_000;
 
 /// Request to a service.
 pub struct Call {
-    /// Who asks.
-    pub asker: Asker,
-    /// The service.
+    pub meta: Metadata,
     pub service: Name,
-    /// HTTP method.
     pub method: Method,
-    /// Path and query below the service's prefix.
+    /// Path and query, without the service's prefix.
     pub path: String,
-    /// Header fields.
     pub headers: HeaderMap,
-    /// Whole body.
     pub body: bytes::Bytes,
-    /// Status by which the service states that it ran nothing.
+    /// Status by which the service states that it did not run the request.
     pub refusal_status: Option<u16>,
 }
 
-/// Carries a request to a service and brings its whole answer.
-pub async fn call(core: &Arc<Core>, call: &Call) -> Result<Reply, Fault> {
-    let _in_flight = core.enter();
-    let metrics = core
-        .metrics
-        .class(&call.asker.caller, &call.asker.class_name);
-    let answered = attempts(core, call).await;
-    let took = core.now().since(call.asker.arrived);
-    let request = &call.asker.request;
-    match &answered {
+/// Forwards a request to a service, with retries, and returns its complete response.
+pub async fn call(core: &Arc<Core>, call: &Call) -> Result<Reply, ApiError> {
+    let _in_flight = core.track_request();
+    let metrics = core.metrics.class(&call.meta.caller, &call.meta.class_name);
+    let result = run_attempts(core, call).await;
+    let elapsed = core.now().since(call.meta.arrived);
+    let id = &call.meta.id;
+    match &result {
         Ok(reply) => {
-            record(&metrics.first_token, took);
-            metrics.outcome(Outcome::Complete);
-            match took <= call.asker.class.first_token {
+            record(&metrics.ttft, elapsed);
+            metrics.record_outcome(Outcome::Complete);
+            match elapsed <= call.meta.class.first_token {
                 true => metrics.attained.increment(1),
                 false => metrics.missed.increment(1),
             }
-            let percent = call.asker.bundle.intent.limits.retry_percent;
-            core.earn(&call.asker.caller, percent);
+            let percent = call.meta.bundle.intent.limits.retry_percent;
+            core.earn_retry(&call.meta.caller, percent);
             let reason = format!("The service answered with status {}.", reply.status);
             core.request_log
-                .record_outcome(request, Outcome::Complete, &reason);
+                .record_outcome(id, Outcome::Complete, &reason);
         }
-        Err(fault) => {
-            metrics.outcome(fault.outcome);
+        Err(error) => {
+            metrics.record_outcome(error.outcome);
             metrics.missed.increment(1);
             core.request_log
-                .record_outcome(request, fault.outcome, &fault.message);
+                .record_outcome(id, error.outcome, &error.message);
         }
     }
-    answered
+    result
 }
 
-async fn attempts(core: &Arc<Core>, call: &Call) -> Result<Reply, Fault> {
+async fn run_attempts(core: &Arc<Core>, call: &Call) -> Result<Reply, ApiError> {
     let mut attempts = 0;
     let mut may_have_run = false;
     let mut avoid = None;
     loop {
-        let placed = place(core, call, avoid, may_have_run).await?;
+        let reservation = place(core, call, avoid, may_have_run).await?;
         attempts += 1;
-        avoid = Some(rendezvous::hash(placed.upstream.as_bytes()));
+        avoid = Some(rendezvous::hash(reservation.upstream.as_bytes()));
         core.request_log.record_decision(
-            &call.asker.request,
+            &call.meta.id,
             Decision {
-                after: core.now().since(call.asker.arrived),
+                after: core.now().since(call.meta.arrived),
                 attempt: attempts,
-                upstream: placed.upstream.clone(),
-                weighed: placed.evaluations.clone(),
+                upstream: reservation.upstream.clone(),
+                weighed: reservation.evaluations.clone(),
                 ended: String::new(),
             },
         );
-        let left = call.asker.deadline().since(core.now());
-        let rules = Options {
-            reuse: match call.asker.repeatable {
+        let remaining = call.meta.deadline().since(core.now());
+        let options = Options {
+            reuse: match call.meta.repeatable {
                 true => Reuse::Pooled,
                 false => Reuse::Fresh,
             },
             refusal_status: call.refusal_status,
-            timeout: left.std(),
-            max_bytes: MOST_ANSWER,
+            timeout: remaining.std(),
+            max_bytes: MAX_RESPONSE_BYTES,
         };
-        let request = request(call, placed.addr);
-        let id = &call.asker.request;
-        let (end, text) = match service::call(&core.pool, placed.addr, id, request, rules).await {
-            Ok(reply) => {
-                let took = core.now().since(placed.reserved_at);
-                placed.record_first_response(took, call.asker.class.first_token);
-                placed.record_completion(Span::ZERO, took, None);
-                core.request_log.record_attempt_end(id, "whole.");
-                return Ok(reply);
-            }
-            Err(Failure::Unsent(e)) => {
-                placed.record_failure();
-                (retry::Failure::NotRun, format!("not run: {e}"))
-            }
-            Err(Failure::Refused(reply)) => {
-                placed.record_refusal(upstream::engine::RefusalReason::Full);
-                (
-                    retry::Failure::NotRun,
-                    format!("not run: the service refused with status {}", reply.status),
-                )
-            }
-            Err(Failure::Lost(why)) => {
-                placed.record_failure();
-                (retry::Failure::Lost, format!("lost: {why}"))
-            }
-        };
-        drop(placed);
+        let request = upstream_request(call, reservation.addr);
+        let id = &call.meta.id;
+        let (failure, text) =
+            match service::call(&core.pool, reservation.addr, id, request, options).await {
+                Ok(reply) => {
+                    let elapsed = core.now().since(reservation.reserved_at);
+                    reservation.record_first_response(elapsed, call.meta.class.first_token);
+                    reservation.record_completion(Span::ZERO, elapsed, None);
+                    core.request_log.record_attempt_end(id, "whole.");
+                    return Ok(reply);
+                }
+                Err(Failure::Unsent(e)) => {
+                    reservation.record_failure();
+                    (retry::Failure::NotRun, format!("not run: {e}"))
+                }
+                Err(Failure::Refused(reply)) => {
+                    reservation.record_refusal(upstream::engine::RefusalReason::Full);
+                    (
+                        retry::Failure::NotRun,
+                        format!("not run: the service refused with status {}", reply.status),
+                    )
+                }
+                Err(Failure::Lost(reason)) => {
+                    reservation.record_failure();
+                    (retry::Failure::Lost, format!("lost: {reason}"))
+                }
+            };
+        drop(reservation);
         core.request_log.record_attempt_end(id, &text);
-        may_have_run |= end == retry::Failure::Lost;
-        let known = Context {
-            repeatable: call.asker.repeatable,
+        may_have_run |= failure == retry::Failure::Lost;
+        let context = Context {
+            repeatable: call.meta.repeatable,
             attempts,
             resumes: u32::MAX,
             may_have_run,
-            deadline: call.asker.deadline(),
+            deadline: call.meta.deadline(),
         };
-        match retry::decide(&known, end, core.now()) {
-            Action::Retry if core.spend(&call.asker.caller) => {}
-            Action::GiveUp(outcome) => return Err(lost(outcome, &text)),
-            _ => return Err(lost(Outcome::without_answer(may_have_run), &text)),
+        match retry::decide(&context, failure, core.now()) {
+            Action::Retry if core.spend_retry(&call.meta.caller) => {}
+            Action::GiveUp(outcome) => return Err(upstream_failure(outcome, &text)),
+            _ => {
+                return Err(upstream_failure(
+                    Outcome::without_answer(may_have_run),
+                    &text,
+                ));
+            }
         }
     }
 }
 
-fn lost(outcome: Outcome, text: &str) -> Fault {
-    Fault::lost(
+fn upstream_failure(outcome: Outcome, text: &str) -> ApiError {
+    ApiError::upstream_failure(
         outcome,
         format!("The service's answer could not be had ({text})."),
     )
@@ -161,10 +159,10 @@
     call: &Call,
     avoid: Option<u64>,
     may_have_run: bool,
-) -> Result<crate::fleet::Reservation, Fault> {
-    let asker = &call.asker;
+) -> Result<crate::fleet::Reservation, ApiError> {
+    let meta = &call.meta;
     let target = Target::Service(call.service.clone());
-    let want = asker.want(
+    let fleet_request = meta.fleet_request(
         target,
         choose::Request {
             prefix: None,
@@ -172,10 +170,10 @@
             avoid,
         },
     );
-    let most = asker.bundle.intent.limits.queue as usize;
-    let placed = core.fleet.acquire(want, most).await;
-    placed.map_err(|placeless| {
-        let message = match placeless {
+    let max_queued = meta.bundle.intent.limits.queue as usize;
+    let reservation = core.fleet.acquire(fleet_request, max_queued).await;
+    reservation.map_err(|error| {
+        let message = match error {
             AcquireError::Rejected(Rejection::Full) => {
                 "The queue is full of requests that go before this one."
             }
@@ -185,14 +183,14 @@
             AcquireError::Unavailable => "No upstream of this service is there at the moment.",
         };
         match Outcome::without_answer(may_have_run) {
-            Outcome::NotRun => Fault::busy("overloaded", message, RETRY_AFTER),
-            outcome => Fault::lost(outcome, message),
+            Outcome::NotRun => ApiError::unavailable("overloaded", message, RETRY_AFTER),
+            outcome => ApiError::upstream_failure(outcome, message),
         }
     })
 }
 
-/// The request as the service gets it: without the caller's key, with its name.
-fn request(call: &Call, addr: std::net::SocketAddr) -> Request<conn::Body> {
+/// Builds the request for the service: without the caller's API key, with its name.
+fn upstream_request(call: &Call, addr: std::net::SocketAddr) -> Request<conn::Body> {
     let mut request = Request::new(conn::Body::new(call.body.clone()));
     *request.method_mut() = call.method.clone();
     if let Ok(uri) = call.path.parse() {
@@ -211,14 +209,14 @@
         }
     };
     set("host", &addr.to_string());
-    set(REQUEST_HEADER, &call.asker.request);
-    set(CALLER_HEADER, &call.asker.caller);
+    set(REQUEST_HEADER, &call.meta.id);
+    set(CALLER_HEADER, &call.meta.caller);
     *request.headers_mut() = headers;
     request
 }
 
-/// Header fields of a service's answer that go on to the caller.
-pub fn answer_headers(reply: &Reply) -> HeaderMap {
+/// Headers of a service's response that are forwarded to the caller.
+pub fn response_headers(reply: &Reply) -> HeaderMap {
     let mut headers = reply.headers.clone();
     for name in HOP_BY_HOP {
         headers.remove(name);
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,7 +1,6 @@
-//! The coveford daemon: every role of a host, in one process.
+//! The coveford daemon, which runs all functions of a host in one process.
 //!
-//! Locks are taken in this order and never the other way round: `fleet`,
-//! then `request_log`, then `metrics`. No lock is held across an await.
+//! Lock order: `fleet`, `request_log`, `metrics`. No lock is held across an await.
 
 pub mod active_bundle;
 pub mod claim;
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -1,9 +1,11 @@
-//! Starting, draining and ending a daemon.
+//! Startup, drain and shutdown of a daemon.
 
 use crate::cli::Options;
 use crate::core::{self, Core};
 use crate::entry;
-use crate::error::{CutSnafu, Error, FrontSnafu, ListenSnafu, ReadSettingsSnafu, RuntimeSnafu};
+use crate::error::{
+    DrainTimeoutSnafu, Error, FrontSnafu, ListenSnafu, ReadSettingsSnafu, RuntimeSnafu,
+};
 use crate::settings::{self, Settings};
 use crate::{distribution, log, operator, planner, polling};
 use conn::Server;
@@ -25,7 +27,7 @@
     tasks: JoinSet<()>,
 }
 
-/// Does what the command line asks for.
+/// Runs the daemon, or checks its settings, as the command line requests.
 pub fn run(options: Options) -> Result<(), Error> {
     if is_on_platform(&options.settings) {
         return run_front(&options);
@@ -43,12 +45,13 @@
     runtime.block_on(serve(settings))
 }
 
-/// Whether a settings file names a platform's store; one that cannot be read is told of later.
+/// Whether a settings file is for a daemon on a platform. False if the file cannot be read,
+/// which is reported when it is loaded.
 fn is_on_platform(path: &Path) -> bool {
     std::fs::read_to_string(path).is_ok_and(|text| front::settings::is_on_platform(&text))
 }
 
-/// Checks the settings of a daemon on a platform, and runs it.
+/// Runs a daemon on a platform, or checks its settings.
 fn run_front(options: &Options) -> Result<(), Error> {
     let path = &options.settings;
     let text = std::fs::read_to_string(path).context(ReadSettingsSnafu { path })?;
@@ -73,22 +76,22 @@
     daemon.drain().await
 }
 
-/// Starts a daemon and returns once it listens.
+/// Starts a daemon; returns once it listens.
 pub async fn spawn(settings: Settings) -> Result<Daemon, Error> {
     let callers = listen(settings.caller_addr).await?;
     let operators = listen(settings.operator_addr).await?;
     let core = core::open(settings);
-    let most = core.settings.limits.connections;
+    let max_connections = core.settings.limits.connections;
     let callers = {
         let core = core.clone();
-        let answer = move |request| entry::handle(core.clone(), request).map(Ok);
-        conn::serve(callers, most, answer)
+        let handler = move |request| entry::handle(core.clone(), request).map(Ok);
+        conn::serve(callers, max_connections, handler)
     }
     .context(RuntimeSnafu)?;
     let operators = {
         let core = core.clone();
-        let answer = move |request| operator::handle(core.clone(), request).map(Ok);
-        conn::serve(operators, operator::MAX_CONNECTIONS, answer)
+        let handler = move |request| operator::handle(core.clone(), request).map(Ok);
+        conn::serve(operators, operator::MAX_CONNECTIONS, handler)
     }
     .context(RuntimeSnafu)?;
     let mut tasks = JoinSet::new();
@@ -98,7 +101,7 @@
     tasks.spawn(distribution::follow(core.clone()));
     tasks.spawn(distribution::run_anti_entropy(core.clone()));
     tasks.spawn(planner::run(core.clone()));
-    info!(target: "daemon", "{} answers callers at {} and operators at {}", core.settings.name, callers.addr, operators.addr);
+    info!(target: "daemon", "{} listens on {} for callers and on {} for operators", core.settings.name, callers.addr, operators.addr);
     Ok(Daemon {
         core,
         callers,
@@ -112,39 +115,43 @@
 }
 
 impl Daemon {
-    /// Where it answers callers.
+    /// Address of the API for callers.
     pub fn callers(&self) -> SocketAddr {
         self.callers.addr
     }
 
-    /// Where it answers operators.
+    /// Address of the API for operators.
     pub fn operator(&self) -> SocketAddr {
         self.operators.addr
     }
 
-    /// Its shared state.
     pub fn core(&self) -> &Arc<Core> {
         &self.core
     }
 
-    /// Ends without cutting a request: readiness fails, then no new connections, then the end.
+    /// Shuts down gracefully: fails the readiness check for the grace period, then refuses new
+    /// connections and waits for the open ones.
+    ///
+    /// # Errors
+    ///
+    /// Fails if connections are still open when the drain times out.
     pub async fn drain(mut self) -> Result<(), Error> {
         let settings = &self.core.settings;
         self.core.set_draining();
-        info!(target: "daemon", "draining: readiness fails now, connections are refused in {}", settings.drain_delay);
+        info!(target: "daemon", "draining: readiness check fails from now, new connections are refused in {}", settings.drain_delay);
         tokio::time::sleep(settings.drain_delay.std()).await;
-        let left = self.callers.drain(settings.drain_timeout.std()).await;
+        let open = self.callers.drain(settings.drain_timeout.std()).await;
         self.tasks.shutdown().await;
         self.operators.abort();
-        if left > 0 {
-            let bound = settings.drain_timeout;
-            return CutSnafu { left, bound }.fail();
+        if open > 0 {
+            let limit = settings.drain_timeout;
+            return DrainTimeoutSnafu { open, limit }.fail();
         }
-        info!(target: "daemon", "drained: no request was cut");
+        info!(target: "daemon", "drained: no request was interrupted");
         Ok(())
     }
 
-    /// Ends at once, as a killed process would; for tests.
+    /// Closes all connections at once, as a killed process would; for tests.
     pub fn kill(self) {
         self.callers.abort();
         self.operators.abort();
