--- a/crates/daemon/src/core.rs
+++ b/crates/daemon/src/core.rs
@@ -46,7 +46,7 @@
     pub peers: RwLock<Vec<Host>>,
     /// Memory for request bodies, in units of [`BODY_UNIT`].
     pub body_memory: Arc<Semaphore>,
-    /// Progress of the propagation of bundles.
+    /// When the bundle in force was last confirmed to be the newest.
     pub freshness: Freshness,
     /// Last result of the planner, if this host holds its hall's lease.
     pub planner_status: StatusCell,
@@ -60,15 +60,15 @@
     in_flight: AtomicUsize,
     next_request: AtomicU64,
     /// Wall clock at start, in milliseconds.
-    start: u64,
+    started_ms: u64,
 }
 
 /// Creates the shared state; connects to nothing yet.
 pub fn open(settings: Settings) -> Arc<Core> {
     let clock = Clock::start();
     let call_limit = settings.call_limit.std();
-    let start = crate::clock::wall_ms();
-    let seed = rendezvous::hash(format!("{} {start}", settings.name).as_bytes());
+    let started_ms = crate::clock::wall_ms();
+    let seed = rendezvous::hash(format!("{} {started_ms}", settings.name).as_bytes());
     let distance = settings.distance.clone();
     let units = settings.limits.body_memory.0 / BODY_UNIT;
     Arc::new(Core {
@@ -91,7 +91,7 @@
         draining: AtomicBool::new(false),
         in_flight: AtomicUsize::new(0),
         next_request: AtomicU64::new(1),
-        start,
+        started_ms,
         settings,
     })
 }
@@ -101,7 +101,7 @@
     pub fn new_request_id(&self) -> Name {
         let number = self.next_request.fetch_add(1, Ordering::Relaxed);
         let name = &self.settings.name;
-        format!("{name}-{:x}-{number:x}", self.start & 0xffff_ffff).into()
+        format!("{name}-{:x}-{number:x}", self.started_ms & 0xffff_ffff).into()
     }
 
     pub fn now(&self) -> Time {
