--- a/crates/soak/src/options.rs
+++ b/crates/soak/src/options.rs
@@ -5,54 +5,54 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// What the command line asks for.
+/// Options of the command line.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Seeds to play, one after the other.
+    /// Seeds to run, one after the other.
     pub seeds: Range<u64>,
-    /// Time that faults are injected for, for each seed.
-    pub length: Duration,
-    /// Daemons.
+    /// Time for which faults are injected, for each seed.
+    pub duration: Duration,
+    /// Number of daemons.
     pub hosts: usize,
-    /// The daemon's program.
+    /// Path of the daemon's program.
     pub program: PathBuf,
 }
 
-fn range(text: String) -> Result<Range<u64>, String> {
-    let wrong = || format!("'{text}' is not a range of seeds; write one such as 1..51");
-    let (first, end) = text.split_once("..").ok_or_else(wrong)?;
-    let first = first.parse().map_err(|_| wrong())?;
-    let end = end.parse().map_err(|_| wrong())?;
+fn parse_seeds(text: String) -> Result<Range<u64>, String> {
+    let invalid = || format!("'{text}' is not a range of seeds; write one such as 1..51");
+    let (first, end) = text.split_once("..").ok_or_else(invalid)?;
+    let first = first.parse().map_err(|_| invalid())?;
+    let end = end.parse().map_err(|_| invalid())?;
     Ok(first..end)
 }
 
 fn parser() -> OptionParser<Options> {
     let seed = long("seed")
-        .help("Seed to play")
+        .help("Seed to run")
         .argument::<u64>("N")
         .map(|seed| seed..seed + 1);
     let seeds = long("seeds")
-        .help("Seeds to play, one after the other")
+        .help("Seeds to run, one after the other")
         .argument::<String>("A..B")
-        .parse(range);
+        .parse(parse_seeds);
     let seeds = construct!([seed, seeds]).fallback(1..2);
-    let length = long("seconds")
-        .help("Time of faults for each seed")
+    let duration = long("seconds")
+        .help("Time for which faults are injected, for each seed")
         .argument::<u64>("S")
         .fallback(15)
         .map(Duration::from_secs);
     let hosts = long("hosts")
-        .help("Daemons")
+        .help("Number of daemons")
         .argument::<usize>("N")
-        .guard(|n| (1..=100).contains(n), "give 1 to 100 hosts")
+        .guard(|n| (1..=100).contains(n), "must be from 1 to 100")
         .fallback(4);
     let program = long("program")
-        .help("The daemon's program; by default the one beside this program")
+        .help("Path of the daemon's program; by default covefordd in the directory of this program")
         .argument::<PathBuf>("FILE")
-        .fallback_with(beside);
+        .fallback_with(default_program);
     construct!(Options {
         seeds,
-        length,
+        duration,
         hosts,
         program
     })
@@ -61,11 +61,11 @@
     .footer("Example: cargo build --release && cargo run --release --bin soak -- --seeds 1..51\nExit codes: 0 no violation, 1 violations, 2 wrong use")
 }
 
-fn beside() -> Result<PathBuf, std::io::Error> {
+fn default_program() -> Result<PathBuf, std::io::Error> {
     Ok(std::env::current_exe()?.with_file_name("covefordd"))
 }
 
-/// Reads the command line of this process.
-pub fn read() -> Options {
+/// Parses the command line of this process; exits on wrong use.
+pub fn parse() -> Options {
     parser().run()
 }
--- a/crates/soak/tests/short.rs
+++ b/crates/soak/tests/short.rs
@@ -1,11 +1,11 @@
-//! One short seed, as CI plays it.
+//! Runs the soak on one short seed, as CI does.
 
 use soak::options::Options;
 use std::path::PathBuf;
 use std::process::Command;
 use std::time::Duration;
 
-/// The daemon's program of this build; tests of another package have to build it.
+/// Builds the daemon and returns its path; Cargo builds no binaries of other packages for a test.
 fn program() -> PathBuf {
     let built = Command::new(env!("CARGO"))
         .args(["build", "--quiet", "--locked", "-p", "coveford-daemon"])
@@ -13,16 +13,16 @@
         .status()
         .unwrap();
     assert!(built.success());
-    // This test stands in target/PROFILE/deps.
+    // The test binary is in target/PROFILE/deps, the daemon one level up.
     let test = std::env::current_exe().unwrap();
     test.parent().unwrap().with_file_name("covefordd")
 }
 
 #[test]
-fn a_short_seed_breaks_no_promise() {
+fn one_short_seed_has_no_violations() {
     let options = Options {
         seeds: 7..8,
-        length: Duration::from_secs(8),
+        duration: Duration::from_secs(8),
         hosts: 3,
         program: program(),
     };
