--- a/crates/cli/src/bundles.rs
+++ b/crates/cli/src/bundles.rs
@@ -4,16 +4,16 @@
 use crate::platform_tool::Tool;
 use backing::hosts::Kind;
 use backing::keys;
-use backing::kv::{Error as KvError, Swapped};
+use backing::kv::{Error as KvError, SwapOutcome};
 use bundle::diff::{Diff, diff};
-use bundle::key::{Act, public, sign};
+use bundle::key::{Purpose, public_key, sign};
 use bundle::part::{self, Part};
 use bundle::{Draft, Head, Intent};
 use daemon::clock::wall_ms;
 use daemon::shelf::{self, At};
 use ed25519_dalek::SigningKey;
-use place::fit::{self, Fit, Room};
-use place::homes::Kept;
+use place::fit::{self, Bin, Fit};
+use place::homes::Requirement;
 use serde::Serialize;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -36,39 +36,39 @@
 
 /// Reads and checks the text of a bundle.
 pub fn check(file: &str, text: &str) -> Result<Intent, Error> {
-    bundle::read(file, text).map_err(|problems| Error::Bundle { problems })
+    bundle::parse(file, text).map_err(|problems| Error::Bundle { problems })
 }
 
 /// Whether a bundle's floors fit the accelerators in the host list.
 pub async fn fit(tool: &Tool, intent: &Intent) -> Result<Fit, Error> {
-    let rooms: Vec<Room> = tool
+    let bins: Vec<Bin> = tool
         .hosts()
         .await?
         .into_iter()
         .filter(|h| !h.leaving)
         .filter_map(|h| match h.kind {
-            Kind::Engine { memory } => Some(Room {
+            Kind::Engine { memory } => Some(Bin {
                 upstream: h.name,
                 memory,
             }),
             _ => None,
         })
         .collect();
-    Ok(fit::check(&kept(intent), &rooms))
+    Ok(fit::check(&requirements(intent), &bins))
 }
 
 /// What a bundle wants kept, each model with its adapters.
-fn kept(intent: &Intent) -> Vec<Kept> {
+fn requirements(intent: &Intent) -> Vec<Requirement> {
     let whole = |name: &Name, model: &bundle::intent::Model| {
         let adapters = intent.adapters.values().filter(|a| a.model == *name);
         model.memory + adapters.map(|a| a.memory).sum()
     };
-    let kept = intent.models.iter().map(|(name, model)| Kept {
+    let requirements = intent.models.iter().map(|(name, model)| Requirement {
         model: name.clone(),
         memory: whole(name, model),
-        least: model.least,
+        min_replicas: model.least,
     });
-    kept.collect()
+    requirements.collect()
 }
 
 /// Refuses a bundle that does not fit.
@@ -112,7 +112,7 @@
     let parts = &head.draft.parts;
     let texts = shelf::parts(&tool.kv, parts, &HashMap::new()).await?;
     let ordered = parts.iter().map(|at| &*texts[&at.hash]);
-    Ok(part::join_text(ordered))
+    Ok(part::concat(ordered))
 }
 
 /// Makes a signed draft; gives it as it stands in the service.
@@ -125,17 +125,24 @@
     let intent = check(file, text)?;
     must_fit(tool, &intent).await?;
     check_key(tool, signing)?;
-    let parts: Vec<Part> = part::cut(file, text).map_err(|problems| Error::Bundle { problems })?;
+    let parts: Vec<Part> =
+        part::split(file, text).map_err(|problems| Error::Bundle { problems })?;
     let head = shelf::head(&tool.kv).await?;
     let replaces = head.value.map_or(0, |h| h.sequence);
-    let refs: Vec<_> = parts.iter().map(|p| p.at.clone()).collect();
-    let root = part::root(&refs);
+    let refs: Vec<_> = parts.iter().map(|p| p.reference.clone()).collect();
+    let root = part::content_hash(&refs);
     let draft = Draft {
         id: id(&root),
         replaces,
         title: intent.title.clone(),
         parts: refs,
-        proposal: sign(signing.key, signing.operator, Act::Propose, &root, replaces),
+        proposal: sign(
+            signing.key,
+            signing.operator,
+            Purpose::Propose,
+            &root,
+            replaces,
+        ),
         approvals: Vec::new(),
     };
     shelf::put_parts(&tool.kv, &parts).await?;
@@ -154,7 +161,7 @@
 
 fn check_key(tool: &Tool, signing: &Signing) -> Result<(), Error> {
     let known = tool.settings.trust.operators.get(signing.operator);
-    match known == Some(&public(signing.key)) {
+    match known == Some(&public_key(signing.key)) {
         true => Ok(()),
         false => Err(Error::KeyForeign {
             operator: signing.operator.clone(),
@@ -188,12 +195,12 @@
         }
         let head = shelf::head(&tool.kv).await?;
         check_overtaken(&draft, head.value.as_ref())?;
-        let root = draft.root();
+        let root = draft.content_hash();
         draft.approvals.retain(|a| a.operator != *signing.operator);
         let approval = sign(
             signing.key,
             signing.operator,
-            Act::Approve,
+            Purpose::Approve,
             &root,
             draft.replaces,
         );
@@ -235,7 +242,7 @@
     };
     draft.verify(&tool.settings.trust, &revoked)?;
     let texts = shelf::parts(&tool.kv, &draft.parts, &HashMap::new()).await?;
-    let intent = part::join(draft.parts.iter().map(|p| &*texts[&p.hash]))
+    let intent = part::parse(draft.parts.iter().map(|p| &*texts[&p.hash]))
         .map_err(|problems| Error::Bundle { problems })?;
     must_fit(tool, &intent).await?;
     if let Some(head) = &at.value {
@@ -272,7 +279,11 @@
 /// Keeps a head in the history; its key is its sequence, so a repeat is harmless.
 async fn keep(tool: &Tool, head: &Head) -> Result<(), Error> {
     let key = keys::history(head.sequence);
-    match tool.kv.swap(&key, 0, Some(&to_text(head)), None).await {
+    match tool
+        .kv
+        .compare_and_swap(&key, 0, Some(&to_text(head)), None)
+        .await
+    {
         Ok(_) => Ok(()),
         Err(source) => Err(shelf::Error::Kv { source }.into()),
     }
@@ -289,12 +300,16 @@
 ) -> Result<bool, Error> {
     let mut in_doubt = false;
     for _ in 0..TRIES {
-        match tool.kv.swap(key, expected, Some(text), None).await {
-            Ok(Swapped::Written(_)) => return Ok(true),
-            Ok(Swapped::Conflict(found)) => {
+        match tool
+            .kv
+            .compare_and_swap(key, expected, Some(text), None)
+            .await
+        {
+            Ok(SwapOutcome::Written(_)) => return Ok(true),
+            Ok(SwapOutcome::Conflict(found)) => {
                 return Ok(found.is_some_and(|f| &*f.value == text));
             }
-            Err(KvError::Unknown { .. }) => in_doubt = true,
+            Err(KvError::Indeterminate { .. }) => in_doubt = true,
             Err(source) if !in_doubt => return Err(shelf::Error::Kv { source }.into()),
             Err(_) => {}
         }
--- a/crates/front/src/accounts.rs
+++ b/crates/front/src/accounts.rs
@@ -7,7 +7,7 @@
 
 use crate::attempt::Call;
 use crate::readers;
-use crate::respond::Fault;
+use crate::respond::Rejection;
 use crate::routes::Routes;
 use crate::settings::Bounds;
 use crate::state::State;
@@ -23,11 +23,11 @@
 
 /// Part of the bound on withdrawals at which a host no longer rests on what it knows of keys. What is
 /// left covers a request on its way, and a store whose watches hear nothing for a second.
-const RESTED_ON_PART: f64 = 0.8;
+const MAX_AGE_FRACTION: f64 = 0.8;
 
 /// When a client may come back to a host that cannot confirm its key: such a host asks for the store
 /// several times in that, and the client's next connection may lead to another one.
-const RETURN_UNCONFIRMED: Span = Span::from_ms(500);
+const RETRY_AFTER_STALE: Span = Span::from_ms(500);
 
 /// Accounts of a configuration, by key and by name.
 #[derive(Debug)]
@@ -68,12 +68,12 @@
 
 impl Accounts {
     /// Account that a key stands for.
-    pub fn of(&self, key: &Key) -> Option<&Arc<Account>> {
+    pub fn find(&self, key: &Key) -> Option<&Arc<Account>> {
         self.by_key.get(key)
     }
 
     /// Account of a name.
-    pub fn named(&self, name: &str) -> Option<&Arc<Account>> {
+    pub fn get(&self, name: &str) -> Option<&Arc<Account>> {
         self.by_name.get(name)
     }
 
@@ -105,23 +105,23 @@
 
 /// Finds whose request one is by the key in its header fields, and takes the key out of them. On a
 /// public route no key is needed, and one that is not known counts as none.
-pub fn identify(
+pub fn authenticate(
     state: &State,
     routes: &Routes,
     route: &Route,
     headers: &mut HeaderMap,
-) -> Result<Caller, Fault> {
+) -> Result<Caller, Rejection> {
     let Some(accounts) = &routes.accounts else {
         return Ok(Caller::default());
     };
     let id = ingress::ask(headers).id;
     let key = account::take_key(headers);
-    let account = key.as_ref().ok().and_then(|key| accounts.of(key));
+    let account = key.as_ref().ok().and_then(|key| accounts.find(key));
     if account.is_none() && route.public {
         return Ok(Caller::default());
     }
     let refusal = match (&key, account) {
-        (Ok(_), Some(_)) => may_rest_on(state).err(),
+        (Ok(_), Some(_)) => check_freshness(state).err(),
         (Ok(key), None) => Some(unknown(state, key)),
         (Err(why), _) => Some(Refusal::Unreadable(*why)),
     };
@@ -132,7 +132,7 @@
                 state,
                 &refusal,
                 &fault,
-                &Refused {
+                &Context {
                     id,
                     route,
                     account: account.map(|a| &**a),
@@ -149,7 +149,7 @@
 }
 
 /// Account whose request a call is by the newest configuration, now that it is to be sent to a replica.
-pub fn confirm(state: &State, call: &Call) -> Result<Option<Arc<Account>>, Refusal> {
+pub fn reauthenticate(state: &State, call: &Call) -> Result<Option<Arc<Account>>, Refusal> {
     let routes = state.table.lock().routes.clone();
     let Some(accounts) = routes.as_ref().and_then(|r| r.accounts.as_ref()) else {
         return Ok(None);
@@ -160,47 +160,47 @@
             false => Err(Refusal::Unreadable(account::Unreadable::Missing)),
         };
     };
-    match accounts.of(key) {
+    match accounts.find(key) {
         None if call.route.public => Ok(None),
-        None => Err(Refusal::Withdrawn),
+        None => Err(Refusal::Revoked),
         Some(account) if call.route.public => Ok(Some(account.clone())),
-        Some(account) => may_rest_on(state).map(|()| Some(account.clone())),
+        Some(account) => check_freshness(state).map(|()| Some(account.clone())),
     }
 }
 
 /// Whether this host may rest on what it knows of keys.
-pub fn may_rest_on(state: &State) -> Result<(), Refusal> {
-    let age = known_age(state);
-    match rested_on_for(&state.settings.bounds) {
-        Some(most) if age > most => Err(Refusal::Unconfirmed { age }),
+pub fn check_freshness(state: &State) -> Result<(), Refusal> {
+    let age = data_age(state);
+    match max_age(&state.settings.bounds) {
+        Some(most) if age > most => Err(Refusal::Stale { age }),
         _ => Ok(()),
     }
 }
 
 /// Whether this host can serve requests that need a key: a host that cannot tells the balancer so, which
 /// leads new connections to others.
-pub fn may_serve(state: &State) -> bool {
+pub fn can_authenticate(state: &State) -> bool {
     let routes = state.table.lock().routes.clone();
     let has_accounts = routes.is_some_and(|r| r.accounts.is_some());
-    !has_accounts || may_rest_on(state).is_ok()
+    !has_accounts || check_freshness(state).is_ok()
 }
 
 /// Age up to which a host rests on what it knows of keys; none where nothing bounds it.
-pub fn rested_on_for(bounds: &Bounds) -> Option<Span> {
+pub fn max_age(bounds: &Bounds) -> Option<Span> {
     let bound = bounds.withdrawal?;
-    Some(Span::from(bound) * RESTED_ON_PART)
+    Some(Span::from(bound) * MAX_AGE_FRACTION)
 }
 
 /// Age of what this host knows of the store.
-pub fn known_age(state: &State) -> Span {
+pub fn data_age(state: &State) -> Span {
     state.readers.recent.lock().age(state.now())
 }
 
 /// Refusal of a key that is not known: by a host that knows the newest configuration it is final.
 fn unknown(state: &State, key: &Key) -> Refusal {
-    let age = known_age(state);
+    let age = data_age(state);
     match age > Span::from(state.settings.bounds.configuration) {
-        true => Refusal::Unconfirmed { age },
+        true => Refusal::Stale { age },
         false => Refusal::Unknown {
             digest: key.digest(),
         },
@@ -218,9 +218,9 @@
         digest: String,
     },
     /// The key was taken away while the request waited.
-    Withdrawn,
+    Revoked,
     /// What this host knows of keys is too old.
-    Unconfirmed {
+    Stale {
         /// Its age.
         age: Span,
     },
@@ -232,19 +232,17 @@
         match self {
             Refusal::Unreadable(_) => "no_key",
             Refusal::Unknown { .. } => "key_unknown",
-            Refusal::Withdrawn => "key_withdrawn",
-            Refusal::Unconfirmed { .. } => "key_unconfirmed",
+            Refusal::Revoked => "key_withdrawn",
+            Refusal::Stale { .. } => "key_unconfirmed",
         }
     }
 
     /// Answer that tells the client.
-    pub fn fault(&self) -> Fault {
+    pub fn fault(&self) -> Rejection {
         let message = self.to_string();
         match self {
-            Refusal::Unconfirmed { .. } => {
-                Fault::not_run(self.reason(), message, RETURN_UNCONFIRMED)
-            }
-            _ => Fault::refused(StatusCode::UNAUTHORIZED, self.reason(), message),
+            Refusal::Stale { .. } => Rejection::not_run(self.reason(), message, RETRY_AFTER_STALE),
+            _ => Rejection::client_error(StatusCode::UNAUTHORIZED, self.reason(), message),
         }
     }
 }
@@ -254,8 +252,8 @@
         match self {
             Refusal::Unreadable(why) => write!(f, "{why}"),
             Refusal::Unknown { .. } => f.write_str("No account holds this key."),
-            Refusal::Withdrawn => f.write_str("The key was taken away."),
-            Refusal::Unconfirmed { age } => {
+            Refusal::Revoked => f.write_str("The key was taken away."),
+            Refusal::Stale { age } => {
                 write!(f, "This host last heard of the accounts' keys {age} ago.")
             }
         }
@@ -263,7 +261,7 @@
 }
 
 /// Request that is not let in by its key, as it is told.
-struct Refused<'a> {
+struct Context<'a> {
     id: Option<Name>,
     route: &'a Route,
     account: Option<&'a Account>,
@@ -272,17 +270,20 @@
 }
 
 /// Tells why a request is not let in.
-fn tell(state: &State, refusal: &Refusal, fault: &Fault, refused: &Refused) {
-    state.log.metrics.ended(&refused.route.name, fault.reason);
+fn tell(state: &State, refusal: &Refusal, fault: &Rejection, refused: &Context) {
+    state
+        .log
+        .metrics
+        .record_outcome(&refused.route.name, fault.reason);
     let key = match refusal {
         Refusal::Unknown { digest } => Some(digest.as_str()),
         _ => None,
     };
-    state.log.notable(|| {
+    state.log.rate_limited(|| {
         let (id, route) = (refused.id.as_deref(), &*refused.route.name);
         let account = refused.account.map(|a| &*a.name);
-        let age_ms = known_age(state).ms();
-        let store = if readers::is_cut(state) { "failing" } else { "answering" };
+        let age_ms = data_age(state).ms();
+        let store = if readers::store_failed_recently(state) { "failing" } else { "answering" };
         let retry_after_ms = fault.retry_after.map(|s| s.ms());
         info!(target: "request", event = "refused", id, route, account, key, status = fault.status.as_u16(), reason = fault.reason, version = refused.version, age_ms, store, retry_after_ms, ms = 0.0, why = %refusal, "a request is not let in by its key")
     });
--- a/crates/front/src/follow.rs
+++ b/crates/front/src/follow.rs
@@ -2,21 +2,21 @@
 //!
 //! A watch is answered at the first change and is priced, so the next one starts only after a pause;
 //! changes of that time come together. In a large fleet most hosts hear of the changes from
-//! [`readers`]. Its parts: `begin` reads the store for the first time, `take` takes in what it tells.
+//! [`readers`]. Its parts: `bootstrap` reads the store for the first time, `apply` takes in what it tells.
 
-mod begin;
-mod take;
+mod apply;
+mod bootstrap;
 
-pub use take::{set_leader, told};
+pub use apply::{report_updates, set_leader};
 
 use crate::contact::Contact;
 use crate::readers;
-use crate::readers::Heard;
+use crate::readers::StoreUpdate;
 use crate::state::State;
+use apply::{apply, compare};
 use platform::store::{Change, Item, Listing};
 use std::sync::Arc;
 use std::time::Duration;
-use take::{apply, compare};
 use tracing::{info, warn};
 use unit::{Span, Time};
 
@@ -100,13 +100,13 @@
     }
     match after {
         Some(after) => watch(state, after).await,
-        None => begin::read(state).await,
+        None => bootstrap::read(state).await,
     }
 }
 
 /// Waits for the store's next changes.
 async fn watch(state: &State, after: u64) -> Next {
-    let named = state.readers.chosen.notified();
+    let named = state.readers.promoted.notified();
     let asked = state.now();
     let changes = tokio::select! {
         changes = state.store.watch("", after, wait(state)) => changes,
@@ -120,7 +120,7 @@
     let Some(changes) = heard(state, changes, asked) else {
         return Next::Failed;
     };
-    readers::note(state, &changes.found, changes.revision, asked);
+    readers::record_changes(state, &changes.found, changes.revision, asked);
     Next::Watched(changes)
 }
 
@@ -129,16 +129,16 @@
 async fn hear(state: &State, after: u64) -> Option<Next> {
     for _ in 0..ASKED {
         let reader = readers::source(state)?;
-        match readers::ask(state, reader, after, state.settings.bounds.following()).await {
+        match readers::ask(state, reader, after, state.settings.bounds.propagation()).await {
             Ok(news) => {
                 return Some(match news {
-                    Heard::Changes(changes) => Next::Heard(changes),
-                    Heard::Whole(listing) => Next::Whole(listing),
+                    StoreUpdate::Changes(changes) => Next::Heard(changes),
+                    StoreUpdate::Snapshot(listing) => Next::Whole(listing),
                 });
             }
             Err(why) => {
-                state.readers.avoid_for(reader, &why, state.now());
-                state.log.notable(|| {
+                state.readers.mark_reader_failed(reader, &why, state.now());
+                state.log.rate_limited(|| {
                     warn!(target: "store", event = "reader_failed", reader = %reader, after, why = %why, "a host that reads the store for this one cannot be rested on; it is not asked for a while")
                 });
             }
@@ -150,14 +150,14 @@
 /// Time that a watch of this host waits for a change. Where the store failed a moment ago it does not
 /// wait, so that the answer tells at once that the store is back.
 fn wait(state: &State) -> Duration {
-    if readers::is_cut(state) {
+    if readers::store_failed_recently(state) {
         return Duration::ZERO;
     }
-    let part = match readers::reads(state) {
+    let part = match readers::is_root(state) {
         true => READER_PART,
         false => WAIT_PART,
     };
-    let wait = state.settings.bounds.following().mul_f64(part);
+    let wait = state.settings.bounds.propagation().mul_f64(part);
     match state.settings.bounds.withdrawal {
         Some(bound) => wait.min(bound.mul_f64(WAIT_PART_OF_WITHDRAWAL)),
         None => wait,
@@ -166,8 +166,8 @@
 
 /// Pauses after a watch that told changes, before the next one.
 async fn pause(state: &State) {
-    let bound = state.settings.bounds.following();
-    let pause = match (state.leads(), readers::reads(state)) {
+    let bound = state.settings.bounds.propagation();
+    let pause = match (state.leads(), readers::is_root(state)) {
         (true, _) => LEADER_PAUSE,
         (false, true) => bound.mul_f64(READER_PART),
         (false, false) => bound.mul_f64(BOUND_PART),
@@ -179,13 +179,13 @@
 /// and by hosts that cannot work without; the others, which are many, ask it seldom.
 async fn pause_after_failure(state: &State) {
     let has_nothing = state.table.lock().routes.is_none();
-    let is_direct = readers::is_direct(state);
-    if has_nothing || is_direct || state.leads() || readers::reads(state) {
+    let is_direct = readers::is_small_fleet(state);
+    if has_nothing || is_direct || state.leads() || readers::is_root(state) {
         tokio::time::sleep(PAUSE).await;
         return;
     }
-    let most = state.settings.bounds.following().mul_f64(SELDOM_PART);
-    let until = state.readers.next_chance().unwrap_or_default();
+    let most = state.settings.bounds.propagation().mul_f64(SELDOM_PART);
+    let until = state.readers.next_retry().unwrap_or_default();
     let chance = until.since(state.now()).std();
     tokio::time::sleep(chance.clamp(PAUSE, most.max(PAUSE))).await;
 }
@@ -193,7 +193,7 @@
 /// Whether the store, which failed a call just now, may be away for this host only: another one that
 /// reads it can be asked. Nothing is taken as lapsed then.
 fn turned_away(state: &State) -> bool {
-    state.readers.avoid(state.settings.store, state.now());
+    state.readers.mark_failed(state.settings.store, state.now());
     readers::source(state).is_some()
 }
 
@@ -202,18 +202,18 @@
     match answer {
         Ok(answer) => {
             let now = state.now();
-            regained(state, now, |contact| contact.answered(asked, now));
+            update_contact(state, now, |contact| contact.answered(asked, now));
             Some(answer)
         }
         Err(error) if turned_away(state) => {
-            state.log.notable(|| {
+            state.log.rate_limited(|| {
                 info!(target: "store", event = "turned_away", why = %error, "the store does not answer this host; another one is asked")
             });
             None
         }
         Err(error) => {
             let mut table = state.table.lock();
-            let was_away = table.view.contact.is_away();
+            let was_away = table.view.contact.is_unreachable();
             table.view.contact.failed();
             drop(table);
             if !was_away {
@@ -225,12 +225,12 @@
 }
 
 /// Notes that the store answers, or another host tells of it, and tells so if it did not before.
-pub fn regained(state: &State, now: Time, note: impl FnOnce(&mut Contact)) {
+pub fn update_contact(state: &State, now: Time, note: impl FnOnce(&mut Contact)) {
     let (was_away, silent, settling) = {
         let contact = &mut state.table.lock().view.contact;
-        let before = (contact.is_away(), contact.silent(now));
+        let before = (contact.is_unreachable(), contact.silence(now));
         note(contact);
-        (before.0, before.1, contact.settling(now))
+        (before.0, before.1, contact.since_recovery(now))
     };
     if was_away {
         let (silent_ms, store_back_ms) = (silent.map(Span::ms), settling.map(Span::ms));
--- a/crates/front/src/grant.rs
+++ b/crates/front/src/grant.rs
@@ -2,16 +2,16 @@
 //!
 //! The host that leads gives out. While it does not answer, this one goes on by its share of what was given out lately.
 
-use crate::message::{Question, Subject, Verdict};
+use crate::message::{QuotaRequest, QuotaResponse, Subject};
 use crate::peers::Peers;
 use crate::state::State;
-use route::quota::{GIVEN_BACK_WITHIN, Given, Limit, Over};
+use route::quota::{Limit, REFUND_WINDOW, Refusal, Usage};
 use std::sync::Arc;
 use std::time::Duration;
 use unit::{Span, Time};
 
 /// Units that are wanted for one request.
-pub struct Wanted {
+pub struct Claim {
     /// Whose limit it is.
     pub subject: Subject,
     /// The limit, as this host knows it.
@@ -19,9 +19,9 @@
     /// How many.
     pub units: f64,
     /// Units that are to be left for what is more urgent.
-    pub kept: f64,
+    pub reserved: f64,
     /// Whether nothing else can take the request, so that it comes again.
-    pub queues: bool,
+    pub will_retry: bool,
 }
 
 /// Units that were given for one request.
@@ -30,7 +30,7 @@
     subject: Subject,
     units: f64,
     /// When they were asked for.
-    asked: Time,
+    requested: Time,
     source: Source,
 }
 
@@ -45,11 +45,11 @@
 
 /// What the host that gives out says.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Answer {
+pub enum Decision {
     /// They are given.
-    Given(Given),
+    Granted(Usage),
     /// There are not enough.
-    Over(Over),
+    Denied(Refusal),
     /// There is no limit.
     Unlimited,
 }
@@ -58,66 +58,74 @@
 pub async fn ask(
     state: &State,
     peers: &Peers,
-    wanted: &Wanted,
+    wanted: &Claim,
     tries: &[Duration],
-) -> Option<Answer> {
+) -> Option<Decision> {
     let asked = state.now();
-    let untold = state.shares.with(&wanted.subject, |share| share.untold());
-    let question = Question {
+    let untold = state
+        .shares
+        .with(&wanted.subject, |share| share.unreported());
+    let question = QuotaRequest {
         number: 0,
         host: state.settings.name.clone(),
         subject: wanted.subject.clone(),
         units: wanted.units as f32,
-        kept: wanted.kept as f32,
-        queues: wanted.queues,
-        alone: untold as f32,
+        reserved: wanted.reserved as f32,
+        will_retry: wanted.will_retry,
+        local_use: untold as f32,
     };
-    let answer = peers.ask_for(question, tries).await.and_then(answer);
+    let answer = peers.request_quota(question, tries).await.and_then(answer);
     let Some(answer) = answer else {
-        state.shares.not_answered(state.now());
+        state.shares.note_no_answer(state.now());
         return None;
     };
     state.shares.with(&wanted.subject, |share| {
-        share.answered(asked, untold);
-        if let Answer::Given(told) = answer {
-            share.given(wanted.units, told, asked);
+        share.record_answer(asked, untold);
+        if let Decision::Granted(told) = answer {
+            share.record_grant(wanted.units, told, asked);
         }
     });
     Some(answer)
 }
 
 /// What a verdict says; none where the host that was asked does not give out.
-fn answer(verdict: Verdict) -> Option<Answer> {
+fn answer(verdict: QuotaResponse) -> Option<Decision> {
     match verdict {
-        Verdict::Given { all, left } => Some(Answer::Given(Given {
-            all: f64::from(all),
-            left: f64::from(left),
+        QuotaResponse::Granted {
+            granted: all,
+            available: left,
+        } => Some(Decision::Granted(Usage {
+            granted: f64::from(all),
+            available: f64::from(left),
         })),
-        Verdict::Refused { wait_ms, left } => Some(Answer::Over(Over {
-            wait: Span::from_ms(u64::from(wait_ms)),
-            left: f64::from(left),
+        QuotaResponse::Refused {
+            retry_after_ms: wait_ms,
+            available: left,
+        } => Some(Decision::Denied(Refusal {
+            retry_after: Span::from_ms(u64::from(wait_ms)),
+            available: f64::from(left),
         })),
-        Verdict::Unlimited => Some(Answer::Unlimited),
-        Verdict::Elsewhere => None,
+        QuotaResponse::Unlimited => Some(Decision::Unlimited),
+        QuotaResponse::NotLeader => None,
     }
 }
 
 /// Uses units of this host's own share; otherwise the time after which there will be enough, if ever.
-pub fn use_alone(state: &State, wanted: &Wanted) -> Result<(), Option<Span>> {
+pub fn spend_share(state: &State, wanted: &Claim) -> Result<(), Option<Span>> {
     let now = state.now();
     state.shares.with(&wanted.subject, |share| {
-        share.use_alone(wanted.limit, wanted.units, now)
+        share.acquire_local(wanted.limit, wanted.units, now)
     })
 }
 
-impl Wanted {
+impl Claim {
     /// Units that were given for a question of `asked`.
-    pub fn granted(self, peers: &Arc<Peers>, asked: Time, source: Source) -> Grant {
+    pub fn into_grant(self, peers: &Arc<Peers>, asked: Time, source: Source) -> Grant {
         Grant {
             peers: peers.clone(),
             subject: self.subject,
             units: self.units,
-            asked,
+            requested: asked,
             source,
         }
     }
@@ -125,14 +133,14 @@
 
 impl Grant {
     /// Gives the units back: the request did not use them.
-    pub async fn give_back(self, state: &State) {
-        let age = state.now().since(self.asked);
-        if self.source == Source::Share || age > GIVEN_BACK_WITHIN {
+    pub async fn refund(self, state: &State) {
+        let age = state.now().since(self.requested);
+        if self.source == Source::Share || age > REFUND_WINDOW {
             return;
         }
         state.shares.with(&self.subject, |share| {
-            share.take_back(self.units, self.asked);
+            share.refund(self.units, self.requested);
         });
-        self.peers.give_back(self.subject, self.units, age).await;
+        self.peers.refund(self.subject, self.units, age).await;
     }
 }
--- a/crates/front/src/message/limit.rs
+++ b/crates/front/src/message/limit.rs
@@ -1,8 +1,8 @@
 //! What hosts tell each other of the limits that replicas name.
 
-use super::{MOST_DATAGRAM, short};
+use super::{MAX_DATAGRAM, replica_hash};
 use platform::replica::{Entry, Incarnation};
-use route::quota::Notice;
+use route::quota::Advertisement;
 use serde::{Deserialize, Serialize};
 use unit::{Name, Span, Time};
 
@@ -10,74 +10,74 @@
 const ROW_SIZE: usize = 22;
 
 /// Limits that fit one datagram, beside what stands before them.
-pub const ROWS: usize = (MOST_DATAGRAM - HEAD_SIZE) / ROW_SIZE;
+pub const MAX_LIMITS: usize = (MAX_DATAGRAM - HEAD_SIZE) / ROW_SIZE;
 
 /// Size of what stands before the rows, in bytes, with the longest name of a host.
 const HEAD_SIZE: usize = 100;
 
 /// What was heard of the limit of one incarnation of a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Limited {
+pub struct ReplicaLimit {
     /// Short name of the incarnation.
     pub replica: u32,
     /// Requests a second that it named last.
     pub rate: f32,
     /// Time since it did, in milliseconds.
-    pub named_ms: u32,
+    pub advertised_ms: u32,
     /// Time since the first answer after that which named none, in milliseconds.
-    pub unnamed_ms: Option<u32>,
+    pub withdrawn_ms: Option<u32>,
 }
 
 /// Limits that a host has heard itself, to the leader.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Heard {
+pub struct LimitReport {
     /// The host.
     pub host: Name,
     /// The limits.
-    pub limits: Vec<Limited>,
+    pub limits: Vec<ReplicaLimit>,
 }
 
 /// Limits that hold, or are over since a while ago, from the leader to all.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Limits {
+pub struct LimitDigest {
     /// Fencing token of the leader's term.
     pub term: u64,
     /// The leader.
     pub host: Name,
     /// The limits.
-    pub limits: Vec<Limited>,
+    pub limits: Vec<ReplicaLimit>,
 }
 
 /// Short name of one incarnation of a replica.
 fn incarnation(id: &str, incarnation: Incarnation) -> u32 {
-    short(&format!("{id}/{}", incarnation.unwrap_or_default()))
+    replica_hash(&format!("{id}/{}", incarnation.unwrap_or_default()))
 }
 
-impl Limited {
+impl ReplicaLimit {
     /// What was heard, as it is told now.
-    pub fn new(entry: &Entry, notice: &Notice, now: Time) -> Limited {
+    pub fn new(entry: &Entry, notice: &Advertisement, now: Time) -> ReplicaLimit {
         let age_ms = |at: Time| now.since(at).ms() as u32;
-        Limited {
-            replica: Limited::name(entry),
+        ReplicaLimit {
+            replica: ReplicaLimit::incarnation_hash(entry),
             rate: notice.rate as f32,
-            named_ms: age_ms(notice.named),
-            unnamed_ms: notice.unnamed.map(age_ms),
+            advertised_ms: age_ms(notice.advertised_at),
+            withdrawn_ms: notice.withdrawn_at.map(age_ms),
         }
     }
 
     /// Short name of the incarnation that wrote an entry.
-    pub fn name(entry: &Entry) -> u32 {
+    pub fn incarnation_hash(entry: &Entry) -> u32 {
         incarnation(&entry.id, entry.incarnation)
     }
 
     /// What was heard, by this host's time; none where its number cannot be counted.
-    pub fn notice(&self, now: Time) -> Option<Notice> {
+    pub fn advertisement(&self, now: Time) -> Option<Advertisement> {
         let at = |ms: u32| now - Span::from_ms(u64::from(ms));
         let is_sound = self.rate.is_finite() && self.rate >= 0.0;
-        is_sound.then(|| Notice {
+        is_sound.then(|| Advertisement {
             rate: f64::from(self.rate),
-            named: at(self.named_ms),
-            unnamed: self.unnamed_ms.map(at),
+            advertised_at: at(self.advertised_ms),
+            withdrawn_at: self.withdrawn_ms.map(at),
         })
     }
 }
--- a/crates/front/src/message/quota.rs
+++ b/crates/front/src/message/quota.rs
@@ -1,6 +1,6 @@
 //! What hosts and the one that gives out tell each other of limits over all hosts.
 
-use super::Limited;
+use super::ReplicaLimit;
 use serde::{Deserialize, Serialize};
 use unit::Name;
 
@@ -10,12 +10,12 @@
     /// A client account, which uses units of its own.
     Account(Name),
     /// A replica that takes so many requests a second, with what the host knows of its limit.
-    Replica(Limited),
+    Replica(ReplicaLimit),
 }
 
 /// Question of a host: may one more request run, or go to a replica?
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Question {
+pub struct QuotaRequest {
     /// Number under which it is answered.
     pub number: u32,
     /// The host.
@@ -25,46 +25,48 @@
     /// Units that the request uses at the most.
     pub units: f32,
     /// Units that are to be left for what is more urgent.
-    pub kept: f32,
+    pub reserved: f32,
     /// Whether nothing else can take the request, so that it comes again.
-    pub queues: bool,
+    pub will_retry: bool,
     /// Units that the host used by its share since it was answered last.
-    pub alone: f32,
+    pub local_use: f32,
 }
 
-impl Question {
+impl QuotaRequest {
     /// Whether its numbers can be counted.
-    pub fn is_sound(&self) -> bool {
-        is_sound(self.units) && is_sound(self.kept) && is_sound(self.alone)
+    pub fn is_valid(&self) -> bool {
+        is_valid(self.units) && is_valid(self.reserved) && is_valid(self.local_use)
     }
 }
 
 /// Whether a number of units can be counted.
-fn is_sound(units: f32) -> bool {
+fn is_valid(units: f32) -> bool {
     units.is_finite() && units >= 0.0
 }
 
 /// Answer to a question.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub enum Verdict {
+pub enum QuotaResponse {
     /// It may run.
-    Given {
+    #[serde(rename = "Given")]
+    Granted {
         /// Units that all hosts were given in the last window.
-        all: f32,
+        granted: f32,
         /// Units that could be given out at once.
-        left: f32,
+        available: f32,
     },
     /// It is over the limit.
     Refused {
         /// Time after which there will be enough, in milliseconds.
-        wait_ms: u32,
+        retry_after_ms: u32,
         /// Units that are there.
-        left: f32,
+        available: f32,
     },
     /// The replica names no limit any more.
     Unlimited,
     /// The host that was asked does not give out.
-    Elsewhere,
+    #[serde(rename = "Elsewhere")]
+    NotLeader,
 }
 
 /// Units of a request that did not run.
@@ -82,7 +84,7 @@
 
 impl Refund {
     /// Whether its number can be counted.
-    pub fn is_sound(&self) -> bool {
-        is_sound(self.units)
+    pub fn is_valid(&self) -> bool {
+        is_valid(self.units)
     }
 }
--- a/crates/front/src/metrics.rs
+++ b/crates/front/src/metrics.rs
@@ -69,7 +69,7 @@
     }
 
     /// Counts the end of a request, by its route and by how it ended.
-    pub fn ended(&self, route: &Name, how: &'static str) {
+    pub fn record_outcome(&self, route: &Name, how: &'static str) {
         let mut ends = self.ends.lock();
         let route = match ends.len() < MOST_ROUTES || ends.contains_key(&(route.clone(), how)) {
             true => route.clone(),
@@ -83,7 +83,7 @@
     }
 
     /// Counts what was decided of a request by its account's limit.
-    pub fn account(&self, account: &Name, decision: &'static str) {
+    pub fn record_account_decision(&self, account: &Name, decision: &'static str) {
         let mut accounts = self.accounts.lock();
         let is_known = accounts.contains_key(&(account.clone(), decision));
         let account = match is_known || accounts.len() < MOST_ACCOUNTS {
@@ -100,7 +100,7 @@
     }
 
     /// Records the time to the first byte of an answer.
-    pub fn first_byte(&self, route: &Name, took: Span) {
+    pub fn record_first_byte(&self, route: &Name, took: Span) {
         let mut waits = self.waits.lock();
         let route = match waits.len() < MOST_ROUTES || waits.contains_key(route) {
             true => route.clone(),
@@ -114,7 +114,7 @@
     }
 
     /// Counts a datagram that is sent to another host.
-    pub fn datagram(&self, kind: &'static str, bytes: usize) {
+    pub fn record_datagram(&self, kind: &'static str, bytes: usize) {
         let mut datagrams = self.datagrams.lock();
         let (count, sum) = datagrams.entry(kind).or_insert_with(|| {
             let labels = [("kind", kind)];
@@ -134,7 +134,7 @@
     }
 
     /// Moves recorded samples into their buckets, so that they take no memory.
-    pub fn tidy(&self) {
+    pub fn run_upkeep(&self) {
         self.handle.run_upkeep();
     }
 }
--- a/crates/front/src/peers/sums.rs
+++ b/crates/front/src/peers/load_reports.rs
@@ -2,7 +2,7 @@
 //! soon as a request is counted in or a prompt is read.
 
 use super::{MOST_DIRECT, Peers};
-use crate::message::{Demand, Message, Row, Sums, short};
+use crate::message::{Demand, LoadReport, Message, PackedLoad, replica_hash};
 use crate::readers;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -28,10 +28,10 @@
 
 impl Peers {
     /// Tells this host's sums round by round until the daemon ends.
-    pub async fn tell(self: Arc<Self>) {
+    pub async fn send_reports(self: Arc<Self>) {
         let mut round = 0;
         loop {
-            tokio::time::sleep(self.round()).await;
+            tokio::time::sleep(self.report_interval()).await;
             round += 1;
             self.tell_round(round).await;
             self.tell_heard_limits().await;
@@ -41,8 +41,8 @@
     }
 
     /// Pause between two rounds.
-    pub fn round(&self) -> Duration {
-        let hosts = self.state.table.lock().hosts;
+    pub fn report_interval(&self) -> Duration {
+        let hosts = self.state.table.lock().host_count;
         match hosts <= MOST_DIRECT {
             true => ROUND,
             false => STAR_ROUND.max(ROUND_PER_HOST * hosts as u32),
@@ -51,20 +51,20 @@
 
     /// Tells what is in flight as soon as a request is counted in: all other hosts directly, or the
     /// leader, where they are too many.
-    pub async fn tell_directly(self: Arc<Self>) {
+    pub async fn send_loads(self: Arc<Self>) {
         loop {
-            let entered = self.state.entered.notified();
+            let entered = self.state.load_added.notified();
             let _ = tokio::time::timeout(DIRECT_IDLE, entered).await;
             tokio::time::sleep(DIRECT_PAUSE).await;
             let others = self.others.lock().clone();
             if others.is_empty() {
                 self.tell_leader().await;
-                let _ = tokio::time::timeout(EASED_PAUSE, self.state.eased.notified()).await;
+                let _ = tokio::time::timeout(EASED_PAUSE, self.state.load_reduced.notified()).await;
                 self.tell_leader().await;
                 continue;
             }
-            let loads = self.state.table.lock().in_flight();
-            let message = Message::Direct(self.sums(0, Vec::new(), loads));
+            let loads = self.state.table.lock().own_loads();
+            let message = Message::PeerLoads(self.sums(0, Vec::new(), loads));
             for other in others {
                 self.send(&message, other).await;
             }
@@ -77,14 +77,14 @@
             return;
         };
         let now = self.state.now();
-        let loads = self.state.table.lock().tell(now);
+        let loads = self.state.table.lock().report_own_loads(now);
         let telling = self.tellings.fetch_add(1, Ordering::Relaxed);
         let sums = self.sums(telling, Vec::new(), loads);
         if leader.peers == self.state.settings.peers {
-            self.inbox.put_loads(sums, now);
+            self.inbox.record_loads(sums, now);
             return;
         }
-        for part in sums.parts() {
+        for part in sums.split() {
             self.send(&Message::Loads(part), leader.peers).await;
         }
     }
@@ -97,42 +97,52 @@
         let now = self.state.now();
         let (demand, loads, used, absent, resting) = {
             let mut table = self.state.table.lock();
-            let (demand, loads) = (table.demand(now), table.tell(now));
-            let resting = table.resting(now).iter().map(|id| short(id)).collect();
-            (demand, loads, table.take_used(), table.absent(now), resting)
+            let (demand, loads) = (table.demand(now), table.report_own_loads(now));
+            let resting = table
+                .backing_off(now)
+                .iter()
+                .map(|id| replica_hash(id))
+                .collect();
+            (
+                demand,
+                loads,
+                table.take_adapter_uses(),
+                table.unreachable_replicas(now),
+                resting,
+            )
         };
-        let sums = Sums {
-            used,
-            absent,
-            resting,
+        let sums = LoadReport {
+            adapter_uses: used,
+            unreachable: absent,
+            backing_off: resting,
             ..self.sums(round, demand, loads)
         };
         if leader.peers == self.state.settings.peers {
-            self.inbox.put(sums, leader.peers, now);
+            self.inbox.record_report(sums, leader.peers, now);
             return;
         }
-        for part in sums.parts() {
-            self.send(&Message::Sums(part), leader.peers).await;
+        for part in sums.split() {
+            self.send(&Message::Report(part), leader.peers).await;
         }
     }
 
     /// This host's sums. The table must not be locked.
-    fn sums(&self, round: u32, demand: Vec<Demand>, loads: Vec<Row>) -> Sums {
+    fn sums(&self, round: u32, demand: Vec<Demand>, loads: Vec<PackedLoad>) -> LoadReport {
         let settings = &self.state.settings;
         let now = self.state.now();
-        let store = self.state.table.lock().view.contact.word(now);
-        Sums {
+        let store = self.state.table.lock().view.contact.ages(now);
+        LoadReport {
             host: settings.name.clone(),
             hall: settings.hall.clone(),
             cores: settings.limits.cores as f32,
             round,
             demand,
             loads,
-            used: Vec::new(),
-            absent: Vec::new(),
-            resting: Vec::new(),
-            cut: readers::is_cut(&self.state),
-            store,
+            adapter_uses: Vec::new(),
+            unreachable: Vec::new(),
+            backing_off: Vec::new(),
+            store_failed: readers::store_failed_recently(&self.state),
+            store_uptime: store,
         }
     }
 }
--- a/crates/front/src/quarantine/board.rs
+++ b/crates/front/src/quarantine/registry.rs
@@ -1,43 +1,43 @@
 //! What one host knows of requests that end replicas.
 
 use super::stored;
-use crate::message::{Listed, Listing};
-use route::quarantine::{Fall, Falls, Ledger, Standing};
+use crate::message::{QuarantineEntry, QuarantineList};
+use route::quarantine::{Crash, Incidents, Status, Tracker};
 use std::collections::{BTreeMap, HashMap};
 use unit::{Fingerprint, Span, Time};
 
 /// Time for which good ends are noted after a fall: about the longest run and then some.
-const ALERT: Span = Span::from_secs(60);
+const ALERT_FOR: Span = Span::from_secs(60);
 
 /// Age at which the leader's list no longer counts: it tells it every few seconds.
-const TOLD_FOR: Span = Span::from_secs(10);
+const LIST_VALID_FOR: Span = Span::from_secs(10);
 
 /// Good ends remembered at once, at 16 bytes each.
-const MOST_SOUND: usize = 1_024;
+const MAX_SUCCESSES: usize = 1_024;
 
 /// What this host knows.
 #[derive(Default)]
-pub(super) struct Board {
+pub(super) struct Registry {
     /// Falls by request; all that is known of them at the host that leads.
-    pub(super) ledger: Ledger,
+    pub(super) ledger: Tracker,
     /// Requests that broke here, by replica.
-    pub(super) falls: Falls,
+    pub(super) falls: Incidents,
     /// The leader's list.
-    told: Told,
+    told: LeaderList,
     /// The list in the store.
     stored: Stored,
     /// When requests last ended well here.
-    sound: HashMap<Fingerprint, Time>,
+    successes: HashMap<Fingerprint, Time>,
     alert_until: Time,
     /// What this host told last as the leader.
-    telling: Telling,
+    sent: SentList,
 }
 
 /// The leader's list, as it was told last.
 #[derive(Default)]
-struct Told {
+struct LeaderList {
     /// Term and number of the list, by which a later one is known.
-    number: (u64, u32),
+    version: (u64, u32),
     at: Time,
     listed: HashMap<Fingerprint, bool>,
 }
@@ -48,48 +48,52 @@
     /// Revision of its last change.
     revision: u64,
     /// Whether it stands there.
-    stands: bool,
+    is_present: bool,
     listed: BTreeMap<Fingerprint, bool>,
 }
 
 /// What this host told last as the leader.
 #[derive(Default)]
-struct Telling {
+struct SentList {
     number: u32,
     listed: BTreeMap<Fingerprint, bool>,
 }
 
 /// What has changed in a leader's list.
-pub(super) struct News {
+pub(super) struct Delta {
     pub(super) changed: bool,
     pub(super) kept_out: Vec<Fingerprint>,
 }
 
 /// Standing of a request that is listed.
-fn standing_of(is_out: bool) -> Standing {
+fn standing_of(is_out: bool) -> Status {
     match is_out {
-        true => Standing::KeptOut,
-        false => Standing::Suspected,
+        true => Status::Quarantined,
+        false => Status::Suspected,
     }
 }
 
-impl Board {
-    pub(super) fn standing(&self, print: Fingerprint, now: Time) -> Standing {
-        let told = self.told.listed.get(&print).filter(|_| self.is_told(now));
+impl Registry {
+    pub(super) fn standing(&self, print: Fingerprint, now: Time) -> Status {
+        let told = self
+            .told
+            .listed
+            .get(&print)
+            .filter(|_| self.is_list_current(now));
         let listed = told.into_iter().chain(self.stored.listed.get(&print));
         let listed = listed.map(|is_out| standing_of(*is_out)).max();
         // Only the leader keeps out; what was seen here alone is a reason to ask it.
-        let seen = self.ledger.standing(print, now).min(Standing::Suspected);
-        listed.unwrap_or(Standing::Clear).max(seen)
+        let seen = self.ledger.status(print, now).min(Status::Suspected);
+        listed.unwrap_or(Status::Clear).max(seen)
     }
 
-    fn is_told(&self, now: Time) -> bool {
-        now.since(self.told.at) < TOLD_FOR
+    fn is_list_current(&self, now: Time) -> bool {
+        now.since(self.told.at) < LIST_VALID_FOR
     }
 
     pub(super) fn is_idle(&self, now: Time) -> bool {
-        let told = !self.told.listed.is_empty() && self.is_told(now);
-        !told && self.stored.listed.is_empty() && !self.ledger.holds_any()
+        let told = !self.told.listed.is_empty() && self.is_list_current(now);
+        !told && self.stored.listed.is_empty() && !self.ledger.has_suspects()
     }
 
     pub(super) fn is_alert(&self, now: Time) -> bool {
@@ -97,28 +101,28 @@
     }
 
     pub(super) fn alert(&mut self, now: Time) {
-        self.alert_until = now + ALERT;
+        self.alert_until = now + ALERT_FOR;
     }
 
     /// Notes a good end; tells whether the leader is to know it.
-    pub(super) fn note_sound(&mut self, print: Fingerprint, now: Time) -> bool {
-        if self.sound.len() >= MOST_SOUND {
-            self.sound.retain(|_, at| now.since(*at) < ALERT);
+    pub(super) fn record_success(&mut self, print: Fingerprint, now: Time) -> bool {
+        if self.successes.len() >= MAX_SUCCESSES {
+            self.successes.retain(|_, at| now.since(*at) < ALERT_FOR);
         }
-        if self.sound.len() < MOST_SOUND {
-            self.sound.insert(print, now);
+        if self.successes.len() < MAX_SUCCESSES {
+            self.successes.insert(print, now);
         }
-        self.standing(print, now) != Standing::Clear
+        self.standing(print, now) != Status::Clear
     }
 
-    pub(super) fn fell(
+    pub(super) fn record_crash(
         &mut self,
-        fall: Fall,
+        fall: Crash,
         aboard: &[Fingerprint],
         now: Time,
     ) -> Vec<Fingerprint> {
         self.alert(now);
-        self.ledger.fell(fall, aboard, now)
+        self.ledger.record_crash(fall, aboard, now)
     }
 
     pub(super) fn lift(&mut self, print: Fingerprint) {
@@ -133,62 +137,69 @@
         for (print, is_out) in told.chain(stored) {
             self.ledger.restore(print, is_out, now);
         }
-        self.telling = Telling::default();
+        self.sent = SentList::default();
     }
 
-    pub(super) fn listing(&mut self, term: u64, now: Time) -> (Listing, News) {
-        let listed = self.ledger.listed(now);
-        let next: BTreeMap<Fingerprint, bool> =
-            listed.iter().map(|l| (l.print, l.is_out)).collect();
-        let changed = next != self.telling.listed;
-        let is_new = |print: &Fingerprint| self.telling.listed.get(print) != Some(&true);
+    pub(super) fn listing(&mut self, term: u64, now: Time) -> (QuarantineList, Delta) {
+        let listed = self.ledger.suspects(now);
+        let next: BTreeMap<Fingerprint, bool> = listed
+            .iter()
+            .map(|l| (l.fingerprint, l.is_quarantined))
+            .collect();
+        let changed = next != self.sent.listed;
+        let is_new = |print: &Fingerprint| self.sent.listed.get(print) != Some(&true);
         let out = next.iter().filter(|(_, is_out)| **is_out);
         let kept_out = out.map(|(print, _)| *print).filter(is_new).collect();
         if changed {
-            self.telling.number += 1;
-            self.telling.listed = next;
+            self.sent.number += 1;
+            self.sent.listed = next;
         }
-        let listed = listed.into_iter().map(|l| Listed {
-            print: l.print,
-            is_out: l.is_out,
+        let listed = listed.into_iter().map(|l| QuarantineEntry {
+            fingerprint: l.fingerprint,
+            is_quarantined: l.is_quarantined,
             since_ms: u32::try_from(now.since(l.since).0 / 1_000).unwrap_or(u32::MAX),
         });
-        let listing = Listing {
+        let listing = QuarantineList {
             term,
-            number: self.telling.number,
-            listed: listed.collect(),
+            number: self.sent.number,
+            entries: listed.collect(),
         };
-        (listing, News { changed, kept_out })
+        (listing, Delta { changed, kept_out })
     }
 
     /// Takes in the leader's list; gives the requests in it that have ended well here since they were suspected.
-    pub(super) fn told(&mut self, listing: Listing, now: Time) -> Vec<Fingerprint> {
+    pub(super) fn apply_listing(&mut self, listing: QuarantineList, now: Time) -> Vec<Fingerprint> {
         let number = (listing.term, listing.number);
-        if number < self.told.number {
+        if number < self.told.version {
             return Vec::new();
         }
-        if !listing.listed.is_empty() {
+        if !listing.entries.is_empty() {
             self.alert(now);
         }
-        let sound = listing.listed.iter().filter(|listed| {
+        let sound = listing.entries.iter().filter(|listed| {
             let since = now - Span::from_ms(u64::from(listed.since_ms));
-            let ended = self.sound.get(&listed.print);
-            !listed.is_out && ended.is_some_and(|at| *at > since)
+            let ended = self.successes.get(&listed.fingerprint);
+            !listed.is_quarantined && ended.is_some_and(|at| *at > since)
         });
-        let sound = sound.map(|listed| listed.print).collect();
-        self.told = Told {
-            number,
+        let sound = sound.map(|listed| listed.fingerprint).collect();
+        self.told = LeaderList {
+            version: number,
             at: now,
-            listed: listing.listed.iter().map(|l| (l.print, l.is_out)).collect(),
+            listed: listing
+                .entries
+                .iter()
+                .map(|l| (l.fingerprint, l.is_quarantined))
+                .collect(),
         };
         sound
     }
 
     /// List that is to stand in the store, and the revision that it replaces; none while it stands there.
-    pub(super) fn unstored(&mut self, now: Time) -> Option<(Vec<u8>, u64)> {
-        let listed = self.ledger.listed(now).into_iter();
-        let listed: BTreeMap<Fingerprint, bool> = listed.map(|l| (l.print, l.is_out)).collect();
-        let replaced = match self.stored.stands {
+    pub(super) fn pending_write(&mut self, now: Time) -> Option<(Vec<u8>, u64)> {
+        let listed = self.ledger.suspects(now).into_iter();
+        let listed: BTreeMap<Fingerprint, bool> =
+            listed.map(|l| (l.fingerprint, l.is_quarantined)).collect();
+        let replaced = match self.stored.is_present {
             true => self.stored.revision,
             false => 0,
         };
@@ -199,7 +210,7 @@
         if revision >= self.stored.revision {
             self.stored = Stored {
                 revision,
-                stands: true,
+                is_present: true,
                 listed,
             };
         }
@@ -216,8 +227,8 @@
     }
 
     /// Takes in that no list stands in the store now.
-    pub(super) fn vanished(&mut self) {
-        self.stored.stands = false;
+    pub(super) fn mark_absent(&mut self) {
+        self.stored.is_present = false;
     }
 
     /// Takes in that the list was removed from the store; tells whether it was the newest.
@@ -231,12 +242,16 @@
             self.ledger.lift(print);
         }
         self.stored.revision = revision;
-        self.stored.stands = false;
+        self.stored.is_present = false;
         true
     }
 
     pub(super) fn counts(&self, now: Time) -> (usize, usize) {
-        let told = self.told.listed.iter().filter(|_| self.is_told(now));
+        let told = self
+            .told
+            .listed
+            .iter()
+            .filter(|_| self.is_list_current(now));
         let mut listed: BTreeMap<Fingerprint, bool> = told.map(|(p, out)| (*p, *out)).collect();
         for (print, is_out) in &self.stored.listed {
             *listed.entry(*print).or_default() |= is_out;
--- a/crates/front/src/limits.rs
+++ b/crates/front/src/rate_limit.rs
@@ -5,13 +5,13 @@
 //! nothing there. A refusal keeps the replica out of this host's choice until there may be room again.
 
 use crate::attempt::Call;
-use crate::grant::{self, Answer, Grant, Source, Wanted};
-use crate::heard;
+use crate::feedback;
+use crate::grant::{self, Claim, Decision, Grant, Source};
 use crate::message::Subject;
 use crate::peers::Peers;
-use crate::peers::quota::QUICK;
+use crate::peers::quota::TIMEOUTS;
 use crate::state::State;
-use crate::table::{Change, Choice, Met, Want};
+use crate::table::{Change, Choice, Criteria, LimitTerms};
 use platform::answer::Reading;
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,18 +19,18 @@
 use unit::Name;
 
 /// Time for the one try of a question: another replica may take the request sooner than a second try would be answered.
-const TRY: &[Duration] = QUICK.split_at(1).0;
+const TRY: &[Duration] = TIMEOUTS.split_at(1).0;
 
 /// Takes in what an answer says of its replica's limit. One that the replica `ran` the request for and that names no
 /// limit says that none holds any more; a refusal without one says nothing.
-pub fn heard(state: &State, from: &heard::Source, limit: &Reading<f64>, ran: bool) {
+pub fn apply(state: &State, from: &feedback::Source, limit: &Reading<f64>, ran: bool) {
     let rate = match limit {
         // Hosts tell each other rates in this precision, and compare them.
         Reading::Value(rate) => Some(f64::from((*rate as f32).min(f32::MAX))),
         Reading::Absent if ran => None,
         Reading::Absent => return,
         Reading::Unreadable(value) => {
-            state.log.notable(|| {
+            state.log.rate_limited(|| {
                 warn!(target: "limit", event = "unreadable", replica = &*from.replica, value, "what the replica names is no number of requests a second; it counts as not named")
             });
             return;
@@ -40,18 +40,18 @@
     let change = state
         .table
         .lock()
-        .heard_limit(&from.replica, from.incarnation, rate, now);
+        .record_limit(&from.replica, from.incarnation, rate, now);
     if let Some(change) = change {
-        state.limited.notify_one();
+        state.limits_changed.notify_one();
         let rate = rate.unwrap_or_default();
-        tell(state, &from.replica, rate, change, &state.settings.name);
+        log_change(state, &from.replica, rate, change, &state.settings.name);
     }
 }
 
 /// Tells of a change of what is known of a limit, and which host said so.
-pub fn tell(state: &State, replica: &Name, rate: f64, change: Change, by: &Name) {
+pub fn log_change(state: &State, replica: &Name, rate: f64, change: Change, by: &Name) {
     let (replica, by) = (&**replica, &**by);
-    state.log.notable(|| match change {
+    state.log.rate_limited(|| match change {
         Change::First => info!(target: "limit", event = "named", replica, rate, by, "a replica in need takes so many requests a second from all hosts together"),
         Change::Other(before) => info!(target: "limit", event = "changed", replica, rate, before, by, "a replica in need names another limit"),
         Change::Over => info!(target: "limit", event = "over", replica, by, "a replica names no limit any more"),
@@ -66,17 +66,17 @@
 pub async fn admit(
     state: &State,
     peers: &Arc<Peers>,
-    want: &Want<'_>,
+    want: &Criteria<'_>,
     choice: &Choice,
 ) -> Result<Option<Grant>, Full> {
     let asked = state.now();
     let replica = &choice.replica;
     let met = {
         let mut table = state.table.lock();
-        let Some(met) = table.meet(replica, want, asked) else {
+        let Some(met) = table.limit_for(replica, want, asked) else {
             return Ok(None);
         };
-        table.asks(replica, asked);
+        table.record_claim(replica, asked);
         met
     };
     let wanted = wanted(&met, choice);
@@ -88,27 +88,27 @@
     let source = {
         let mut table = state.table.lock();
         match answer {
-            Some(Answer::Given(given)) => {
-                table.told_of_room(replica, Some(Ok(given.left)), now);
+            Some(Decision::Granted(given)) => {
+                table.record_limiter_answer(replica, Some(Ok(given.available)), now);
                 Some(Source::Limiter)
             }
-            Some(Answer::Over(over)) => {
-                table.told_of_room(replica, Some(Err(over)), now);
+            Some(Decision::Denied(over)) => {
+                table.record_limiter_answer(replica, Some(Err(over)), now);
                 None
             }
-            Some(Answer::Unlimited) => {
-                table.unlimited(replica);
+            Some(Decision::Unlimited) => {
+                table.clear_limit(replica);
                 return Ok(None);
             }
             None => {
-                table.told_of_room(replica, None, now);
-                let used = grant::use_alone(state, &wanted);
+                table.record_limiter_answer(replica, None, now);
+                let used = grant::spend_share(state, &wanted);
                 used.is_ok().then_some(Source::Share)
             }
         }
     };
     match source {
-        Some(source) => Ok(Some(wanted.granted(peers, asked, source))),
+        Some(source) => Ok(Some(wanted.into_grant(peers, asked, source))),
         None => {
             state
                 .log
@@ -120,39 +120,39 @@
     }
 }
 
-fn wanted(met: &Met, choice: &Choice) -> Wanted {
-    Wanted {
+fn wanted(met: &LimitTerms, choice: &Choice) -> Claim {
+    Claim {
         subject: Subject::Replica(met.limited),
         limit: met.notice.limit(1.0),
         units: 1.0,
-        kept: met.kept,
-        queues: choice.candidates == 1,
+        reserved: met.kept,
+        will_retry: choice.candidates == 1,
     }
 }
 
 /// Request that waits for room at a replica in need; dropping it counts it out.
-pub struct Held {
+pub struct Waiter {
     state: Arc<State>,
     replica: Name,
 }
 
 /// Counts a request in that waits for room at a replica.
-pub fn hold(state: &Arc<State>, replica: &Name) -> Held {
-    state.table.lock().hold(replica, true);
-    Held {
+pub fn register_waiter(state: &Arc<State>, replica: &Name) -> Waiter {
+    state.table.lock().count_waiter(replica, true);
+    Waiter {
         state: state.clone(),
         replica: replica.clone(),
     }
 }
 
-impl Drop for Held {
+impl Drop for Waiter {
     fn drop(&mut self) {
-        self.state.table.lock().hold(&self.replica, false);
+        self.state.table.lock().count_waiter(&self.replica, false);
     }
 }
 
 /// Counts and tells a sending to a replica that has named a limit.
-pub fn note_sending(state: &State, call: &Call, replica: &Name, last_event: Option<u64>) {
+pub fn record_send(state: &State, call: &Call, replica: &Name, last_event: Option<u64>) {
     let Some(rate) = state.table.lock().limit_of(replica, state.now()) else {
         return;
     };
@@ -161,7 +161,7 @@
         .metrics
         .counter("coveford_limited_sendings_total", &[])
         .increment(1);
-    state.log.notable(|| {
+    state.log.rate_limited(|| {
         info!(target: "limit", event = "sent", id = &*call.id, replica = &**replica, rate, last_event, priority = call.priority, "a request goes to a replica in need")
     });
 }
--- a/crates/front/src/relay.rs
+++ b/crates/front/src/relay.rs
@@ -5,11 +5,11 @@
 
 mod resume;
 
-use crate::attempt::{Call, Failed, Place, Sent, Tried};
+use crate::attempt::{Call, Exchange, Failure, History, Reservation};
 use crate::events::Splitter;
 use crate::peers::Peers;
 use crate::quarantine;
-use crate::respond::{Body, whole};
+use crate::respond::{Body, full_body};
 use crate::state::{InFlight, State};
 use bytes::Bytes;
 use conn::Line;
@@ -35,7 +35,7 @@
 const LONG_PART: f64 = 0.7;
 
 /// Whether the replica of a place is in the view, has not started again, and its entry is not missing.
-fn is_there(state: &State, place: &Place) -> bool {
+fn is_there(state: &State, place: &Reservation) -> bool {
     let table = state.table.lock();
     let seen = table.view.get(&place.replica);
     seen.is_some_and(|s| s.missing.is_none() && s.entry.incarnation == place.incarnation)
@@ -45,9 +45,9 @@
 pub async fn read_whole(
     state: &Arc<State>,
     call: &Call,
-    sent: Sent,
-) -> Result<Response<Body>, Failed> {
-    let Sent {
+    sent: Exchange,
+) -> Result<Response<Body>, Failure> {
+    let Exchange {
         mut place,
         line,
         response,
@@ -59,29 +59,29 @@
     let body = match read {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(e)) => {
-            let failed = Failed::Lost(format!("its answer broke off: {e}"));
+            let failed = Failure::Lost(format!("its answer broke off: {e}"));
             place.ended(call, &failed);
             return Err(failed);
         }
         Err(_) => {
             place.failed();
-            return Err(Failed::Late);
+            return Err(Failure::TimedOut);
         }
     };
     let failed = head.status.is_server_error();
     place.answered(failed);
     if !failed {
-        quarantine::ended_well(state, call);
+        quarantine::note_success(state, call);
     }
     keep(state, &place, line, &said);
-    let mut response = Response::new(whole(body));
+    let mut response = Response::new(full_body(body));
     *response.status_mut() = head.status;
     *response.headers_mut() = returned(&head.headers);
     Ok(response)
 }
 
 /// Gives a connection back once its answer was read whole, if the replica keeps it.
-fn keep(state: &State, place: &Place, line: Line, said: &Said) {
+fn keep(state: &State, place: &Reservation, line: Line, said: &Said) {
     if said.keeps_connection {
         state
             .pool
@@ -97,7 +97,7 @@
     source: Option<Source>,
     splitter: Splitter,
     first: Option<Bytes>,
-    tried: Tried,
+    tried: History,
     last_event: Time,
     /// Time to the first event.
     first_after: Span,
@@ -118,7 +118,7 @@
 
 /// Where the events come from now.
 struct Source {
-    place: Place,
+    place: Reservation,
     line: Line,
     said: Said,
     body: Incoming,
@@ -129,9 +129,9 @@
     state: &Arc<State>,
     peers: &Arc<Peers>,
     call: &Arc<Call>,
-    sent: Sent,
-    tried: Tried,
-) -> Result<Response<Body>, Failed> {
+    sent: Exchange,
+    tried: History,
+) -> Result<Response<Body>, Failure> {
     let mut answer = Response::new(());
     *answer.status_mut() = sent.response.status();
     *answer.headers_mut() = returned(sent.response.headers());
@@ -166,7 +166,7 @@
 
 impl Source {
     /// The events of an answer whose head has come.
-    fn from(sent: Sent) -> Source {
+    fn from(sent: Exchange) -> Source {
         Source {
             place: sent.place,
             line: sent.line,
@@ -178,7 +178,7 @@
 
 impl Relay {
     /// Waits for the first whole event; a failure before it may be made good elsewhere.
-    async fn start(&mut self) -> Result<(), Failed> {
+    async fn start(&mut self) -> Result<(), Failure> {
         self.first = match self.read().await {
             Ok(first) => first,
             Err(why) => {
@@ -194,7 +194,7 @@
             let took = self.state.now().since(self.call.arrived);
             self.first_after = took;
             let metrics = &self.state.log.metrics;
-            metrics.first_byte(&self.call.route.name, took);
+            metrics.record_first_byte(&self.call.route.name, took);
         }
         Ok(())
     }
@@ -228,9 +228,9 @@
         let long = gap.is_some_and(|gap| pause > gap * LONG_PART);
         if let Some(source) = self.source.as_ref().filter(|_| long) {
             let mut table = self.state.table.lock();
-            table.lag(&source.place.replica, now);
+            table.record_slow_event(&source.place.replica, now);
             if pause > self.longest.took {
-                let (in_flight, unread) = table.load_of(&source.place.replica, now);
+                let (in_flight, unread) = table.load(&source.place.replica, now);
                 self.longest = Pause {
                     took: pause,
                     in_flight,
@@ -245,7 +245,7 @@
         self.state
             .log
             .metrics
-            .ended(&self.call.route.name, "complete");
+            .record_outcome(&self.call.route.name, "complete");
         let id = &self.call.id;
         let ms = self.state.now().since(self.call.arrived).ms();
         let route = &self.call.route;
@@ -254,14 +254,14 @@
         let gap_ms = route.gap.map(|gap| Span::from(gap).ms());
         let (first_ms, pause_ms) = (self.first_after.ms(), self.longest.took.ms());
         let (in_flight, unread_ms) = (self.longest.in_flight, self.longest.unread.ms());
-        self.state.log.routine(id, || {
+        self.state.log.sampled(id, || {
             info!(target: "request", event = "answered", id = &**id, route = &*route.name, model, ms, first_ms, target_ms, pause_ms, gap_ms, in_flight, unread_ms, "the stream is complete; pause_ms is its longest long pause, with what stood at the replica then")
         });
         None
     }
 
     /// Reads whole events, or none when the answer has ended well.
-    async fn read(&mut self) -> Result<Option<Bytes>, Failed> {
+    async fn read(&mut self) -> Result<Option<Bytes>, Failure> {
         while self.source.is_some() {
             let Some(frame) = self.frame().await? else {
                 return self.ended().map(|()| None);
@@ -270,7 +270,7 @@
                 continue;
             };
             let events = self.splitter.push(data);
-            let events = events.map_err(|_| Failed::Lost("an event was too long".into()))?;
+            let events = events.map_err(|_| Failure::Lost("an event was too long".into()))?;
             if events.is_some() {
                 return Ok(events);
             }
@@ -279,7 +279,7 @@
     }
 
     /// Reads one frame of the answer, or none at its end.
-    async fn frame(&mut self) -> Result<Option<Frame<Bytes>>, Failed> {
+    async fn frame(&mut self) -> Result<Option<Frame<Bytes>>, Failure> {
         let deadline = self.call.deadline;
         let clock = &self.state.clock;
         let resumable = self.call.route.kind.is_repeatable();
@@ -294,41 +294,44 @@
             };
             match clock.timeout_at(until, source.body.frame()).await {
                 Ok(frame) => {
-                    let broken = |e| Failed::Lost(format!("its stream broke off: {e}"));
+                    let broken = |e| Failure::Lost(format!("its stream broke off: {e}"));
                     return frame.transpose().map_err(broken);
                 }
-                Err(_) if until == deadline => return Err(Failed::Late),
+                Err(_) if until == deadline => return Err(Failure::TimedOut),
                 // Silence alone is no reason to give a replica up: it may just be slow.
                 Err(_) if is_there(&self.state, &source.place) => {}
                 Err(_) => {
-                    return Err(Failed::Lost("the replica was silent, and is gone".into()));
+                    return Err(Failure::Lost("the replica was silent, and is gone".into()));
                 }
             }
         }
     }
 
     /// Notes that the answer has ended, unless it ended inside an event.
-    fn ended(&mut self) -> Result<(), Failed> {
+    fn ended(&mut self) -> Result<(), Failure> {
         if self.splitter.is_partial() {
-            return Err(Failed::Lost("its stream ended inside an event".into()));
+            return Err(Failure::Lost("its stream ended inside an event".into()));
         }
         if let Some(mut source) = self.source.take() {
             source.place.answered(false);
-            quarantine::ended_well(&self.state, &self.call);
+            quarantine::note_success(&self.state, &self.call);
             keep(&self.state, &source.place, source.line, &source.said);
         }
         Ok(())
     }
 
     /// Breaks the answer off, so that it does not look whole.
-    fn cut(&mut self, why: &Failed) -> io::Error {
+    fn cut(&mut self, why: &Failure) -> io::Error {
         self.source = None;
         let call = &self.call;
-        self.state.log.metrics.ended(&call.route.name, "broken");
+        self.state
+            .log
+            .metrics
+            .record_outcome(&call.route.name, "broken");
         let age = self.state.now().since(call.arrived).ms();
         let tried = self.tried.replicas.join(",");
-        let last = self.splitter.last();
-        self.state.log.notable(|| {
+        let last = self.splitter.last_id();
+        self.state.log.rate_limited(|| {
             tracing::warn!(target: "request", event = "broken", id = &*call.id, print = %call.fingerprint(), route = &*call.route.name, tried, last, ms = age, why = %why, "the stream is broken off")
         });
         io::Error::other(why.to_string())
@@ -340,8 +343,11 @@
         let Some(source) = &self.source else { return };
         let call = &self.call;
         let ms = self.state.now().since(call.arrived).ms();
-        self.state.log.metrics.ended(&call.route.name, "cancelled");
-        self.state.log.routine(&call.id, || {
+        self.state
+            .log
+            .metrics
+            .record_outcome(&call.route.name, "cancelled");
+        self.state.log.sampled(&call.id, || {
             info!(target: "request", event = "cancelled", id = &*call.id, route = &*call.route.name, replica = &*source.place.replica, ms, "the client left; the replica's connection is closed")
         });
     }
--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -7,8 +7,8 @@
 use crate::peers::{self, Peers};
 use crate::quarantine::Reports;
 use crate::settings::{self, Settings};
-use crate::state::{self, State, Wanted};
-use crate::{follow, leader, log, planner, readers, respond, serve, waiting};
+use crate::state::{self, PlacementRequests, State};
+use crate::{follow, leader, log, planner, queue, readers, respond, serve};
 use conn::{Bounds, Server};
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
@@ -76,7 +76,7 @@
 
 /// Runs a daemon by its settings until it is told to stop.
 pub fn run(path: &Path, settings: Settings) -> Result<(), Error> {
-    let guard = log::start(&settings.name, &settings.log.level);
+    let guard = log::init(&settings.name, &settings.log.level);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -149,10 +149,10 @@
     let log = log::open(settings.log.sample);
     let (state, wanted, reports) = state::open(settings, log, STORE_LIMIT);
     let peers = peers::open(state.clone(), socket);
-    let entry = serve::Entry {
+    let entry = serve::Context {
         state: state.clone(),
         peers: peers.clone(),
-        waiting: Arc::default(),
+        queues: Arc::default(),
     };
     let daemon = Daemon {
         callers: serve_callers(&entry, callers)?,
@@ -168,22 +168,22 @@
 }
 
 fn tasks(
-    entry: &serve::Entry,
+    entry: &serve::Context,
     peers: &Arc<Peers>,
-    wanted: Wanted,
+    wanted: PlacementRequests,
     reports: Reports,
 ) -> JoinSet<()> {
     let mut tasks = JoinSet::new();
     let state = &entry.state;
-    tasks.spawn(waiting::run(state.clone(), entry.waiting.clone()));
-    tasks.spawn(peers.clone().tell_directly());
+    tasks.spawn(queue::run(state.clone(), entry.queues.clone()));
+    tasks.spawn(peers.clone().send_loads());
     tasks.spawn(follow::run(state.clone()));
     tasks.spawn(peers.clone().receive());
-    tasks.spawn(peers.clone().tell());
-    tasks.spawn(peers.clone().ask(wanted));
-    tasks.spawn(peers.clone().report(reports));
-    tasks.spawn(peers.clone().tell_limit_changes());
-    tasks.spawn(peers.clone().tell_leaving());
+    tasks.spawn(peers.clone().send_reports());
+    tasks.spawn(peers.clone().forward_placement_requests(wanted));
+    tasks.spawn(peers.clone().forward_quarantine_reports(reports));
+    tasks.spawn(peers.clone().send_limit_changes());
+    tasks.spawn(peers.clone().send_departures());
     tasks.spawn(upkeep(state.clone()));
     tasks.spawn(settle(state.clone()));
     let (state, peers) = (state.clone(), peers.clone());
@@ -198,7 +198,7 @@
     TcpListener::bind(addr).await.context(ListenSnafu { addr })
 }
 
-fn serve_callers(entry: &serve::Entry, listener: TcpListener) -> Result<Server, Error> {
+fn serve_callers(entry: &serve::Context, listener: TcpListener) -> Result<Server, Error> {
     let limits = entry.state.settings.limits;
     let bounds = Bounds {
         // Half of the descriptors: a request needs a connection to a replica as well.
@@ -217,13 +217,13 @@
 fn serve_readiness(state: &Arc<State>, listener: TcpListener) -> Result<Server, Error> {
     let state = state.clone();
     let answer = move |request: Request<Incoming>| {
-        let is_ready = state.is_ready() && accounts::may_serve(&state);
+        let is_ready = state.is_ready() && accounts::can_authenticate(&state);
         let status = match (request.uri().path(), is_ready) {
             (names::READY, true) => StatusCode::OK,
             (names::READY, false) => StatusCode::SERVICE_UNAVAILABLE,
             _ => StatusCode::NOT_FOUND,
         };
-        let mut response = Response::new(respond::whole(bytes::Bytes::new()));
+        let mut response = Response::new(respond::full_body(bytes::Bytes::new()));
         *response.status_mut() = status;
         async move { Ok(response) }
     };
@@ -239,7 +239,7 @@
     let answer = move |_: Request<Incoming>| {
         gauges::update(&state, &peers);
         let text = state.log.metrics.render();
-        async move { Ok(Response::new(respond::whole(text.into()))) }
+        async move { Ok(Response::new(respond::full_body(text.into()))) }
     };
     conn::serve(listener, OTHER_CONNECTIONS, answer).context(RuntimeSnafu)
 }
@@ -259,16 +259,16 @@
     loop {
         tokio::time::sleep(UPKEEP).await;
         expire(&state);
-        state.pool.tidy(state.now());
-        state.log.metrics.tidy();
-        state.log.tell_left_out();
+        state.pool.close_expired(state.now());
+        state.log.metrics.run_upkeep();
+        state.log.log_omitted();
     }
 }
 
 /// Takes replicas as gone as soon as their entries, which vanished, can no longer come back.
 async fn settle(state: Arc<State>) {
     loop {
-        state.missed.notified().await;
+        state.entry_missing.notified().await;
         while state.table.lock().view.has_missing() {
             tokio::time::sleep(SETTLE).await;
             expire(&state);
@@ -279,14 +279,14 @@
 /// Takes as gone what is missing for too long.
 fn expire(state: &State) {
     let now = state.now();
-    let rested = state.table.lock().end_rests(now);
+    let rested = state.table.lock().expire_backoffs(now);
     for replica in rested {
         let labels = [("replica", &*replica)];
         let metrics = &state.log.metrics;
         metrics
             .gauge("coveford_replica_rest_seconds", &labels)
             .set(0.0);
-        state.log.notable(|| {
+        state.log.rate_limited(|| {
             info!(target: "replica", event = "rested", replica = &*replica, "a replica's rest is over, and so is the return to it");
         });
     }
@@ -296,7 +296,7 @@
         table.apply(&news);
         news
     };
-    follow::told(state, news, 0);
+    follow::report_updates(state, news, 0);
 }
 
 impl Daemon {
@@ -315,7 +315,7 @@
     pub async fn drain(self) {
         let state = &self.state;
         let grace = state.settings.bounds.grace;
-        state.set_draining();
+        state.start_drain();
         let in_flight = state.in_flight();
         info!(target: "daemon", event = "draining", in_flight, "readiness fails; connections are taken a while longer");
         let asked = state.now();
--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -1,19 +1,19 @@
 //! One request of a client, from its head to its answer.
 
 mod admit;
-mod lacking;
 mod read;
-mod tell;
+mod report;
+mod unavailable;
 
-use crate::attempt::{Call, Failed, Sent, Tried, send};
+use crate::attempt::{Call, Exchange, Failure, History, send};
 use crate::peers::Peers;
 use crate::quarantine;
+use crate::queue::Queues;
 use crate::quota;
 use crate::relay;
-use crate::respond::{Body, Fault, close};
+use crate::respond::{Body, Rejection, close};
 use crate::state::State;
 use crate::table::Choice;
-use crate::waiting::Waiting;
 use hyper::body::Incoming;
 use hyper::{Request, Response};
 use parking_lot::Mutex;
@@ -36,17 +36,17 @@
 
 /// Where requests come in.
 #[derive(Clone)]
-pub struct Entry {
+pub struct Context {
     /// What the parts of the daemon share.
     pub state: Arc<State>,
     /// Other hosts.
     pub peers: Arc<Peers>,
     /// Requests that wait for a replica.
-    pub waiting: Arc<Mutex<Waiting>>,
+    pub queues: Arc<Mutex<Queues>>,
 }
 
 /// Answers a request; the answer is given at once when the request is given up.
-pub async fn handle(entry: Entry, request: Request<Incoming>) -> Response<Body> {
+pub async fn handle(entry: Context, request: Request<Incoming>) -> Response<Body> {
     let state = &entry.state;
     let _in_flight = state.enter();
     let arrived = state.now();
@@ -62,28 +62,28 @@
 
 /// Reads a request, sends it, and tells how it ended.
 async fn answer(
-    entry: &Entry,
+    entry: &Context,
     request: Request<Incoming>,
     arrived: Time,
-) -> Result<Response<Body>, Fault> {
+) -> Result<Response<Body>, Rejection> {
     let state = &entry.state;
     let routes = state.table.lock().routes.clone();
     let routes = routes.ok_or_else(|| {
         let message = "This host has no configuration yet.";
-        Fault::not_run("no_configuration", message, RETURN_LATER)
+        Rejection::not_run("no_configuration", message, RETURN_LATER)
     })?;
     let route = read::route(state, &routes, &request)?;
     let call = Arc::new(read::call(state, &routes, route, request, arrived).await?);
     let answered = let_in(entry, &call).await;
     match &answered {
-        Ok(response) => tell::answered(state, &call, response),
-        Err(fault) => tell::failed(state, &call, fault),
+        Ok(response) => report::answered(state, &call, response),
+        Err(fault) => report::failed(state, &call, fault),
     }
     answered
 }
 
 /// Sends a request, if its account may have it run.
-async fn let_in(entry: &Entry, call: &Arc<Call>) -> Result<Response<Body>, Fault> {
+async fn let_in(entry: &Context, call: &Arc<Call>) -> Result<Response<Body>, Rejection> {
     let state = &entry.state;
     quarantine::admit(state, &entry.peers, call).await?;
     let grant = quota::admit(state, &entry.peers, call).await?;
@@ -91,7 +91,7 @@
     let answered = attempts(entry, call).await;
     let has_not_run = answered.as_ref().is_err_and(|f| f.retry_after.is_some());
     if let Some(grant) = grant.filter(|_| has_not_run) {
-        grant.give_back(state).await;
+        grant.refund(state).await;
     }
     answered
 }
@@ -100,29 +100,29 @@
 fn note_arrival(state: &State, call: &Call) {
     let bounds = &state.settings.bounds;
     let mut table = state.table.lock();
-    table.arrived(&call.service, &call.ask, bounds, call.arrived);
+    table.record_arrival(&call.service, &call.ask, bounds, call.arrived);
 }
 
 /// What was done for a request so far.
 struct Progress {
     /// Replicas that it was sent to.
-    tried: Tried,
+    tried: History,
     /// Why the last sending brought no answer.
-    last: Failed,
+    last: Failure,
     /// Whether another replica could have taken it when the last one was chosen.
     others: bool,
     /// What it was told when no replica was found for a further sending.
-    refusal: Option<Fault>,
+    refusal: Option<Rejection>,
     /// A replica's answer that tells of its own failure; it is passed on if no better one comes.
     answer: Option<Response<Body>>,
 }
 
 /// Sends a request until it is answered, or nothing more may be done for it.
-async fn attempts(entry: &Entry, call: &Arc<Call>) -> Result<Response<Body>, Fault> {
+async fn attempts(entry: &Context, call: &Arc<Call>) -> Result<Response<Body>, Rejection> {
     let state = &entry.state;
     let mut progress = Progress {
-        tried: Tried::default(),
-        last: Failed::Unsent("no replica was tried".into()),
+        tried: History::default(),
+        last: Failure::Unsent("no replica was tried".into()),
         others: true,
         refusal: None,
         answer: None,
@@ -148,7 +148,7 @@
         if let (Some(grant), Err(failed)) = (grant, &sent)
             && failed.proves_unsent()
         {
-            grant.give_back(state).await;
+            grant.refund(state).await;
         }
         progress.tried.note(&choice.replica, &sent);
         let passed = match sent {
@@ -158,7 +158,7 @@
         let failed = match passed {
             Ok(response) if !progress.may_better(call, &response) => return Ok(response),
             Ok(response) => {
-                let failed = Failed::Failing(response.status().as_u16());
+                let failed = Failure::ServerError(response.status().as_u16());
                 progress.answer = Some(response);
                 failed
             }
@@ -176,12 +176,12 @@
 /// Finds a replica for the next sending of a request: another one, if there are `others`, or else, after a pause, one that
 /// turned it away unrun.
 async fn place(
-    entry: &Entry,
+    entry: &Context,
     call: &Arc<Call>,
-    tried: &Tried,
+    tried: &History,
     others: bool,
     sending: usize,
-) -> Result<admit::Placed, Fault> {
+) -> Result<admit::Placed, Rejection> {
     if others {
         let placed = admit::place(entry, call, &tried.replicas, sending).await;
         if placed.is_ok() || sending == 0 {
@@ -202,11 +202,11 @@
 
 /// Passes an answer on whose head has come: event by event, or whole.
 async fn pass_on(
-    entry: &Entry,
+    entry: &Context,
     call: &Arc<Call>,
-    sent: Sent,
-    tried: &Tried,
-) -> Result<Response<Body>, Failed> {
+    sent: Exchange,
+    tried: &History,
+) -> Result<Response<Body>, Failure> {
     let state = &entry.state;
     match is_events(call, &sent.response) {
         true => relay::open_stream(state, &entry.peers, call, sent, tried.clone()).await,
@@ -224,59 +224,62 @@
     let now = state.now();
     let last = &progress.last;
     let allowed = match last {
-        Failed::Late | Failed::Overdue | Failed::Barred(_) | Failed::Held(_) => false,
-        Failed::Lost(_) | Failed::Failing(_) => {
+        Failure::TimedOut
+        | Failure::DeadlinePassed
+        | Failure::Unauthorized(_)
+        | Failure::Quarantined(_) => false,
+        Failure::Lost(_) | Failure::ServerError(_) => {
             call.route.kind.is_repeatable()
                 && progress.tried.may_run(call)
-                && quarantine::may_repeat(state, call)
+                && quarantine::may_retry(state, call)
         }
-        Failed::NotRun { .. } | Failed::Unsent(_) | Failed::KeptBack(_) => true,
+        Failure::NotRun { .. } | Failure::Unsent(_) | Failure::Unavailable(_) => true,
     };
-    let free = matches!(last, Failed::Unsent(_) | Failed::KeptBack(_));
-    allowed && now < call.deadline && (free || state.table.lock().spend(&call.service, now))
+    let free = matches!(last, Failure::Unsent(_) | Failure::Unavailable(_));
+    allowed && now < call.deadline && (free || state.table.lock().spend_retry(&call.service, now))
 }
 
 /// Tells of a failed sending, and corrects what the table believed.
-fn after_failure(state: &State, call: &Call, choice: &Choice, failed: &Failed) {
-    state.log.notable(|| {
+fn after_failure(state: &State, call: &Call, choice: &Choice, failed: &Failure) {
+    state.log.rate_limited(|| {
         info!(target: "request", event = "failed", id = &*call.id, print = %call.fingerprint(), replica = &*choice.replica, addr = %choice.addr, entry = choice.revision, candidates = choice.candidates, why = %failed, "a sending brought no answer")
     });
     let misdirected = matches!(
         failed,
-        Failed::NotRun {
+        Failure::NotRun {
             misdirected: true,
             ..
         }
     );
     if let (true, Some(model), Some(adapter)) = (misdirected, &call.ask.model, &call.ask.adapter) {
         let mut table = state.table.lock();
-        table.drop_adapter(&choice.replica, model, adapter);
+        table.remove_adapter(&choice.replica, model, adapter);
     }
     let sound = matches!(
         failed,
-        Failed::NotRun { .. } | Failed::Failing(_) | Failed::KeptBack(_)
+        Failure::NotRun { .. } | Failure::ServerError(_) | Failure::Unavailable(_)
     );
     if !sound {
-        state.pool.forget(&choice.replica);
+        state.pool.close_all(&choice.replica);
     }
 }
 
 /// Answer to a request that is given up.
-fn give_up(state: &State, call: &Call, progress: Progress) -> Fault {
+fn give_up(state: &State, call: &Call, progress: Progress) -> Rejection {
     let may_have_run = !progress.tried.may_have_run.is_empty();
     let last = &progress.last;
     match last {
-        Failed::Barred(refusal) if !may_have_run => return refusal.fault(),
-        Failed::Held(fault) if !may_have_run => return fault.clone(),
+        Failure::Unauthorized(refusal) if !may_have_run => return refusal.fault(),
+        Failure::Quarantined(fault) if !may_have_run => return fault.clone(),
         _ => {}
     }
     if !may_have_run {
         let message = format!("No replica took the request ({last}).");
-        let refused = Fault::not_run("refused_by_replicas", message, RETURN_RANGE.0);
+        let refused = Rejection::not_run("refused_by_replicas", message, RETURN_RANGE.0);
         return progress.refusal.unwrap_or(refused);
     }
-    match state.now() >= call.deadline || *last == Failed::Late {
-        true => Fault::late("The replica did not answer in time."),
-        false => Fault::lost("lost", format!("The answer could not be had ({last}).")),
+    match state.now() >= call.deadline || *last == Failure::TimedOut {
+        true => Rejection::timed_out("The replica did not answer in time."),
+        false => Rejection::lost("lost", format!("The answer could not be had ({last}).")),
     }
 }
--- a/crates/front/src/table/replica.rs
+++ b/crates/front/src/table/replica.rs
@@ -1,11 +1,11 @@
 //! What this daemon knows of one replica beyond its entry.
 
-use super::absence::Absence;
+use super::average::Share;
 use super::choose::{rank, tokens};
-use super::limits::Need;
 use super::pace::Pace;
-use super::share::Share;
-use super::{DIRECT_AGE, SUMS_AGE, Want};
+use super::rate_limit::Need;
+use super::reachability::Absence;
+use super::{Criteria, DIRECT_AGE, SUMS_AGE};
 use crate::message::Load;
 use platform::ingress::Ask;
 use std::collections::{BTreeMap, VecDeque};
@@ -87,7 +87,7 @@
     }
 
     /// Counts a request in.
-    pub(super) fn enter(&mut self, want: &Want, pace: &Pace) -> Footprint {
+    pub(super) fn enter(&mut self, want: &Criteria, pace: &Pace) -> Footprint {
         let model = want.ask.model.as_ref();
         let kept = model.map_or(0, |m| self.kept(m, want.ask));
         let print = Footprint {
@@ -99,21 +99,21 @@
             self.keep(model, want.ask);
         }
         self.mine.requests += 1.0;
-        self.mine.reserved += print.reserved;
-        self.mine.unread[print.rank] += print.reading_ms;
+        self.mine.reserved_tokens += print.reserved;
+        self.mine.prefill_ms[print.rank] += print.reading_ms;
         print
     }
 
     /// Notes that the prompt of a request is read.
     pub(super) fn started(&mut self, print: &Footprint) {
-        let unread = &mut self.mine.unread[print.rank];
+        let unread = &mut self.mine.prefill_ms[print.rank];
         *unread = (*unread - print.reading_ms).max(0.0);
     }
 
     /// Counts a request out.
     pub(super) fn leave(&mut self, print: &Footprint) {
         self.mine.requests = (self.mine.requests - 1.0).max(0.0);
-        self.mine.reserved = (self.mine.reserved - print.reserved).max(0.0);
+        self.mine.reserved_tokens = (self.mine.reserved_tokens - print.reserved).max(0.0);
         self.started(print);
     }
 
--- a/crates/front/tests/rests.rs
+++ b/crates/front/tests/backoff.rs
@@ -6,7 +6,7 @@
 use platform_standin::replica::{Replica, Word, Words};
 use platform_standin::store::Mode;
 use rstest::rstest;
-use site::{ask, daemon, engine, hosts, press, store, until, web};
+use site::{ask, daemon, engine, hosts, send_load, store, until, web};
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 use unit::Span;
@@ -62,14 +62,14 @@
         engine(&store, "i-4", &["m1"]).await,
     ];
     let hosts = hosts(&store, 3).await;
-    press(
+    send_load(
         &hosts,
         &["/stream/x", "/resume/x"],
         Duration::from_millis(500),
     )
     .await;
     ask_for_rest(&tired, Some("2"));
-    let statuses = press(&hosts, &["/stream/x", "/resume/x"], Duration::from_secs(5)).await;
+    let statuses = send_load(&hosts, &["/stream/x", "/resume/x"], Duration::from_secs(5)).await;
     let most = most_from_any(&tired, &hosts);
     assert!(
         most <= ALLOWED,
@@ -85,11 +85,11 @@
     let store = store().await;
     let all = [web(&store, "w-1").await, web(&store, "w-2").await];
     let hosts = hosts(&store, 3).await;
-    press(&hosts, &["/once/x", "/again/x"], Duration::from_millis(500)).await;
+    send_load(&hosts, &["/once/x", "/again/x"], Duration::from_millis(500)).await;
     for (replica, seconds) in all.iter().zip(["2.5", "1.5"]) {
         ask_for_rest(replica, Some(seconds));
     }
-    press(&hosts, &["/once/x", "/again/x"], Duration::from_secs(5)).await;
+    send_load(&hosts, &["/once/x", "/again/x"], Duration::from_secs(5)).await;
     for replica in &all {
         let most = most_from_any(replica, &hosts);
         assert!(
@@ -125,11 +125,11 @@
     ];
     let _fifth = web(&store, "w-5").await;
     let hosts = hosts(&store, 3).await;
-    press(&hosts, PLAIN, Duration::from_millis(500)).await;
+    send_load(&hosts, PLAIN, Duration::from_millis(500)).await;
     for replica in &tired {
         ask_for_rest(replica, Some("3"));
     }
-    let statuses = press(&hosts, PLAIN, Duration::from_secs(4)).await;
+    let statuses = send_load(&hosts, PLAIN, Duration::from_secs(4)).await;
     let served = statuses.iter().filter(|s| **s == 200).count();
     assert!(
         served * 100 >= statuses.len() * 97,
@@ -194,7 +194,7 @@
     ask_once(&replica, &host, value).await;
     let resting = || {
         let state = host.state();
-        state.table.lock().resting(state.now()).len()
+        state.table.lock().backing_off(state.now()).len()
     };
     assert_eq!(resting(), 1);
     let (_, answer) = ask(&host, "/again/x", None).await;
@@ -216,7 +216,7 @@
         let state = host.state();
         let mut table = state.table.lock();
         let incarnation = table.view.get("w-1").unwrap().entry.incarnation;
-        table.heard_rest(&"w-1".into(), incarnation, Span::from_ms(100), state.now());
+        table.record_backoff(&"w-1".into(), incarnation, Span::from_ms(100), state.now());
     }
     while at.elapsed() < Duration::from_millis(1_900) {
         ask(&host, "/again/x", None).await;
@@ -243,10 +243,10 @@
     let replica = web(&store, "w-1").await;
     let host = daemon(&store, "d1").await;
     ask_once(&replica, &host, "8").await;
-    host.state().clock.suspend(Span::from_secs(4));
+    host.state().clock.simulate_suspend(Span::from_secs(4));
     let (_, answer) = ask(&host, "/again/x", None).await;
     assert_eq!(answer.status(), 503, "half of it is left");
-    host.state().clock.suspend(Span::from_secs(4));
+    host.state().clock.simulate_suspend(Span::from_secs(4));
     assert_eq!(ask(&host, "/again/x", None).await.1.status(), 200);
 }
 
@@ -285,7 +285,7 @@
     };
     ask_for_rest(&tired, None);
     let end = first + Duration::from_secs(1);
-    press(&hosts, &["/stream/x"], Duration::from_millis(3_200)).await;
+    send_load(&hosts, &["/stream/x"], Duration::from_millis(3_200)).await;
     let arrived = tired.arrived_after(first);
     let by = |ms| {
         arrived
@@ -307,7 +307,7 @@
     let _other = engine(&store, "i-2", &["m1"]).await;
     let hosts = hosts(&store, 1).await;
     ask_for_rest(&tired, Some("1"));
-    press(&hosts, &["/stream/x"], Duration::from_millis(5_500)).await;
+    send_load(&hosts, &["/stream/x"], Duration::from_millis(5_500)).await;
     let asked = tired.said().len();
     assert!(
         (3..=6).contains(&asked),
--- a/crates/front/tests/changes.rs
+++ b/crates/front/tests/changes.rs
@@ -2,7 +2,7 @@
 
 mod site;
 
-use front::message::{Load, Row};
+use front::message::{Load, PackedLoad};
 use platform_standin::replica::Fault;
 use platform_standin::store::Mode;
 use rstest::rstest;
@@ -69,7 +69,7 @@
     let replica = web(&store, "i-1").await;
     let daemon = daemon(&store, "d1").await;
     store.set_mode(mode);
-    until(|| daemon.state().table.lock().view.contact.is_away()).await;
+    until(|| daemon.state().table.lock().view.contact.is_unreachable()).await;
     // No entry lapses before three heartbeats are missed.
     sleep((HEARTBEAT * 2.0).std()).await;
     replica.vanish();
@@ -144,9 +144,9 @@
     let start = Instant::now();
     while start.elapsed() < Duration::from_millis(1_200) {
         let (_, request) = site::request("/again/x", None);
-        let mut line = conn::Line::open(addr, site::PATIENCE).await.unwrap();
+        let mut line = conn::Line::open(addr, site::WAIT_LIMIT).await.unwrap();
         let reply = line
-            .exchange(request, site::PATIENCE, 1 << 20)
+            .exchange(request, site::WAIT_LIMIT, 1 << 20)
             .await
             .unwrap();
         assert_eq!(reply.status.as_u16(), 200);
@@ -167,12 +167,12 @@
     let daemon = daemon(&store, "d1").await;
     let now = daemon.state().now();
     let coming = [("m9".into(), 500)];
-    daemon.state().table.lock().set_coming(&coming, now);
+    daemon.state().table.lock().set_model_etas(&coming, now);
     let addr = daemon.callers();
     let asked = tokio::spawn(async move {
         let (_, request) = site::request("/stream/x", Some("m9"));
-        let mut line = conn::Line::open(addr, site::PATIENCE).await.unwrap();
-        line.exchange(request, site::PATIENCE, 1 << 20)
+        let mut line = conn::Line::open(addr, site::WAIT_LIMIT).await.unwrap();
+        line.exchange(request, site::WAIT_LIMIT, 1 << 20)
             .await
             .unwrap()
     });
@@ -202,12 +202,12 @@
         // Another host has prompts there that are less urgent, so that this one waits its turn.
         let load = Load {
             requests: 1.0,
-            reserved: 100.0,
-            unread: [0.0, 0.0, 0.0, 5_000.0],
+            reserved_tokens: 100.0,
+            prefill_ms: [0.0, 0.0, 0.0, 5_000.0],
         };
         loop {
-            let (row, now) = (Row::new("i-1", &load), state.now());
-            state.table.lock().told_by(&"d2".into(), &[row], now);
+            let (row, now) = (PackedLoad::new("i-1", &load), state.now());
+            state.table.lock().set_host_loads(&"d2".into(), &[row], now);
             sleep(Duration::from_millis(50)).await;
         }
     });
@@ -215,8 +215,8 @@
     let addr = daemon.callers();
     let asked = tokio::spawn(async move {
         let (_, request) = site::request("/stream/x", Some("m1"));
-        let mut line = conn::Line::open(addr, site::PATIENCE).await.unwrap();
-        line.exchange(request, site::PATIENCE, 1 << 20)
+        let mut line = conn::Line::open(addr, site::WAIT_LIMIT).await.unwrap();
+        line.exchange(request, site::WAIT_LIMIT, 1 << 20)
             .await
             .unwrap()
     });
@@ -283,13 +283,13 @@
         peers: peers.parse().unwrap(),
         term: 3,
     };
-    assert_eq!(front::leader::replaces(None, own), 0);
+    assert_eq!(front::leader::expected_revision(None, own), 0);
     assert_eq!(
-        front::leader::replaces(Some(&leader("127.0.0.1:7002")), own),
+        front::leader::expected_revision(Some(&leader("127.0.0.1:7002")), own),
         0
     );
     assert_eq!(
-        front::leader::replaces(Some(&leader("127.0.0.1:7001")), own),
+        front::leader::expected_revision(Some(&leader("127.0.0.1:7001")), own),
         3
     );
 }
@@ -310,7 +310,7 @@
     }
     let sums_at = |daemon: &front::Daemon| {
         let state = daemon.state();
-        state.table.lock().told_plans_age(state.now())
+        state.table.lock().plans_age(state.now())
     };
     let age = sums_at(&second);
     assert!(age < Span::from_secs(1), "sums are told on: {age}");
@@ -350,7 +350,7 @@
     let m2 = "m2".into();
     let awaited = || {
         let state = daemon.state();
-        let coming = state.table.lock().coming(&m2, state.now());
+        let coming = state.table.lock().model_eta(&m2, state.now());
         coming.is_some() || replicas.iter().any(|r| r.models().contains_key("m2"))
     };
     until(awaited).await;
--- a/crates/front/tests/parts.rs
+++ b/crates/front/tests/fanout.rs
@@ -3,9 +3,9 @@
 mod site;
 
 use front::Daemon;
-use front::message::{Demand, Row, Sums, short};
+use front::message::{Demand, LoadReport, PackedLoad, replica_hash};
 use front::peers::Inbox;
-use front::peers::parts::{self, Part};
+use front::peers::fanout::{self, Group};
 use front::readers::Candidate;
 use front::table::Table;
 use platform::ingress;
@@ -24,7 +24,7 @@
         hall: format!("hall-{hall}").into(),
         addr: addr(port),
         cores,
-        cut: false,
+        store_failed: false,
         silent,
     }
 }
@@ -41,9 +41,9 @@
                 hosts.push(candidate(hall, port, (i % 3) as f32, i % 4 == 3));
             }
         }
-        let parts = parts::cut(hosts.clone());
+        let parts = fanout::plan(hosts.clone());
         let mut told = HashSet::new();
-        for Part { relay, others } in &parts {
+        for Group { relay, members: others } in &parts {
             prop_assert!(others.len() < 32, "{}", others.len());
             let find = |addr: &SocketAddr| hosts.iter().find(|h| h.addr == *addr).unwrap();
             prop_assert!(!find(relay).silent);
@@ -67,7 +67,7 @@
         hosts.push(daemon(&store, &format!("d{i}")).await);
     }
     let all_know = |hosts: &[Daemon], count: usize| {
-        let knows = |d: &Daemon| d.state().table.lock().hosts == count;
+        let knows = |d: &Daemon| d.state().table.lock().host_count == count;
         hosts.iter().all(knows)
     };
     until(|| all_know(&hosts, 20)).await;
@@ -82,16 +82,16 @@
     until(|| all_know(&hosts, 19)).await;
 }
 
-fn sums(round: u32, loads: usize, absent: usize) -> Sums {
+fn sums(round: u32, loads: usize, absent: usize) -> LoadReport {
     let load = front::message::Load::default();
-    Sums {
+    LoadReport {
         host: "h".into(),
         round,
         loads: (0..loads)
-            .map(|i| Row::new(&format!("i-{i}"), &load))
+            .map(|i| PackedLoad::new(&format!("i-{i}"), &load))
             .collect(),
-        absent: (0..absent as u32).collect(),
-        ..Sums::default()
+        unreachable: (0..absent as u32).collect(),
+        ..LoadReport::default()
     }
 }
 
@@ -99,13 +99,13 @@
 #[test]
 fn parts_of_one_telling_add_up() {
     let inbox = Inbox::default();
-    inbox.put(sums(1, 0, 0), addr(1), at(0));
-    for part in sums(7, 100, 0).parts() {
-        inbox.put_loads(part, at(10));
+    inbox.record_report(sums(1, 0, 0), addr(1), at(0));
+    for part in sums(7, 100, 0).split() {
+        inbox.record_loads(part, at(10));
     }
     assert_eq!(inbox.loads(at(20)).len(), 100);
-    for part in sums(8, 40, 0).parts() {
-        inbox.put_loads(part, at(30));
+    for part in sums(8, 40, 0).split() {
+        inbox.record_loads(part, at(30));
     }
     assert_eq!(
         inbox.loads(at(40)).len(),
@@ -127,12 +127,12 @@
         };
         10
     ];
-    let parts = sums.parts();
+    let parts = sums.split();
     assert_eq!(parts.iter().map(|p| p.loads.len()).sum::<usize>(), 60);
     for part in parts {
-        let bytes = front::message::encode(&front::message::Message::Sums(part));
+        let bytes = front::message::encode(&front::message::Message::Report(part));
         assert!(
-            bytes.len() <= front::message::MOST_DATAGRAM,
+            bytes.len() <= front::message::MAX_DATAGRAM,
             "{}",
             bytes.len()
         );
@@ -149,12 +149,12 @@
     bounds.retry_slack = 400.0;
     let mut table = Table::new("a".into(), 1, HEARTBEAT);
     for _ in 0..3 {
-        table.arrived(&service, &ask, &bounds, at(0));
+        table.record_arrival(&service, &ask, &bounds, at(0));
     }
-    assert!(!table.spend(&service, at(1)));
-    table.hosts = 100;
-    table.knows_hosts = true;
-    assert!(table.spend(&service, at(2)));
+    assert!(!table.spend_retry(&service, at(1)));
+    table.host_count = 100;
+    table.knows_host_count = true;
+    assert!(table.spend_retry(&service, at(2)));
 }
 
 /// A replica that wants nothing from most hosts counts in plans as what it serves; one that rests for a few does not.
@@ -163,17 +163,17 @@
     let inbox = Inbox::default();
     for host in 0..3u16 {
         let resting = match host {
-            0 => vec![short("i-1"), short("i-2")],
-            1 => vec![short("i-1")],
+            0 => vec![replica_hash("i-1"), replica_hash("i-2")],
+            1 => vec![replica_hash("i-1")],
             _ => Vec::new(),
         };
-        let sums = Sums {
+        let sums = LoadReport {
             host: format!("h{host}").into(),
-            resting,
+            backing_off: resting,
             ..sums(1, 1, 0)
         };
-        inbox.put(sums, addr(host), at(0));
+        inbox.record_report(sums, addr(host), at(0));
     }
-    assert_eq!(inbox.resting(at(10)), HashSet::from([short("i-1")]));
+    assert_eq!(inbox.resting(at(10)), HashSet::from([replica_hash("i-1")]));
     assert!(inbox.resting(at(5_000)).is_empty(), "nobody tells any more");
 }
--- a/crates/front/tests/malformed.rs
+++ b/crates/front/tests/malformed.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use front::events::Splitter;
-use front::message::{Demand, Load, Message, Row, Sums, decode, encode};
+use front::message::{Demand, Load, LoadReport, Message, PackedLoad, decode, encode};
 use front::{Settings, settings};
 use proptest::prelude::*;
 
@@ -38,18 +38,18 @@
         requests: 3.0,
         ..Load::default()
     };
-    let sums = Sums {
+    let sums = LoadReport {
         host: "d1".into(),
-        loads: vec![Row::new("i-1", &load); 4],
+        loads: vec![PackedLoad::new("i-1", &load); 4],
         demand: vec![Demand {
             service: "llm".into(),
             model: "m1".into(),
             rate: 1.5,
             tokens: 900.0,
         }],
-        ..Sums::default()
+        ..LoadReport::default()
     };
-    encode(&Message::Sums(sums))
+    encode(&Message::Report(sums))
 }
 
 #[test]
@@ -154,7 +154,7 @@
                 passed += events.len();
             }
         }
-        prop_assert_eq!(passed + splitter.rest().len(), all, "no byte is lost or made up");
+        prop_assert_eq!(passed + splitter.take_remainder().len(), all, "no byte is lost or made up");
     }
 }
 
@@ -164,5 +164,5 @@
     let piece = Bytes::from(vec![b'x'; 64 * 1_024]);
     let refused = (0..64).any(|_| splitter.push(piece.clone()).is_err());
     assert!(refused);
-    assert!(splitter.rest().len() <= 2 << 20);
+    assert!(splitter.take_remainder().len() <= 2 << 20);
 }
--- a/crates/front/tests/suspended.rs
+++ b/crates/front/tests/suspended.rs
@@ -7,8 +7,8 @@
 use platform_standin::proxy::Mode;
 use platform_standin::replica::Fault;
 use site::{
-    Answer, account, ask, ask_with, behind_a_proxy, daemon, engine, keep_alone, store, until, web,
-    with_accounts,
+    Answer, account, ask, ask_with, daemon, daemon_behind_proxy, engine, isolate, store, until,
+    web, with_accounts,
 };
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -23,7 +23,7 @@
 const NOTICED: Duration = Duration::from_millis(300);
 
 fn suspend(host: &Daemon) {
-    host.state().clock.suspend(AWAY);
+    host.state().clock.simulate_suspend(AWAY);
 }
 
 /// Another host may lead by now: it gives no order in the old term.
@@ -52,7 +52,7 @@
         &with_accounts(2, &[account("a", &["key-of-a"])]),
     );
     let _web = web(&store, "i-1").await;
-    let (host, way) = behind_a_proxy(&store, "d1").await;
+    let (host, way) = daemon_behind_proxy(&store, "d1").await;
     assert_eq!(
         ask_with(&host, "key-of-a", "/again/x", None)
             .await
@@ -61,7 +61,7 @@
         200
     );
     way.set(Mode::DeafTarget);
-    keep_alone(&host);
+    isolate(&host);
     suspend(&host);
     assert_eq!(
         ask_with(&host, "key-of-a", "/again/x", None)
@@ -89,12 +89,12 @@
 async fn it_denies_no_route_by_news_older_than_the_bound() {
     let store = store().await;
     let _web = web(&store, "i-1").await;
-    let (host, way) = behind_a_proxy(&store, "d1").await;
+    let (host, way) = daemon_behind_proxy(&store, "d1").await;
     assert_eq!(ask(&host, "/nowhere/x", None).await.1.status(), 404);
     way.set(Mode::DeafTarget);
-    keep_alone(&host);
+    isolate(&host);
     let bound = host.state().settings.bounds.configuration;
-    host.state().clock.suspend(bound.into());
+    host.state().clock.simulate_suspend(bound.into());
     assert_eq!(ask(&host, "/nowhere/x", None).await.1.status(), 503);
 }
 
@@ -219,16 +219,16 @@
     let host = daemon(&store, "d1").await;
     until(|| host.state().leads()).await;
     let other = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
-    let sums = front::message::Sums {
+    let sums = front::message::LoadReport {
         host: "other".into(),
         hall: "a".into(),
         round: 1,
         ..Default::default()
     };
-    let bytes = front::message::encode(&front::message::Message::Sums(sums));
-    let hosts = host.state().table.lock().hosts;
+    let bytes = front::message::encode(&front::message::Message::Report(sums));
+    let hosts = host.state().table.lock().host_count;
     suspend(&host);
     other.send_to(&bytes, host.state().settings.peers).unwrap();
     sleep(NOTICED).await;
-    assert_eq!(host.state().table.lock().hosts, hosts);
+    assert_eq!(host.state().table.lock().host_count, hosts);
 }
--- a/crates/place/src/copies/fleet.rs
+++ b/crates/place/src/copies/state.rs
@@ -1,7 +1,7 @@
 //! What a plan of copies knows while it is made: counts of copies, demand on each replica, and what
 //! copies are worth.
 
-use super::{ASKED, Model, Replica, Step};
+use super::{ACTIVE_DEMAND, Model, Replica, Step};
 
 /// Part of a copy in place of none, by which the value of a model's first copy is reckoned.
 const NO_COPY: f64 = 0.5;
@@ -30,7 +30,7 @@
 }
 
 /// Replicas and models while a plan is made; both by index.
-pub(super) struct Fleet<'a> {
+pub(super) struct State<'a> {
     pub(super) replicas: Vec<Replica>,
     pub(super) models: &'a [Model],
     pub(super) counts: Vec<Count>,
@@ -40,18 +40,18 @@
     demand: Vec<f64>,
 }
 
-impl<'a> Fleet<'a> {
+impl<'a> State<'a> {
     /// Takes in the replicas as they are.
-    pub(super) fn new(replicas: &[Replica], models: &'a [Model]) -> Fleet<'a> {
-        let mut fleet = Fleet {
+    pub(super) fn new(replicas: &[Replica], models: &'a [Model]) -> State<'a> {
+        let mut state = State {
             replicas: replicas.to_vec(),
             models,
             counts: Vec::new(),
             scarce: places(replicas, models) < models.len(),
             demand: Vec::new(),
         };
-        fleet.count();
-        fleet
+        state.count();
+        state
     }
 
     /// Takes in a step that is to be done; its replica does no other.
@@ -59,20 +59,20 @@
         match step {
             Step::Load { replica, model, .. } => {
                 let replica = &mut self.replicas[*replica];
-                replica.coming.push(*model);
+                replica.incoming.push(*model);
                 replica.free_mb -= self.models[*model].memory_mb;
-                replica.idle = false;
+                replica.accepts_orders = false;
             }
             Step::Unload {
                 replica,
                 models,
-                instead,
+                replacement,
             } => {
                 let replica = &mut self.replicas[*replica];
                 replica.held.retain(|m| !models.contains(m));
                 // The room is meant for that model, so no other replica loads it on top.
-                replica.coming.push(*instead);
-                replica.idle = false;
+                replica.incoming.push(*replacement);
+                replica.accepts_orders = false;
             }
         }
         self.count();
@@ -81,9 +81,9 @@
     /// Lets a replica that has made room wait, so that the room stays; or forgets what the room was for.
     pub(super) fn settle(&mut self, r: usize, waits: bool) {
         let replica = &mut self.replicas[r];
-        replica.idle &= !waits;
-        if !waits && let Some(model) = replica.promised.take() {
-            replica.coming.retain(|m| *m != model);
+        replica.accepts_orders &= !waits;
+        if !waits && let Some(model) = replica.reserved_for.take() {
+            replica.incoming.retain(|m| *m != model);
         }
         self.count();
     }
@@ -115,11 +115,11 @@
         let model = &self.models[model];
         let n = serving.max(NO_COPY);
         let demand = match serving <= 0.0 {
-            true => model.demand.max(model.expected),
+            true => model.demand.max(model.expected_demand),
             false => model.demand,
         };
         // A copy relieves the others the less, the more its replica has to do already.
-        let asked = (1.0 + RELIEVED) * demand + model.recent;
+        let asked = (1.0 + RELIEVED) * demand + model.recent_demand;
         let relieved = asked / (1.0 + others);
         // Copies so valued go by the square root of demand: demand moves from the busiest model to one
         // that few asked for within less time than weights need to come, so that the next ones must
@@ -143,14 +143,14 @@
         if self.counts[model].all > 0 {
             return 1.0;
         }
-        1.0 + self.models[model].unserved / UNSERVED_DOUBLES
+        1.0 + self.models[model].unserved_secs / UNSERVED_DOUBLES
     }
 
     /// Whether a model is to be on some replica: each, while there are places for all; else those that
     /// are asked for.
     pub(super) fn is_needed(&self, model: usize) -> bool {
         let model = &self.models[model];
-        !self.scarce || model.demand + model.recent > ASKED
+        !self.scarce || model.demand + model.recent_demand > ACTIVE_DEMAND
     }
 
     /// What is lost when a replica gives up a copy.
@@ -169,26 +169,26 @@
 fn places(replicas: &[Replica], models: &[Model]) -> usize {
     let memory: f64 = models.iter().map(|m| m.memory_mb).sum();
     let mean = memory / models.len().max(1) as f64;
-    let staying = replicas.iter().filter(|r| r.stays);
+    let staying = replicas.iter().filter(|r| r.in_service);
     let of_one = |r: &Replica| on(r).count() + (r.free_mb.max(0.0) / mean.max(1.0)) as usize;
     staying.map(of_one).sum()
 }
 
 /// Models that a replica holds or will.
 fn on(replica: &Replica) -> impl Iterator<Item = &usize> {
-    replica.held.iter().chain(&replica.coming)
+    replica.held.iter().chain(&replica.incoming)
 }
 
 /// Copies of each model on replicas that stay.
 fn counts(replicas: &[Replica], models: usize) -> Vec<Count> {
     let mut counts = vec![Count::default(); models];
-    for replica in replicas.iter().filter(|r| r.stays) {
+    for replica in replicas.iter().filter(|r| r.in_service) {
         for model in &replica.held {
             counts[*model].held += 1;
             counts[*model].all += 1;
             counts[*model].serving += replica.serves();
         }
-        for model in &replica.coming {
+        for model in &replica.incoming {
             counts[*model].all += 1;
             counts[*model].serving += replica.serves();
         }
--- a/crates/standin/src/experiment/platform.rs
+++ b/crates/standin/src/experiment/platform.rs
@@ -3,8 +3,8 @@
 use super::Options;
 use super::measure::allocated;
 use cli::render::{json, out, table};
-use front::message::{Digest, Load, Message, Row, encode};
-use front::table::{Table, Want};
+use front::message::{Digest, Load, Message, PackedLoad, encode};
+use front::table::{Criteria, Table};
 use place::copies::{self, Model, Replica};
 use platform::ingress::{Ask, Part};
 use platform::replica::{Entry, Held};
@@ -92,13 +92,13 @@
         ..Ask::default()
     };
     let service: Name = "llm".into();
-    let want = Want {
+    let want = Criteria {
         service: &service,
         ask: &ask,
         priority: 1,
-        gap: Some(Span::from_ms(300)),
-        avoid: &[],
-        resumes: false,
+        max_gap: Some(Span::from_ms(300)),
+        excluded: &[],
+        is_resumption: false,
     };
     let took = each(|| {
         black_box(table.choose(&want, Time(1)).ok());
@@ -110,10 +110,10 @@
 fn digest(replicas: usize) -> usize {
     let load = Load {
         requests: 9.0,
-        reserved: 14_400.0,
-        unread: [0.0, 140.0, 0.0, 0.0],
+        reserved_tokens: 14_400.0,
+        prefill_ms: [0.0, 140.0, 0.0, 0.0],
     };
-    let rows = (0..replicas).map(|n| Row::new(&format!("i-{n:010x}"), &load));
+    let rows = (0..replicas).map(|n| PackedLoad::new(&format!("i-{n:010x}"), &load));
     let digest = Digest {
         loads: rows.collect(),
         ..Digest::default()
@@ -128,19 +128,19 @@
         .map(|m| Model {
             memory_mb: 60_000.0,
             demand: if m % 10 == 0 { 14.0 } else { 0.5 },
-            recent: 0.5,
-            unserved: 0.0,
-            from_store: 0.25,
-            expected: 0.0,
+            recent_demand: 0.5,
+            unserved_secs: 0.0,
+            store_factor: 0.25,
+            expected_demand: 0.0,
         })
         .collect();
     let held: Vec<Replica> = (0..replicas)
         .map(|n| Replica {
             free_mb: 20_000.0,
             held: vec![n % models, (n + 1) % models, (n + 7) % models],
-            idle: n % 4 == 0,
-            stays: true,
-            load: 0.3,
+            accepts_orders: n % 4 == 0,
+            in_service: true,
+            utilization: 0.3,
             ..Replica::default()
         })
         .collect();
--- a/crates/standin/src/experiment/slopes/points.rs
+++ b/crates/standin/src/experiment/slopes/points.rs
@@ -4,16 +4,16 @@
 use crate::experiment::measure::allocated;
 use crate::fleet;
 use backing::hosts::{Host, Kind};
-use bundle::key::Signed;
+use bundle::key::OperatorSignature;
 use bundle::{Delta, Draft, Head, part};
 use daemon::clock::Clock;
 use place::homes::{Hall, Homes};
-use place::plan::{Need, Situation, Starts, Want, plan};
+use place::plan::{Demand, Input, LoadLimiter, Spec, plan};
 use place::{Fleet, Ledger, Upstream};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use route::choose::{Ask, Candidate, choose, weigh};
-use route::health::State as Health;
+use route::breaker::State as Health;
+use route::choose::{Candidate, Request, choose, evaluate};
 use std::collections::BTreeMap;
 use std::hint::black_box;
 use std::time::{Duration, Instant};
@@ -47,16 +47,16 @@
         age: Span::from_ms(rng.random_range(0..1_000)),
         sent_since: rng.random_range(0..5),
         batch: 16,
-        service: Span::from_secs(1),
+        service_time: Span::from_secs(1),
         in_flight: rng.random_range(0..16),
-        allowed: 64,
-        health: Health::In,
+        limit: 64,
+        breaker: Health::Closed,
         cached: false,
     };
     names.iter().map(candidate).collect()
 }
 
-const ASK: Ask = Ask {
+const ASK: Request = Request {
     prefix: Some(7),
     prefill: Span::from_ms(300),
     avoid: None,
@@ -75,19 +75,19 @@
     let names = names(n);
     let candidates = candidates(&names);
     time(|| {
-        black_box(weigh(&ASK, black_box(&candidates), 0));
+        black_box(evaluate(&ASK, black_box(&candidates), 0));
     })
 }
 
 /// A hall with `n` upstreams and 1,700 models to 220 of them, a tenth of the upstreams overloaded.
 pub(super) fn tick(n: usize) -> f64 {
     let models = n * MODELS as usize / 220;
-    let wants: Vec<Want> = (0..models)
-        .map(|i| Want {
+    let wants: Vec<Spec> = (0..models)
+        .map(|i| Spec {
             model: format!("m{i:04}").into(),
             version: "1".into(),
             memory: Bytes::from_gb(8),
-            least: 1,
+            min_replicas: 1,
             priority: 5,
             adapters: Vec::new(),
         })
@@ -98,11 +98,11 @@
         name: hall.clone(),
         memory: Bytes::from_gb(80 * n as u64),
     }];
-    let need = |i: usize| Need {
+    let need = |i: usize| Demand {
         rate: if i.is_multiple_of(70) { 20.0 } else { 0.5 },
         work: 0.1,
     };
-    let needs: BTreeMap<Name, Need> = wants
+    let needs: BTreeMap<Name, Demand> = wants
         .iter()
         .enumerate()
         .map(|(i, w)| (w.model.clone(), need(i)))
@@ -111,30 +111,30 @@
     for want in &wants {
         homes.join(&want.model, &hall);
     }
-    let situation = Situation {
+    let input = Input {
         now: Time(10_000_000),
         wall_ms: 0,
         hall: &hall,
         halls: &halls,
-        wants: &wants,
+        specs: &wants,
         fleet: &fleet,
-        elsewhere: &Fleet::default(),
+        other_halls: &Fleet::default(),
         homes: &homes,
-        needs: &needs,
-        attainment: 1.0,
-        moves: 1.0,
+        demand: &needs,
+        attainment_weight: 1.0,
+        move_cost: 1.0,
     };
     time(|| {
         let mut ledger = Ledger::default();
         black_box(plan(
-            &situation,
+            &input,
             &mut ledger,
-            &mut Starts::new(100.0, 100, 1),
+            &mut LoadLimiter::new(100.0, 100, 1),
         ));
     })
 }
 
-fn filled(n: usize, wants: &[Want]) -> Fleet {
+fn filled(n: usize, wants: &[Spec]) -> Fleet {
     let upstreams = (0..n).map(|u| {
         let mine = wants.iter().enumerate().filter(|(i, _)| i % n == u);
         Upstream {
@@ -142,7 +142,7 @@
             report: report(mine.map(|(_, w)| (w.weights(), w.memory)).collect()),
             leaving: false,
             fencing: true,
-            silent: false,
+            unreachable: false,
         }
     });
     Fleet {
@@ -170,7 +170,7 @@
 }
 
 fn parts(models: usize) -> Vec<part::Part> {
-    part::cut("sample.ini", &fleet::sample(models, 0)).expect("the sample is in order")
+    part::split("sample.ini", &fleet::sample(models, 0)).expect("the sample is in order")
 }
 
 pub(super) fn join(models: usize) -> f64 {
@@ -179,12 +179,12 @@
         for part in &parts {
             black_box(part::hash(part.text.as_bytes()));
         }
-        black_box(part::join(parts.iter().map(|p| &*p.text)).is_ok());
+        black_box(part::parse(parts.iter().map(|p| &*p.text)).is_ok());
     })
 }
 
 pub(super) fn head_bytes(models: usize) -> f64 {
-    let refs: Vec<_> = parts(models).into_iter().map(|p| p.at).collect();
+    let refs: Vec<_> = parts(models).into_iter().map(|p| p.reference).collect();
     serde_json::to_string(&refs).map_or(0, |t| t.len()) as f64
 }
 
@@ -192,7 +192,7 @@
     let parts = parts(models);
     let of_models: Vec<_> = parts
         .iter()
-        .filter(|p| p.at.group.starts_with("model"))
+        .filter(|p| p.reference.group.starts_with("model"))
         .collect();
     of_models.iter().map(|p| p.text.len()).sum::<usize>() as f64 / of_models.len() as f64
 }
@@ -210,7 +210,7 @@
     let parts = parts(models);
     memory(|| {
         let texts: Vec<Name> = parts.iter().map(|p| p.text.clone()).collect();
-        let intent = part::join(texts.iter().map(|t| &**t));
+        let intent = part::parse(texts.iter().map(|t| &**t));
         (texts, intent)
     })
 }
@@ -269,8 +269,8 @@
 pub(super) fn delta_bytes(models: usize) -> f64 {
     let head = |version: &str| {
         let text = fleet::sample(models, 0).replacen("version = 1", version, 1);
-        let parts = part::cut("sample.ini", &text).expect("the sample is in order");
-        let signed = |name: &str| Signed {
+        let parts = part::split("sample.ini", &text).expect("the sample is in order");
+        let signed = |name: &str| OperatorSignature {
             operator: name.into(),
             signature: "0".repeat(128).into(),
         };
@@ -281,7 +281,7 @@
                 id: "69a2c3d1-5f3e2a1b-77aa".into(),
                 replaces: 0,
                 title: "a change".into(),
-                parts: parts.into_iter().map(|p| p.at).collect(),
+                parts: parts.into_iter().map(|p| p.reference).collect(),
                 proposal: signed("alice"),
                 approvals: vec![signed("bob")],
             },
@@ -295,12 +295,12 @@
     let demands = (0..models).map(|i| wire::Demand {
         model: format!("judge-{i:04}").into(),
         rate: 1.5,
-        attained: 0.99,
+        attainment: 0.99,
         waiting: 0,
     });
     let frame = wire::Frame::Demands {
         demands: demands.collect(),
     };
     let key = wire::Key::new(vec![1; 32]).expect("the key is long enough");
-    wire::seal(&key, b"", &frame).map_or(0, |m| m.len()) as f64
+    wire::encode(&key, b"", &frame).map_or(0, |m| m.len()) as f64
 }
